--- a/internal/due/due.go
+++ b/internal/due/due.go
@@ -1,6 +1,6 @@
-// Package due holds what falls due at some time, so that the next of it is found at
-// once and each is set, moved and stopped in logarithmic time, however many there
-// are. It reads no clock and belongs to one goroutine.
+// Package due implements a queue of timers. The next timer is found in constant time;
+// setting, moving and stopping one takes logarithmic time. The package reads no clock.
+// A Queue must be used from one goroutine only.
 package due
 
 import (
@@ -8,94 +8,95 @@
 	"time"
 )
 
-// Timer is one thing that falls due. Its zero value is not set.
+// Timer is an entry of a Queue. The zero value is a timer that is not set.
 type Timer[T any] struct {
 	Value T
 
-	at    time.Time
-	order uint64 // of those due at the same time the one set first comes first
-	index int    // in the queue, from 1; 0 is not set
+	at       time.Time
+	sequence uint64 // of timers due at the same time, the one set first comes first
+	index    int    // position in the queue plus 1; 0 if the timer is not set
 }
 
-// Set tells that the timer is in a queue.
+// Set reports whether the timer is in a queue.
 func (t *Timer[T]) Set() bool { return t.index > 0 }
 
-// At is when it falls due.
+// At returns the time for which the timer was last set.
 func (t *Timer[T]) At() time.Time { return t.at }
 
-// Queue holds timers. Its zero value is empty. A timer is in one queue at a time.
+// Queue holds timers by the time at which they are due. The zero value is an empty
+// queue. A timer can be in one queue at a time.
 type Queue[T any] struct {
-	list  list[T]
-	order uint64
+	timers       timerHeap[T]
+	lastSequence uint64
 }
 
-// Len is how many timers are set.
-func (q *Queue[T]) Len() int { return len(q.list) }
+// Len returns the number of timers in the queue.
+func (q *Queue[T]) Len() int { return len(q.timers) }
 
-// Set sets a timer, or moves it.
+// Set adds a timer that is due at the given time, or moves one that is set.
 func (q *Queue[T]) Set(t *Timer[T], at time.Time) {
-	q.order++
-	t.at, t.order = at, q.order
+	q.lastSequence++
+	t.at, t.sequence = at, q.lastSequence
 	if t.index > 0 {
-		heap.Fix(&q.list, t.index-1)
+		heap.Fix(&q.timers, t.index-1)
 		return
 	}
-	heap.Push(&q.list, t)
+	heap.Push(&q.timers, t)
 }
 
-// Stop takes a timer out; one that is not set stays so.
+// Stop removes a timer. It does nothing if the timer is not set.
 func (q *Queue[T]) Stop(t *Timer[T]) {
 	if t.index > 0 {
-		heap.Remove(&q.list, t.index-1)
+		heap.Remove(&q.timers, t.index-1)
 	}
 }
 
-// Next is when the next one falls due; zero if none is set.
+// Next returns when the next timer is due; zero if the queue is empty.
 func (q *Queue[T]) Next() time.Time {
-	if len(q.list) == 0 {
+	if len(q.timers) == 0 {
 		return time.Time{}
 	}
-	return q.list[0].at
+	return q.timers[0].at
 }
 
-// Pop takes out the next timer that is due at now; nil if none is.
+// Pop removes and returns the next timer if it is due at now; else it returns nil.
 func (q *Queue[T]) Pop(now time.Time) *Timer[T] {
-	if len(q.list) == 0 || now.Before(q.list[0].at) {
+	if len(q.timers) == 0 || now.Before(q.timers[0].at) {
 		return nil
 	}
-	return heap.Pop(&q.list).(*Timer[T])
+	return heap.Pop(&q.timers).(*Timer[T])
 }
 
-// list is the heap itself.
-type list[T any] []*Timer[T]
+// timerHeap implements heap.Interface.
+type timerHeap[T any] []*Timer[T]
 
-func (l list[T]) Len() int { return len(l) }
+func (h timerHeap[T]) Len() int { return len(h) }
 
-func (l list[T]) Less(i, j int) bool {
-	if c := l[i].at.Compare(l[j].at); c != 0 {
+func (h timerHeap[T]) Less(i, j int) bool {
+	if c := h[i].at.Compare(h[j].at); c != 0 {
 		return c < 0
 	}
-	return l[i].order < l[j].order
+	return h[i].sequence < h[j].sequence
 }
 
-func (l list[T]) Swap(i, j int) {
-	l[i], l[j] = l[j], l[i]
-	l[i].index, l[j].index = i+1, j+1
+func (h timerHeap[T]) Swap(i, j int) {
+	h[i], h[j] = h[j], h[i]
+	h[i].index, h[j].index = i+1, j+1
 }
 
-// Push is for package heap.
-func (l *list[T]) Push(x any) {
+// Push implements heap.Interface.
+func (h *timerHeap[T]) Push(x any) {
 	t := x.(*Timer[T])
-	*l = append(*l, t)
-	t.index = len(*l)
+	*h = append(*h, t)
+	t.index = len(*h)
 }
 
-// Pop is for package heap.
-func (l *list[T]) Pop() any {
-	last := len(*l) - 1
-	t := (*l)[last]
-	(*l)[last] = nil
-	*l = (*l)[:last]
+// Pop implements heap.Interface.
+func (h *timerHeap[T]) Pop() any {
+	last := len(*h) - 1
+	t := (*h)[last]
+	(*h)[last] = nil
+	*h = (*h)[:last]
 	t.index = 0
 	return t
 }
--- a/internal/due/due_test.go
+++ b/internal/due/due_test.go
@@ -13,8 +13,9 @@
 
 func TestMain(m *testing.M) { steady.Main(m) }
 
-// TestQueueAgreesWithASearchThroughEverything sets, moves, stops and pops at random.
-func TestQueueAgreesWithASearchThroughEverything(t *testing.T) {
+// TestQueueMatchesModel sets, moves, stops and pops timers at random, and compares the
+// queue with a sorted list.
+func TestQueueMatchesModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var q Queue[int]
 		base := time.Unix(1000, 0)
@@ -22,30 +23,30 @@
 		for i := range timers {
 			timers[i] = &Timer[int]{Value: i}
 		}
-		var model []int // values of those set, in the order in which they fall due
+		var model []int // values of the timers that are set, in the order in which they are due
 		at := make(map[int]time.Time)
-		set := make(map[int]int)
-		sets := 0
-		sorted := func() {
-			slices.SortFunc(model, func(a, b int) int { return cmp.Or(at[a].Compare(at[b]), cmp.Compare(set[a], set[b])) })
+		setOrder := make(map[int]int)
+		sequence := 0
+		sortModel := func() {
+			slices.SortFunc(model, func(a, b int) int { return cmp.Or(at[a].Compare(at[b]), cmp.Compare(setOrder[a], setOrder[b])) })
 		}
-		one := rapid.IntRange(0, len(timers)-1)
+		anyTimer := rapid.IntRange(0, len(timers)-1)
 		t.Repeat(map[string]func(*rapid.T){
 			"set": func(t *rapid.T) {
-				i := one.Draw(t, "timer")
+				i := anyTimer.Draw(t, "timer")
 				at[i] = base.Add(time.Duration(rapid.IntRange(0, 5).Draw(t, "at")) * time.Second)
-				sets++
-				set[i] = sets
+				sequence++
+				setOrder[i] = sequence
 				q.Set(timers[i], at[i])
 				if !slices.Contains(model, i) {
 					model = append(model, i)
 				}
-				sorted()
+				sortModel()
 			},
 			"stop": func(t *rapid.T) {
-				i := one.Draw(t, "timer")
+				i := anyTimer.Draw(t, "timer")
 				q.Stop(timers[i])
-				model = slices.DeleteFunc(model, func(x int) bool { return x == i })
+				model = slices.DeleteFunc(model, func(timer int) bool { return timer == i })
 			},
 			"pop": func(t *rapid.T) {
 				now := base.Add(time.Duration(rapid.IntRange(0, 5).Draw(t, "now")) * time.Second)
@@ -57,7 +58,7 @@
 					return
 				}
 				if got == nil || got.Value != model[0] || got.Set() {
-					t.Fatalf("have %+v, want %d", got, model[0])
+					t.Fatalf("got %+v, want timer %d", got, model[0])
 				}
 				model = model[1:]
 			},
@@ -69,9 +70,9 @@
 				if q.Len() != len(model) || !q.Next().Equal(want) {
 					t.Fatalf("%d timers, the next at %v; want %d at %v", q.Len(), q.Next(), len(model), want)
 				}
-				for i, x := range timers {
-					if x.Set() != slices.Contains(model, i) {
-						t.Fatalf("timer %d is set: %v", i, x.Set())
+				for i, timer := range timers {
+					if timer.Set() != slices.Contains(model, i) {
+						t.Fatalf("timer %d is set: %v", i, timer.Set())
 					}
 				}
 			},
