--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -1,6 +1,7 @@
-// Package service records how queries fare: by class and by second, how many
-// were answered, refused and failed, and how long that took (high dynamic range
-// histograms, G. Tene). It has no I/O and no clock, and belongs to one goroutine.
+// Package service records the outcomes of queries by class and second: how many
+// were answered, refused and failed, and how long the answers took (high dynamic
+// range histograms, G. Tene). It does no I/O and reads no clock. A Recorder must be
+// used from one goroutine only.
 package service
 
 import (
@@ -21,28 +22,28 @@
 	Partial
 	Refused
 	Failed
-	Gone // its client left
-	outcomes
+	Gone // the client disconnected
+	numOutcomes
 )
 
-// Bounds of what is recorded. Two digits tell a p99 to 1 part in 100, which is
-// finer than it is known from a few thousand queries.
+// Bounds of the recorded times. Two significant digits resolve a p99 to 1 part in
+// 100, which is finer than a few thousand queries determine it.
 const (
-	leastTime = 1 // microseconds
-	mostTime  = 60_000_000
-	digits    = 2
-	// Kept is how many seconds are kept. A guard compares tens of seconds before
-	// and after a change.
+	minMicros         = 1 // microseconds
+	maxMicros         = 60_000_000
+	significantDigits = 2
+	// Kept is the number of windows that a Recorder keeps. The regression guard
+	// compares tens of seconds before and after a change.
 	Kept = 120
 )
 
-// Count is how many queries took up to a time.
+// Count is the number of queries in one bucket of times.
 type Count struct {
-	Micros int64 `json:"us"`
+	Micros int64 `json:"us"` // upper bound of the bucket
 	N      int64 `json:"n"`
 }
 
-// Class is how one class fared in a second.
+// Class holds the counts of one class in one second.
 type Class struct {
 	Name    string  `json:"class"`
 	Taken   int     `json:"taken"`
@@ -51,79 +52,79 @@
 	Refused int     `json:"refused"`
 	Failed  int     `json:"failed"`
 	Gone    int     `json:"gone"`
-	Times   []Count `json:"times,omitempty"` // of answers, whole or partial
+	Times   []Count `json:"times,omitempty"` // of whole and partial answers
 }
 
-// Window is one second.
+// Window holds the counts of one second.
 type Window struct {
-	Second  int64   `json:"second"` // since 1970
+	Second  int64   `json:"second"` // Unix time
 	Classes []Class `json:"classes"`
 }
 
-// Recorder records. Make it with New.
+// Recorder counts the outcomes of queries. Use New to create one.
 type Recorder struct {
-	names   []string
-	start   time.Time // of the first second; seconds are counted from it by the monotonic clock
-	now     int64
-	taken   []int
-	counts  [][outcomes]int
-	times   []map[int64]int64 // by bucket: a second sees few of the buckets that a histogram has
-	any     bool
-	windows []Window // closed ones that saw anything, the oldest first
+	classNames []string
+	start      time.Time // time of the first record; later seconds are counted from it on the monotonic clock
+	second     int64
+	taken      []int
+	counts     [][numOutcomes]int
+	times      []map[int64]int64 // count by bucket; a map, because one second uses few of a histogram's buckets
+	hasData    bool
+	windows    []Window // closed windows with any records, oldest first
 }
 
-// New returns a recorder for classes.
+// New returns a Recorder for the classes with the given names.
 func New(classes []string) *Recorder {
-	r := &Recorder{names: classes, taken: make([]int, len(classes)), counts: make([][outcomes]int, len(classes))}
+	r := &Recorder{classNames: classes, taken: make([]int, len(classes)), counts: make([][numOutcomes]int, len(classes))}
 	for range classes {
 		r.times = append(r.times, make(map[int64]int64))
 	}
 	return r
 }
 
-// Take books a query of a class that was taken at now.
+// Take records a query of a class that was taken at now.
 func (r *Recorder) Take(now time.Time, class int) {
-	r.turn(now)
-	r.any = true
+	r.advance(now)
+	r.hasData = true
 	r.taken[class]++
 }
 
-// Record books a query of a class that ended at now after so long.
-func (r *Recorder) Record(now time.Time, class int, o Outcome, took time.Duration) {
-	r.turn(now)
-	r.any = true
-	r.counts[class][o]++
-	if o == Whole || o == Partial {
-		r.times[class][bucket(min(max(took.Microseconds(), leastTime), mostTime))]++
+// Record records a query of a class that ended at now, took after it was taken.
+func (r *Recorder) Record(now time.Time, class int, outcome Outcome, took time.Duration) {
+	r.advance(now)
+	r.hasData = true
+	r.counts[class][outcome]++
+	if outcome == Whole || outcome == Partial {
+		r.times[class][bucketUpperBound(min(max(took.Microseconds(), minMicros), maxMicros))]++
 	}
 }
 
-// bucket is the most that a time is taken for: within 1 part in 128 of it, as a
-// histogram of two digits would have it.
-func bucket(us int64) int64 {
+// bucketUpperBound returns the upper bound of the bucket of a time in microseconds. It
+// is within 1 part in 128 of the time, like in a histogram of two significant digits.
+func bucketUpperBound(us int64) int64 {
 	shift := max(bits.Len64(uint64(us))-8, 0)
 	return (us>>shift+1)<<shift - 1
 }
 
-// turn closes the second that is over.
-func (r *Recorder) turn(now time.Time) {
+// advance moves to the second of now, and closes the window of the previous one.
+func (r *Recorder) advance(now time.Time) {
 	if r.start.IsZero() {
 		r.start = now
 	}
-	// A clock that is set neither stops the seconds nor skips any.
+	// A step of the wall clock must neither stop the seconds nor skip any.
 	second := r.start.Unix() + int64((now.Sub(r.start)+time.Duration(r.start.Nanosecond()))/time.Second)
-	if second <= r.now {
+	if second <= r.second {
 		return
 	}
-	if r.any {
-		w := Window{Second: r.now}
+	if r.hasData {
+		w := Window{Second: r.second}
 		for i, n := range r.counts {
-			c := Class{Name: r.names[i], Taken: r.taken[i], Whole: n[Whole], Partial: n[Partial], Refused: n[Refused], Failed: n[Failed], Gone: n[Gone]}
+			c := Class{Name: r.classNames[i], Taken: r.taken[i], Whole: n[Whole], Partial: n[Partial], Refused: n[Refused], Failed: n[Failed], Gone: n[Gone]}
 			for _, us := range slices.Sorted(maps.Keys(r.times[i])) {
 				c.Times = append(c.Times, Count{us, r.times[i][us]})
 			}
 			w.Classes = append(w.Classes, c)
-			r.taken[i], r.counts[i] = 0, [outcomes]int{}
+			r.taken[i], r.counts[i] = 0, [numOutcomes]int{}
 			clear(r.times[i])
 		}
 		if len(r.windows) == Kept {
@@ -131,15 +132,15 @@
 			r.windows = r.windows[:Kept-1]
 		}
 		r.windows = append(r.windows, w)
-		r.any = false
+		r.hasData = false
 	}
-	r.now = second
+	r.second = second
 }
 
-// Since returns the seconds after one that are over, the oldest first. They must
-// not be changed.
+// Since returns the closed windows after the given second, oldest first. The caller
+// must not modify their contents.
 func (r *Recorder) Since(now time.Time, second int64) []Window {
-	r.turn(now)
+	r.advance(now)
 	for i, w := range r.windows {
 		if w.Second > second {
 			return append([]Window(nil), r.windows[i:]...)
@@ -148,35 +149,35 @@
 	return nil
 }
 
-// Sum adds up windows of any number of gatherers.
+// Sum adds up the windows of any number of gatherers.
 type Sum struct {
 	Whole, Partial, Refused, Failed int
 	times                           *hdrhistogram.Histogram
 }
 
-// NewSum returns an empty sum.
-func NewSum() *Sum { return &Sum{times: hdrhistogram.New(leastTime, mostTime, digits)} }
+// NewSum returns an empty Sum.
+func NewSum() *Sum { return &Sum{times: hdrhistogram.New(minMicros, maxMicros, significantDigits)} }
 
-// Add adds a class of a window.
+// Add adds the counts of a class in one window.
 func (s *Sum) Add(c Class) {
 	s.Whole += c.Whole
 	s.Partial += c.Partial
 	s.Refused += c.Refused
 	s.Failed += c.Failed
 	for _, t := range c.Times {
-		_ = s.times.RecordValues(min(max(t.Micros, leastTime), mostTime), max(t.N, 0)) // within its bounds
+		_ = s.times.RecordValues(min(max(t.Micros, minMicros), maxMicros), max(t.N, 0)) // can't fail: within the histogram's bounds
 	}
 }
 
-// Answered is how many answers there were.
+// Answered returns the number of whole and partial answers.
 func (s *Sum) Answered() int64 { return s.times.TotalCount() }
 
-// Quantile is the time within which a share of the answers came, between 0 and 1.
+// Quantile returns the time within which a share q of the answers came, 0 <= q <= 1.
 func (s *Sum) Quantile(q float64) time.Duration {
 	return time.Duration(s.times.ValueAtQuantile(q*100)) * time.Microsecond
 }
 
-// Reset empties the sum.
+// Reset empties the Sum.
 func (s *Sum) Reset() {
 	*s = Sum{times: s.times}
 	s.times.Reset()
--- a/internal/service/service_test.go
+++ b/internal/service/service_test.go
@@ -5,33 +5,35 @@
 	"time"
 )
 
-func TestSecondsAreClosedAndBounded(t *testing.T) {
+// Only seconds that are over are returned, at most Kept of them, also if the clock
+// is set back.
+func TestWindowsAreClosedAndBounded(t *testing.T) {
 	r := New([]string{"search", "reserve"})
 	at := time.Unix(1000, 0)
 	r.Record(at, 0, Whole, 10*time.Millisecond)
 	r.Record(at.Add(900*time.Millisecond), 0, Refused, 0)
-	r.Record(at.Add(-time.Second), 1, Failed, time.Second) // a clock that was set back
+	r.Record(at.Add(-time.Second), 1, Failed, time.Second) // the clock was set back
 	if w := r.Since(at.Add(950*time.Millisecond), 0); len(w) > 0 {
-		t.Errorf("the second at hand is told: %v", w)
+		t.Errorf("the current second is returned: %v", w)
 	}
 	w := r.Since(at.Add(time.Second), 0)
 	if len(w) != 1 || w[0].Second != 1000 || w[0].Classes[0].Whole != 1 || w[0].Classes[0].Refused != 1 || w[0].Classes[1].Failed != 1 ||
 		len(w[0].Classes[0].Times) != 1 || len(w[0].Classes[1].Times) != 0 {
-		t.Errorf("have %+v", w)
+		t.Errorf("got %+v", w)
 	}
 	for i := range 2 * Kept {
 		r.Record(at.Add(time.Duration(i+1)*time.Second), 0, Partial, time.Hour)
 	}
 	end := at.Add(time.Duration(2*Kept+1) * time.Second)
 	if w := r.Since(end, 0); len(w) != Kept || w[Kept-1].Second != end.Unix()-1 {
-		t.Errorf("%d seconds are kept", len(w))
+		t.Errorf("%d windows are kept", len(w))
 	}
 	if w := r.Since(end, end.Unix()-3); len(w) != 2 {
-		t.Errorf("after a second: %v", w)
+		t.Errorf("windows after a given second: %v", w)
 	}
 }
 
-func TestSumsOfWindowsKeepTheirQuantiles(t *testing.T) {
+func TestSumOfWindowsKeepsQuantiles(t *testing.T) {
 	a, b, sum := New([]string{"x"}), New([]string{"x"}), NewSum()
 	at := time.Unix(5, 0)
 	for i := range 1000 {
@@ -50,14 +52,14 @@
 		t.Errorf("%d answers, p99 %v", sum.Answered(), p)
 	}
 	if sum.Reset(); sum.Answered() != 0 || sum.Whole != 0 {
-		t.Error("a reset leaves something")
+		t.Error("Reset left counts behind")
 	}
 }
 
-func TestBucketsAreWithinTheirBound(t *testing.T) {
+func TestBucketRoundingIsBounded(t *testing.T) {
 	for us := int64(1); us < 60_000_000; us += 1 + us/97 {
-		if b := bucket(us); b < us || float64(b-us) > float64(us)/128 || bucket(b) != b {
-			t.Fatalf("%d is taken for %d", us, b)
+		if b := bucketUpperBound(us); b < us || float64(b-us) > float64(us)/128 || bucketUpperBound(b) != b {
+			t.Fatalf("the bucket of %d has upper bound %d", us, b)
 		}
 	}
 }
