--- a/internal/gatherer/admission.go
+++ b/internal/gatherer/admission.go
@@ -2,26 +2,29 @@
 
 import "time"
 
-// admit tells whether a query and its parts fit under the limits on open ones, of
-// all and of its class, and, where they do not, when to come back if clients are told that. Such a query must not reach the
-// aggregator: what is held is bounded by that, and so is memory.
-func (c *Core) admit(a Ask, class int) (retryAfter time.Duration, ok bool) {
-	own := c.live.class(class).Open
+// admit reports whether a query and its parts are within the limits on open
+// queries, the total one and that of the class. If they are not, it returns the
+// retry advice for the client, which is 0 if clients get no advice. A query that is
+// not admitted must not reach the aggregator: this bounds the open queries, and so
+// the memory in use.
+func (c *Core) admit(ask Ask, class int) (retryAfter time.Duration, ok bool) {
+	classLimit := c.liveSettings.class(class).Open
 	switch {
-	case own > 0 && c.openOf[class] >= own:
+	case classLimit > 0 && c.openByClass[class] >= classLimit:
 		c.stats.ClassFull++
-	case c.live.MaxOpen == 0 || c.open+1+len(a.Parts) <= c.live.MaxOpen:
+	case c.liveSettings.MaxOpen == 0 || c.openCount+1+len(ask.Parts) <= c.liveSettings.MaxOpen:
 		return 0, true
 	}
 	c.stats.Refused++
 	c.stats.Full++
-	return c.advice(), false
+	return c.retryAdvice(), false
 }
 
-// advice is when a client that the core refuses is to come back; 0 where clients are not told.
-func (c *Core) advice() time.Duration {
-	if !c.set.Module.RetryAdvice {
+// retryAdvice returns how long a client that the core refuses should wait before it
+// asks again; 0 if clients get no advice.
+func (c *Core) retryAdvice() time.Duration {
+	if !c.settings.Module.RetryAdvice {
 		return 0
 	}
-	return c.set.Module.MaxRetryAdvice / 2
+	return c.settings.Module.MaxRetryAdvice / 2
 }
--- a/internal/gatherer/attempts.go
+++ b/internal/gatherer/attempts.go
@@ -16,30 +16,31 @@
 	Shard    int
 	Text     string
 	Key      string
-	Second   bool  // of a second step
-	From     []int // Second: the shards that were in
+	Second   bool  // the part belongs to a second step
+	From     []int // Second: the shards whose parts were answered in the first step
 	Whole    bool  // Second: the first step was whole
 	Deadline time.Time
 
-	// Load is what the searcher reported of itself with its answer, set before
-	// Core.Result is called; nil if it did not.
+	// Load is the load that the searcher reported with its answer; nil if it reported
+	// none. It is set before Core.Result is called.
 	Load *eiderwinch.Load
 
-	part   *part
-	number int
-	sent   time.Time
-	over   bool
-	timer  due.Timer[*Attempt] // of Deadline
+	part          *part
+	number        int
+	decidedAt     time.Time
+	ended         bool
+	deadlineTimer due.Timer[*Attempt] // expires at Deadline
 }
 
-// Decided is when the aggregator's turn was in which it was sent.
-func (a *Attempt) Decided() time.Time { return a.sent }
+// Decided returns the time of the turn in which the aggregator decided on the attempt.
+func (a *Attempt) Decided() time.Time { return a.decidedAt }
 
-// MayGoAgain tells that its part may be sent again: nothing of that has come, and its query goes on.
-func (a *Attempt) MayGoAgain() bool { return !a.part.over && !a.part.in }
+// MayGoAgain reports whether the attempt's part may be sent again: it is not answered, and its
+// query is still open.
+func (a *Attempt) MayGoAgain() bool { return !a.part.removed && !a.part.answered }
 
-// PartID names its part to the searchers: by the query's trace, the shard, and ".b" in a
-// second step. All attempts of a part bear the same.
+// PartID returns the ID of the attempt's part as sent to searchers: the query's trace, the
+// shard, and ".b" in a second step. All attempts of a part have the same ID.
 func (a *Attempt) PartID() string {
 	id := a.Trace + "." + strconv.Itoa(a.Shard)
 	if a.Second {
@@ -48,148 +49,156 @@
 	return id
 }
 
-// begin starts one attempt. It lets out none that would break a rule,
-// whatever the aggregator thinks: for a part that is over, beside another
-// attempt of the part where mayCopy says no, beyond the limit on attempts, or at a
-// searcher that does not hold the part's segment in the query's epoch.
-func (c *Core) begin(x eiderwinch.Send) *Attempt {
-	p := c.parts[x.Part]
+// startAttempt starts one attempt. Whatever the aggregator decided, it rejects a send
+// that would break a rule: for a removed part, beside another attempt in flight unless
+// maySendSecondCopy allows it, beyond the limit on attempts, to a searcher that does not
+// hold the part's segment in the query's epoch, or to one that is not ready. It sends
+// nothing for a client that has disconnected either.
+func (c *Core) startAttempt(send eiderwinch.Send) *Attempt {
+	p := c.parts[send.Part]
 	if p == nil {
-		c.log.Error("send for an unknown part", "part", x.Part)
+		c.log.Error("send for an unknown part", "part", send.Part)
 		return nil
 	}
-	most := c.set.Module.MaxAttempts
-	if own := p.query.live.class(p.query.class).Attempts; own > 0 && (most == 0 || own < most) {
-		most = own
+	maxAttempts := c.settings.Module.MaxAttempts
+	if classLimit := p.query.liveSettings.class(p.query.class).Attempts; classLimit > 0 && (maxAttempts == 0 || classLimit < maxAttempts) {
+		maxAttempts = classLimit
 	}
 	holders := p.query.holders(p.shard)
-	stranger := holders != nil && !slices.Contains(holders, x.Replica)
-	breaks := p.over || len(p.out) > 0 && !c.mayCopy(p, x.Replica) || most > 0 && p.tries >= most || stranger || c.barred(x.Replica)
-	if breaks || c.hasLeft(p.query) {
-		if breaks {
-			c.log.Warn("send not let out", "trace", p.query.trace, "shard", p.shard, "searcher", x.Replica)
+	notHolder := holders != nil && !slices.Contains(holders, send.Replica)
+	forbidden := p.removed || len(p.inFlight) > 0 && !c.maySendSecondCopy(p, send.Replica) ||
+		maxAttempts > 0 && p.attempts >= maxAttempts || notHolder || c.notReady(send.Replica)
+	if forbidden || c.clientDisconnected(p.query) {
+		if forbidden {
+			c.log.Warn("send rejected", "trace", p.query.trace, "shard", p.shard, "searcher", send.Replica)
 			c.stats.NotSent++
 		}
-		c.tell(c.now, eiderwinch.Outcome{
-			Part: p.id, Attempt: p.tries, Replica: x.Replica, Status: eiderwinch.NotSent,
+		c.addEvent(c.now, eiderwinch.Outcome{
+			Part: p.id, Attempt: p.attempts, Replica: send.Replica, Status: eiderwinch.NotSent,
 		})
-		p.tries++
+		p.attempts++
 		return nil
 	}
-	wait := p.query.deadline.Sub(c.now)
-	if x.TimeOut > 0 {
-		wait = min(wait, x.TimeOut)
+	timeout := p.query.deadline.Sub(c.now)
+	if send.TimeOut > 0 {
+		timeout = min(timeout, send.TimeOut)
 	}
 	a := &Attempt{
-		Searcher: x.Replica, Trace: p.query.trace, Shard: p.shard, Text: p.query.text, Key: p.query.key,
-		Second: p.second, Deadline: c.now.Add(wait), part: p, number: p.tries, sent: c.now,
+		Searcher: send.Replica, Trace: p.query.trace, Shard: p.shard, Text: p.query.text, Key: p.query.key,
+		Second: p.secondStep, Deadline: c.now.Add(timeout), part: p, number: p.attempts, decidedAt: c.now,
 	}
-	if p.second {
-		a.From, a.Whole = p.query.from, p.query.firstWhole
+	if p.secondStep {
+		a.From, a.Whole = p.query.firstStepShards, p.query.firstStepWhole
 	}
 	p.query.sent = true
-	if p.first.IsZero() {
-		p.first = c.now
+	if p.firstDecidedAt.IsZero() {
+		p.firstDecidedAt = c.now
 	}
-	if p.tries > 0 {
+	if p.attempts > 0 {
 		c.stats.Further++
 	}
-	if started := c.members[x.Replica].started; !started.IsZero() && c.now.Sub(started) < c.set.Module.ColdFor {
+	if started := c.members[send.Replica].startedAt; !started.IsZero() && c.now.Sub(started) < c.settings.Module.ColdFor {
 		c.stats.Cold++
 	}
-	p.tries++
-	if len(p.out) > 0 {
+	p.attempts++
+	if len(p.inFlight) > 0 {
 		c.stats.Copies++
 	}
-	p.out = append(p.out, a)
-	a.timer.Value = a
-	c.attempts.Set(&a.timer, a.Deadline)
+	p.inFlight = append(p.inFlight, a)
+	a.deadlineTimer.Value = a
+	c.inFlight.Set(&a.deadlineTimer, a.Deadline)
 	return a
 }
 
-// mostOut is how many attempts of a part may be out where second copies are allowed.
-const mostOut = 2
+// maxInFlight is the most attempts of a part in flight where second copies are allowed.
+const maxInFlight = 2
 
-// mayCopy tells that a second attempt of a part may go to a searcher while the first is
-// out: only where the settings allow second copies and the class repeats, and never to the
-// searcher that has the first: both bear the part's id, so its answers could not be told apart.
-func (c *Core) mayCopy(p *part, searcher string) bool {
-	return c.set.Module.SecondCopies && c.set.Module.Classes[p.query.class].Effect != eiderwinch.Unsafe &&
-		len(p.out) < mostOut && !slices.ContainsFunc(p.out, func(a *Attempt) bool { return a.Searcher == searcher })
+// maySendSecondCopy reports whether a second attempt of a part may go to a searcher while the
+// first is in flight. The settings must allow second copies and the class must allow repeats.
+// The searcher must not be the one that has the first attempt: both carry the same part ID, so
+// its answers could not be told apart.
+func (c *Core) maySendSecondCopy(p *part, searcher string) bool {
+	return c.settings.Module.SecondCopies && c.settings.Module.Classes[p.query.class].Effect != eiderwinch.Unsafe &&
+		len(p.inFlight) < maxInFlight && !slices.ContainsFunc(p.inFlight, func(a *Attempt) bool { return a.Searcher == searcher })
 }
 
-// cancel calls an attempt off.
-func (c *Core) cancel(x eiderwinch.Cancel) {
-	p := c.parts[x.Part]
+// cancel ends an attempt as cancelled.
+func (c *Core) cancel(action eiderwinch.Cancel) {
+	p := c.parts[action.Part]
 	if p == nil {
 		return
 	}
-	if i := slices.IndexFunc(p.out, func(a *Attempt) bool { return a.number == x.Attempt }); i >= 0 {
-		a := p.out[i]
-		c.end(c.now, a, eiderwinch.Cancelled)
+	if i := slices.IndexFunc(p.inFlight, func(a *Attempt) bool { return a.number == action.Attempt }); i >= 0 {
+		a := p.inFlight[i]
+		c.endAttempt(c.now, a, eiderwinch.Cancelled)
 		c.searchers.Abandon(a)
 	}
 }
 
-// expire ends the attempts whose time is up.
-func (c *Core) expire() {
-	for t := c.attempts.Pop(c.now); t != nil; t = c.attempts.Pop(c.now) {
-		c.end(c.now, t.Value, eiderwinch.TimedOut)
+// expireAttempts ends the attempts whose deadline has passed.
+func (c *Core) expireAttempts() {
+	for t := c.inFlight.Pop(c.now); t != nil; t = c.inFlight.Pop(c.now) {
+		c.endAttempt(c.now, t.Value, eiderwinch.TimedOut)
 		c.searchers.Abandon(t.Value)
 	}
 }
 
-// hasLeft tells, once in a turn, that a query's client has left, though nobody has read that
-// yet: a loop that was late reads what has come after the turn. What begins then is work for nobody.
-func (c *Core) hasLeft(q *query) bool {
-	if !q.left && !q.looked.Equal(c.now) {
-		q.looked = c.now
-		if q.left = q.client.Left(); q.left {
-			c.left = append(c.left, q)
+// clientDisconnected reports whether a query's client has disconnected, even if the end of its
+// connection has not been read yet: an event loop that is late runs the turn before it reads.
+// Attempts for such a client would be wasted. It asks the client at most once in a turn.
+func (c *Core) clientDisconnected(q *query) bool {
+	if !q.disconnected && !q.clientCheckedAt.Equal(c.now) {
+		q.clientCheckedAt = c.now
+		if q.disconnected = q.client.Left(); q.disconnected {
+			c.disconnected = append(c.disconnected, q)
 			c.stats.LeftUnread++
 		}
 	}
-	return q.left
+	return q.disconnected
 }
 
-// MaySend tells whether an attempt that has waited for a connection may still
-// be written: somebody waits for it, its searcher takes new work, and its window allows it.
+// MaySend reports whether an attempt that has waited for a connection may still be written: its
+// result is still wanted, its searcher takes new work, and the class's repeat window allows it.
 func (c *Core) MaySend(now time.Time, a *Attempt) bool {
-	return !a.over && now.Before(a.Deadline) && !c.barred(a.Searcher) && !a.unwanted() && !c.windowOver(now, a)
+	return !a.ended && now.Before(a.Deadline) && !c.notReady(a.Searcher) && !a.unwanted() && !c.repeatWindowOver(now, a)
 }
 
-// unwanted tells that nobody waits for an attempt that is out: its query has ended, and the
-// aggregator has not taken it back yet or may not, or its client has left.
-func (a *Attempt) unwanted() bool { return a.part.over || a.part.query.client.Left() }
-
-// windowOver tells that an attempt of a keyed part, of which another may have run, comes too late
-// for its searchers to know it for a repeat. The aggregator has asked that of the time when it
-// decided; since then the attempt may have waited for a connection for longer than was left.
-func (c *Core) windowOver(now time.Time, a *Attempt) bool {
-	class, p := c.set.Module.Classes[a.part.query.class], a.part
-	others := p.ran || len(p.out) > 1
-	return class.Effect == eiderwinch.Keyed && others && !now.Add(c.set.Tick).Before(p.first.Add(class.RepeatWindow))
+// unwanted reports whether the result of an attempt in flight is no longer needed: its query or
+// step has ended and the aggregator has not cancelled the attempt yet or may not, or the client
+// has disconnected.
+func (a *Attempt) unwanted() bool { return a.part.removed || a.part.query.client.Left() }
+
+// repeatWindowOver reports whether an attempt of a keyed part, of which another attempt may have
+// been executed, would arrive too late for its searcher to recognize it as a repeat. The aggregator
+// has checked this when it decided, but the attempt may since have waited for a connection for
+// longer than was left.
+func (c *Core) repeatWindowOver(now time.Time, a *Attempt) bool {
+	class, p := c.settings.Module.Classes[a.part.query.class], a.part
+	otherMayHaveRun := p.mayHaveRun || len(p.inFlight) > 1
+	return class.Effect == eiderwinch.Keyed && otherMayHaveRun && !now.Add(c.settings.Tick).Before(p.firstDecidedAt.Add(class.RepeatWindow))
 }
 
-// end ends an attempt, once, and tells the aggregator how.
-func (c *Core) end(now time.Time, a *Attempt, s eiderwinch.Status) bool {
-	if a.over {
+// endAttempt ends an attempt and adds the Outcome event for the aggregator. It returns false if
+// the attempt had ended before.
+func (c *Core) endAttempt(now time.Time, a *Attempt, status eiderwinch.Status) bool {
+	if a.ended {
 		return false
 	}
-	a.over = true
-	c.attempts.Stop(&a.timer)
-	c.ended = append(c.ended, a)
-	a.part.out = slices.DeleteFunc(a.part.out, func(x *Attempt) bool { return x == a })
-	a.part.ran = a.part.ran || s != eiderwinch.Full && s != eiderwinch.NoConnection && s != eiderwinch.NotSent
-	c.count(s)
-	c.tell(now, eiderwinch.Outcome{
-		Part: a.part.id, Attempt: a.number, Replica: a.Searcher, Status: s, Took: now.Sub(a.sent), Load: a.Load,
+	a.ended = true
+	c.inFlight.Stop(&a.deadlineTimer)
+	c.endedAttempts = append(c.endedAttempts, a)
+	a.part.inFlight = slices.DeleteFunc(a.part.inFlight, func(x *Attempt) bool { return x == a })
+	a.part.mayHaveRun = a.part.mayHaveRun || status != eiderwinch.Full && status != eiderwinch.NoConnection && status != eiderwinch.NotSent
+	c.countOutcome(status)
+	c.addEvent(now, eiderwinch.Outcome{
+		Part: a.part.id, Attempt: a.number, Replica: a.Searcher, Status: status, Took: now.Sub(a.decidedAt), Load: a.Load,
 	})
 	return true
 }
 
-func (c *Core) count(s eiderwinch.Status) {
-	switch s {
+// countOutcome counts the end of an attempt by its status.
+func (c *Core) countOutcome(status eiderwinch.Status) {
+	switch status {
 	case eiderwinch.OK:
 		c.stats.OK++
 	case eiderwinch.Failed:
--- a/internal/gatherer/completion.go
+++ b/internal/gatherer/completion.go
@@ -12,205 +12,208 @@
 	"eiderwinch/internal/service"
 )
 
-// slack is how far sums of weights may fall short: they are rounded on their way.
-const slack = 1e-4
+// weightTolerance is how far a sum of weights may fall short of a limit, because weights are rounded.
+const weightTolerance = 1e-4
 
-// Result tells that a searcher has answered an attempt: OK with a value, else
-// Failed or Full. Results of attempts that are over are passed over.
-func (c *Core) Result(now time.Time, a *Attempt, s eiderwinch.Status, score int64, value string) {
-	if c.end(now, a, s) && s == eiderwinch.OK && !a.part.over && !a.part.in {
-		a.part.in, a.part.score, a.part.value = true, score, value
+// Result takes in a searcher's answer to an attempt: OK with a value, or Failed or
+// Full. Results of attempts that have ended are ignored.
+func (c *Core) Result(now time.Time, a *Attempt, status eiderwinch.Status, score int64, value string) {
+	if c.endAttempt(now, a, status) && status == eiderwinch.OK && !a.part.removed && !a.part.answered {
+		a.part.answered, a.part.score, a.part.value = true, score, value
 	}
 }
 
-// Unsent tells that an attempt never left: it surely has not run. That says something of its
-// searcher only where somebody still waited for it.
+// Unsent ends an attempt that was never written, so it certainly was not executed. The outcome
+// is NoConnection, which counts against the searcher, only if the result was still wanted.
 func (c *Core) Unsent(now time.Time, a *Attempt) {
 	status := eiderwinch.NoConnection
-	if !a.over && a.unwanted() {
+	if !a.ended && a.unwanted() {
 		status = eiderwinch.NotSent
 	}
-	c.end(now, a, status)
+	c.endAttempt(now, a, status)
 }
 
-// Broken tells that an attempt's connection broke when it may have arrived.
-func (c *Core) Broken(now time.Time, a *Attempt) { c.end(now, a, eiderwinch.Reset) }
+// Broken ends an attempt whose connection broke after the attempt may have arrived.
+func (c *Core) Broken(now time.Time, a *Attempt) { c.endAttempt(now, a, eiderwinch.Reset) }
 
-// answer gives a client its answer or, where the class has a second step,
-// starts that with the first. Only values that are in are given, and only what
-// is whole by the core's own books is marked so.
-func (c *Core) answer(x eiderwinch.Answer) {
-	q := c.queries[x.Query]
+// answer sends a client its answer or, if the class has a second step, starts that
+// step after the first. The answer contains only values that were received, and it is
+// marked whole only if the core's own records agree.
+func (c *Core) answer(action eiderwinch.Answer) {
+	q := c.queries[action.Query]
 	if q == nil {
 		return
 	}
-	class := c.set.Module.Classes[q.class]
-	in, weight, ok := c.answerable(q)
-	whole := x.Whole && weight >= class.Need-slack
-	if q.second {
-		whole = x.Whole && q.firstWhole && len(in) == len(q.parts)
+	class := c.settings.Module.Classes[q.class]
+	answered, weight, ok := c.answerable(q)
+	whole := action.Whole && weight >= class.Need-weightTolerance
+	if q.secondStep {
+		whole = action.Whole && q.firstStepWhole && len(answered) == len(q.parts)
 	}
 	if !ok {
-		c.log.Error("answer from too little", "trace", q.trace, "weight", weight)
-		c.conclude(q, Reply{Verdict: Failed})
+		c.log.Error("answer from too few parts", "trace", q.trace, "weight", weight)
+		c.complete(q, Reply{Verdict: Failed})
 		return
 	}
-	if class.Fetch > 0 && !q.second {
-		c.secondStep(q, in, min(class.Fetch, len(in)), whole)
+	if class.Fetch > 0 && !q.secondStep {
+		c.startSecondStep(q, answered, min(class.Fetch, len(answered)), whole)
 		return
 	}
-	r := Reply{Verdict: Answered, Whole: whole}
-	for _, p := range in {
-		r.Pieces = append(r.Pieces, Piece{Shard: p.shard, Value: p.value})
+	reply := Reply{Verdict: Answered, Whole: whole}
+	for _, p := range answered {
+		reply.Pieces = append(reply.Pieces, Piece{Shard: p.shard, Value: p.value})
 	}
-	c.conclude(q, r)
+	c.complete(q, reply)
 }
 
-// answerable returns the parts of a query's present step that are in, their weight, and whether that is
-// enough to be given.
-func (c *Core) answerable(q *query) (in []*part, weight float64, ok bool) {
-	class := c.set.Module.Classes[q.class]
-	least := class.Floor
-	if q.second && class.Floor >= class.Need {
-		least = 1
+// answerable returns the answered parts of a query's current step, their weight, and whether that weight is
+// enough for an answer.
+func (c *Core) answerable(q *query) (answered []*part, weight float64, ok bool) {
+	class := c.settings.Module.Classes[q.class]
+	minWeight := class.Floor
+	if q.secondStep && class.Floor >= class.Need {
+		minWeight = 1
 	}
-	in, weight = q.in()
-	return in, weight, len(in) > 0 && weight >= least-slack
+	answered, weight = q.answeredParts()
+	return answered, weight, len(answered) > 0 && weight >= minWeight-weightTolerance
 }
 
-// secondStep replaces a query's parts by n at the shards with the highest scores.
-func (c *Core) secondStep(q *query, in []*part, n int, whole bool) {
+// startSecondStep replaces a query's parts by n new ones, at the shards with the highest scores.
+func (c *Core) startSecondStep(q *query, answered []*part, n int, whole bool) {
 	c.stats.SecondSteps++
-	q.second, q.firstWhole = true, whole
-	for _, p := range in {
-		q.from = append(q.from, p.shard)
+	q.secondStep, q.firstStepWhole = true, whole
+	for _, p := range answered {
+		q.firstStepShards = append(q.firstStepShards, p.shard)
 	}
-	slices.Sort(q.from)
-	slices.SortStableFunc(in, func(x, y *part) int {
+	slices.Sort(q.firstStepShards)
+	slices.SortStableFunc(answered, func(x, y *part) int {
 		return cmp.Or(cmp.Compare(y.score, x.score), cmp.Compare(x.shard, y.shard))
 	})
-	c.dropParts(q)
+	c.removeParts(q)
 	event := eiderwinch.SecondStep{Query: q.id}
-	for _, p := range in[:n] {
-		s := c.bookPart(q, p.shard, 1/float64(n), true)
-		event.Parts = append(event.Parts, s.told())
+	for _, p := range answered[:n] {
+		added := c.addPart(q, p.shard, 1/float64(n), true)
+		event.Parts = append(event.Parts, added.modulePart())
 	}
-	c.tell(c.now, event)
+	c.addEvent(c.now, event)
 }
 
-func (c *Core) refuse(x eiderwinch.Refuse) {
-	if q := c.queries[x.Query]; q != nil {
-		c.conclude(q, Reply{Verdict: Refused, RetryAfter: x.RetryAfter})
+// refuse carries out a Refuse action.
+func (c *Core) refuse(action eiderwinch.Refuse) {
+	if q := c.queries[action.Query]; q != nil {
+		c.complete(q, Reply{Verdict: Refused, RetryAfter: action.RetryAfter})
 	}
 }
 
-func (c *Core) fail(x eiderwinch.Fail) {
-	if q := c.queries[x.Query]; q != nil {
-		c.conclude(q, Reply{Verdict: Failed})
+// fail carries out a Fail action.
+func (c *Core) fail(action eiderwinch.Fail) {
+	if q := c.queries[action.Query]; q != nil {
+		c.complete(q, Reply{Verdict: Failed})
 	}
 }
 
-// endOverdue ends what the aggregator has not ended in time: no query goes
-// without a final answer, whatever goes wrong with the decisions.
-func (c *Core) endOverdue() {
-	for t := c.overdue.Pop(c.now); t != nil; t = c.overdue.Pop(c.now) {
+// endOverdueQueries ends the queries that the aggregator has not ended in time, so
+// every query gets a final answer whatever goes wrong with the decisions. It also
+// ends those that EndBy cuts short.
+func (c *Core) endOverdueQueries() {
+	for t := c.backstops.Pop(c.now); t != nil; t = c.backstops.Pop(c.now) {
 		q := t.Value
 		if c.now.Before(q.deadline) {
-			c.cutShort(q)
+			c.endEarly(q)
 			continue
 		}
 		c.log.Error("query not ended by its deadline", "trace", q.trace)
 		c.stats.Overdue++
-		c.tell(c.now, eiderwinch.Gone{Query: q.id})
-		c.conclude(q, Reply{Verdict: Failed, Overdue: true})
+		c.addEvent(c.now, eiderwinch.Gone{Query: q.id})
+		c.complete(q, Reply{Verdict: Failed, Overdue: true})
 	}
 }
 
-// EndBy has all queries ended by then, those that are open and those that are still to come: the process
-// may be gone afterwards, and its clients would wait for nobody.
+// EndBy makes the core end all queries by the given time, open ones as well as later ones. The process may
+// exit after that time, and clients would wait for answers that never come.
 func (c *Core) EndBy(at time.Time) {
 	c.endBy = at
 	for _, id := range slices.Sorted(maps.Keys(c.queries)) {
-		if q := c.queries[id]; at.Before(q.timer.At()) {
-			c.overdue.Set(&q.timer, at)
+		if q := c.queries[id]; at.Before(q.backstopTimer.At()) {
+			c.backstops.Set(&q.backstopTimer, at)
 		}
 	}
 }
 
-// cutShort ends a query before its time, with what is in where that may be given, else by a refusal where a
-// repeat does no harm.
-func (c *Core) cutShort(q *query) {
+// endEarly ends a query before its deadline: with an answer from the parts received so far if they are enough,
+// else with a refusal if the client may safely ask again, else with a failure.
+func (c *Core) endEarly(q *query) {
 	c.stats.CutShort++
-	c.tell(c.now, eiderwinch.Gone{Query: q.id})
-	class := c.set.Module.Classes[q.class]
+	c.addEvent(c.now, eiderwinch.Gone{Query: q.id})
+	class := c.settings.Module.Classes[q.class]
 	switch _, _, ok := c.answerable(q); {
-	case ok && (q.second || class.Fetch == 0): // else there is a step to come
+	case ok && (q.secondStep || class.Fetch == 0): // else the second step is still missing
 		c.answer(eiderwinch.Answer{Query: q.id})
 	case !q.sent || class.Effect == eiderwinch.Safe:
-		c.conclude(q, Reply{Verdict: Refused, RetryAfter: c.advice()})
+		c.complete(q, Reply{Verdict: Refused, RetryAfter: c.retryAdvice()})
 	default:
-		c.conclude(q, Reply{Verdict: Failed})
+		c.complete(q, Reply{Verdict: Failed})
 	}
 }
 
-// conclude gives a query's final answer.
-func (c *Core) conclude(q *query, r Reply) {
+// complete sends a query's final answer and removes the query.
+func (c *Core) complete(q *query, reply Reply) {
 	switch {
-	case r.Verdict == Refused:
+	case reply.Verdict == Refused:
 		c.stats.Refused++
-	case r.Verdict == Failed:
+	case reply.Verdict == Failed:
 		c.stats.Failed++
-	case r.Whole:
+	case reply.Whole:
 		c.stats.Whole++
 	default:
 		c.stats.Partial++
 	}
-	took := c.now.Sub(q.taken)
-	if r.Verdict != Answered && !q.sent {
+	took := c.now.Sub(q.takenAt)
+	if reply.Verdict != Answered && !q.sent {
 		c.stats.Unsent++
-	} else if r.Verdict == Answered && took > c.set.Module.Classes[q.class].Aim {
+	} else if reply.Verdict == Answered && took > c.settings.Module.Classes[q.class].Aim {
 		c.stats.Late++
 	}
-	c.record(c.now, q.class, r, took)
-	c.trace(q, r, took)
-	c.close(q)
-	r.Epoch, r.Generation = q.epoch(), q.live.Generation
-	q.client.Reply(r)
+	c.recordOutcome(c.now, q.class, reply, took)
+	c.logCompletion(q, reply, took)
+	c.removeQuery(q)
+	reply.Epoch, reply.Generation = q.epoch(), q.liveSettings.Generation
+	q.client.Reply(reply)
 }
 
-// verdicts are the names of verdicts in the log.
-var verdicts = map[Verdict]string{Answered: "answered", Refused: "refused", Failed: "failed"}
+// verdictNames are the names of verdicts in the log.
+var verdictNames = map[Verdict]string{Answered: "answered", Refused: "refused", Failed: "failed"}
 
-// trace logs how a query ended, and what had become of its parts by then.
-func (c *Core) trace(q *query, r Reply, took time.Duration) {
+// logCompletion logs how a query ended and the state of its parts at that time.
+func (c *Core) logCompletion(q *query, reply Reply, took time.Duration) {
 	if !c.log.Enabled(context.Background(), slog.LevelDebug) {
 		return
 	}
-	in, out, tries := 0, 0, 0
+	answered, inFlight, attempts := 0, 0, 0
 	for _, p := range q.parts {
-		if p.in {
-			in++
+		if p.answered {
+			answered++
 		}
-		out += len(p.out)
-		tries += p.tries
+		inFlight += len(p.inFlight)
+		attempts += p.attempts
 	}
-	c.log.Debug("query ended", "trace", q.trace, "verdict", verdicts[r.Verdict], "whole", r.Whole, "overdue", r.Overdue, "took", took,
-		"left", q.deadline.Sub(c.now), "sent", q.sent, "parts", len(q.parts), "parts_in", in, "attempts_out", out, "attempts", tries)
+	c.log.Debug("query ended", "trace", q.trace, "verdict", verdictNames[reply.Verdict], "whole", reply.Whole, "overdue", reply.Overdue, "took", took,
+		"left", q.deadline.Sub(c.now), "sent", q.sent, "parts", len(q.parts), "parts_in", answered, "attempts_out", inFlight, "attempts", attempts)
 }
 
-// record books how a query fared, where that is recorded.
-func (c *Core) record(now time.Time, class int, r Reply, took time.Duration) {
-	if c.set.Service == nil {
+// recordOutcome records how a query ended if Settings.Service is set.
+func (c *Core) recordOutcome(now time.Time, class int, reply Reply, took time.Duration) {
+	if c.settings.Service == nil {
 		return
 	}
-	o := service.Partial
+	outcome := service.Partial
 	switch {
-	case r.Verdict == Refused:
-		o = service.Refused
-	case r.Verdict == Failed:
-		o = service.Failed
-	case r.Whole:
-		o = service.Whole
-	}
-	c.set.Service.Record(now, class, o, took)
+	case reply.Verdict == Refused:
+		outcome = service.Refused
+	case reply.Verdict == Failed:
+		outcome = service.Failed
+	case reply.Whole:
+		outcome = service.Whole
+	}
+	c.settings.Service.Record(now, class, outcome, took)
 }
--- a/internal/gatherer/core.go
+++ b/internal/gatherer/core.go
@@ -1,18 +1,20 @@
-// Package gatherer is the core round the decisions: it holds the queries that
-// clients ask, lets an aggregator decide what becomes of them, and keeps the
-// rules that do not depend on decisions. It knows no protocol, does no I/O and
-// reads no clock; it belongs to one goroutine.
+// Package gatherer is the core of the gatherer process. It holds the state of
+// open queries, passes events to an aggregator, which makes the decisions,
+// carries out the resulting actions, and enforces the rules that do not depend
+// on decisions. It knows no protocol, does no I/O and reads no clock. A Core
+// must be used from one goroutine only.
 //
-// A query passes these stages, each in a file of its own:
+// Each stage that a query passes has its own file:
 //
-//	live    the settings that can change, of which each query keeps its own
-//	epoch   binds a query to one epoch of the layout
-//	intake  checks what a client asks and what discovery tells
-//	admit   refuses at once what is over the limit on open queries
-//	route   hands the aggregator a turn and carries out its actions
-//	send    starts attempts, calls them off, times them out
-//	relay   takes in results and gives clients their final answers
-//	book    keeps the records
+//	live_settings  settings that can change at run time; each query keeps those it started with
+//	epoch          binds a query to one epoch of the layout
+//	intake         validates queries and takes in updates of the member list
+//	admission      refuses queries over the limits on open queries
+//	turn           runs a turn of the aggregator and carries out its actions
+//	attempts       starts, cancels and times out attempts
+//	completion     takes in results and gives clients their final answers
+//	records        the records of queries, parts and members
+//	start_times    converts reported start times of searchers to the monotonic clock
 package gatherer
 
 import (
@@ -26,29 +28,29 @@
 	"eiderwinch/internal/stats"
 )
 
-// Decider makes the decisions; an eiderwinch.Aggregator is one.
+// Decider makes the decisions. An eiderwinch.Aggregator implements it.
 type Decider interface {
 	Turn(now time.Duration, events []eiderwinch.Event) []eiderwinch.Action
 }
 
-// Searchers carries calls to the searchers. For each attempt it is given it
-// calls one of Core's Result, Unsent and Broken, unless Abandon comes first.
-// It may do so before Call returns.
+// Searchers sends calls to searchers. For each attempt passed to Call it calls
+// one of Core.Result, Core.Unsent and Core.Broken, unless Abandon is called
+// first. It may do so before Call returns.
 type Searchers interface {
-	// Call sends attempts to their searcher as one shared call.
+	// Call sends attempts to their common searcher as one call.
 	Call(now time.Time, attempts []*Attempt)
-	// Abandon tells that nobody waits for an attempt any more.
+	// Abandon reports that the result of an attempt is no longer needed.
 	Abandon(a *Attempt)
 	// CloseIdle closes the idle connections to a searcher.
 	CloseIdle(searcher string)
 }
 
-// Client is whoever has asked a query.
+// Client is the sender of a query.
 type Client interface {
-	// Reply is called once at the most, with the final answer, and not after Core.Gone.
+	// Reply delivers the final answer. It is called at most once, and not after Core.Gone.
 	Reply(Reply)
-	// Left tells that the client has gone, though Core.Gone was not called yet: its end may
-	// have come and not been read.
+	// Left reports whether the client has disconnected. It can be true before Core.Gone is
+	// called, because the end of the connection may have arrived and not been read yet.
 	Left() bool
 }
 
@@ -58,156 +60,161 @@
 // The kinds of final answers.
 const (
 	Answered Verdict = iota
-	Refused          // not done; asking again is harmless
-	Failed           // promises nothing
+	Refused          // not executed; the client may safely ask again
+	Failed           // promises nothing; the query may have been executed
 )
 
 // Reply is a final answer.
 type Reply struct {
 	Verdict    Verdict
-	Whole      bool          // Answered: nothing is missing
-	Pieces     []Piece       // Answered: what the searchers gave
-	RetryAfter time.Duration // Refused: when to come back; 0 means no advice
-	Overdue    bool          // Failed: its time was over
-	Generation uint64        // of the settings that the query was taken under; 0 if they can't change
-	Epoch      layout.Epoch  // of the layout that the query was bound to; 0 if there is none
+	Whole      bool          // Answered: the answer is whole
+	Pieces     []Piece       // Answered: the values that the searchers returned
+	RetryAfter time.Duration // Refused: how long to wait before asking again; 0 means no advice
+	Overdue    bool          // Failed: the deadline had passed
+	Generation uint64        // of the settings in force when the query was taken; 0 if settings can't change
+	Epoch      layout.Epoch  // of the layout that the query was bound to; 0 if there is no layout
 }
 
-// Piece is one searcher's value.
+// Piece is the value that a searcher returned for one shard.
 type Piece struct {
 	Shard int
 	Value string
 }
 
-// Settings is what the core keeps to.
+// Settings configures a Core.
 type Settings struct {
 	Module  eiderwinch.Settings
 	Tick    time.Duration
-	MaxOpen int // queries and parts held at once, where Live is nil; 0 means no limit
+	MaxOpen int // limit on open queries plus their parts, used if Live is nil; 0 means no limit
 
-	// Layout is the epoch to begin with. Nil means that the module's settings say
-	// which segments there are and that searchers' cells say who holds them.
+	// Layout is the initial layout. If it is nil, the shards are those of
+	// Module.Shards, and the cells of the searchers determine which shards they hold.
 	Layout *layout.Layout
 
-	// Live is what can change while queries run. Nil means MaxOpen and no more.
+	// Live holds the initial values of the settings that can change at run time.
+	// Nil means that MaxOpen is the only one.
 	Live *Live
 
-	// Service records how queries fare, by the numbers of their classes. Nil: nothing does.
+	// Service records the outcomes of queries by class number. Nil means that
+	// they are not recorded.
 	Service *service.Recorder
 }
 
-// Core is the gatherer's core.
+// Core holds the queries of a gatherer and carries out the aggregator's decisions.
 type Core struct {
-	set       Settings
-	decide    Decider
+	settings  Settings
+	decider   Decider
 	searchers Searchers
 	stats     *stats.Counters
 	log       *slog.Logger
 
-	start    time.Time // turns lie on a grid of ticks from here
-	now      time.Time // of the run in hand
-	next     time.Time // no turn before
-	wakeAt   time.Time // when the aggregator wants a turn; zero if it does not
-	events   []eiderwinch.Event
-	since    time.Time // when the first of events came
-	lastID   uint64
-	queries  map[uint64]*query
-	traces   map[string]*query
-	parts    map[uint64]*part    // of open queries or with an attempt out
-	attempts due.Queue[*Attempt] // that are out, by their deadlines
-	ended    []*Attempt          // that ended in this run
-	left     []*query            // whose client turned out to have left in this turn
-	overdue  due.Queue[*query]   // open queries by their backstops
-	endBy    time.Time           // when all queries are to be ended at the latest; zero while that is not known
-	open     int                 // open queries and parts
-	members  map[string]member
-	starts   starts
-	given    []eiderwinch.Replica // the ready ones of the list it started with, until discovery has spoken
-	live     *Live
-	openOf   []int // open queries by class
-	layout   *layout.Layout
-	bound    map[layout.Epoch]int // open queries by the epoch they are bound to
+	start          time.Time // origin of the grid of ticks
+	now            time.Time // time of the current Run
+	nextTurn       time.Time // no turn runs before this time
+	wakeAt         time.Time // when the aggregator has asked for a turn; zero if it has not
+	pendingEvents  []eiderwinch.Event
+	firstEventAt   time.Time // when the first of pendingEvents was added
+	lastID         uint64
+	queries        map[uint64]*query
+	queriesByTrace map[string]*query
+	parts          map[uint64]*part    // parts of open queries, and parts with an attempt in flight
+	inFlight       due.Queue[*Attempt] // attempts in flight, by deadline
+	endedAttempts  []*Attempt          // attempts that ended since the last Run
+	disconnected   []*query            // queries whose client was found disconnected in this turn
+	backstops      due.Queue[*query]   // open queries by the time at which the core ends them itself
+	endBy          time.Time           // when all queries must have ended, see EndBy; zero if there is no such time
+	openCount      int                 // number of open queries plus their parts
+	members        map[string]member
+	startTimes     startTimes
+	unconfirmed    []eiderwinch.Replica // ready entries of a stale member list with the start times listed there, see Believe
+	liveSettings   *Live
+	openByClass    []int // number of open queries by class
+	layout         *layout.Layout
+	openByEpoch    map[layout.Epoch]int // number of open queries by the epoch they are bound to
 }
 
-// New returns a core whose clock starts at start.
-func New(set Settings, d Decider, s Searchers, counters *stats.Counters, log *slog.Logger, start time.Time) *Core {
-	if set.Live == nil {
-		set.Live = &Live{MaxOpen: set.MaxOpen}
+// New returns a Core whose grid of ticks starts at start.
+func New(settings Settings, decider Decider, searchers Searchers, counters *stats.Counters, log *slog.Logger, start time.Time) *Core {
+	if settings.Live == nil {
+		settings.Live = &Live{MaxOpen: settings.MaxOpen}
 	}
 	return &Core{
-		live: set.Live, openOf: make([]int, len(set.Module.Classes)),
-		set: set, decide: d, searchers: s, stats: counters, log: log,
-		start: start, next: start,
-		queries: make(map[uint64]*query),
-		traces:  make(map[string]*query),
-		parts:   make(map[uint64]*part),
-		members: make(map[string]member),
-		starts:  newStarts(start, set.Module.ColdFor),
-		layout:  set.Layout,
-		bound:   make(map[layout.Epoch]int),
+		liveSettings: settings.Live, openByClass: make([]int, len(settings.Module.Classes)),
+		settings: settings, decider: decider, searchers: searchers, stats: counters, log: log,
+		start: start, nextTurn: start,
+		queries:        make(map[uint64]*query),
+		queriesByTrace: make(map[string]*query),
+		parts:          make(map[uint64]*part),
+		members:        make(map[string]member),
+		startTimes:     newStartTimes(start, settings.Module.ColdFor),
+		layout:         settings.Layout,
+		openByEpoch:    make(map[layout.Epoch]int),
 	}
 }
 
-// Open is how many queries wait for their final answer.
+// Open returns the number of queries without a final answer.
 func (c *Core) Open() int { return len(c.queries) }
 
-// tell adds to what the aggregator is told in its next turn.
-func (c *Core) tell(now time.Time, e eiderwinch.Event) {
-	if len(c.events) == 0 {
-		c.since = now
+// addEvent adds an event to those that the aggregator receives in its next turn.
+func (c *Core) addEvent(now time.Time, e eiderwinch.Event) {
+	if len(c.pendingEvents) == 0 {
+		c.firstEventAt = now
 	}
-	c.events = append(c.events, e)
+	c.pendingEvents = append(c.pendingEvents, e)
 }
 
-// Due is when Run is wanted next, on the grid of ticks; zero if nothing is due.
+// Due returns the time at which Run must be called next, on the grid of ticks;
+// zero if nothing is due.
 func (c *Core) Due() time.Time {
 	next := c.wakeAt
-	sooner := func(t time.Time) {
+	consider := func(t time.Time) {
 		if next.IsZero() || t.Before(next) {
 			next = t
 		}
 	}
-	if len(c.events) > 0 {
-		sooner(c.since)
+	if len(c.pendingEvents) > 0 {
+		consider(c.firstEventAt)
 	}
-	for _, t := range [...]time.Time{c.attempts.Next(), c.overdue.Next()} {
+	for _, t := range [...]time.Time{c.inFlight.Next(), c.backstops.Next()} {
 		if !t.IsZero() {
-			sooner(t)
+			consider(t)
 		}
 	}
 	if next.IsZero() {
 		return next
 	}
-	if next.Before(c.next) {
-		return c.next
+	if next.Before(c.nextTurn) {
+		return c.nextTurn
 	}
-	ticks := (next.Sub(c.start) + c.set.Tick - 1) / c.set.Tick
-	return c.start.Add(ticks * c.set.Tick)
+	ticks := (next.Sub(c.start) + c.settings.Tick - 1) / c.settings.Tick
+	return c.start.Add(ticks * c.settings.Tick)
 }
 
-// Run does what is due. It gives the aggregator one turn with all that has
-// happened, on a grid of ticks: what comes within a tick is decided together.
+// Run does all work that is due at now. It gives the aggregator one turn with all
+// pending events. Turns lie on a grid of ticks, so the events that arrive within
+// one tick are decided together.
 func (c *Core) Run(now time.Time) {
-	if now.Before(c.next) {
+	if now.Before(c.nextTurn) {
 		return
 	}
 	c.now = now
-	c.next = c.start.Add((now.Sub(c.start)/c.set.Tick + 1) * c.set.Tick)
-	c.expire()
+	c.nextTurn = c.start.Add((now.Sub(c.start)/c.settings.Tick + 1) * c.settings.Tick)
+	c.expireAttempts()
 	if !c.wakeAt.IsZero() && !now.Before(c.wakeAt) {
 		c.wakeAt = time.Time{}
-		c.tell(now, eiderwinch.Woken{})
+		c.addEvent(now, eiderwinch.Woken{})
 	}
-	if len(c.events) > 0 {
-		c.turn()
+	if len(c.pendingEvents) > 0 {
+		c.runTurn()
 	}
-	c.endOverdue()
-	c.sweep()
+	c.endOverdueQueries()
+	c.removeEndedAttempts()
 }
 
-// clock is the aggregator's clock: Unix time as it was at the start, carried
-// on by the monotonic clock. It is far above 0, so that the start of a
-// searcher that came up before this process is not taken for "long ago".
-func (c *Core) clock(t time.Time) time.Duration {
+// moduleTime converts t to the clock of the decision module: the Unix time at the
+// start of the core, advanced by the monotonic clock. Its values are far above 0,
+// which eiderwinch.Replica.Started uses for "long ago", so a searcher that started
+// shortly before this process is not mistaken for one that started long ago.
+func (c *Core) moduleTime(t time.Time) time.Duration {
 	return time.Duration(c.start.UnixNano()) + t.Sub(c.start)
 }
--- a/internal/gatherer/core_test.go
+++ b/internal/gatherer/core_test.go
@@ -16,36 +16,37 @@
 
 const ms = time.Millisecond
 
-// rig is a core between a scripted aggregator, searchers and clients, on a clock of its own.
-type rig struct {
+// harness runs a Core on a simulated clock. It implements Decider by a script, and records
+// the calls to Searchers and Client.
+type harness struct {
 	*Core
-	t         *testing.T
-	at        time.Time
-	turns     [][]eiderwinch.Event // what each turn brought
-	clocks    []time.Duration
-	script    func([]eiderwinch.Event) []eiderwinch.Action // nil: do nothing
-	calls     [][]*Attempt
-	abandoned []*Attempt
-	closed    []string
-	replies   []Reply
-	gone      bool // the client has left, which nobody has read
+	t          *testing.T
+	at         time.Time
+	turns      [][]eiderwinch.Event // events of each turn
+	clocks     []time.Duration
+	script     func([]eiderwinch.Event) []eiderwinch.Action // nil: no actions
+	calls      [][]*Attempt
+	abandoned  []*Attempt
+	closed     []string
+	replies    []Reply
+	clientLeft bool // the client has disconnected, which has not been read yet
 }
 
-func (r *rig) Turn(now time.Duration, events []eiderwinch.Event) []eiderwinch.Action {
-	r.turns, r.clocks = append(r.turns, events), append(r.clocks, now)
-	if r.script == nil {
+func (h *harness) Turn(now time.Duration, events []eiderwinch.Event) []eiderwinch.Action {
+	h.turns, h.clocks = append(h.turns, events), append(h.clocks, now)
+	if h.script == nil {
 		return nil
 	}
-	return r.script(events)
+	return h.script(events)
 }
 
-func (r *rig) Call(_ time.Time, attempts []*Attempt) { r.calls = append(r.calls, attempts) }
-func (r *rig) Abandon(a *Attempt)                    { r.abandoned = append(r.abandoned, a) }
-func (r *rig) CloseIdle(searcher string)             { r.closed = append(r.closed, searcher) }
-func (r *rig) Reply(x Reply)                         { r.replies = append(r.replies, x) }
-func (r *rig) Left() bool                            { return r.gone }
+func (h *harness) Call(_ time.Time, attempts []*Attempt) { h.calls = append(h.calls, attempts) }
+func (h *harness) Abandon(a *Attempt)                    { h.abandoned = append(h.abandoned, a) }
+func (h *harness) CloseIdle(searcher string)             { h.closed = append(h.closed, searcher) }
+func (h *harness) Reply(x Reply)                         { h.replies = append(h.replies, x) }
+func (h *harness) Left() bool                            { return h.clientLeft }
 
-func newRig(t *testing.T) *rig {
+func newHarness(t *testing.T) *harness {
 	set := Settings{Tick: 5 * ms, MaxOpen: 20, Module: eiderwinch.Settings{
 		Shards: 12, Batch: 2, MaxAttempts: 2, RetryAdvice: true, MaxRetryAdvice: time.Second,
 		Classes: []eiderwinch.Class{
@@ -55,51 +56,53 @@
 			{Name: "half", Deadline: time.Second, Need: 1, Floor: 0.5},
 		},
 	}}
-	r := &rig{t: t, at: time.Unix(1_000_000, 0)}
-	r.Core = New(set, r, r, stats.New(), slog.New(slog.DiscardHandler), r.at)
-	r.List(r.at, eiderwinch.Whole, []Member{{ID: "a", State: eiderwinch.Ready}, {ID: "b", State: eiderwinch.Ready}})
-	r.after(0)
-	return r
+	h := &harness{t: t, at: time.Unix(1_000_000, 0)}
+	h.Core = New(set, h, h, stats.New(), slog.New(slog.DiscardHandler), h.at)
+	h.List(h.at, eiderwinch.Whole, []Member{{ID: "a", State: eiderwinch.Ready}, {ID: "b", State: eiderwinch.Ready}})
+	h.advance(0)
+	return h
 }
 
-// after lets d go by, running whatever falls due, with a script for the turns.
-func (r *rig) after(d time.Duration, actions ...eiderwinch.Action) {
-	r.script = func([]eiderwinch.Event) []eiderwinch.Action {
+// advance moves the clock by d and runs the core whenever it is due. The first turn in that time
+// returns the given actions.
+func (h *harness) advance(d time.Duration, actions ...eiderwinch.Action) {
+	h.script = func([]eiderwinch.Event) []eiderwinch.Action {
 		out := actions
 		actions = nil
 		return out
 	}
-	end := r.at.Add(d)
-	for due := r.Due(); !due.IsZero() && !due.After(end); due = r.Due() {
-		r.at = due
-		r.Run(due)
+	end := h.at.Add(d)
+	for due := h.Due(); !due.IsZero() && !due.After(end); due = h.Due() {
+		h.at = due
+		h.Run(due)
 	}
-	r.at = end
+	h.at = end
 }
 
-func (r *rig) take(class, trace string, shards ...int) uint64 {
-	r.t.Helper()
-	a := Ask{Trace: trace, Class: class, Key: "k", Expires: 300 * ms, Text: "text"}
+// submit passes a query to Take.
+func (h *harness) submit(class, trace string, shards ...int) uint64 {
+	h.t.Helper()
+	ask := Ask{Trace: trace, Class: class, Key: "k", Expires: 300 * ms, Text: "text"}
 	for _, s := range shards {
-		a.Parts = append(a.Parts, AskPart{s, 1 / float64(len(shards))})
+		ask.Parts = append(ask.Parts, AskPart{s, 1 / float64(len(shards))})
 	}
-	id, err := r.Take(r.at, a, r)
+	id, err := h.Take(h.at, ask, h)
 	if err != nil {
-		r.t.Fatal(err)
+		h.t.Fatal(err)
 	}
 	return id
 }
 
-func (r *rig) want(what string, have, want any) {
-	r.t.Helper()
-	if !reflect.DeepEqual(have, want) {
-		r.t.Errorf("%s: have %+v, want %+v", what, have, want)
+func (h *harness) checkEqual(what string, got, want any) {
+	h.t.Helper()
+	if !reflect.DeepEqual(got, want) {
+		h.t.Errorf("%s: got %+v, want %+v", what, got, want)
 	}
 }
 
-// outcomes returns how the attempts ended that the aggregator was told of.
-func (r *rig) outcomes() (out []eiderwinch.Status) {
-	for _, events := range r.turns {
+// outcomes returns the statuses of the Outcome events that the aggregator has received.
+func (h *harness) outcomes() (out []eiderwinch.Status) {
+	for _, events := range h.turns {
 		for _, e := range events {
 			if e, ok := e.(eiderwinch.Outcome); ok {
 				out = append(out, e.Status)
@@ -111,41 +114,41 @@
 
 func send(part uint64, to string) eiderwinch.Send { return eiderwinch.Send{Part: part, Replica: to} }
 
-func TestTurnsLieOnTheGridOfTicks(t *testing.T) {
-	r := newRig(t)
-	r.turns = nil
-	r.after(7 * ms)
-	r.take("search", "t1", 0)
-	r.after(1 * ms)
-	r.take("search", "t2", 0)
-	r.after(1 * ms)
-	r.want("turns before the tick", len(r.turns), 0)
-	r.after(1 * ms)
-	r.want("turns at the tick", len(r.turns), 1)
-	r.want("queries in it", len(r.turns[0]), 2)
-	// Time spent waiting for the turn is the client's: Left must not start anew.
-	r.want("time left", r.turns[0][0].(eiderwinch.Query).Left, 297*ms)
-	r.want("clock", r.clocks[len(r.clocks)-1], time.Duration(time.Unix(1_000_000, 0).UnixNano())+10*ms)
+func TestTurnsRunOnTheTickGrid(t *testing.T) {
+	h := newHarness(t)
+	h.turns = nil
+	h.advance(7 * ms)
+	h.submit("search", "t1", 0)
+	h.advance(1 * ms)
+	h.submit("search", "t2", 0)
+	h.advance(1 * ms)
+	h.checkEqual("turns before the tick", len(h.turns), 0)
+	h.advance(1 * ms)
+	h.checkEqual("turns at the tick", len(h.turns), 1)
+	h.checkEqual("queries in that turn", len(h.turns[0]), 2)
+	// The time spent waiting for the turn counts against the client's: Left must not restart from 300 ms.
+	h.checkEqual("time left", h.turns[0][0].(eiderwinch.Query).Left, 297*ms)
+	h.checkEqual("clock", h.clocks[len(h.clocks)-1], time.Duration(time.Unix(1_000_000, 0).UnixNano())+10*ms)
 }
 
-func TestWakes(t *testing.T) {
-	r := newRig(t)
-	r.take("search", "t", 0)
-	r.after(5*ms, eiderwinch.Wake{After: 30 * ms}, eiderwinch.Wake{After: 12 * ms})
-	r.turns = nil
-	r.after(14 * ms)
-	r.want("turns before", len(r.turns), 0)
-	r.after(1 * ms)
-	r.want("events", r.turns, [][]eiderwinch.Event{{eiderwinch.Woken{}}})
+func TestEarliestWakeIsDelivered(t *testing.T) {
+	h := newHarness(t)
+	h.submit("search", "t", 0)
+	h.advance(5*ms, eiderwinch.Wake{After: 30 * ms}, eiderwinch.Wake{After: 12 * ms})
+	h.turns = nil
+	h.advance(14 * ms)
+	h.checkEqual("turns before", len(h.turns), 0)
+	h.advance(1 * ms)
+	h.checkEqual("events", h.turns, [][]eiderwinch.Event{{eiderwinch.Woken{}}})
 }
 
-func TestAskIsChecked(t *testing.T) {
-	r := newRig(t)
-	r.take("search", "open", 0)
+func TestTakeValidatesQueries(t *testing.T) {
+	h := newHarness(t)
+	h.submit("search", "open", 0)
 	good := Ask{Trace: "t", Class: "reserve", Key: "k", Parts: []AskPart{{0, 1}}}
 	for name, c := range map[string]struct {
-		spoil func(*Ask)
-		want  error
+		modify func(*Ask)
+		want   error
 	}{
 		"class":     {func(a *Ask) { a.Class = "odd" }, ErrUnknownClass},
 		"duplicate": {func(a *Ask) { a.Trace = "open" }, ErrDuplicate},
@@ -164,212 +167,213 @@
 		"too heavy": {func(a *Ask) { a.Parts = []AskPart{{1, 0.5}, {2, 0.51}} }, ErrInvalid},
 	} {
 		a := good
-		c.spoil(&a)
-		if _, err := r.Take(r.at, a, r); !errors.Is(err, c.want) {
-			t.Errorf("%s: have %v", name, err)
+		c.modify(&a)
+		if _, err := h.Take(h.at, a, h); !errors.Is(err, c.want) {
+			t.Errorf("%s: got %v", name, err)
 		}
 	}
-	if _, err := r.Take(r.at, good, r); err != nil {
-		t.Errorf("a good one: %v", err)
+	if _, err := h.Take(h.at, good, h); err != nil {
+		t.Errorf("valid query: %v", err)
 	}
 }
 
-func TestTheLimitOnOpenOnesRefusesAtOnce(t *testing.T) {
-	r := newRig(t)
-	for i := range 5 { // 4 each: 20
-		r.take("search", fmt.Sprint("t", i), 0, 1, 2)
+func TestQueriesOverTheOpenLimitAreRefused(t *testing.T) {
+	h := newHarness(t)
+	for i := range 5 { // 4 each (query and parts): 20
+		h.submit("search", fmt.Sprint("t", i), 0, 1, 2)
 	}
-	r.want("refused below the limit", len(r.replies), 0)
-	r.want("id", r.take("search", "t6", 0), uint64(0))
-	r.want("replies", r.replies, []Reply{{Verdict: Refused, RetryAfter: 500 * ms}})
-	r.after(5*ms, eiderwinch.Refuse{Query: 1}) // its client is told, and there is room again
-	if r.take("search", "t7", 0, 1, 2) == 0 {
+	h.checkEqual("refused below the limit", len(h.replies), 0)
+	h.checkEqual("id", h.submit("search", "t6", 0), uint64(0))
+	h.checkEqual("replies", h.replies, []Reply{{Verdict: Refused, RetryAfter: 500 * ms}})
+	h.advance(5*ms, eiderwinch.Refuse{Query: 1}) // ends the query, so there is room again
+	if h.submit("search", "t7", 0, 1, 2) == 0 {
 		t.Error("refused below the limit")
 	}
 }
 
-func TestSendsOfATurnShareCalls(t *testing.T) {
-	r := newRig(t)
-	r.take("search", "t", 0, 1, 2, 3) // parts 2 to 5
-	r.after(5*ms, send(2, "a"), send(3, "b"), send(4, "a"), send(5, "a"))
+func TestSendsOfOneTurnAreBatchedBySearcher(t *testing.T) {
+	h := newHarness(t)
+	h.submit("search", "t", 0, 1, 2, 3) // parts 2 to 5
+	h.advance(5*ms, send(2, "a"), send(3, "b"), send(4, "a"), send(5, "a"))
 	var got []string
-	for _, call := range r.calls {
+	for _, call := range h.calls {
 		s := call[0].Searcher
 		for _, a := range call {
 			s += fmt.Sprint(" ", a.Shard)
 		}
 		got = append(got, s)
 	}
-	r.want("calls", got, []string{"a 0 2", "a 3", "b 1"})
+	h.checkEqual("calls", got, []string{"a 0 2", "a 3", "b 1"})
 }
 
 func TestEachSendGetsOneOutcome(t *testing.T) {
 	for name, c := range map[string]struct {
-		end  func(*rig, *Attempt)
+		end  func(*harness, *Attempt)
 		want eiderwinch.Status
 	}{
-		"ok":       {func(r *rig, a *Attempt) { r.Result(r.at, a, eiderwinch.OK, 1, "v") }, eiderwinch.OK},
-		"error":    {func(r *rig, a *Attempt) { r.Result(r.at, a, eiderwinch.Failed, 0, "") }, eiderwinch.Failed},
-		"full":     {func(r *rig, a *Attempt) { r.Result(r.at, a, eiderwinch.Full, 0, "") }, eiderwinch.Full},
-		"unsent":   {func(r *rig, a *Attempt) { r.Unsent(r.at, a) }, eiderwinch.NoConnection},
-		"broken":   {func(r *rig, a *Attempt) { r.Broken(r.at, a) }, eiderwinch.Reset},
-		"cancel":   {func(r *rig, a *Attempt) { r.after(5*ms, eiderwinch.Cancel{Part: 2}) }, eiderwinch.Cancelled},
-		"time-out": {func(r *rig, a *Attempt) { r.after(60 * ms) }, eiderwinch.TimedOut},
+		"ok":       {func(h *harness, a *Attempt) { h.Result(h.at, a, eiderwinch.OK, 1, "v") }, eiderwinch.OK},
+		"error":    {func(h *harness, a *Attempt) { h.Result(h.at, a, eiderwinch.Failed, 0, "") }, eiderwinch.Failed},
+		"full":     {func(h *harness, a *Attempt) { h.Result(h.at, a, eiderwinch.Full, 0, "") }, eiderwinch.Full},
+		"unsent":   {func(h *harness, a *Attempt) { h.Unsent(h.at, a) }, eiderwinch.NoConnection},
+		"broken":   {func(h *harness, a *Attempt) { h.Broken(h.at, a) }, eiderwinch.Reset},
+		"cancel":   {func(h *harness, a *Attempt) { h.advance(5*ms, eiderwinch.Cancel{Part: 2}) }, eiderwinch.Cancelled},
+		"time-out": {func(h *harness, a *Attempt) { h.advance(60 * ms) }, eiderwinch.TimedOut},
 	} {
-		r := newRig(t)
-		r.take("search", "t", 0)
-		r.after(5*ms, eiderwinch.Send{Part: 2, Replica: "a", TimeOut: 50 * ms})
-		a := r.calls[0][0]
-		r.take("search", "u", 0) // so that there is a turn in which to cancel
-		c.end(r, a)
-		r.Result(r.at, a, eiderwinch.OK, 1, "late") // whatever comes later is dropped
-		r.Broken(r.at, a)
-		r.after(100 * ms)
-		r.want(name, r.outcomes(), []eiderwinch.Status{c.want})
-		given := c.want == eiderwinch.TimedOut || c.want == eiderwinch.Cancelled
-		r.want(name+": searcher told", len(r.abandoned), map[bool]int{given: 1}[true])
+		h := newHarness(t)
+		h.submit("search", "t", 0)
+		h.advance(5*ms, eiderwinch.Send{Part: 2, Replica: "a", TimeOut: 50 * ms})
+		a := h.calls[0][0]
+		h.submit("search", "u", 0) // causes a turn in which to cancel
+		c.end(h, a)
+		h.Result(h.at, a, eiderwinch.OK, 1, "late") // later results are dropped
+		h.Broken(h.at, a)
+		h.advance(100 * ms)
+		h.checkEqual(name, h.outcomes(), []eiderwinch.Status{c.want})
+		abandoned := c.want == eiderwinch.TimedOut || c.want == eiderwinch.Cancelled
+		h.checkEqual(name+": attempts abandoned", len(h.abandoned), map[bool]int{abandoned: 1}[true])
 	}
 }
 
-func TestNoSecondCopyNorTooManyAttempts(t *testing.T) {
-	r := newRig(t)
-	r.take("search", "t", 0)
-	r.after(5*ms, send(2, "a"), send(2, "b")) // the second while the first is out
-	r.want("calls", len(r.calls), 1)
-	r.after(5 * ms)
-	r.want("outcomes", r.outcomes(), []eiderwinch.Status{eiderwinch.NotSent})
-	r.Broken(r.at, r.calls[0][0])
-	r.after(5*ms, send(2, "b")) // the third, where two are allowed
-	r.want("calls", len(r.calls), 1)
+func TestSecondCopiesAndExtraAttemptsAreNotSent(t *testing.T) {
+	h := newHarness(t)
+	h.submit("search", "t", 0)
+	h.advance(5*ms, send(2, "a"), send(2, "b")) // the second while the first is in flight
+	h.checkEqual("calls", len(h.calls), 1)
+	h.advance(5 * ms)
+	h.checkEqual("outcomes", h.outcomes(), []eiderwinch.Status{eiderwinch.NotSent})
+	h.Broken(h.at, h.calls[0][0])
+	h.advance(5*ms, send(2, "b")) // the third attempt, where two are allowed
+	h.checkEqual("calls", len(h.calls), 1)
 }
 
-// Where the settings allow second copies the module counts on them. Before, the core
-// held each one back as a rule broken, and the part had lost one of its few attempts.
-func TestASecondCopyRunsBesideTheFirstWhereItIsAllowed(t *testing.T) {
+// Where the settings allow second copies, the module relies on them. A core that rejects
+// a second copy as a broken rule costs the part one of its few attempts.
+func TestSecondCopyWhereAllowed(t *testing.T) {
 	for _, first := range []int{0, 1} {
-		r := newRig(t)
-		r.set.Module.SecondCopies, r.set.Module.MaxAttempts = true, 4
-		r.take("search", "t", 0)
+		h := newHarness(t)
+		h.settings.Module.SecondCopies, h.settings.Module.MaxAttempts = true, 4
+		h.submit("search", "t", 0)
 		again := eiderwinch.Wake{After: 5 * ms}
-		r.after(5*ms, send(2, "a"), again)
-		r.after(5*ms, send(2, "a"), send(2, "b"), again) // one at the same searcher could not be told from the first
-		r.want("calls", len(r.calls), 2)
-		r.after(5*ms, send(2, "b")) // two are out
-		r.want("calls", len(r.calls), 2)
-		r.want("copies", r.stats.Copies, 1)
-		winner, loser := r.calls[first][0], r.calls[1-first][0]
-		r.Result(r.at, winner, eiderwinch.OK, 1, "won")
-		r.after(5*ms, eiderwinch.Answer{Query: 1, Whole: true}, eiderwinch.Cancel{Part: 2, Attempt: loser.number})
-		r.want("replies", r.replies, []Reply{{Verdict: Answered, Whole: true, Pieces: []Piece{{0, "won"}}}})
-		r.Result(r.at, loser, eiderwinch.OK, 1, "lost")
-		r.after(300 * ms)
-		r.want("outcomes", r.outcomes(), []eiderwinch.Status{
+		h.advance(5*ms, send(2, "a"), again)
+		h.advance(5*ms, send(2, "a"), send(2, "b"), again) // a copy at the same searcher could not be told apart from the first
+		h.checkEqual("calls", len(h.calls), 2)
+		h.advance(5*ms, send(2, "b")) // two are in flight
+		h.checkEqual("calls", len(h.calls), 2)
+		h.checkEqual("copies", h.stats.Copies, 1)
+		winner, loser := h.calls[first][0], h.calls[1-first][0]
+		h.Result(h.at, winner, eiderwinch.OK, 1, "won")
+		h.advance(5*ms, eiderwinch.Answer{Query: 1, Whole: true}, eiderwinch.Cancel{Part: 2, Attempt: loser.number})
+		h.checkEqual("replies", h.replies, []Reply{{Verdict: Answered, Whole: true, Pieces: []Piece{{0, "won"}}}})
+		h.Result(h.at, loser, eiderwinch.OK, 1, "lost")
+		h.advance(300 * ms)
+		h.checkEqual("outcomes", h.outcomes(), []eiderwinch.Status{
 			eiderwinch.NotSent, eiderwinch.NotSent, eiderwinch.OK, eiderwinch.Cancelled,
 		})
-		r.want("abandoned", r.abandoned, []*Attempt{loser})
-		r.want("replies", len(r.replies), 1)
-		r.want("parts kept", len(r.parts), 0)
+		h.checkEqual("abandoned", h.abandoned, []*Attempt{loser})
+		h.checkEqual("replies", len(h.replies), 1)
+		h.checkEqual("parts kept", len(h.parts), 0)
 	}
 }
 
-// A part that must not run twice has no second copy, whatever the module sends.
+// A part that must not run twice gets no second copy, whatever the module sends.
 func TestNoSecondCopyOfAnUnsafePart(t *testing.T) {
-	r := newRig(t)
-	r.set.Module.SecondCopies = true
-	r.set.Module.Classes[0].Effect = eiderwinch.Unsafe
-	r.take("search", "t", 0)
-	r.after(5*ms, send(2, "a"), send(2, "b"))
-	r.want("calls", len(r.calls), 1)
+	h := newHarness(t)
+	h.settings.Module.SecondCopies = true
+	h.settings.Module.Classes[0].Effect = eiderwinch.Unsafe
+	h.submit("search", "t", 0)
+	h.advance(5*ms, send(2, "a"), send(2, "b"))
+	h.checkEqual("calls", len(h.calls), 1)
 }
 
-func TestOldAttemptsDoNotCountForNewOnes(t *testing.T) {
-	r := newRig(t)
-	r.take("search", "t", 0)
-	r.after(5*ms, send(2, "a"))
-	old := r.calls[0][0]
-	r.take("search", "u", 0)
-	r.after(5*ms, eiderwinch.Cancel{Part: 2}, send(2, "b"))
-	r.Result(r.at, old, eiderwinch.OK, 1, "old")
-	r.after(5*ms, eiderwinch.Answer{Query: 1, Whole: true})
-	r.want("an answer from it", r.replies, []Reply{{Verdict: Failed}})
+func TestResultOfACancelledAttemptIsIgnored(t *testing.T) {
+	h := newHarness(t)
+	h.submit("search", "t", 0)
+	h.advance(5*ms, send(2, "a"))
+	old := h.calls[0][0]
+	h.submit("search", "u", 0)
+	h.advance(5*ms, eiderwinch.Cancel{Part: 2}, send(2, "b"))
+	h.Result(h.at, old, eiderwinch.OK, 1, "old")
+	h.advance(5*ms, eiderwinch.Answer{Query: 1, Whole: true})
+	h.checkEqual("answer from a cancelled attempt", h.replies, []Reply{{Verdict: Failed}})
 }
 
-// News may have counted as told before it came, so nothing that has not left by then may go, however little
-// of the grace seems to be over: neither what waits for a connection, nor what is decided in the same turn.
-func TestNothingIsSentOnceASearcherIsToldToLeave(t *testing.T) {
-	r := newRig(t)
-	r.take("search", "t", 0, 1, 2)
-	r.after(5*ms, send(2, "a"), send(3, "b"))
-	a, b := r.calls[0][0], r.calls[1][0] // wait for a connection
-	r.want("before the news", []bool{r.MaySend(r.at, a), r.MaySend(r.at, b)}, []bool{true, true})
-	r.List(r.at, eiderwinch.Changes, []Member{{ID: "a", State: eiderwinch.Draining}})
-	r.want("a is told", []bool{r.MaySend(r.at, a), r.MaySend(r.at, b)}, []bool{false, true})
-	r.List(r.at, eiderwinch.Whole, []Member{{ID: "a", State: eiderwinch.Draining}}) // b is gone
-	r.want("b is told", []bool{r.MaySend(r.at, a), r.MaySend(r.at, b)}, []bool{false, false})
-	r.take("search", "v", 7)
-	r.calls = nil
-	r.after(5*ms, send(6, "a"), send(6, "nobody"))
-	r.want("calls to the leaving or unknown", len(r.calls), 0)
-	r.List(r.at, eiderwinch.Changes, []Member{{ID: "a", State: eiderwinch.Ready}})
-	r.want("back again", r.barred("a"), false)
+// The drain grace may have begun before the update of the member list arrives. So nothing may be sent after the
+// update, however little of the grace seems to have passed: neither attempts that wait for a connection nor those
+// that are decided in the same turn.
+func TestNothingIsSentToADrainingSearcher(t *testing.T) {
+	h := newHarness(t)
+	h.submit("search", "t", 0, 1, 2)
+	h.advance(5*ms, send(2, "a"), send(3, "b"))
+	a, b := h.calls[0][0], h.calls[1][0] // both wait for a connection
+	h.checkEqual("before the update", []bool{h.MaySend(h.at, a), h.MaySend(h.at, b)}, []bool{true, true})
+	h.List(h.at, eiderwinch.Changes, []Member{{ID: "a", State: eiderwinch.Draining}})
+	h.checkEqual("a is draining", []bool{h.MaySend(h.at, a), h.MaySend(h.at, b)}, []bool{false, true})
+	h.List(h.at, eiderwinch.Whole, []Member{{ID: "a", State: eiderwinch.Draining}}) // b is removed
+	h.checkEqual("b is removed", []bool{h.MaySend(h.at, a), h.MaySend(h.at, b)}, []bool{false, false})
+	h.submit("search", "v", 7)
+	h.calls = nil
+	h.advance(5*ms, send(6, "a"), send(6, "nobody"))
+	h.checkEqual("calls to draining or unknown searchers", len(h.calls), 0)
+	h.List(h.at, eiderwinch.Changes, []Member{{ID: "a", State: eiderwinch.Ready}})
+	h.checkEqual("ready again", h.notReady("a"), false)
 }
 
-// Searchers are replaced all day by new ones with new ids.
-func TestGoneSearchersAreForgotten(t *testing.T) {
-	r := newRig(t)
+// Searchers are replaced all day by new ones with new IDs, so entries that stay would pile up.
+func TestRemovedSearchersAreForgotten(t *testing.T) {
+	h := newHarness(t)
 	for i := range 100 {
-		r.at = r.at.Add(time.Second)
-		r.List(r.at, eiderwinch.Changes, []Member{
+		h.at = h.at.Add(time.Second)
+		h.List(h.at, eiderwinch.Changes, []Member{
 			{ID: fmt.Sprint("s", i), State: eiderwinch.Ready}, {ID: fmt.Sprint("s", i-1), State: eiderwinch.Removed},
 		})
 	}
-	if len(r.members) > 3 { // a, b and the new one
-		t.Errorf("%d are held", len(r.members))
+	if len(h.members) > 3 { // a, b and the new one
+		t.Errorf("%d members are kept, want at most 3", len(h.members))
 	}
 }
 
-func TestEveryQueryIsAnsweredThoughNothingDecides(t *testing.T) {
-	r := newRig(t)
-	r.take("search", "t", 0)
-	r.after(309 * ms)
-	r.want("before the deadline and two ticks", len(r.replies), 0)
-	r.after(1 * ms)
-	r.want("then", r.replies, []Reply{{Verdict: Failed, Overdue: true}})
-	r.after(time.Second, eiderwinch.Answer{Query: 1})
-	r.want("once only", len(r.replies), 1)
-	r.want("nothing is held", []int{r.open, len(r.parts), len(r.queries), len(r.traces)}, []int{0, 0, 0, 0})
+func TestQueryIsAnsweredWithoutAnyDecision(t *testing.T) {
+	h := newHarness(t)
+	h.submit("search", "t", 0)
+	h.advance(309 * ms)
+	h.checkEqual("replies before two ticks after the deadline", len(h.replies), 0)
+	h.advance(1 * ms)
+	h.checkEqual("then", h.replies, []Reply{{Verdict: Failed, Overdue: true}})
+	h.advance(time.Second, eiderwinch.Answer{Query: 1})
+	h.checkEqual("replies in total", len(h.replies), 1)
+	h.checkEqual("records left", []int{h.openCount, len(h.parts), len(h.queries), len(h.queriesByTrace)}, []int{0, 0, 0, 0})
 }
 
-func TestAClientThatLeftIsNotAnswered(t *testing.T) {
-	r := newRig(t)
-	id := r.take("search", "t", 0)
-	r.after(5*ms, send(2, "a"))
-	r.Gone(r.at, id)
-	r.after(5*ms, eiderwinch.Cancel{Part: 2}, eiderwinch.Fail{Query: id})
-	r.want("replies", len(r.replies), 0)
-	r.want("its attempt is called off", len(r.abandoned), 1)
-	r.after(5 * ms)
-	r.want("nothing is held", []int{r.open, len(r.parts), r.attempts.Len()}, []int{0, 0, 0})
+func TestDisconnectedClientGetsNoReply(t *testing.T) {
+	h := newHarness(t)
+	id := h.submit("search", "t", 0)
+	h.advance(5*ms, send(2, "a"))
+	h.Gone(h.at, id)
+	h.advance(5*ms, eiderwinch.Cancel{Part: 2}, eiderwinch.Fail{Query: id})
+	h.checkEqual("replies", len(h.replies), 0)
+	h.checkEqual("abandoned attempts", len(h.abandoned), 1)
+	h.advance(5 * ms)
+	h.checkEqual("records left", []int{h.openCount, len(h.parts), h.inFlight.Len()}, []int{0, 0, 0})
 }
 
-func TestRoundedSharesMakeAWhole(t *testing.T) {
-	r := newRig(t)
-	r.turns = nil
+func TestRoundedWeightsAreNormalized(t *testing.T) {
+	h := newHarness(t)
+	h.turns = nil
 	ask := Ask{Trace: "t", Class: "search", Parts: []AskPart{{0, 0.333}, {1, 0.333}, {2, 0.333}}}
-	if _, err := r.Take(r.at, ask, r); err != nil {
+	if _, err := h.Take(h.at, ask, h); err != nil {
 		t.Fatal(err)
 	}
-	r.after(5 * ms)
+	h.advance(5 * ms)
 	sum := 0.0
-	for _, p := range r.turns[0][0].(eiderwinch.Query).Parts {
+	for _, p := range h.turns[0][0].(eiderwinch.Query).Parts {
 		sum += p.Weight
 	}
 	if math.Abs(sum-1) > 1e-9 {
-		t.Errorf("the parts weigh %v", sum)
+		t.Errorf("the weights add up to %v, want 1", sum)
 	}
 }
 
-func TestAnswersAreHonest(t *testing.T) {
+func TestAnswersMatchReceivedParts(t *testing.T) {
 	for name, c := range map[string]struct {
 		class string
 		in    int // of two parts
@@ -382,109 +386,111 @@
 		"half":               {"half", 1, false, Reply{Pieces: []Piece{{0, "v0"}}}},
 		"half, called whole": {"half", 1, true, Reply{Pieces: []Piece{{0, "v0"}}}},
 	} {
-		r := newRig(t)
-		r.take(c.class, "t", 0, 1)
-		r.after(5*ms, send(2, "a"), send(3, "b"))
+		h := newHarness(t)
+		h.submit(c.class, "t", 0, 1)
+		h.advance(5*ms, send(2, "a"), send(3, "b"))
 		for i := range c.in {
-			r.Result(r.at, r.calls[i][0], eiderwinch.OK, 1, fmt.Sprint("v", i))
+			h.Result(h.at, h.calls[i][0], eiderwinch.OK, 1, fmt.Sprint("v", i))
 		}
-		r.Result(r.at, r.calls[1][0], eiderwinch.Failed, 0, "not a value")
-		r.after(5*ms, eiderwinch.Answer{Query: 1, Whole: c.whole})
-		r.want(name, r.replies, []Reply{c.want})
+		h.Result(h.at, h.calls[1][0], eiderwinch.Failed, 0, "not a value")
+		h.advance(5*ms, eiderwinch.Answer{Query: 1, Whole: c.whole})
+		h.checkEqual(name, h.replies, []Reply{c.want})
 	}
 }
 
 func TestSecondStep(t *testing.T) {
-	r := newRig(t)
-	r.take("report", "t", 3, 5, 7)
-	r.after(5*ms, send(2, "a"), send(3, "a"), send(4, "b"))
+	h := newHarness(t)
+	h.submit("report", "t", 3, 5, 7)
+	h.advance(5*ms, send(2, "a"), send(3, "a"), send(4, "b"))
 	for i, score := range []int64{20, 10, 30} {
-		a := slices.Concat(r.calls...)[i]
-		r.Result(r.at, a, eiderwinch.OK, score, "first")
+		a := slices.Concat(h.calls...)[i]
+		h.Result(h.at, a, eiderwinch.OK, score, "first")
 	}
-	r.after(5*ms, eiderwinch.Answer{Query: 1, Whole: true})
-	r.want("no answer yet", len(r.replies), 0)
-	r.turns = nil
-	r.after(5*ms, send(5, "a"), send(6, "b"))
-	r.want("parts at the highest scores", r.turns[0][0], eiderwinch.SecondStep{Query: 1, Parts: []eiderwinch.Part{
+	h.advance(5*ms, eiderwinch.Answer{Query: 1, Whole: true})
+	h.checkEqual("replies after the first step", len(h.replies), 0)
+	h.turns = nil
+	h.advance(5*ms, send(5, "a"), send(6, "b"))
+	h.checkEqual("parts at the highest scores", h.turns[0][0], eiderwinch.SecondStep{Query: 1, Parts: []eiderwinch.Part{
 		{ID: 5, Shard: 7, Weight: 0.5}, {ID: 6, Shard: 3, Weight: 0.5},
 	}})
-	seconds := slices.Concat(r.calls[2:]...)
-	r.want("what they tell", []any{seconds[0].Second, seconds[0].From, seconds[0].Whole}, []any{true, []int{3, 5, 7}, true})
-	r.Result(r.at, seconds[0], eiderwinch.OK, 0, "x")
-	r.Result(r.at, seconds[1], eiderwinch.OK, 0, "y")
-	r.after(5*ms, eiderwinch.Answer{Query: 1, Whole: true})
-	r.want("the answer", r.replies, []Reply{{Whole: true, Pieces: []Piece{{7, "x"}, {3, "y"}}}})
+	seconds := slices.Concat(h.calls[2:]...)
+	h.checkEqual("details of the first step", []any{seconds[0].Second, seconds[0].From, seconds[0].Whole}, []any{true, []int{3, 5, 7}, true})
+	h.Result(h.at, seconds[0], eiderwinch.OK, 0, "x")
+	h.Result(h.at, seconds[1], eiderwinch.OK, 0, "y")
+	h.advance(5*ms, eiderwinch.Answer{Query: 1, Whole: true})
+	h.checkEqual("the answer", h.replies, []Reply{{Whole: true, Pieces: []Piece{{7, "x"}, {3, "y"}}}})
 }
 
-func TestASearcherStartedBeforeThisProcessIsNotStartedLongAgo(t *testing.T) {
-	// The module takes 0 or less for "long ago", and would push a cold searcher over.
-	r := newRig(t)
-	r.turns = nil
-	r.List(r.at, eiderwinch.Changes, []Member{
-		{ID: "a", State: eiderwinch.Ready, Started: r.at.Add(-2 * time.Second)}, {ID: "b", State: eiderwinch.Ready},
+func TestStartBeforeThisProcessIsNotReportedAsLongAgo(t *testing.T) {
+	// The module takes a start time of 0 or less for "long ago" and would overload a cold searcher.
+	h := newHarness(t)
+	h.turns = nil
+	h.List(h.at, eiderwinch.Changes, []Member{
+		{ID: "a", State: eiderwinch.Ready, Started: h.at.Add(-2 * time.Second)}, {ID: "b", State: eiderwinch.Ready},
 	})
-	r.after(5 * ms)
-	list := r.turns[0][0].(eiderwinch.ListChange).Replicas
-	r.want("age", r.clocks[len(r.clocks)-1]-list[0].Started, 2*time.Second+5*ms)
-	r.want("long ago", list[1].Started, time.Duration(0))
+	h.advance(5 * ms)
+	list := h.turns[0][0].(eiderwinch.ListChange).Replicas
+	h.checkEqual("age", h.clocks[len(h.clocks)-1]-list[0].Started, 2*time.Second+5*ms)
+	h.checkEqual("long ago", list[1].Started, time.Duration(0))
 }
 
-// Discovery that has lost its memory must not stop all gatherers at once; one that leaves a searcher out has told that it is gone.
-func TestAListWithoutSearchersLeavesTheLastGoodOneInUse(t *testing.T) {
-	r := newRig(t)
-	r.List(r.at, eiderwinch.Whole, nil)
-	r.after(time.Second)
-	r.want("ready after an empty list", r.Ready("a") && r.Ready("b"), true)
-	r.want("empty lists", r.stats.EmptyLists, 1)
-	r.List(r.at, eiderwinch.Changes, nil)
-	r.want("empty lists after no changes", r.stats.EmptyLists, 1)
-	r.List(r.at, eiderwinch.Whole, []Member{{ID: "b", State: eiderwinch.Ready}})
-	r.after(time.Second)
-	r.want("ready after one without a", r.Ready("a"), false)
-	r.want("still ready", r.Ready("b"), true)
+// A discovery service that has lost its state sends an empty list to all gatherers at once, which must not stop
+// them. A list that leaves out some searchers does remove these.
+func TestEmptyListIsIgnored(t *testing.T) {
+	h := newHarness(t)
+	h.List(h.at, eiderwinch.Whole, nil)
+	h.advance(time.Second)
+	h.checkEqual("ready after an empty list", h.Ready("a") && h.Ready("b"), true)
+	h.checkEqual("empty lists", h.stats.EmptyLists, 1)
+	h.List(h.at, eiderwinch.Changes, nil)
+	h.checkEqual("empty lists after no changes", h.stats.EmptyLists, 1)
+	h.List(h.at, eiderwinch.Whole, []Member{{ID: "b", State: eiderwinch.Ready}})
+	h.advance(time.Second)
+	h.checkEqual("ready after a list without a", h.Ready("a"), false)
+	h.checkEqual("b is ready", h.Ready("b"), true)
 }
 
-// The wall clock may be stepped while searchers start. What was told before the step stays where it was, and
-// what is told after it is taken for colder than it may be, never for warmer.
-func TestAStepOfTheWallClockMakesNoSearcherWarm(t *testing.T) {
+// The wall clock may be stepped while searchers start, which would shift their start times and make cold searchers
+// look warm. A start reported before the step keeps its converted time; after a step, a searcher may count as
+// colder than it is, never as warmer.
+func TestWallClockStepDoesNotMakeAColdSearcherWarm(t *testing.T) {
 	for name, step := range map[string]time.Duration{"forward": time.Hour, "back": -time.Hour, "by seconds": 7 * time.Second} {
 		t.Run(name, func(t *testing.T) {
-			r := newRig(t)
-			stepped := time.Duration(0)
-			r.starts = newStarts(r.start, 18*time.Second)
-			r.starts.wall = func(now time.Time) time.Time {
-				if now.Equal(r.start) {
+			h := newHarness(t)
+			offset := time.Duration(0)
+			h.startTimes = newStartTimes(h.start, 18*time.Second)
+			h.startTimes.wallClock = func(now time.Time) time.Time {
+				if now.Equal(h.start) {
 					return now
 				}
-				return now.Add(stepped)
+				return now.Add(offset)
 			}
-			tell := func(id string, reported time.Time) time.Duration {
-				r.List(r.at, eiderwinch.Changes, []Member{{ID: id, State: eiderwinch.Ready, Started: reported}})
-				return r.at.Sub(r.members[id].started)
+			ageOf := func(id string, reported time.Time) time.Duration {
+				h.List(h.at, eiderwinch.Changes, []Member{{ID: id, State: eiderwinch.Ready, Started: reported}})
+				return h.at.Sub(h.members[id].startedAt)
 			}
-			r.at = r.at.Add(10 * time.Second)
-			before := r.at.Add(-4 * time.Second)
-			if age := tell("a", before); age != 4*time.Second {
+			h.at = h.at.Add(10 * time.Second)
+			before := h.at.Add(-4 * time.Second)
+			if age := ageOf("a", before); age != 4*time.Second {
 				t.Errorf("without a step: %v old, want 4 s", age)
 			}
-			stepped = step
-			r.at = r.at.Add(time.Second)
-			if age := tell("a", before); age != 5*time.Second {
-				t.Errorf("told again after the step: %v old, want 5 s", age)
+			offset = step
+			h.at = h.at.Add(time.Second)
+			if age := ageOf("a", before); age != 5*time.Second {
+				t.Errorf("reported again after the step: %v old, want 5 s", age)
 			}
-			if age := tell("b", r.at.Add(step-2*time.Second)); age != 0 {
-				t.Errorf("started and told after the step: %v old, want 0", age)
+			if age := ageOf("b", h.at.Add(step-2*time.Second)); age != 0 {
+				t.Errorf("started and reported after the step: %v old, want 0", age)
 			}
-			if age := tell("c", before); age != 0 {
-				t.Errorf("started before and told after the step: %v old, want 0", age)
+			if age := ageOf("c", before); age != 0 {
+				t.Errorf("started before and reported after the step: %v old, want 0", age)
 			}
-			r.at = r.at.Add(time.Minute)
-			if age := tell("d", r.at.Add(step-2*time.Second)); age != 2*time.Second {
+			h.at = h.at.Add(time.Minute)
+			if age := ageOf("d", h.at.Add(step-2*time.Second)); age != 2*time.Second {
 				t.Errorf("long after the step: %v old, want 2 s", age)
 			}
-			if age := tell("e", r.at.Add(step+time.Minute)); age != 0 {
-				t.Errorf("a start to come: %v old, want 0", age)
+			if age := ageOf("e", h.at.Add(step+time.Minute)); age != 0 {
+				t.Errorf("a start in the future: %v old, want 0", age)
 			}
 		})
 	}
--- a/internal/gatherer/epoch.go
+++ b/internal/gatherer/epoch.go
@@ -7,14 +7,14 @@
 	"eiderwinch/internal/layout"
 )
 
-// ErrAhead is why a query is refused that names an epoch which this gatherer has
-// not learned yet: gatherers learn of one within seconds of each other, and its
-// segments may have other holders by then.
-var ErrAhead = errors.New("an epoch that is not known here yet")
+// ErrAhead is returned for a query that names a newer epoch than the one this gatherer
+// knows. Gatherers receive a new epoch within seconds of each other, and the holders of
+// its segments may differ from those in the known epoch.
+var ErrAhead = errors.New("epoch not known yet")
 
-// Adopt takes up an epoch of the layout for the queries that come from now on.
-// Those that are open end in the epoch that they are bound to. One that is not
-// newer than the epoch at hand changes nothing and is reported as false.
+// Adopt makes l the layout of queries taken from now on. Open queries keep the epoch
+// that they are bound to. If l is not newer than the current epoch, Adopt changes
+// nothing and returns false.
 func (c *Core) Adopt(l *layout.Layout) bool {
 	if c.layout != nil && l.Epoch() <= c.layout.Epoch() {
 		c.stats.EpochsOld++
@@ -25,7 +25,7 @@
 	return true
 }
 
-// Epoch is the epoch that new queries are bound to; 0 if there is no layout.
+// Epoch returns the epoch that new queries are bound to; 0 if there is no layout.
 func (c *Core) Epoch() layout.Epoch { return epochOf(c.layout) }
 
 func epochOf(l *layout.Layout) layout.Epoch {
@@ -35,51 +35,52 @@
 	return l.Epoch()
 }
 
-// OldestEpoch is the oldest epoch that an open query is bound to, else Epoch.
-// Whoever held segments in older ones is not asked by this gatherer any more.
+// OldestEpoch returns the oldest epoch that an open query is bound to, or Epoch if
+// no query is open. This gatherer no longer sends to searchers that held segments only
+// in epochs before it.
 func (c *Core) OldestEpoch() layout.Epoch {
 	oldest := c.Epoch()
-	for e := range c.bound {
+	for e := range c.openByEpoch {
 		oldest = min(oldest, e)
 	}
 	return oldest
 }
 
-// bind returns the parts of a query in the epoch at hand. A query that was put
-// together after an older layout is translated along the lineage; one that
-// names a segment without any is turned away.
-func (c *Core) bind(a Ask) ([]AskPart, error) {
+// translateParts returns the parts of a query in the current epoch. The parts of a
+// query that was built for an older layout are translated along the lineage of their
+// segments. It returns an error if a segment has no lineage to the current epoch.
+func (c *Core) translateParts(ask Ask) ([]AskPart, error) {
 	if c.layout == nil {
-		return a.Parts, nil
+		return ask.Parts, nil
 	}
-	if a.Epoch > c.layout.Epoch() {
+	if ask.Epoch > c.layout.Epoch() {
 		c.stats.EpochsAhead++
-		return nil, fmt.Errorf("%w: %d, at hand is %d", ErrAhead, a.Epoch, c.layout.Epoch())
+		return nil, fmt.Errorf("%w: %d, current epoch is %d", ErrAhead, ask.Epoch, c.layout.Epoch())
 	}
-	parts := make([]layout.Part, len(a.Parts))
-	for i, p := range a.Parts {
+	parts := make([]layout.Part, len(ask.Parts))
+	for i, p := range ask.Parts {
 		if p.Shard < 0 || int64(p.Shard) > int64(^layout.SegmentID(0)) {
 			return nil, fmt.Errorf("%w: segment %d: %w", ErrInvalid, p.Shard, layout.ErrNoSegment)
 		}
 		parts[i] = layout.Part{Segment: layout.SegmentID(p.Shard), Weight: p.Weight}
 	}
-	out, changed, err := c.layout.Translate(parts)
+	translated, changed, err := c.layout.Translate(parts)
 	if err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrInvalid, err)
 	}
 	if !changed {
-		return a.Parts, nil
+		return ask.Parts, nil
 	}
 	c.stats.Translated++
-	bound := make([]AskPart, len(out))
-	for i, p := range out {
-		bound[i] = AskPart{Shard: int(p.Segment), Weight: p.Weight}
+	askParts := make([]AskPart, len(translated))
+	for i, p := range translated {
+		askParts[i] = AskPart{Shard: int(p.Segment), Weight: p.Weight}
 	}
-	return bound, nil
+	return askParts, nil
 }
 
-// holders are the searchers that hold a segment in a query's epoch; nil if the
-// cells say so.
+// holders returns the searchers that hold a segment in the query's epoch; nil if
+// there is no layout and the cells of the searchers determine the holders.
 func (q *query) holders(shard int) []string {
 	if q.layout == nil {
 		return nil
@@ -87,13 +88,13 @@
 	return q.layout.Segment(layout.SegmentID(shard)).Holders
 }
 
-// epoch is what the query is bound to; 0 if there is no layout.
+// epoch returns the epoch that the query is bound to; 0 if there is no layout.
 func (q *query) epoch() layout.Epoch { return epochOf(q.layout) }
 
-// unbind forgets that a query was bound.
-func (c *Core) unbind(q *query) {
+// releaseEpoch stops counting a query for the epoch that it is bound to.
+func (c *Core) releaseEpoch(q *query) {
 	e := q.epoch()
-	if c.bound[e]--; c.bound[e] <= 0 {
-		delete(c.bound, e)
+	if c.openByEpoch[e]--; c.openByEpoch[e] <= 0 {
+		delete(c.openByEpoch, e)
 	}
 }
--- a/internal/gatherer/epoch_test.go
+++ b/internal/gatherer/epoch_test.go
@@ -10,8 +10,9 @@
 	"eiderwinch/internal/layout"
 )
 
-// split is a layout of three segments, and what becomes of it as 1 is split.
-func split(t *testing.T) (first, prepared, cut, done *layout.Layout, heirs []layout.SegmentID) {
+// splitLayouts returns a layout of three segments, the three layouts that follow from it
+// as segment 1 is split, and the successors of segment 1.
+func splitLayouts(t *testing.T) (first, prepared, cutOver, retired *layout.Layout, successors []layout.SegmentID) {
 	t.Helper()
 	first, err := layout.First(
 		layout.Segment{ID: 0, Keys: layout.Range{To: "d"}, Holders: []string{"a", "b"}},
@@ -21,33 +22,33 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	c := layout.Change{Kind: layout.Split, Segments: []layout.SegmentID{1}, At: "g", Share: 0.25, Holders: [][]string{{"c"}, {"d"}}}
-	prepared, heirs, err = first.Prepare(c)
+	change := layout.Change{Kind: layout.Split, Segments: []layout.SegmentID{1}, At: "g", Share: 0.25, Holders: [][]string{{"c"}, {"d"}}}
+	prepared, successors, err = first.Prepare(change)
 	if err == nil {
-		cut, err = prepared.CutOver(c, heirs)
+		cutOver, err = prepared.CutOver(change, successors)
 	}
 	if err == nil {
-		done, err = cut.Retire(c)
+		retired, err = cutOver.Retire(change)
 	}
 	if err != nil {
 		t.Fatal(err)
 	}
-	return first, prepared, cut, done, heirs
+	return first, prepared, cutOver, retired, successors
 }
 
-// laidOut is a rig whose layout is l, with searchers a to d.
-func laidOut(t *testing.T, l *layout.Layout) *rig {
-	r := newRig(t)
-	r.List(r.at, eiderwinch.Changes, []Member{{ID: "c", State: eiderwinch.Ready}, {ID: "d", State: eiderwinch.Ready}})
-	r.Adopt(l)
-	r.after(5 * ms)
-	r.turns = nil
-	return r
+// newHarnessWithLayout returns a harness with the layout l and the searchers a to d.
+func newHarnessWithLayout(t *testing.T, l *layout.Layout) *harness {
+	h := newHarness(t)
+	h.List(h.at, eiderwinch.Changes, []Member{{ID: "c", State: eiderwinch.Ready}, {ID: "d", State: eiderwinch.Ready}})
+	h.Adopt(l)
+	h.advance(5 * ms)
+	h.turns = nil
+	return h
 }
 
-// told are the parts of the queries that the aggregator was told of.
-func (r *rig) told() (out []eiderwinch.Part) {
-	for _, events := range r.turns {
+// queryParts returns the parts of all Query events that the aggregator has received.
+func (h *harness) queryParts() (out []eiderwinch.Part) {
+	for _, events := range h.turns {
 		for _, e := range events {
 			if q, ok := e.(eiderwinch.Query); ok {
 				out = append(out, q.Parts...)
@@ -57,91 +58,92 @@
 	return out
 }
 
-func TestASearchInFlightEndsInItsEpoch(t *testing.T) {
-	first, _, cut, done, heirs := split(t)
-	r := laidOut(t, first)
-	r.take("search", "old", 0, 1) // query 1, parts 2 and 3
-	r.after(5*ms, send(2, "a"), send(3, "a"))
-	r.Adopt(cut)
-	r.take("search", "new", 0, 1) // query 4, parts 5 to 7
-	r.after(5 * ms)
-	r.want("parts told", len(r.told()), 5)
-	r.want("the old query's holders", []any{r.told()[1].Shard, r.told()[1].Holders}, []any{1, []string{"a", "b"}})
-	r.want("the new query's parts", []any{r.told()[3].Shard, r.told()[3].Holders, r.told()[4].Shard, r.told()[4].Holders, r.told()[4].Weight},
-		[]any{int(heirs[0]), []string{"c"}, int(heirs[1]), []string{"d"}, 0.375})
-	// The old one's attempt breaks; another goes to an old holder, though the epoch is over.
-	r.Broken(r.at, r.calls[0][1])
-	r.want("oldest epoch asked", r.OldestEpoch(), first.Epoch())
-	r.Adopt(done)
-	r.after(5*ms, send(3, "c"))
-	r.want("a send to a new holder", r.outcomes(), []eiderwinch.Status{eiderwinch.Reset})
-	r.after(5 * ms)
-	r.want("is not let out", r.outcomes(), []eiderwinch.Status{eiderwinch.Reset, eiderwinch.NotSent})
-	r.Result(r.at, r.calls[0][0], eiderwinch.OK, 1, "v")
-	r.after(5*ms, eiderwinch.Fail{Query: 1}, eiderwinch.Fail{Query: 4})
-	r.want("epochs of the answers", []layout.Epoch{r.replies[0].Epoch, r.replies[1].Epoch}, []layout.Epoch{first.Epoch(), cut.Epoch()})
-	r.want("nobody is bound to an old one", r.OldestEpoch(), done.Epoch())
-	r.want("nothing is held", len(r.bound), 0)
+func TestOpenQueryEndsInItsEpoch(t *testing.T) {
+	first, _, cutOver, retired, successors := splitLayouts(t)
+	h := newHarnessWithLayout(t, first)
+	h.submit("search", "old", 0, 1) // query 1, parts 2 and 3
+	h.advance(5*ms, send(2, "a"), send(3, "a"))
+	h.Adopt(cutOver)
+	h.submit("search", "new", 0, 1) // query 4, parts 5 to 7
+	h.advance(5 * ms)
+	h.checkEqual("parts received by the aggregator", len(h.queryParts()), 5)
+	h.checkEqual("the old query's holders", []any{h.queryParts()[1].Shard, h.queryParts()[1].Holders}, []any{1, []string{"a", "b"}})
+	h.checkEqual("the new query's parts", []any{h.queryParts()[3].Shard, h.queryParts()[3].Holders, h.queryParts()[4].Shard, h.queryParts()[4].Holders, h.queryParts()[4].Weight},
+		[]any{int(successors[0]), []string{"c"}, int(successors[1]), []string{"d"}, 0.375})
+	// An attempt of the old query breaks. A further one may go only to a holder in the query's
+	// epoch, though newer epochs are in force.
+	h.Broken(h.at, h.calls[0][1])
+	h.checkEqual("oldest epoch in use", h.OldestEpoch(), first.Epoch())
+	h.Adopt(retired)
+	h.advance(5*ms, send(3, "c"))
+	h.checkEqual("a send to a new holder", h.outcomes(), []eiderwinch.Status{eiderwinch.Reset})
+	h.advance(5 * ms)
+	h.checkEqual("it is rejected", h.outcomes(), []eiderwinch.Status{eiderwinch.Reset, eiderwinch.NotSent})
+	h.Result(h.at, h.calls[0][0], eiderwinch.OK, 1, "v")
+	h.advance(5*ms, eiderwinch.Fail{Query: 1}, eiderwinch.Fail{Query: 4})
+	h.checkEqual("epochs of the answers", []layout.Epoch{h.replies[0].Epoch, h.replies[1].Epoch}, []layout.Epoch{first.Epoch(), cutOver.Epoch()})
+	h.checkEqual("oldest epoch in use after the answers", h.OldestEpoch(), retired.Epoch())
+	h.checkEqual("epochs with open queries", len(h.openByEpoch), 0)
 }
 
-// A second step asks the segments that were in, at those who hold them in the query's epoch.
-func TestASecondStepStaysInItsEpoch(t *testing.T) {
-	first, _, cut, _, _ := split(t)
-	r := laidOut(t, first)
-	r.take("report", "t", 0, 1)
-	r.after(5*ms, send(2, "a"), send(3, "b"))
-	r.Adopt(cut)
-	for i, a := range slices.Concat(r.calls...) {
-		r.Result(r.at, a, eiderwinch.OK, int64(i), "first")
+// A second step asks the segments answered in the first, at the searchers that hold them in the query's epoch.
+func TestSecondStepStaysInItsEpoch(t *testing.T) {
+	first, _, cutOver, _, _ := splitLayouts(t)
+	h := newHarnessWithLayout(t, first)
+	h.submit("report", "t", 0, 1)
+	h.advance(5*ms, send(2, "a"), send(3, "b"))
+	h.Adopt(cutOver)
+	for i, a := range slices.Concat(h.calls...) {
+		h.Result(h.at, a, eiderwinch.OK, int64(i), "first")
 	}
-	r.after(5*ms, eiderwinch.Answer{Query: 1, Whole: true})
-	r.turns = nil
-	r.after(5*ms, send(4, "b"), send(5, "a"))
-	step := r.turns[0][0].(eiderwinch.SecondStep)
-	r.want("the second step", []any{step.Parts[0].Shard, step.Parts[0].Holders}, []any{1, []string{"a", "b"}})
-	r.want("its calls", len(slices.Concat(r.calls[2:]...)), 2)
+	h.advance(5*ms, eiderwinch.Answer{Query: 1, Whole: true})
+	h.turns = nil
+	h.advance(5*ms, send(4, "b"), send(5, "a"))
+	step := h.turns[0][0].(eiderwinch.SecondStep)
+	h.checkEqual("the second step", []any{step.Parts[0].Shard, step.Parts[0].Holders}, []any{1, []string{"a", "b"}})
+	h.checkEqual("its attempts", len(slices.Concat(h.calls[2:]...)), 2)
 }
 
-func TestAMergeAskedByBothParentsIsOnePart(t *testing.T) {
-	first, _, _, _, _ := split(t)
-	c := layout.Change{Kind: layout.Merge, Segments: []layout.SegmentID{0, 1}, Holders: [][]string{{"c"}}}
-	next, heirs, err := first.Prepare(c)
+func TestMergedSegmentsBecomeOnePart(t *testing.T) {
+	first, _, _, _, _ := splitLayouts(t)
+	change := layout.Change{Kind: layout.Merge, Segments: []layout.SegmentID{0, 1}, Holders: [][]string{{"c"}}}
+	next, successors, err := first.Prepare(change)
 	if err == nil {
-		next, err = next.CutOver(c, heirs)
+		next, err = next.CutOver(change, successors)
 	}
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := laidOut(t, next)
-	r.take("search", "t", 0, 1, 2)
-	r.after(5 * ms)
-	parts := r.told()
-	r.want("parts", []int{len(parts), parts[0].Shard, parts[1].Shard}, []int{2, int(heirs[0]), 2})
+	h := newHarnessWithLayout(t, next)
+	h.submit("search", "t", 0, 1, 2)
+	h.advance(5 * ms)
+	parts := h.queryParts()
+	h.checkEqual("parts", []int{len(parts), parts[0].Shard, parts[1].Shard}, []int{2, int(successors[0]), 2})
 	if w := parts[0].Weight; w < 0.6666 || w > 0.6667 {
-		t.Errorf("the heir weighs %v", w)
+		t.Errorf("the successor has weight %v, want 2/3", w)
 	}
 }
 
-func TestEpochsComeLateOrNotAtAll(t *testing.T) {
-	first, prepared, cut, done, heirs := split(t)
-	r := laidOut(t, first)
-	ask := Ask{Trace: "t", Class: "search", Epoch: cut.Epoch(), Parts: []AskPart{{int(heirs[0]), 1}}}
-	if _, err := r.Take(r.at, ask, r); !errors.Is(err, ErrAhead) {
-		t.Errorf("a query of an epoch not known yet: %v", err)
+func TestLateAndMissedEpochs(t *testing.T) {
+	first, prepared, cutOver, retired, successors := splitLayouts(t)
+	h := newHarnessWithLayout(t, first)
+	ask := Ask{Trace: "t", Class: "search", Epoch: cutOver.Epoch(), Parts: []AskPart{{int(successors[0]), 1}}}
+	if _, err := h.Take(h.at, ask, h); !errors.Is(err, ErrAhead) {
+		t.Errorf("query with an epoch not known yet: %v", err)
 	}
-	r.want("two epochs are missed", r.Adopt(done), true)
-	for _, old := range []*layout.Layout{first, prepared, cut, done} {
-		r.want("an older one comes late", r.Adopt(old), false)
+	h.checkEqual("newer epoch after two missed ones", h.Adopt(retired), true)
+	for _, old := range []*layout.Layout{first, prepared, cutOver, retired} {
+		h.checkEqual("late older epoch", h.Adopt(old), false)
 	}
-	if _, err := r.Take(r.at, ask, r); err != nil {
-		t.Errorf("the same once it is known: %v", err)
+	if _, err := h.Take(h.at, ask, h); err != nil {
+		t.Errorf("the same query with a known epoch: %v", err)
 	}
 	for _, bad := range []int{-1, 99, 1 << 40} {
-		_, err := r.Take(r.at, Ask{Trace: "u", Class: "search", Parts: []AskPart{{bad, 1}}}, r)
+		_, err := h.Take(h.at, Ask{Trace: "u", Class: "search", Parts: []AskPart{{bad, 1}}}, h)
 		if !errors.Is(err, ErrInvalid) || !errors.Is(err, layout.ErrNoSegment) {
 			t.Errorf("segment %d: %v", bad, err)
 		}
 	}
-	r.want("counted", []int{r.stats.EpochsAhead, r.stats.EpochsOld, r.stats.Epochs}, []int{1, 4, 2})
-	r.after(time.Second)
+	h.checkEqual("counted", []int{h.stats.EpochsAhead, h.stats.EpochsOld, h.stats.Epochs}, []int{1, 4, 2})
+	h.advance(time.Second)
 }
--- a/internal/gatherer/live_settings.go
+++ b/internal/gatherer/live_settings.go
@@ -2,20 +2,20 @@
 
 import "time"
 
-// Live is what of the settings can change while queries run. It is never changed
-// itself: a new one takes its place, and each query keeps the one that it was
-// taken under until its final answer.
+// Live holds the settings that can change while queries are open. A Live is never
+// modified; Apply replaces it by a new one, and each query keeps the one in force
+// when it was taken until its final answer.
 type Live struct {
-	Generation uint64        // its number; 0 where it can't change
-	MaxOpen    int           // queries and parts held at once; 0 means no limit
-	Classes    []ClassLimits // by the number of the class; nil means none
+	Generation uint64        // of the configuration; 0 if settings can't change
+	MaxOpen    int           // limit on open queries plus their parts; 0 means no limit
+	Classes    []ClassLimits // by class number; nil means no limits
 }
 
-// ClassLimits are a class's own limits. A zero field means that there is none.
+// ClassLimits are the limits of one class. A zero field means that there is no limit.
 type ClassLimits struct {
-	Within   time.Duration // no query takes longer, beside the class's deadline
-	Attempts int           // of each part, beside the module's limit
-	Open     int           // queries at once
+	Within   time.Duration // longest time for a query, in addition to the class's deadline
+	Attempts int           // attempts of each part, in addition to the module's limit
+	Open     int           // open queries
 }
 
 // class returns the limits of a class.
@@ -26,25 +26,25 @@
 	return l.Classes[i]
 }
 
-// Apply puts other settings in force for the queries that come from now on.
+// Apply puts new settings in force for queries taken from now on.
 func (c *Core) Apply(l *Live) {
-	c.live = l
+	c.liveSettings = l
 	c.stats.Generations++
 }
 
-// Generation is the number of the settings in force.
-func (c *Core) Generation() uint64 { return c.live.Generation }
+// Generation returns the generation of the settings in force.
+func (c *Core) Generation() uint64 { return c.liveSettings.Generation }
 
-// Generations are the numbers of the settings that open queries were taken under,
-// and of those in force, each once.
+// Generations returns the generation of the settings in force, followed by the other
+// generations that open queries were taken under, without duplicates.
 func (c *Core) Generations() []uint64 {
-	seen := map[uint64]bool{c.live.Generation: true}
-	out := []uint64{c.live.Generation}
+	seen := map[uint64]bool{c.liveSettings.Generation: true}
+	generations := []uint64{c.liveSettings.Generation}
 	for _, q := range c.queries {
-		if g := q.live.Generation; !seen[g] {
+		if g := q.liveSettings.Generation; !seen[g] {
 			seen[g] = true
-			out = append(out, g)
+			generations = append(generations, g)
 		}
 	}
-	return out
+	return generations
 }
--- a/internal/gatherer/live_settings_test.go
+++ b/internal/gatherer/live_settings_test.go
@@ -14,80 +14,81 @@
 	"eiderwinch/internal/stats"
 )
 
-// limits are limits of the class 'search' as a generation.
-func limits(gen uint64, l ClassLimits) *Live {
-	return &Live{Generation: gen, MaxOpen: 20, Classes: []ClassLimits{l, {}, {}, {}}}
+// searchLimits returns settings with limits for the class 'search' only.
+func searchLimits(generation uint64, limits ClassLimits) *Live {
+	return &Live{Generation: generation, MaxOpen: 20, Classes: []ClassLimits{limits, {}, {}, {}}}
 }
 
-// A query ends under the settings that it was taken under, whatever is put in
-// force meanwhile.
+// A query keeps the settings in force when it was taken, whichever are put in force
+// while it is open.
 func TestEachQueryKeepsItsGeneration(t *testing.T) {
-	r := newRig(t)
-	r.Apply(limits(1, ClassLimits{Within: 200 * ms, Attempts: 1}))
-	old := r.take("search", "old", 0)
-	r.after(0)
-	r.Apply(limits(2, ClassLimits{Within: 100 * ms, Attempts: 2}))
-	r.take("search", "new", 0)
-	r.after(0)
-	r.want("generations", r.Generations()[0], uint64(2))
-	r.want("how many", len(r.Generations()), 2)
+	h := newHarness(t)
+	h.Apply(searchLimits(1, ClassLimits{Within: 200 * ms, Attempts: 1}))
+	old := h.submit("search", "old", 0)
+	h.advance(0)
+	h.Apply(searchLimits(2, ClassLimits{Within: 100 * ms, Attempts: 2}))
+	h.submit("search", "new", 0)
+	h.advance(0)
+	h.checkEqual("generations", h.Generations()[0], uint64(2))
+	h.checkEqual("number of generations", len(h.Generations()), 2)
 
-	// One attempt each by the older one, and no more, whatever is asked for.
-	part := r.queries[old].parts[0].id
-	r.after(5*ms, send(part, "a"))
-	r.want("calls", len(r.calls), 1)
-	r.Core.Result(r.at, r.calls[0][0], eiderwinch.Failed, 0, "")
-	r.after(10*ms, send(part, "b"))
-	r.want("a second attempt", len(r.calls), 1)
-	r.want("it is told so", slices.Contains(r.outcomes(), eiderwinch.NotSent), true)
+	// The older settings allow one attempt of each part, whatever the aggregator sends.
+	part := h.queries[old].parts[0].id
+	h.advance(5*ms, send(part, "a"))
+	h.checkEqual("calls", len(h.calls), 1)
+	h.Core.Result(h.at, h.calls[0][0], eiderwinch.Failed, 0, "")
+	h.advance(10*ms, send(part, "b"))
+	h.checkEqual("calls after a second send", len(h.calls), 1)
+	h.checkEqual("the aggregator receives NotSent", slices.Contains(h.outcomes(), eiderwinch.NotSent), true)
 
-	r.after(time.Second) // the newer one ends first
-	var gens []uint64
-	for _, x := range r.replies {
-		gens = append(gens, x.Generation)
+	h.advance(time.Second) // the newer query ends first
+	var generations []uint64
+	for _, x := range h.replies {
+		generations = append(generations, x.Generation)
 	}
-	r.want("answers", gens, []uint64{2, 1})
-	r.want("generations", r.Generations(), []uint64{2})
+	h.checkEqual("answers", generations, []uint64{2, 1})
+	h.checkEqual("generations", h.Generations(), []uint64{2})
 }
 
-func TestAClassHasItsOwnLimitOfOpenQueries(t *testing.T) {
-	r := newRig(t)
-	r.Apply(limits(3, ClassLimits{Open: 2}))
-	r.take("search", "a", 0)
-	r.take("search", "b", 0)
-	r.take("search", "c", 0)
-	r.want("refused at once", r.replies, []Reply{{Verdict: Refused, RetryAfter: 500 * ms, Generation: 3}})
-	r.want("counted", []int{r.stats.Full, r.stats.ClassFull}, []int{1, 1})
-	r.take("half", "d", 0) // another class
-	r.want("refused", len(r.replies), 1)
-	r.after(time.Second)
-	r.take("search", "e", 0) // there is room again
-	r.want("refused", r.stats.Refused, 1)
-	r.Apply(&Live{Generation: 4, MaxOpen: 1})
-	r.take("half", "f", 0)
-	r.want("the limit of all", r.stats.ClassFull, 1)
-	r.want("refused", r.stats.Refused, 2)
+func TestClassLimitOnOpenQueries(t *testing.T) {
+	h := newHarness(t)
+	h.Apply(searchLimits(3, ClassLimits{Open: 2}))
+	h.submit("search", "a", 0)
+	h.submit("search", "b", 0)
+	h.submit("search", "c", 0)
+	h.checkEqual("refused at once", h.replies, []Reply{{Verdict: Refused, RetryAfter: 500 * ms, Generation: 3}})
+	h.checkEqual("counted", []int{h.stats.Full, h.stats.ClassFull}, []int{1, 1})
+	h.submit("half", "d", 0) // another class
+	h.checkEqual("refused", len(h.replies), 1)
+	h.advance(time.Second)
+	h.submit("search", "e", 0) // there is room again
+	h.checkEqual("refused", h.stats.Refused, 1)
+	h.Apply(&Live{Generation: 4, MaxOpen: 1})
+	h.submit("half", "f", 0)
+	h.checkEqual("refusals by the class limit", h.stats.ClassFull, 1)
+	h.checkEqual("refused", h.stats.Refused, 2)
 }
 
-func TestHowQueriesFareIsRecorded(t *testing.T) {
-	r := newRig(t)
-	r.set.Service = service.New([]string{"search", "reserve", "report", "half"})
-	r.take("search", "a", 0)
-	gone := r.take("search", "b", 0)
-	r.Gone(r.at, gone)
-	r.Apply(limits(1, ClassLimits{Open: 1}))
-	r.take("search", "c", 0)
-	r.after(2 * time.Second)
+func TestOutcomesAreRecorded(t *testing.T) {
+	h := newHarness(t)
+	h.settings.Service = service.New([]string{"search", "reserve", "report", "half"})
+	h.submit("search", "a", 0)
+	gone := h.submit("search", "b", 0)
+	h.Gone(h.at, gone)
+	h.Apply(searchLimits(1, ClassLimits{Open: 1}))
+	h.submit("search", "c", 0)
+	h.advance(2 * time.Second)
 	var sum service.Class
-	for _, w := range r.set.Service.Since(r.at.Add(time.Hour), 0) {
+	for _, w := range h.settings.Service.Since(h.at.Add(time.Hour), 0) {
 		for _, c := range w.Classes {
 			sum.Taken, sum.Refused, sum.Failed, sum.Gone = sum.Taken+c.Taken, sum.Refused+c.Refused, sum.Failed+c.Failed, sum.Gone+c.Gone
 		}
 	}
-	r.want("of 3", sum, service.Class{Taken: 3, Refused: 1, Failed: 1, Gone: 1})
+	h.checkEqual("outcomes of 3 queries", sum, service.Class{Taken: 3, Refused: 1, Failed: 1, Gone: 1})
 }
 
-// echo answers every part at once, and every query once its parts are in.
+// echo is a Decider, Searchers and Client in one: each part is answered at once, and each query
+// when its first part is answered.
 type echo struct {
 	core  *Core
 	parts map[uint64][]eiderwinch.Part
@@ -103,7 +104,7 @@
 		}
 	}
 	for id, parts := range e.parts {
-		if e.core.parts[parts[0].ID] != nil && e.core.parts[parts[0].ID].in {
+		if e.core.parts[parts[0].ID] != nil && e.core.parts[parts[0].ID].answered {
 			actions = append(actions, eiderwinch.Answer{Query: id, Whole: true})
 			delete(e.parts, id)
 		}
@@ -121,8 +122,8 @@
 func (*echo) Reply(Reply)      {}
 func (*echo) Left() bool       { return false }
 
-// BenchmarkQuery is a query's way through the core, without and with settings
-// that can change and records of how it fared.
+// BenchmarkQuery measures a query's path through the core, first with plain settings, then with
+// settings that can change at run time and recorded outcomes.
 func BenchmarkQuery(b *testing.B) {
 	set := Settings{Tick: 5 * ms, MaxOpen: 1000, Module: eiderwinch.Settings{
 		Shards: 12, Batch: 4, Classes: []eiderwinch.Class{{Name: "search", Deadline: time.Second, Need: 1, Floor: 1}},
@@ -146,7 +147,7 @@
 				if _, err := e.core.Take(at, ask, e); err != nil {
 					b.Fatal(err)
 				}
-				for range 2 { // sent in the one turn, answered in the next
+				for range 2 { // sent in the first turn, answered in the second
 					at = at.Add(5 * ms)
 					e.core.Run(at)
 				}
@@ -158,51 +159,52 @@
 	}
 }
 
-// BenchmarkApply is what an apply takes on the event loop, a layout of 10,000
-// segments included.
+// BenchmarkApply measures the time on the event loop to put new settings and a new layout of
+// 10,000 segments in force.
 func BenchmarkApply(b *testing.B) {
-	var list []layout.Segment
+	var segments []layout.Segment
 	for i := range 10_000 {
 		s := layout.Segment{ID: layout.SegmentID(i), Keys: layout.Range{From: layout.Key(fmt.Sprintf("k%05d", i)), To: layout.Key(fmt.Sprintf("k%05d", i+1))}, Holders: []string{"a"}}
-		list = append(list, s)
+		segments = append(segments, s)
 	}
-	list[0].Keys.From, list[len(list)-1].Keys.To = "", ""
-	l, err := layout.First(list...)
+	segments[0].Keys.From, segments[len(segments)-1].Keys.To = "", ""
+	current, err := layout.First(segments...)
 	if err != nil {
 		b.Fatal(err)
 	}
-	c := New(Settings{Tick: 5 * ms, Layout: l, Module: eiderwinch.Settings{Classes: []eiderwinch.Class{{Name: "search"}}}},
+	core := New(Settings{Tick: 5 * ms, Layout: current, Module: eiderwinch.Settings{Classes: []eiderwinch.Class{{Name: "search"}}}},
 		nil, nil, stats.New(), slog.New(slog.DiscardHandler), time.Unix(1, 0))
 	live := []*Live{{Generation: 1}, {Generation: 2}}
 	b.ResetTimer()
 	for i := range b.N {
-		c.Apply(live[i%2])
-		if l = l.Reissue(l); !c.Adopt(l) {
-			b.Fatal("an epoch was not taken up")
+		core.Apply(live[i%2])
+		if current = current.Reissue(current); !core.Adopt(current) {
+			b.Fatal("a new epoch was not adopted")
 		}
 	}
 }
 
-// BenchmarkDue asks when the core is wanted next with 10,000 queries and as many
-// attempts open, by its queues and by a search through everything, as it was.
+// BenchmarkDue measures how long it takes to find when the core is due next with 10,000 open
+// queries and as many attempts in flight: by the timer queues, and by a search through all
+// queries and attempts.
 func BenchmarkDue(b *testing.B) {
-	r := newRig(&testing.T{})
-	r.live = &Live{}
+	h := newHarness(&testing.T{})
+	h.liveSettings = &Live{}
 	for i := range 10_000 {
 		ask := Ask{Trace: strconv.Itoa(i), Class: "search", Text: "text", Parts: []AskPart{{0, 1}}}
-		id, err := r.Take(r.at, ask, r)
+		id, err := h.Take(h.at, ask, h)
 		if err != nil {
 			b.Fatal(err)
 		}
-		r.begin(eiderwinch.Send{Part: r.queries[id].parts[0].id, Replica: "a"})
+		h.startAttempt(eiderwinch.Send{Part: h.queries[id].parts[0].id, Replica: "a"})
 	}
 	var attempts []*Attempt
-	for _, p := range r.parts {
-		attempts = append(attempts, p.out...)
+	for _, p := range h.parts {
+		attempts = append(attempts, p.inFlight...)
 	}
 	b.Run("queues", func(b *testing.B) {
 		for range b.N {
-			if r.Due().IsZero() {
+			if h.Due().IsZero() {
 				b.Fatal("nothing is due")
 			}
 		}
@@ -215,8 +217,8 @@
 					next = a.Deadline
 				}
 			}
-			for _, q := range r.queries {
-				if t := q.backstop(r.set.Tick); t.Before(next) {
+			for _, q := range h.queries {
+				if t := q.backstop(h.settings.Tick); t.Before(next) {
 					next = t
 				}
 			}
--- a/internal/gatherer/records.go
+++ b/internal/gatherer/records.go
@@ -8,62 +8,65 @@
 	"eiderwinch/internal/layout"
 )
 
+// query is the record of an open query.
 type query struct {
-	id       uint64
-	trace    string
-	class    int
-	key      string
-	text     string
-	client   Client
-	live     *Live // the settings that it was taken under
-	taken    time.Time
-	timer    due.Timer[*query] // of its backstop
-	deadline time.Time
-	layout   *layout.Layout // the epoch that it is bound to; nil if there is no layout
-	parts    []*part        // of the present step
-
-	sent       bool      // a part of it was sent
-	left       bool      // its client turned out to have left
-	looked     time.Time // the turn in which that was asked last
-	second     bool      // the second step has begun
-	from       []int
-	firstWhole bool
+	id            uint64
+	trace         string
+	class         int
+	key           string
+	text          string
+	client        Client
+	liveSettings  *Live // the settings in force when the query was taken
+	takenAt       time.Time
+	backstopTimer due.Timer[*query] // ends the query at its backstop
+	deadline      time.Time
+	layout        *layout.Layout // the epoch that the query is bound to; nil if there is no layout
+	parts         []*part        // of the current step
+
+	sent            bool      // an attempt of a part was started
+	disconnected    bool      // the client was found disconnected
+	clientCheckedAt time.Time // time of the turn in which the client was last checked
+	secondStep      bool      // the second step has begun
+	firstStepShards []int
+	firstStepWhole  bool
 }
 
-// backstop is when the core ends a query by itself: a little behind the
-// deadline, at which the aggregator ends it.
+// backstop returns when the core ends a query by itself: shortly after the
+// deadline, at which the aggregator should have ended it.
 func (q *query) backstop(tick time.Duration) time.Time { return q.deadline.Add(2 * tick) }
 
-// in returns the parts of the present step that are in, and their weight.
-func (q *query) in() (in []*part, weight float64) {
+// answeredParts returns the answered parts of the current step and their total weight.
+func (q *query) answeredParts() (answered []*part, weight float64) {
 	for _, p := range q.parts {
-		if p.in {
-			in = append(in, p)
+		if p.answered {
+			answered = append(answered, p)
 			weight += p.weight
 		}
 	}
-	return in, weight
+	return answered, weight
 }
 
+// part is the record of one part of a query. It is kept until its step or query has
+// ended and none of its attempts is in flight.
 type part struct {
-	id     uint64
-	query  *query
-	shard  int
-	weight float64
-	second bool
-	tries  int        // attempts so far
-	out    []*Attempt // those that are out: one, or two where second copies are allowed
-	over   bool       // nothing comes of it any more
-	first  time.Time  // when its first attempt was decided
-	ran    bool       // one that has ended may have run
-
-	in    bool
-	score int64
-	value string
+	id             uint64
+	query          *query
+	shard          int
+	weight         float64
+	secondStep     bool
+	attempts       int        // number of attempts so far, including sends that were rejected
+	inFlight       []*Attempt // at most one, or two where second copies are allowed
+	removed        bool       // the step or query has ended; results are ignored
+	firstDecidedAt time.Time  // time of the turn that started the first attempt
+	mayHaveRun     bool       // an attempt that has ended may have been executed
+
+	answered bool
+	score    int64
+	value    string
 }
 
-// told is the part as the aggregator is told of it.
-func (p *part) told() eiderwinch.Part {
+// modulePart returns the part in the form that the decision module takes.
+func (p *part) modulePart() eiderwinch.Part {
 	return eiderwinch.Part{ID: p.id, Shard: p.shard, Weight: p.weight, Holders: p.query.holders(p.shard)}
 }
 
@@ -72,111 +75,117 @@
 	return c.lastID
 }
 
-func (c *Core) book(now time.Time, a Ask, class int, client Client) *query {
+// addQuery registers a query and its parts.
+func (c *Core) addQuery(now time.Time, ask Ask, class int, client Client) *query {
 	q := &query{
-		id: c.newID(), trace: a.Trace, class: class, text: a.Text, client: client, live: c.live, layout: c.layout,
-		taken: now.Add(-a.Waited), deadline: now.Add(a.Expires - a.Waited),
+		id: c.newID(), trace: ask.Trace, class: class, text: ask.Text, client: client, liveSettings: c.liveSettings, layout: c.layout,
+		takenAt: now.Add(-ask.Waited), deadline: now.Add(ask.Expires - ask.Waited),
 	}
-	q.timer.Value = q
-	backstop := q.backstop(c.set.Tick)
+	q.backstopTimer.Value = q
+	backstop := q.backstop(c.settings.Tick)
 	if !c.endBy.IsZero() && c.endBy.Before(backstop) {
 		backstop = c.endBy
 	}
-	if turn := now.Add(2 * c.set.Tick); backstop.Before(turn) {
-		backstop = turn // its time is over already: the aggregator has a turn to end it all the same
+	if turn := now.Add(2 * c.settings.Tick); backstop.Before(turn) {
+		backstop = turn // the deadline is this close or past: still leave the aggregator a turn to end the query
 	}
-	c.overdue.Set(&q.timer, backstop)
-	c.bound[q.epoch()]++
-	c.openOf[class]++
-	if c.set.Module.Classes[class].Effect == eiderwinch.Keyed {
-		q.key = a.Key
+	c.backstops.Set(&q.backstopTimer, backstop)
+	c.openByEpoch[q.epoch()]++
+	c.openByClass[class]++
+	if c.settings.Module.Classes[class].Effect == eiderwinch.Keyed {
+		q.key = ask.Key
 	}
 	c.queries[q.id] = q
-	c.traces[q.trace] = q
-	c.open++
+	c.queriesByTrace[q.trace] = q
+	c.openCount++
 	sum := 0.0
-	for _, p := range a.Parts {
+	for _, p := range ask.Parts {
 		sum += p.Weight
 	}
-	for _, p := range a.Parts {
-		// Shares are rounded on their way. Left so, a query whose parts are all
-		// in could fall short of a whole answer by more than the module allows.
-		c.bookPart(q, p.Shard, p.Weight/sum, false)
+	for _, p := range ask.Parts {
+		// Clients send rounded weights. Without this normalization, a query whose
+		// parts are all answered could miss the weight of a whole answer by more
+		// than the module tolerates.
+		c.addPart(q, p.Shard, p.Weight/sum, false)
 	}
 	return q
 }
 
-func (c *Core) bookPart(q *query, shard int, weight float64, second bool) *part {
-	p := &part{id: c.newID(), query: q, shard: shard, weight: weight, second: second}
+func (c *Core) addPart(q *query, shard int, weight float64, secondStep bool) *part {
+	p := &part{id: c.newID(), query: q, shard: shard, weight: weight, secondStep: secondStep}
 	q.parts = append(q.parts, p)
 	c.parts[p.id] = p
-	c.open++
+	c.openCount++
 	return p
 }
 
-// dropParts takes the parts of a query's present step off the books. Those
-// with an attempt out stay known until it has ended.
-func (c *Core) dropParts(q *query) {
+// removeParts removes the parts of a query's current step. Parts with an attempt
+// in flight stay in c.parts until that attempt has ended.
+func (c *Core) removeParts(q *query) {
 	for _, p := range q.parts {
-		p.over = true
-		if len(p.out) == 0 {
+		p.removed = true
+		if len(p.inFlight) == 0 {
 			delete(c.parts, p.id)
 		}
 	}
-	c.open -= len(q.parts)
+	c.openCount -= len(q.parts)
 	q.parts = nil
 }
 
-func (c *Core) close(q *query) {
-	c.unbind(q)
-	c.overdue.Stop(&q.timer)
-	c.openOf[q.class]--
-	c.dropParts(q)
-	c.open--
+// removeQuery removes a query and its parts.
+func (c *Core) removeQuery(q *query) {
+	c.releaseEpoch(q)
+	c.backstops.Stop(&q.backstopTimer)
+	c.openByClass[q.class]--
+	c.removeParts(q)
+	c.openCount--
 	delete(c.queries, q.id)
-	delete(c.traces, q.trace)
+	delete(c.queriesByTrace, q.trace)
 }
 
-// sweep forgets the attempts that have ended, and the parts that waited for them.
-func (c *Core) sweep() {
-	for i, a := range c.ended {
-		if a.part.over && len(a.part.out) == 0 {
+// removeEndedAttempts drops the attempts that have ended, and the removed parts
+// that were kept because of them.
+func (c *Core) removeEndedAttempts() {
+	for i, a := range c.endedAttempts {
+		if a.part.removed && len(a.part.inFlight) == 0 {
 			delete(c.parts, a.part.id)
 		}
-		c.ended[i] = nil
+		c.endedAttempts[i] = nil
 	}
-	c.ended = c.ended[:0]
+	c.endedAttempts = c.endedAttempts[:0]
 }
 
-// member is what is known of a searcher's state.
+// member is a searcher's entry in the member list.
 type member struct {
-	state    eiderwinch.State
-	reported time.Time // its last start, as discovery tells it
-	started  time.Time // the same on the monotonic clock, see starts; zero means long ago
+	state         eiderwinch.State
+	reportedStart time.Time // time of the last start, as reported by discovery
+	startedAt     time.Time // the same on the monotonic clock, see startTimes; zero means long ago
 }
 
-// told books a searcher's state. One that is gone is forgotten: who is not known is
-// barred too, and new ones come with new ids all day long.
-func (c *Core) told(id string, s eiderwinch.State, reported, started time.Time) {
-	if s == eiderwinch.Removed {
+// setMember records a searcher's state. A removed searcher is deleted: notReady holds
+// for unknown searchers too, and since new searchers with new IDs keep coming, entries
+// that stay would pile up.
+func (c *Core) setMember(id string, state eiderwinch.State, reported, started time.Time) {
+	if state == eiderwinch.Removed {
 		delete(c.members, id)
 		return
 	}
-	c.members[id] = member{state: s, reported: reported, started: started}
+	c.members[id] = member{state: state, reportedStart: reported, startedAt: started}
 }
 
-// barred tells that a searcher must not be sent anything: it is not known, or it
-// has been told to be leaving. News may have counted as told long before it came,
-// so none of the grace after it is used up: it is there for what is late.
-func (c *Core) barred(id string) bool { return !c.Ready(id) }
+// notReady reports whether nothing may be sent to a searcher, because it is not in the
+// member list or is draining. The drain grace may have begun long before the update
+// arrived here, so nothing more is sent once the update is read; the grace is left to
+// what is late.
+func (c *Core) notReady(id string) bool { return !c.Ready(id) }
 
-// Ready tells that a searcher is in the list and takes new work.
+// Ready reports whether a searcher is in the member list and takes new work.
 func (c *Core) Ready(id string) bool {
 	m, ok := c.members[id]
 	return ok && m.state == eiderwinch.Ready
 }
 
-// Listed tells that a searcher is in the list.
+// Listed reports whether a searcher is in the member list.
 func (c *Core) Listed(id string) bool {
 	_, ok := c.members[id]
 	return ok
--- a/internal/gatherer/start_times.go
+++ b/internal/gatherer/start_times.go
@@ -3,53 +3,54 @@
 import "time"
 
 const (
-	// stepLeast is the least change of the wall clock against the monotonic one that is taken for a step;
-	// slewing stays far below it between two lists.
-	stepLeast = 200 * time.Millisecond
-	// listDelay is how much later than it happens a start may be told.
-	listDelay = 10 * time.Second
+	// minClockStep is the least change of the wall clock relative to the monotonic clock that counts as a step.
+	// Slewing changes it by far less between two updates of the member list.
+	minClockStep = 200 * time.Millisecond
+	// maxListDelay bounds the time from a searcher's start until discovery reports it.
+	maxListDelay = 10 * time.Second
 )
 
-// starts places the starts of searchers, which are told as Unix times, on the monotonic clock. The wall clock
-// may be stepped while the process runs; how long ago a start was is then not known from its Unix time.
-type starts struct {
-	wall    func(now time.Time) time.Time // the wall clock's reading at now
-	begin   time.Time
-	drift   time.Duration // of the wall clock against the monotonic one since begin
-	stepped time.Time     // when the last step was noticed; zero if none was
-	coldFor time.Duration
+// startTimes converts the start times of searchers, which are reported as Unix times, to the monotonic clock.
+// The wall clock may be stepped while the process runs; a Unix time then no longer tells how long ago a start was.
+type startTimes struct {
+	wallClock func(now time.Time) time.Time // returns the wall clock's reading at now
+	origin    time.Time
+	drift     time.Duration // of the wall clock relative to the monotonic clock since origin
+	steppedAt time.Time     // when the last step was detected; zero if none was
+	coldFor   time.Duration
 }
 
-func newStarts(begin time.Time, coldFor time.Duration) starts {
-	return starts{wall: func(now time.Time) time.Time { return now.Round(0) }, begin: begin, coldFor: coldFor}
+func newStartTimes(origin time.Time, coldFor time.Duration) startTimes {
+	return startTimes{wallClock: func(now time.Time) time.Time { return now.Round(0) }, origin: origin, coldFor: coldFor}
 }
 
-// look notices whether the wall clock was stepped.
-func (s *starts) look(now time.Time) {
-	drift := s.wall(now).Sub(s.wall(s.begin)) - now.Sub(s.begin)
-	if (drift - s.drift).Abs() >= stepLeast {
-		s.stepped = now
+// detectClockStep records whether the wall clock was stepped since the last call.
+func (s *startTimes) detectClockStep(now time.Time) {
+	drift := s.wallClock(now).Sub(s.wallClock(s.origin)) - now.Sub(s.origin)
+	if (drift - s.drift).Abs() >= minClockStep {
+		s.steppedAt = now
 	}
 	s.drift = drift
 }
 
-// place returns when a start was, as told at now: not later than that. A start that was told before stays where
-// it was placed. One that is told soon after a step may have been before it or after, and counts as just now:
-// a searcher that is taken for colder than it is only gets less.
-func (s *starts) place(now, reported time.Time, known member) time.Time {
+// toMonotonic converts the start time reported at now for a searcher; the result is not later than now. A start
+// time that was reported before keeps its earlier result. One that is reported soon after a clock step may lie
+// before or after the step, so the searcher counts as started just now: a searcher that is taken for colder than
+// it is only receives less load.
+func (s *startTimes) toMonotonic(now, reported time.Time, known member) time.Time {
 	switch {
 	case reported.IsZero():
 		return time.Time{}
-	case reported.Equal(known.reported):
-		return known.started
-	case !s.stepped.IsZero() && now.Sub(s.stepped) < s.coldFor+listDelay:
+	case reported.Equal(known.reportedStart):
+		return known.startedAt
+	case !s.steppedAt.IsZero() && now.Sub(s.steppedAt) < s.coldFor+maxListDelay:
 		return now
 	}
-	since := reported.Sub(s.wall(s.begin))
-	if s.drift.Abs() >= stepLeast {
+	since := reported.Sub(s.wallClock(s.origin))
+	if s.drift.Abs() >= minClockStep {
 		since -= s.drift
 	}
-	if started := s.begin.Add(since); started.Before(now) {
+	if started := s.origin.Add(since); started.Before(now) {
 		return started
 	}
 	return now
--- a/internal/gatherer/turn.go
+++ b/internal/gatherer/turn.go
@@ -2,12 +2,12 @@
 
 import "eiderwinch"
 
-// turn gives the aggregator a turn and carries out what it decides. Its sends
-// to one searcher travel as calls of as many parts as one may have.
-func (c *Core) turn() {
+// runTurn gives the aggregator a turn and carries out the actions that it returns.
+// The sends to one searcher are batched into calls of at most Settings.Module.Batch parts.
+func (c *Core) runTurn() {
 	c.stats.Turns++
-	events := c.events
-	c.events = nil // actions add to those of the next turn
+	events := c.pendingEvents
+	c.pendingEvents = nil // events that actions cause are for the next turn
 	for i, e := range events {
 		if e, ok := e.(eiderwinch.Query); ok {
 			if q := c.queries[e.ID]; q != nil {
@@ -18,10 +18,10 @@
 	}
 	calls := make(map[string][]*Attempt)
 	var order []string
-	for _, action := range c.decide.Turn(c.clock(c.now), events) {
+	for _, action := range c.decider.Turn(c.moduleTime(c.now), events) {
 		switch x := action.(type) {
 		case eiderwinch.Send:
-			if a := c.begin(x); a != nil {
+			if a := c.startAttempt(x); a != nil {
 				if calls[a.Searcher] == nil {
 					order = append(order, a.Searcher)
 				}
@@ -45,18 +45,18 @@
 			c.log.Info(x.Text)
 		}
 	}
-	for _, q := range c.left {
+	for _, q := range c.disconnected {
 		c.Gone(c.now, q.id)
 	}
-	c.left = c.left[:0]
-	most := max(c.set.Module.Batch, 1)
-	for _, to := range order {
-		for rest := calls[to]; len(rest) > 0; {
-			n := min(len(rest), most)
+	c.disconnected = c.disconnected[:0]
+	maxParts := max(c.settings.Module.Batch, 1)
+	for _, searcher := range order {
+		for remaining := calls[searcher]; len(remaining) > 0; {
+			n := min(len(remaining), maxParts)
 			c.stats.Calls++
 			c.stats.Sent += n
-			c.searchers.Call(c.now, rest[:n:n])
-			rest = rest[n:]
+			c.searchers.Call(c.now, remaining[:n:n])
+			remaining = remaining[n:]
 		}
 	}
 }
