--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -89,7 +89,8 @@
 	r.taken[class]++
 }
 
-// Record records a query of a class that ended at now, took after it was taken.
+// Record records the outcome of a query of a class that ended at now; took is the time
+// since it was taken.
 func (r *Recorder) Record(now time.Time, class int, outcome Outcome, took time.Duration) {
 	r.advance(now)
 	r.hasData = true
