--- /dev/null
+++ b/internal/gatherer/completion.go
@@ -0,0 +1,219 @@
+package gatherer
+
+import (
+	"cmp"
+	"context"
+	"log/slog"
+	"maps"
+	"slices"
+	"time"
+
+	"eiderwinch"
+	"eiderwinch/internal/service"
+)
+
+// weightTolerance is how far a sum of weights may fall short of a limit, because weights are rounded.
+const weightTolerance = 1e-4
+
+// Result takes in a searcher's answer to an attempt: OK with a value, or Failed or
+// Full. Results of attempts that have ended are ignored.
+func (c *Core) Result(now time.Time, a *Attempt, status eiderwinch.Status, score int64, value string) {
+	if c.endAttempt(now, a, status) && status == eiderwinch.OK && !a.part.removed && !a.part.answered {
+		a.part.answered, a.part.score, a.part.value = true, score, value
+	}
+}
+
+// Unsent ends an attempt that was never written, so it certainly was not executed. The outcome
+// is NoConnection, which counts against the searcher, only if the result was still wanted.
+func (c *Core) Unsent(now time.Time, a *Attempt) {
+	status := eiderwinch.NoConnection
+	if !a.ended && a.unwanted() {
+		status = eiderwinch.NotSent
+	}
+	c.endAttempt(now, a, status)
+}
+
+// Broken ends an attempt whose connection broke after the attempt may have arrived.
+func (c *Core) Broken(now time.Time, a *Attempt) { c.endAttempt(now, a, eiderwinch.Reset) }
+
+// answer sends a client its answer or, if the class has a second step, starts that
+// step after the first. The answer contains only values that were received, and it is
+// marked whole only if the core's own records agree.
+func (c *Core) answer(action eiderwinch.Answer) {
+	q := c.queries[action.Query]
+	if q == nil {
+		return
+	}
+	class := c.settings.Module.Classes[q.class]
+	answered, weight, ok := c.answerable(q)
+	whole := action.Whole && weight >= class.Need-weightTolerance
+	if q.secondStep {
+		whole = action.Whole && q.firstStepWhole && len(answered) == len(q.parts)
+	}
+	if !ok {
+		c.log.Error("answer from too few parts", "trace", q.trace, "weight", weight)
+		c.complete(q, Reply{Verdict: Failed})
+		return
+	}
+	if class.Fetch > 0 && !q.secondStep {
+		c.startSecondStep(q, answered, min(class.Fetch, len(answered)), whole)
+		return
+	}
+	reply := Reply{Verdict: Answered, Whole: whole}
+	for _, p := range answered {
+		reply.Pieces = append(reply.Pieces, Piece{Shard: p.shard, Value: p.value})
+	}
+	c.complete(q, reply)
+}
+
+// answerable returns the answered parts of a query's current step, their weight, and whether that weight is
+// enough for an answer.
+func (c *Core) answerable(q *query) (answered []*part, weight float64, ok bool) {
+	class := c.settings.Module.Classes[q.class]
+	minWeight := class.Floor
+	if q.secondStep && class.Floor >= class.Need {
+		minWeight = 1
+	}
+	answered, weight = q.answeredParts()
+	return answered, weight, len(answered) > 0 && weight >= minWeight-weightTolerance
+}
+
+// startSecondStep replaces a query's parts by n new ones, at the shards with the highest scores.
+func (c *Core) startSecondStep(q *query, answered []*part, n int, whole bool) {
+	c.stats.SecondSteps++
+	q.secondStep, q.firstStepWhole = true, whole
+	for _, p := range answered {
+		q.firstStepShards = append(q.firstStepShards, p.shard)
+	}
+	slices.Sort(q.firstStepShards)
+	slices.SortStableFunc(answered, func(x, y *part) int {
+		return cmp.Or(cmp.Compare(y.score, x.score), cmp.Compare(x.shard, y.shard))
+	})
+	c.removeParts(q)
+	event := eiderwinch.SecondStep{Query: q.id}
+	for _, p := range answered[:n] {
+		added := c.addPart(q, p.shard, 1/float64(n), true)
+		event.Parts = append(event.Parts, added.modulePart())
+	}
+	c.addEvent(c.now, event)
+}
+
+// refuse carries out a Refuse action.
+func (c *Core) refuse(action eiderwinch.Refuse) {
+	if q := c.queries[action.Query]; q != nil {
+		c.complete(q, Reply{Verdict: Refused, RetryAfter: action.RetryAfter})
+	}
+}
+
+// fail carries out a Fail action.
+func (c *Core) fail(action eiderwinch.Fail) {
+	if q := c.queries[action.Query]; q != nil {
+		c.complete(q, Reply{Verdict: Failed})
+	}
+}
+
+// endOverdueQueries ends the queries that the aggregator has not ended in time, so
+// every query gets a final answer whatever goes wrong with the decisions. It also
+// ends those that EndBy cuts short.
+func (c *Core) endOverdueQueries() {
+	for t := c.backstops.Pop(c.now); t != nil; t = c.backstops.Pop(c.now) {
+		q := t.Value
+		if c.now.Before(q.deadline) {
+			c.endEarly(q)
+			continue
+		}
+		c.log.Error("query not ended by its deadline", "trace", q.trace)
+		c.stats.Overdue++
+		c.addEvent(c.now, eiderwinch.Gone{Query: q.id})
+		c.complete(q, Reply{Verdict: Failed, Overdue: true})
+	}
+}
+
+// EndBy makes the core end all queries by the given time, open ones as well as later ones. The process may
+// exit after that time, and clients would wait for answers that never come.
+func (c *Core) EndBy(at time.Time) {
+	c.endBy = at
+	for _, id := range slices.Sorted(maps.Keys(c.queries)) {
+		if q := c.queries[id]; at.Before(q.backstopTimer.At()) {
+			c.backstops.Set(&q.backstopTimer, at)
+		}
+	}
+}
+
+// endEarly ends a query before its deadline: with an answer from the parts received so far if they are enough,
+// else with a refusal if the client may safely ask again, else with a failure.
+func (c *Core) endEarly(q *query) {
+	c.stats.CutShort++
+	c.addEvent(c.now, eiderwinch.Gone{Query: q.id})
+	class := c.settings.Module.Classes[q.class]
+	switch _, _, ok := c.answerable(q); {
+	case ok && (q.secondStep || class.Fetch == 0): // else the second step is still missing
+		c.answer(eiderwinch.Answer{Query: q.id})
+	case !q.sent || class.Effect == eiderwinch.Safe:
+		c.complete(q, Reply{Verdict: Refused, RetryAfter: c.retryAdvice()})
+	default:
+		c.complete(q, Reply{Verdict: Failed})
+	}
+}
+
+// complete sends a query's final answer and removes the query.
+func (c *Core) complete(q *query, reply Reply) {
+	switch {
+	case reply.Verdict == Refused:
+		c.stats.Refused++
+	case reply.Verdict == Failed:
+		c.stats.Failed++
+	case reply.Whole:
+		c.stats.Whole++
+	default:
+		c.stats.Partial++
+	}
+	took := c.now.Sub(q.takenAt)
+	if reply.Verdict != Answered && !q.sent {
+		c.stats.Unsent++
+	} else if reply.Verdict == Answered && took > c.settings.Module.Classes[q.class].Aim {
+		c.stats.Late++
+	}
+	c.recordOutcome(c.now, q.class, reply, took)
+	c.logCompletion(q, reply, took)
+	c.removeQuery(q)
+	reply.Epoch, reply.Generation = q.epoch(), q.liveSettings.Generation
+	q.client.Reply(reply)
+}
+
+// verdictNames are the names of verdicts in the log.
+var verdictNames = map[Verdict]string{Answered: "answered", Refused: "refused", Failed: "failed"}
+
+// logCompletion logs how a query ended and the state of its parts at that time.
+func (c *Core) logCompletion(q *query, reply Reply, took time.Duration) {
+	if !c.log.Enabled(context.Background(), slog.LevelDebug) {
+		return
+	}
+	answered, inFlight, attempts := 0, 0, 0
+	for _, p := range q.parts {
+		if p.answered {
+			answered++
+		}
+		inFlight += len(p.inFlight)
+		attempts += p.attempts
+	}
+	c.log.Debug("query ended", "trace", q.trace, "verdict", verdictNames[reply.Verdict], "whole", reply.Whole, "overdue", reply.Overdue, "took", took,
+		"left", q.deadline.Sub(c.now), "sent", q.sent, "parts", len(q.parts), "parts_in", answered, "attempts_out", inFlight, "attempts", attempts)
+}
+
+// recordOutcome records how a query ended if Settings.Service is set.
+func (c *Core) recordOutcome(now time.Time, class int, reply Reply, took time.Duration) {
+	if c.settings.Service == nil {
+		return
+	}
+	outcome := service.Partial
+	switch {
+	case reply.Verdict == Refused:
+		outcome = service.Refused
+	case reply.Verdict == Failed:
+		outcome = service.Failed
+	case reply.Whole:
+		outcome = service.Whole
+	}
+	c.settings.Service.Record(now, class, outcome, took)
+}
--- /dev/null
+++ b/internal/gatherer/records.go
@@ -0,0 +1,192 @@
+package gatherer
+
+import (
+	"time"
+
+	"eiderwinch"
+	"eiderwinch/internal/due"
+	"eiderwinch/internal/layout"
+)
+
+// query is the record of an open query.
+type query struct {
+	id            uint64
+	trace         string
+	class         int
+	key           string
+	text          string
+	client        Client
+	liveSettings  *Live // the settings in force when the query was taken
+	takenAt       time.Time
+	backstopTimer due.Timer[*query] // ends the query at its backstop
+	deadline      time.Time
+	layout        *layout.Layout // the epoch that the query is bound to; nil if there is no layout
+	parts         []*part        // of the current step
+
+	sent            bool      // an attempt of a part was started
+	disconnected    bool      // the client was found disconnected
+	clientCheckedAt time.Time // time of the turn in which the client was last checked
+	secondStep      bool      // the second step has begun
+	firstStepShards []int
+	firstStepWhole  bool
+}
+
+// backstop returns when the core ends a query by itself: shortly after the
+// deadline, at which the aggregator should have ended it.
+func (q *query) backstop(tick time.Duration) time.Time { return q.deadline.Add(2 * tick) }
+
+// answeredParts returns the answered parts of the current step and their total weight.
+func (q *query) answeredParts() (answered []*part, weight float64) {
+	for _, p := range q.parts {
+		if p.answered {
+			answered = append(answered, p)
+			weight += p.weight
+		}
+	}
+	return answered, weight
+}
+
+// part is the record of one part of a query. It is kept until its step or query has
+// ended and none of its attempts is in flight.
+type part struct {
+	id             uint64
+	query          *query
+	shard          int
+	weight         float64
+	secondStep     bool
+	attempts       int        // number of attempts so far, including sends that were rejected
+	inFlight       []*Attempt // at most one, or two where second copies are allowed
+	removed        bool       // the step or query has ended; results are ignored
+	firstDecidedAt time.Time  // time of the turn that started the first attempt
+	mayHaveRun     bool       // an attempt that has ended may have been executed
+
+	answered bool
+	score    int64
+	value    string
+}
+
+// modulePart returns the part in the form that the decision module takes.
+func (p *part) modulePart() eiderwinch.Part {
+	return eiderwinch.Part{ID: p.id, Shard: p.shard, Weight: p.weight, Holders: p.query.holders(p.shard)}
+}
+
+func (c *Core) newID() uint64 {
+	c.lastID++
+	return c.lastID
+}
+
+// addQuery registers a query and its parts.
+func (c *Core) addQuery(now time.Time, ask Ask, class int, client Client) *query {
+	q := &query{
+		id: c.newID(), trace: ask.Trace, class: class, text: ask.Text, client: client, liveSettings: c.liveSettings, layout: c.layout,
+		takenAt: now.Add(-ask.Waited), deadline: now.Add(ask.Expires - ask.Waited),
+	}
+	q.backstopTimer.Value = q
+	backstop := q.backstop(c.settings.Tick)
+	if !c.endBy.IsZero() && c.endBy.Before(backstop) {
+		backstop = c.endBy
+	}
+	if turn := now.Add(2 * c.settings.Tick); backstop.Before(turn) {
+		backstop = turn // the deadline is this close or past: still leave the aggregator a turn to end the query
+	}
+	c.backstops.Set(&q.backstopTimer, backstop)
+	c.openByEpoch[q.epoch()]++
+	c.openByClass[class]++
+	if c.settings.Module.Classes[class].Effect == eiderwinch.Keyed {
+		q.key = ask.Key
+	}
+	c.queries[q.id] = q
+	c.queriesByTrace[q.trace] = q
+	c.openCount++
+	sum := 0.0
+	for _, p := range ask.Parts {
+		sum += p.Weight
+	}
+	for _, p := range ask.Parts {
+		// Clients send rounded weights. Without this normalization, a query whose
+		// parts are all answered could miss the weight of a whole answer by more
+		// than the module tolerates.
+		c.addPart(q, p.Shard, p.Weight/sum, false)
+	}
+	return q
+}
+
+func (c *Core) addPart(q *query, shard int, weight float64, secondStep bool) *part {
+	p := &part{id: c.newID(), query: q, shard: shard, weight: weight, secondStep: secondStep}
+	q.parts = append(q.parts, p)
+	c.parts[p.id] = p
+	c.openCount++
+	return p
+}
+
+// removeParts removes the parts of a query's current step. Parts with an attempt
+// in flight stay in c.parts until that attempt has ended.
+func (c *Core) removeParts(q *query) {
+	for _, p := range q.parts {
+		p.removed = true
+		if len(p.inFlight) == 0 {
+			delete(c.parts, p.id)
+		}
+	}
+	c.openCount -= len(q.parts)
+	q.parts = nil
+}
+
+// removeQuery removes a query and its parts.
+func (c *Core) removeQuery(q *query) {
+	c.releaseEpoch(q)
+	c.backstops.Stop(&q.backstopTimer)
+	c.openByClass[q.class]--
+	c.removeParts(q)
+	c.openCount--
+	delete(c.queries, q.id)
+	delete(c.queriesByTrace, q.trace)
+}
+
+// removeEndedAttempts drops the attempts that have ended, and the removed parts
+// that were kept because of them.
+func (c *Core) removeEndedAttempts() {
+	for i, a := range c.endedAttempts {
+		if a.part.removed && len(a.part.inFlight) == 0 {
+			delete(c.parts, a.part.id)
+		}
+		c.endedAttempts[i] = nil
+	}
+	c.endedAttempts = c.endedAttempts[:0]
+}
+
+// member is a searcher's entry in the member list.
+type member struct {
+	state         eiderwinch.State
+	reportedStart time.Time // time of the last start, as reported by discovery
+	startedAt     time.Time // the same on the monotonic clock, see startTimes; zero means long ago
+}
+
+// setMember records a searcher's state. A removed searcher is deleted: notReady holds
+// for unknown searchers too, and since new searchers with new IDs keep coming, entries
+// that stay would pile up.
+func (c *Core) setMember(id string, state eiderwinch.State, reported, started time.Time) {
+	if state == eiderwinch.Removed {
+		delete(c.members, id)
+		return
+	}
+	c.members[id] = member{state: state, reportedStart: reported, startedAt: started}
+}
+
+// notReady reports whether nothing may be sent to a searcher, because it is not in the
+// member list or is draining. The drain grace may have begun long before the update
+// arrived here, so nothing more is sent once the update is read; the grace is left to
+// what is late.
+func (c *Core) notReady(id string) bool { return !c.Ready(id) }
+
+// Ready reports whether a searcher is in the member list and takes new work.
+func (c *Core) Ready(id string) bool {
+	m, ok := c.members[id]
+	return ok && m.state == eiderwinch.Ready
+}
+
+// Listed reports whether a searcher is in the member list.
+func (c *Core) Listed(id string) bool {
+	_, ok := c.members[id]
+	return ok
+}
