--- a/internal/backoff/backoff.go
+++ b/internal/backoff/backoff.go
@@ -1,11 +1,11 @@
-// Package backoff says how long to wait before a service is asked again that has
-// refused or failed. It does no I/O and reads no clock.
+// Package backoff determines how long to wait before calling a service again that
+// has refused a call or failed. It does no I/O and reads no clock.
 //
-// Many clients that lose one service at once come back at once, again and again,
-// where each waits a fixed time: the service's queue fills, all in it have waited too
-// long when their turn comes, and none is served. So waits are drawn at random from a
-// window that grows with each failure, and the windows grow with the number of
-// clients, since a service has one capacity for all.
+// If many clients lose a service at the same time and each waits a fixed time, all
+// of them come back together, again and again: the service's queue fills, every call
+// in it has timed out when its turn comes, and none is served. So waits are drawn at
+// random from a window that grows with each failure, and the windows grow with the
+// number of clients, because they share the capacity of the service.
 package backoff
 
 import (
@@ -13,46 +13,48 @@
 	"time"
 )
 
-// Figures of a Backoff.
+// Bounds of the windows. The initial window is the one after a first failure, the
+// final window the longest one, which is reached after several failures in a row.
 const (
-	first   = 100 * time.Millisecond // the first window is never shorter
-	longest = 2 * time.Second        // nor the last one
-
-	// Each client's part of the windows: all together ask 20 times a second at first,
-	// and 5 times a second in the end.
-	firstEach   = 50 * time.Millisecond
-	longestEach = 200 * time.Millisecond
-	longestAll  = 16 * time.Second // news of the list must not stay away for much longer
+	minInitialWindow = 100 * time.Millisecond
+	minFinalWindow   = 2 * time.Second
+
+	// What each client adds to the windows: all clients together make 20 calls a second
+	// with initial windows, and 5 calls a second with final ones.
+	initialWindowPerClient = 50 * time.Millisecond
+	finalWindowPerClient   = 200 * time.Millisecond
+	maxFinalWindow         = 16 * time.Second // updates of the member list must not be delayed for much longer
 )
 
-// Backoff draws waits. It belongs to one goroutine.
+// Backoff draws waits at random. It is not safe for concurrent use.
 type Backoff struct {
 	rng     *rand.Rand
 	clients int
 	window  time.Duration // of the last wait; 0 after a success
 }
 
-// New returns a Backoff of one of so many clients of a service, whose waits come from
-// seed alone. Counts below 1 mean 1.
+// New returns the Backoff of one of the given number of clients of a service. Its
+// waits are determined by the seed. A number of clients below 1 counts as 1.
 func New(seed uint64, clients int) *Backoff {
 	return &Backoff{rng: rand.New(rand.NewPCG(seed, 0x6261636b)), clients: max(clients, 1)}
 }
 
-// Next returns how long to wait after one more failure: at random, an eighth of the
-// window at least and all of it at most.
+// Next returns how long to wait after a further failure: a random time between an
+// eighth of the window and the whole window.
 func (b *Backoff) Next() time.Duration { return b.NextWithin(0) }
 
-// NextWithin is Next where the wait must end by then, for as far as that is above 0: what
-// is asked for counts as known from then on, whether it came or not.
-func (b *Backoff) NextWithin(bound time.Duration) time.Duration {
+// NextWithin is like Next, but returns at most maxWait if that is above 0. The caller
+// has such a bound when the data it asks for counts as known after that time, whether
+// it was received or not.
+func (b *Backoff) NextWithin(maxWait time.Duration) time.Duration {
 	n := time.Duration(b.clients)
-	most := min(max(n*longestEach, longest), longestAll)
-	if bound > 0 {
-		most = min(most, bound)
+	maxWindow := min(max(n*finalWindowPerClient, minFinalWindow), maxFinalWindow)
+	if maxWait > 0 {
+		maxWindow = min(maxWindow, maxWait)
 	}
-	b.window = min(max(2*b.window, n*firstEach, first), most)
+	b.window = min(max(2*b.window, n*initialWindowPerClient, minInitialWindow), maxWindow)
 	return b.window/8 + time.Duration(b.rng.Int64N(int64(b.window-b.window/8)+1))
 }
 
-// Succeeded tells that the service has answered: the next window is the first again.
-func (b *Backoff) Succeeded() { b.window = 0 }
+// Reset records that the service has answered: the next window is the initial one.
+func (b *Backoff) Reset() { b.window = 0 }
--- a/internal/follow/follow.go
+++ b/internal/follow/follow.go
@@ -186,7 +186,7 @@
 		}
 	}
 	f.asks = append(f.asks[:0], a)
-	f.wait.Succeeded()
+	f.wait.Reset()
 	return drop
 }
 
--- a/internal/limit/table.go
+++ b/internal/limit/table.go
@@ -1,177 +1,182 @@
 // Package limit decides how many client connections a gatherer holds, which
-// clients are told to open a new one for their next request, and which
-// connection goes when there is no room. It knows no sockets, reads no clock
-// and belongs to one goroutine; each call takes constant time, however many
-// connections there are.
+// clients are told to open a new connection for their next request, and which
+// connection is closed when there is no room. It does no I/O, reads no clock
+// and is not safe for concurrent use. Each call takes constant time, whatever
+// the number of connections.
 //
-// A connection that is closed between requests may cross a request that is on
-// its way. So the table works in three steps, of which only the last can hit a
-// client that did nothing wrong:
+// Closing a connection between requests races with a request that the client
+// may already have sent. So the table works in three steps, and only the last
+// can affect a client that did nothing wrong:
 //
-//  1. Notice. Every answer asks Notice whether the connection shall end with
-//     it. From Bounds.Soft idle connections on, the ones that have carried one
-//     request only do, from Bounds.Firm on all. The client reads
-//     "Connection: close" together with its answer (RFC 9112, section 9.6), so
-//     nothing crosses.
-//  2. Trim. While Bounds.Soft connections are idle, those idle for
-//     Bounds.KeptFor are closed, the one idle for longest first: clients that
-//     ask once and stay would fill the room for those that come back.
-//  3. Evict. From Bounds.Hard connections in all on, each new one costs
-//     another its place, see Rank.
+//  1. Notice. Before each answer the caller asks Notice whether the connection
+//     should end with it. With Bounds.Soft or more idle connections that holds
+//     for those that have carried one request only, with Bounds.Firm or more
+//     for all. The client reads "Connection: close" together with its answer
+//     (RFC 9112, section 9.6), so there is no race.
+//  2. Trim. While Bounds.Soft or more connections are idle, those idle for
+//     Bounds.KeptFor or longer are closed, the longest idle first. Otherwise
+//     clients that send one request and keep the connection open would take
+//     the room of those that send more.
+//  3. Evict. When Bounds.Hard connections are open, each new one makes another
+//     one close, see Rank.
 package limit
 
 import "time"
 
-// Stage is what a connection is doing.
+// Stage is the state of a connection in the cycle of requests and answers.
 type Stage int
 
-// The stages. A connection begins as Silent, and is Idle after each answer.
+// The stages. A connection starts as Silent and is Idle after each answer.
 const (
-	Silent  Stage = iota // nothing has come on it
-	First                // its first request is coming in
-	Busy                 // a request waits for its answer
-	Idle                 // between requests
-	Further              // a request after the first is coming in
-	Ending               // it is about to be closed
-	stages
+	Silent    Stage = iota // nothing has been received
+	First                  // the first request is being received
+	Busy                   // a request waits for its answer
+	Idle                   // between requests
+	Further                // a request after the first is being received
+	Ending                 // about to be closed
+	numStages              // the number of stages
 )
 
-var stageNames = [stages]string{"silent", "first", "busy", "idle", "further", "ending"}
+var stageNames = [numStages]string{"silent", "first", "busy", "idle", "further", "ending"}
 
+// String returns the name of the stage, which is a metric key.
 func (s Stage) String() string {
-	if s < 0 || s >= stages {
+	if s < 0 || s >= numStages {
 		return "unknown"
 	}
 	return stageNames[s]
 }
 
-// Rank is the order in which connections lose their place to new ones: the
-// lowest first, and of one rank the one that has been in its stage for longest.
-// Busy and Further connections are never chosen.
+// Rank is the order in which connections are evicted for new ones: the lowest
+// rank first, and within a rank the connection that has been in its stage for
+// longest. Busy and Further connections are never evicted.
 type Rank int
 
-// The ranks. A flood of connections that say nothing must not cost usual
-// clients theirs, so silent ones go first once they are older than a usual
-// client's first request needs; one that is younger goes only after all that
-// are idle, whose clients can send what crosses the close once more.
+// The ranks. A flood of connections that send nothing must not evict those of
+// normal clients. So silent connections are evicted first once they are older
+// than a normal client takes to send its first request. Younger silent ones are
+// evicted only after all idle ones, whose clients can resend a request that
+// was lost when the connection closed.
 const (
-	RankEnding  Rank = iota // being closed already
-	RankMute                // silent for Bounds.SilentFor or longer
-	RankOnce                // idle for Bounds.KeptFor or longer after one request
-	RankKept                // the same after several
-	RankOnceNew             // idle for less after one request
-	RankKeptNew             // the same after several
-	RankNew                 // silent for less: its first request may be on its way
-	RankFirst               // its first request is coming in
-	RankNewest              // all others are in use: the new connection itself goes
-	Ranks                   // how many there are
+	RankEnding           Rank = iota // being closed already
+	RankSilent                       // silent for Bounds.SilentGrace or longer
+	RankIdleOnce                     // idle for Bounds.KeptFor or longer, one request answered
+	RankIdleReused                   // idle for Bounds.KeptFor or longer, several answered
+	RankIdleOnceRecent               // idle for less, one request answered
+	RankIdleReusedRecent             // idle for less, several answered
+	RankSilentRecent                 // silent for less: the first request may be on its way
+	RankFirstRequest                 // the first request is being received
+	RankNewest                       // all others are in use: the new connection itself is closed
+	NumRanks                         // the number of ranks
 )
 
-var rankNames = [Ranks]string{"ending", "mute", "once", "kept", "once_new", "kept_new", "new", "first", "newest"}
+var rankNames = [NumRanks]string{"ending", "mute", "once", "kept", "once_new", "kept_new", "new", "first", "newest"}
 
+// String returns the name of the rank, which is a metric key.
 func (r Rank) String() string {
-	if r < 0 || r >= Ranks {
+	if r < 0 || r >= NumRanks {
 		return "unknown"
 	}
 	return rankNames[r]
 }
 
-// Bounds are the limits that a Table keeps.
+// Bounds are the limits that a Table enforces.
 type Bounds struct {
-	Soft int // idle connections from which on fresh ones end with their answer; at least 1
-	Firm int // idle connections from which on all end with their answer; at least Soft
-	Hard int // connections in all; at least 1
-
-	SilentFor time.Duration // see RankMute
-	KeptFor   time.Duration // see RankOnce; a client is owed so long
-	Request   time.Duration // for a request to come in whole, the first from connecting on
-	Linger    time.Duration // for a client to read its last answer and close
+	Soft int // idle connections at which those on their first request end with its answer; at least 1
+	Firm int // idle connections at which all end with their next answer; at least Soft
+	Hard int // connections in total; at least 1
+
+	SilentGrace  time.Duration // see RankSilent
+	KeptFor      time.Duration // idle time that clients may rely on, see RankIdleOnce
+	Request      time.Duration // to receive a whole request, the first counted from connecting
+	CloseTimeout time.Duration // for a client to read its last answer and close
 }
 
-// Shares of a process's descriptors. A platform's clients hold a third of them
-// for requests at the most (DEPLOY, LATER). Idle ones in a sixteenth leave four
-// fifths of that third to requests, and an eighth leaves more than half.
+// Default bounds. The shares are of a process's file descriptors. Clients use at
+// most a third of the descriptors for requests. A sixteenth of the descriptors
+// held by idle connections leaves four fifths of that third to requests, and an
+// eighth leaves more than half of it.
 const (
 	softShare = 16
 	firmShare = 8
-	hardShare = 5. / 8 // the searchers' pool may take a quarter in any case, and a half of them where clients leave it
+	hardShare = 5. / 8 // the pool of searcher connections may always take a quarter, and up to half if clients leave it free
 
-	silentFor = 500 * time.Millisecond // a usual client asks at once
-	keptFor   = 2 * time.Second        // what the platform's page allows
-	request   = 2 * time.Second        // a client that sends rubbish is owed an answer within 3 s
-	linger    = 2 * time.Second        // a minute would let each hold a descriptor for nothing
+	silentGrace    = 500 * time.Millisecond // normal clients send a request right after connecting
+	keptFor        = 2 * time.Second        // the platform allows an idle connection to be closed after this time
+	requestTimeout = 2 * time.Second        // a malformed request must be answered within 3 s
+	closeTimeout   = 2 * time.Second        // a longer one, such as a minute, would let clients hold descriptors unused
 )
 
-// Defaults are the bounds for a process that may hold so many descriptors,
-// those it needs for itself taken off.
+// Defaults returns the bounds for a process that may open the given number of
+// descriptors for connections, not counting those it needs for itself.
 func Defaults(descriptors int) Bounds {
 	return Bounds{
 		Soft: max(descriptors/softShare, 1), Firm: max(descriptors/firmShare, 1),
-		Hard:      max(int(float64(descriptors)*hardShare), 1),
-		SilentFor: silentFor, KeptFor: keptFor, Request: request, Linger: linger,
+		Hard:        max(int(float64(descriptors)*hardShare), 1),
+		SilentGrace: silentGrace, KeptFor: keptFor, Request: requestTimeout, CloseTimeout: closeTimeout,
 	}
 }
 
-// Seat is a connection's place in a Table. Its zero value is not seated.
+// Seat is the entry of a connection in a Table. The zero value is in no table.
 type Seat[T any] struct {
 	Owner T
 
-	stage  Stage
-	asked  int // answers given on it
-	links  [2]links[T]
-	joined [2]time.Time // since when it is on each list
+	stage    Stage
+	answered int // requests answered on the connection
+	links    [2]links[T]
+	joined   [2]time.Time // when it was added to the list of each kind
 }
 
-// Stage is what the connection is doing.
+// Stage returns the connection's stage.
 func (s *Seat[T]) Stage() Stage { return s.stage }
 
-// Asked is how many requests were answered on the connection.
-func (s *Seat[T]) Asked() int { return s.asked }
+// Asked returns the number of requests answered on the connection.
+func (s *Seat[T]) Asked() int { return s.answered }
 
-// Since is when the connection came to its stage.
-func (s *Seat[T]) Since() time.Time { return s.joined[byStage] }
+// Since returns the time at which the connection entered its stage.
+func (s *Seat[T]) Since() time.Time { return s.joined[stageList] }
 
-// Seated tells that the seat is in a table.
-func (s *Seat[T]) Seated() bool { return s.links[byStage].on != nil }
+// InTable reports whether the seat is in a table.
+func (s *Seat[T]) InTable() bool { return s.links[stageList].list != nil }
 
-// The two lists that a seat can be on.
+// The kinds of lists that a seat can be on, at most one of each.
 const (
-	byStage = iota // of its stage: in the order in which they came to it
-	byDue          // of its time limit: in the order in which it ends
+	stageList   = iota // of a stage, in the order in which it was entered
+	timeoutList        // of a timeout, in the order in which it expires
 )
 
-// Table holds the seats. Make it with New.
+// Table holds the seats. New creates one.
 type Table[T any] struct {
-	bounds Bounds
-	held   int
-	lists  [stages]list[T] // by stage; Idle holds those that came back
-	once   list[T]         // Idle ones after one request
-
-	// Each time limit is the same for all it holds for, so the seat that joined
-	// first is due first and no heap is needed.
-	first   list[T] // for a first request, since connecting
-	further list[T] // for another request, since its first byte
-	ending  list[T] // for a client to close, since the end was told
+	bounds   Bounds
+	held     int
+	lists    [numStages]list[T] // by stage; that of Idle has only those with several requests answered
+	idleOnce list[T]            // Idle ones with one request answered
+
+	// A timeout is the same for all seats on its list, so the seat that was added
+	// first expires first and no heap is needed.
+	firstRequests   list[T] // to receive a first request, since connecting
+	furtherRequests list[T] // to receive another request, since its first byte
+	ending          list[T] // for the client to close, since the connection became Ending
 }
 
-// New returns an empty Table.
+// New returns an empty Table with the given bounds.
 func New[T any](b Bounds) *Table[T] {
 	t := &Table[T]{bounds: b}
 	for i := range t.lists {
-		t.lists[i].which = byStage
+		t.lists[i].kind = stageList
 	}
-	t.once.which = byStage
-	t.first.which, t.further.which, t.ending.which = byDue, byDue, byDue
+	t.idleOnce.kind = stageList
+	t.firstRequests.kind, t.furtherRequests.kind, t.ending.kind = timeoutList, timeoutList, timeoutList
 	return t
 }
 
-// Bounds are the limits in force.
+// Bounds returns the limits in force.
 func (t *Table[T]) Bounds() Bounds { return t.bounds }
 
-// Held is how many connections there are.
+// Held returns the number of connections in the table.
 func (t *Table[T]) Held() int { return t.held }
 
-// Count is how many connections are in a stage.
+// Count returns the number of connections in a stage.
 func (t *Table[T]) Count(s Stage) int {
 	if s == Idle {
 		return t.idle()
@@ -179,134 +184,139 @@
 	return t.lists[s].size
 }
 
-func (t *Table[T]) idle() int { return t.lists[Idle].size + t.once.size }
+func (t *Table[T]) idle() int { return t.lists[Idle].size + t.idleOnce.size }
 
-// Oldest is the connection that has been in a stage for longest, or nil; of
-// the Idle ones, those that carried a single request come before the others.
+// Oldest returns the connection that has been in a stage for longest, or nil if
+// there is none. Of the Idle ones, those with a single request answered come
+// before the others.
 func (t *Table[T]) Oldest(s Stage) *Seat[T] {
-	if s == Idle && t.once.first != nil {
-		return t.once.first
+	if s == Idle && t.idleOnce.first != nil {
+		return t.idleOnce.first
 	}
 	return t.lists[s].first
 }
 
-// Enter seats a connection that has just been accepted.
+// Enter adds a connection that has just been accepted.
 func (t *Table[T]) Enter(now time.Time, s *Seat[T]) {
 	t.held++
-	s.asked = 0
+	s.answered = 0
 	t.move(now, s, Silent)
 }
 
-// Leave takes away the seat of a connection that is closed. It may be called again.
+// Leave removes a connection that is closed. Further calls do nothing.
 func (t *Table[T]) Leave(s *Seat[T]) {
-	if !s.Seated() {
+	if !s.InTable() {
 		return
 	}
 	t.held--
-	s.quit(byStage)
-	s.quit(byDue)
+	s.unlink(stageList)
+	s.unlink(timeoutList)
 }
 
-// Move tells what a connection does from now on. A move to the same stage
-// counts from the first time.
+// Move sets the stage of a connection. A move to the stage it is already in does
+// nothing: the time in the stage counts from the first move.
 func (t *Table[T]) Move(now time.Time, s *Seat[T], to Stage) {
-	if s.Seated() && s.stage != to {
+	if s.InTable() && s.stage != to {
 		t.move(now, s, to)
 	}
 }
 
 func (t *Table[T]) move(now time.Time, s *Seat[T], to Stage) {
 	from := s.stage
-	s.quit(byStage)
+	s.unlink(stageList)
 	if to == Idle && from == Busy {
-		s.asked++
+		s.answered++
 	}
-	s.stage, s.joined[byStage] = to, now
-	if to == Idle && s.asked <= 1 {
-		t.once.add(s)
+	s.stage, s.joined[stageList] = to, now
+	if to == Idle && s.answered <= 1 {
+		t.idleOnce.add(s)
 	} else {
 		t.lists[to].add(s)
 	}
-	due := t.limit(to)
-	if due != nil && s.links[byDue].on == due {
-		return // the time for a first request runs from connecting on
+	timeouts := t.timeoutsOf(to)
+	if timeouts != nil && s.links[timeoutList].list == timeouts {
+		return // the timeout of a first request runs from connecting
 	}
-	s.quit(byDue)
-	if due != nil {
-		s.joined[byDue] = now
-		due.add(s)
+	s.unlink(timeoutList)
+	if timeouts != nil {
+		s.joined[timeoutList] = now
+		timeouts.add(s)
 	}
 }
 
-// limit is the list of the time limit that holds in a stage; nil if none does.
-func (t *Table[T]) limit(s Stage) *list[T] {
+// timeoutsOf returns the list of the timeout that applies in a stage, or nil if
+// none does.
+func (t *Table[T]) timeoutsOf(s Stage) *list[T] {
 	switch s {
 	case Silent, First:
-		return &t.first
+		return &t.firstRequests
 	case Further:
-		return &t.further
+		return &t.furtherRequests
 	case Ending:
 		return &t.ending
 	}
 	return nil
 }
 
-// Notice tells whether a connection, whose answer is about to be given, shall
-// end with it.
+// Notice reports whether a connection should end with the answer that is about
+// to be sent on it.
 func (t *Table[T]) Notice(s *Seat[T]) bool {
 	idle := t.idle()
-	return idle >= t.bounds.Firm || idle >= t.bounds.Soft && s.asked == 0
+	return idle >= t.bounds.Firm || idle >= t.bounds.Soft && s.answered == 0
 }
 
-// Overdue returns a connection whose time limit is over, or nil. The caller
-// closes it, or moves it to Ending, and asks again.
+// Overdue returns a connection whose timeout has expired, or nil. The caller
+// closes the connection or moves it to Ending, and calls Overdue again.
 func (t *Table[T]) Overdue(now time.Time) *Seat[T] {
-	for _, l := range t.limits() {
-		if due := l.due(l.wait); !due.IsZero() && !now.Before(due) {
+	for _, l := range t.timeouts() {
+		if due := l.due(l.timeout); !due.IsZero() && !now.Before(due) {
 			return l.first
 		}
 	}
 	return nil
 }
 
-// Due is when Overdue or Trim has the next connection; zero if none is waited for.
+// Due returns the time from which Overdue or Trim returns a connection; zero if
+// no connection has a timeout or is to be trimmed.
 func (t *Table[T]) Due() time.Time {
 	var due time.Time
-	sooner := func(at time.Time) {
+	consider := func(at time.Time) {
 		if !at.IsZero() && (due.IsZero() || at.Before(due)) {
 			due = at
 		}
 	}
-	for _, l := range t.limits() {
-		sooner(l.due(l.wait))
+	for _, l := range t.timeouts() {
+		consider(l.due(l.timeout))
 	}
 	if t.idle() >= t.bounds.Soft {
-		sooner(t.once.due(t.bounds.KeptFor))
-		sooner(t.lists[Idle].due(t.bounds.KeptFor))
+		consider(t.idleOnce.due(t.bounds.KeptFor))
+		consider(t.lists[Idle].due(t.bounds.KeptFor))
 	}
 	return due
 }
 
-// timed is a list with the time that its seats have.
-type timed[T any] struct {
+// timedList is a list with the timeout of its seats.
+type timedList[T any] struct {
 	*list[T]
-	wait time.Duration
+	timeout time.Duration
 }
 
-func (t *Table[T]) limits() [3]timed[T] {
-	return [3]timed[T]{
-		{&t.first, t.bounds.Request}, {&t.further, t.bounds.Request}, {&t.ending, t.bounds.Linger},
+func (t *Table[T]) timeouts() [3]timedList[T] {
+	return [3]timedList[T]{
+		{&t.firstRequests, t.bounds.Request},
+		{&t.furtherRequests, t.bounds.Request},
+		{&t.ending, t.bounds.CloseTimeout},
 	}
 }
 
-// Trim returns an idle connection that shall be closed since others need its
-// room, or nil. The caller moves it to Ending and asks again. One that carried
-// a single request goes before one that came back.
+// Trim returns an idle connection that should be closed because others need its
+// room, or nil. The caller moves it to Ending and calls Trim again. Connections
+// with a single request answered come before those with several.
 func (t *Table[T]) Trim(now time.Time) *Seat[T] {
 	if t.idle() < t.bounds.Soft {
 		return nil
 	}
-	for _, l := range [...]*list[T]{&t.once, &t.lists[Idle]} {
+	for _, l := range [...]*list[T]{&t.idleOnce, &t.lists[Idle]} {
 		if due := l.due(t.bounds.KeptFor); !due.IsZero() && !now.Before(due) {
 			return l.first
 		}
@@ -314,54 +324,55 @@
 	return nil
 }
 
-// Over tells that more connections are held than may be.
-func (t *Table[T]) Over() bool { return t.held > t.bounds.Hard }
+// OverLimit reports whether the table holds more connections than Bounds.Hard.
+func (t *Table[T]) OverLimit() bool { return t.held > t.bounds.Hard }
 
-// tries is how many candidates of one rank Victim offers to its caller.
-const tries = 4
+// maxCandidates is the number of connections of one rank that Victim considers.
+const maxCandidates = 4
 
-// Victim chooses the connection that loses its place to newest, and says by
-// which rank. Where spare reports true for a connection, something has come on
-// it that was not read yet: another one of its rank is chosen, as far as the
-// first few go, and then the next rank. Where nothing else is left it is newest.
-func (t *Table[T]) Victim(now time.Time, newest *Seat[T], spare func(*Seat[T]) bool) (*Seat[T], Rank) {
+// Victim chooses the connection to evict for newest, and returns its rank. skip
+// reports whether a connection must not be evicted, because it has received
+// bytes that were not read yet. Then the next connection of its rank is
+// considered, up to maxCandidates, then the next rank. If no connection is left,
+// Victim returns newest.
+func (t *Table[T]) Victim(now time.Time, newest *Seat[T], skip func(*Seat[T]) bool) (*Seat[T], Rank) {
 	for r := RankEnding; r < RankNewest; r++ {
-		l, least := t.ranked(r)
+		l, minAge := t.candidates(r)
 		s := l.first
-		for range tries {
+		for range maxCandidates {
 			if s == nil {
 				break
 			}
-			if now.Sub(s.joined[byStage]) < least {
-				break // nor are those behind it old enough
+			if now.Sub(s.joined[stageList]) < minAge {
+				break // those after it are younger still
 			}
-			if s != newest && (r == RankEnding || !spare(s)) {
+			if s != newest && (r == RankEnding || !skip(s)) {
 				return s, r
 			}
-			s = s.links[byStage].next
+			s = s.links[stageList].next
 		}
 	}
 	return newest, RankNewest
 }
 
-// ranked returns the list that a rank stands for, and how long its connections
-// have been in their stage at least.
-func (t *Table[T]) ranked(r Rank) (l *list[T], least time.Duration) {
+// candidates returns the list that the connections of a rank are on, and the
+// minimum time that they have been in their stage.
+func (t *Table[T]) candidates(r Rank) (l *list[T], minAge time.Duration) {
 	b := t.bounds
 	switch r {
 	case RankEnding:
 		return &t.lists[Ending], 0
-	case RankMute:
-		return &t.lists[Silent], b.SilentFor
-	case RankOnce:
-		return &t.once, b.KeptFor
-	case RankKept:
+	case RankSilent:
+		return &t.lists[Silent], b.SilentGrace
+	case RankIdleOnce:
+		return &t.idleOnce, b.KeptFor
+	case RankIdleReused:
 		return &t.lists[Idle], b.KeptFor
-	case RankOnceNew:
-		return &t.once, 0
-	case RankKeptNew:
+	case RankIdleOnceRecent:
+		return &t.idleOnce, 0
+	case RankIdleReusedRecent:
 		return &t.lists[Idle], 0
-	case RankNew:
+	case RankSilentRecent:
 		return &t.lists[Silent], 0
 	default:
 		return &t.lists[First], 0
--- a/internal/limit/table_test.go
+++ b/internal/limit/table_test.go
@@ -15,25 +15,27 @@
 
 var start = time.Unix(1_000_000, 0)
 
-// plain is the table's rule written down once more, as a search through everything.
-type plain struct {
+// modelConn is a connection as the reference model knows it.
+type modelConn struct {
 	seat           *Seat[int]
 	stage          Stage
-	asked          int
+	answered       int
 	opened, since  time.Time
-	begun, endedAt time.Time
+	begun, endedAt time.Time // when the further request began; when the stage became Ending
 }
 
+// model drives a table and is its reference: it applies the same rules by a linear
+// search through all connections.
 type model struct {
-	t     *Table[int]
-	now   time.Time
-	b     Bounds
-	seats []*plain // in the order they came to their stage
-	next  int
+	table     *Table[int]
+	now       time.Time
+	bounds    Bounds
+	conns     []*modelConn // in the order in which they entered their stage
+	nextOwner int
 }
 
 func (m *model) idle() (n int) {
-	for _, p := range m.seats {
+	for _, p := range m.conns {
 		if p.stage == Idle {
 			n++
 		}
@@ -41,32 +43,32 @@
 	return n
 }
 
-func (m *model) rank(p *plain) Rank {
+func (m *model) rank(p *modelConn) Rank {
 	age := m.now.Sub(p.since)
 	switch {
 	case p.stage == Ending:
 		return RankEnding
-	case p.stage == Silent && age >= m.b.SilentFor:
-		return RankMute
-	case p.stage == Idle && p.asked <= 1 && age >= m.b.KeptFor:
-		return RankOnce
-	case p.stage == Idle && age >= m.b.KeptFor:
-		return RankKept
-	case p.stage == Idle && p.asked <= 1:
-		return RankOnceNew
+	case p.stage == Silent && age >= m.bounds.SilentGrace:
+		return RankSilent
+	case p.stage == Idle && p.answered <= 1 && age >= m.bounds.KeptFor:
+		return RankIdleOnce
+	case p.stage == Idle && age >= m.bounds.KeptFor:
+		return RankIdleReused
+	case p.stage == Idle && p.answered <= 1:
+		return RankIdleOnceRecent
 	case p.stage == Idle:
-		return RankKeptNew
+		return RankIdleReusedRecent
 	case p.stage == Silent:
-		return RankNew
+		return RankSilentRecent
 	case p.stage == First:
-		return RankFirst
+		return RankFirstRequest
 	}
 	return RankNewest
 }
 
-func (m *model) victim(newest *plain) (*plain, Rank) {
+func (m *model) victim(newest *modelConn) (*modelConn, Rank) {
 	best, at := newest, RankNewest
-	for _, p := range m.seats {
+	for _, p := range m.conns {
 		if r := m.rank(p); p != newest && r < at {
 			best, at = p, r
 		}
@@ -74,27 +76,27 @@
 	return best, at
 }
 
-func (m *model) enter() *plain {
-	p := &plain{seat: &Seat[int]{Owner: m.next}, opened: m.now, since: m.now}
-	m.next++
-	m.seats = append(m.seats, p)
-	m.t.Enter(m.now, p.seat)
+func (m *model) enter() *modelConn {
+	p := &modelConn{seat: &Seat[int]{Owner: m.nextOwner}, opened: m.now, since: m.now}
+	m.nextOwner++
+	m.conns = append(m.conns, p)
+	m.table.Enter(m.now, p.seat)
 	return p
 }
 
-func (m *model) leave(p *plain) {
-	m.t.Leave(p.seat)
-	m.t.Leave(p.seat) // once more does nothing
-	m.seats = slices.DeleteFunc(m.seats, func(x *plain) bool { return x == p })
+func (m *model) leave(p *modelConn) {
+	m.table.Leave(p.seat)
+	m.table.Leave(p.seat) // a second call does nothing
+	m.conns = slices.DeleteFunc(m.conns, func(x *modelConn) bool { return x == p })
 }
 
-func (m *model) move(p *plain, to Stage) {
-	m.t.Move(m.now, p.seat, to)
+func (m *model) move(p *modelConn, to Stage) {
+	m.table.Move(m.now, p.seat, to)
 	if p.stage == to {
 		return
 	}
 	if p.stage == Busy && to == Idle {
-		p.asked++
+		p.answered++
 	}
 	p.stage, p.since = to, m.now
 	switch to {
@@ -103,27 +105,27 @@
 	case Ending:
 		p.endedAt = m.now
 	}
-	m.seats = append(slices.DeleteFunc(m.seats, func(x *plain) bool { return x == p }), p)
+	m.conns = append(slices.DeleteFunc(m.conns, func(x *modelConn) bool { return x == p }), p)
 }
 
-func (m *model) overdue(p *plain) bool {
+func (m *model) overdue(p *modelConn) bool {
 	switch p.stage {
 	case Silent, First:
-		return m.now.Sub(p.opened) >= m.b.Request
+		return m.now.Sub(p.opened) >= m.bounds.Request
 	case Further:
-		return m.now.Sub(p.begun) >= m.b.Request
+		return m.now.Sub(p.begun) >= m.bounds.Request
 	case Ending:
-		return m.now.Sub(p.endedAt) >= m.b.Linger
+		return m.now.Sub(p.endedAt) >= m.bounds.CloseTimeout
 	}
 	return false
 }
 
-func (m *model) trims(p *plain) bool {
-	return m.idle() >= m.b.Soft && p.stage == Idle && m.now.Sub(p.since) >= m.b.KeptFor
+func (m *model) surplus(p *modelConn) bool {
+	return m.idle() >= m.bounds.Soft && p.stage == Idle && m.now.Sub(p.since) >= m.bounds.KeptFor
 }
 
-// legal are the moves that a connection can make.
-var legal = map[Stage][]Stage{
+// validMoves lists the stages that can follow each stage.
+var validMoves = map[Stage][]Stage{
 	Silent:  {First, Busy, Ending},
 	First:   {Busy, Ending},
 	Busy:    {Idle, Ending},
@@ -132,20 +134,20 @@
 	Ending:  {Ending},
 }
 
-// TestTableAgreesWithASearchThroughEverything drives the table with random connections.
-func TestTableAgreesWithASearchThroughEverything(t *testing.T) {
+// Random connections and moves: the table decides as the linear search of the model does.
+func TestTableMatchesReferenceModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b := Bounds{
 			Soft: rapid.IntRange(1, 4).Draw(t, "soft"), Hard: rapid.IntRange(1, 12).Draw(t, "hard"),
-			SilentFor: 500 * time.Millisecond, KeptFor: 2 * time.Second, Request: 2 * time.Second, Linger: time.Second,
+			SilentGrace: 500 * time.Millisecond, KeptFor: 2 * time.Second, Request: 2 * time.Second, CloseTimeout: time.Second,
 		}
 		b.Firm = b.Soft + rapid.IntRange(0, 4).Draw(t, "firm")
-		m := &model{t: New[int](b), b: b, now: start}
-		pick := func(t *rapid.T) *plain {
-			if len(m.seats) == 0 {
+		m := &model{table: New[int](b), bounds: b, now: start}
+		pick := func(t *rapid.T) *modelConn {
+			if len(m.conns) == 0 {
 				t.Skip("no connection")
 			}
-			return rapid.SampledFrom(m.seats).Draw(t, "connection")
+			return rapid.SampledFrom(m.conns).Draw(t, "connection")
 		}
 		t.Repeat(map[string]func(*rapid.T){
 			"wait": func(t *rapid.T) {
@@ -153,146 +155,148 @@
 			},
 			"enter": func(t *rapid.T) {
 				newest := m.enter()
-				if m.t.Over() != (len(m.seats) > b.Hard) {
-					t.Fatalf("over is %v with %d of %d", m.t.Over(), len(m.seats), b.Hard)
+				if m.table.OverLimit() != (len(m.conns) > b.Hard) {
+					t.Fatalf("OverLimit is %v with %d connections of at most %d", m.table.OverLimit(), len(m.conns), b.Hard)
 				}
-				if !m.t.Over() {
+				if !m.table.OverLimit() {
 					return
 				}
 				want, rank := m.victim(newest)
-				have, got := m.t.Victim(m.now, newest.seat, func(*Seat[int]) bool { return false })
+				have, got := m.table.Victim(m.now, newest.seat, func(*Seat[int]) bool { return false })
 				if have != want.seat || got != rank {
-					t.Fatalf("victim %d (%v), want %d (%v)", have.Owner, got, want.seat.Owner, rank)
+					t.Fatalf("Victim returned %d (%v), want %d (%v)", have.Owner, got, want.seat.Owner, rank)
 				}
 				m.leave(want)
 			},
 			"move": func(t *rapid.T) {
 				p := pick(t)
-				m.move(p, rapid.SampledFrom(legal[p.stage]).Draw(t, "to"))
+				m.move(p, rapid.SampledFrom(validMoves[p.stage]).Draw(t, "to"))
 			},
 			"leave": func(t *rapid.T) { m.leave(pick(t)) },
 			"expire": func(t *rapid.T) {
-				for s := m.t.Overdue(m.now); s != nil; s = m.t.Overdue(m.now) {
-					i := slices.IndexFunc(m.seats, func(p *plain) bool { return p.seat == s })
-					if !m.overdue(m.seats[i]) {
+				for s := m.table.Overdue(m.now); s != nil; s = m.table.Overdue(m.now) {
+					i := slices.IndexFunc(m.conns, func(p *modelConn) bool { return p.seat == s })
+					if !m.overdue(m.conns[i]) {
 						t.Fatalf("%d is not overdue", s.Owner)
 					}
-					m.leave(m.seats[i])
+					m.leave(m.conns[i])
 				}
-				if i := slices.IndexFunc(m.seats, m.overdue); i >= 0 {
-					t.Fatalf("%d is overdue and was passed over", m.seats[i].seat.Owner)
+				if i := slices.IndexFunc(m.conns, m.overdue); i >= 0 {
+					t.Fatalf("%d is overdue and Overdue did not return it", m.conns[i].seat.Owner)
 				}
-				for s := m.t.Trim(m.now); s != nil; s = m.t.Trim(m.now) {
-					i := slices.IndexFunc(m.seats, func(p *plain) bool { return p.seat == s })
-					if !m.trims(m.seats[i]) {
-						t.Fatalf("%d need not go", s.Owner)
+				for s := m.table.Trim(m.now); s != nil; s = m.table.Trim(m.now) {
+					i := slices.IndexFunc(m.conns, func(p *modelConn) bool { return p.seat == s })
+					if !m.surplus(m.conns[i]) {
+						t.Fatalf("Trim returned %d, which need not be closed", s.Owner)
 					}
-					m.move(m.seats[i], Ending)
+					m.move(m.conns[i], Ending)
 				}
-				if i := slices.IndexFunc(m.seats, m.trims); i >= 0 {
-					t.Fatalf("%d should have gone", m.seats[i].seat.Owner)
+				if i := slices.IndexFunc(m.conns, m.surplus); i >= 0 {
+					t.Fatalf("Trim did not return %d, which is to be closed", m.conns[i].seat.Owner)
 				}
-				if due := m.t.Due(); !due.IsZero() && !due.After(m.now) {
-					t.Fatalf("due is %v, in the past", due)
+				if due := m.table.Due(); !due.IsZero() && !due.After(m.now) {
+					t.Fatalf("Due is %v, which is in the past", due)
 				}
 			},
 			"": func(t *rapid.T) {
 				counts := make(map[Stage]int)
-				for _, p := range m.seats {
+				for _, p := range m.conns {
 					counts[p.stage]++
-					if p.seat.Stage() != p.stage || p.seat.Asked() != p.asked || !p.seat.Seated() {
-						t.Fatalf("seat %d is %v after %d", p.seat.Owner, p.seat.Stage(), p.seat.Asked())
+					if p.seat.Stage() != p.stage || p.seat.Asked() != p.answered || !p.seat.InTable() {
+						t.Fatalf("seat %d has stage %v, %d requests answered", p.seat.Owner, p.seat.Stage(), p.seat.Asked())
 					}
 					idle := m.idle()
-					notice := idle >= b.Firm || idle >= b.Soft && p.asked == 0
-					if m.t.Notice(p.seat) != notice {
-						t.Fatalf("notice to %d is %v with %d idle", p.seat.Owner, !notice, idle)
+					notice := idle >= b.Firm || idle >= b.Soft && p.answered == 0
+					if m.table.Notice(p.seat) != notice {
+						t.Fatalf("Notice of %d is %v with %d idle", p.seat.Owner, !notice, idle)
 					}
 				}
-				for s := range stages {
-					if m.t.Count(s) != counts[s] {
-						t.Fatalf("%d are %v, want %d", m.t.Count(s), s, counts[s])
+				for s := range numStages {
+					if m.table.Count(s) != counts[s] {
+						t.Fatalf("%d connections are %v, want %d", m.table.Count(s), s, counts[s])
 					}
 				}
-				if m.t.Held() != len(m.seats) {
-					t.Fatalf("%d are held, want %d", m.t.Held(), len(m.seats))
+				if m.table.Held() != len(m.conns) {
+					t.Fatalf("%d connections are held, want %d", m.table.Held(), len(m.conns))
 				}
 			},
 		})
 	})
 }
 
-// rows fills a table with one connection of each rank, the oldest first.
-func rows(t *testing.T) (*model, map[Rank]*plain) {
+// newModelOfRanks returns a model with one connection of each rank but
+// RankNewest, the oldest first, and one that is Busy.
+func newModelOfRanks(t *testing.T) (*model, map[Rank]*modelConn) {
 	t.Helper()
-	m := &model{b: Defaults(1024), now: start}
-	m.t = New[int](m.b)
-	at := make(map[Rank]*plain)
-	answer := func(p *plain, times int) {
+	m := &model{bounds: Defaults(1024), now: start}
+	m.table = New[int](m.bounds)
+	at := make(map[Rank]*modelConn)
+	answer := func(p *modelConn, times int) {
 		for range times {
 			m.move(p, Busy)
 			m.move(p, Idle)
 		}
 	}
-	for _, r := range []Rank{RankMute, RankOnce, RankKept} {
+	for _, r := range []Rank{RankSilent, RankIdleOnce, RankIdleReused} {
 		at[r] = m.enter()
 	}
-	answer(at[RankOnce], 1)
-	answer(at[RankKept], 2)
-	m.now = m.now.Add(m.b.KeptFor)
-	for _, r := range []Rank{RankEnding, RankOnceNew, RankKeptNew, RankNew, RankFirst} {
+	answer(at[RankIdleOnce], 1)
+	answer(at[RankIdleReused], 2)
+	m.now = m.now.Add(m.bounds.KeptFor)
+	for _, r := range []Rank{RankEnding, RankIdleOnceRecent, RankIdleReusedRecent, RankSilentRecent, RankFirstRequest} {
 		at[r] = m.enter()
 	}
 	m.move(at[RankEnding], Ending)
-	answer(at[RankOnceNew], 1)
-	answer(at[RankKeptNew], 2)
-	m.move(at[RankFirst], First)
+	answer(at[RankIdleOnceRecent], 1)
+	answer(at[RankIdleReusedRecent], 2)
+	m.move(at[RankFirstRequest], First)
 	m.move(m.enter(), Busy)
 	return m, at
 }
 
-func TestRanksLoseTheirPlaceInOrder(t *testing.T) {
-	m, at := rows(t)
+func TestRanksAreEvictedInOrder(t *testing.T) {
+	m, at := newModelOfRanks(t)
 	newest := m.enter()
 	at[RankNewest] = newest
-	for r := RankEnding; r < Ranks; r++ {
-		s, got := m.t.Victim(m.now, newest.seat, func(*Seat[int]) bool { return false })
+	for r := RankEnding; r < NumRanks; r++ {
+		s, got := m.table.Victim(m.now, newest.seat, func(*Seat[int]) bool { return false })
 		if got != r || s != at[r].seat {
-			t.Fatalf("have %v, want %v", got, r)
+			t.Fatalf("Victim returned rank %v, want %v", got, r)
 		}
 		m.leave(at[r])
 	}
 }
 
-func TestAConnectionWithUnreadBytesIsSpared(t *testing.T) {
-	m, at := rows(t)
+// A request that was received but not read yet would be lost if its connection were closed.
+func TestConnectionWithUnreadBytesIsNotEvicted(t *testing.T) {
+	m, at := newModelOfRanks(t)
 	newest := m.enter()
 	m.leave(at[RankEnding])
-	asked := make(map[*Seat[int]]int)
-	spare := func(s *Seat[int]) bool {
-		asked[s]++
-		return s != at[RankFirst].seat
+	considered := make(map[*Seat[int]]int)
+	skip := func(s *Seat[int]) bool {
+		considered[s]++
+		return s != at[RankFirstRequest].seat
 	}
-	if s, r := m.t.Victim(m.now, newest.seat, spare); s != at[RankFirst].seat || r != RankFirst {
-		t.Errorf("have %v", r)
+	if s, r := m.table.Victim(m.now, newest.seat, skip); s != at[RankFirstRequest].seat || r != RankFirstRequest {
+		t.Errorf("Victim returned rank %v, want first", r)
 	}
-	for r := RankMute; r < RankFirst; r++ {
-		if asked[at[r].seat] == 0 {
-			t.Errorf("the %v one was not looked at", r)
+	for r := RankSilent; r < RankFirstRequest; r++ {
+		if considered[at[r].seat] == 0 {
+			t.Errorf("the connection of rank %v was not considered", r)
 		}
 	}
-	all := func(*Seat[int]) bool { return true }
-	if s, r := m.t.Victim(m.now, newest.seat, all); s != newest.seat || r != RankNewest {
-		t.Errorf("where all are spared: %v", r)
+	skipAll := func(*Seat[int]) bool { return true }
+	if s, r := m.table.Victim(m.now, newest.seat, skipAll); s != newest.seat || r != RankNewest {
+		t.Errorf("with all connections skipped: rank %v, want newest", r)
 	}
-	// No more than a few are asked of each rank: each costs a call to the system.
+	// Only a few connections of each rank are considered, because each one costs a system call.
 	for range 100 {
 		m.enter()
 	}
-	looks := 0
-	m.t.Victim(m.now, newest.seat, func(*Seat[int]) bool { looks++; return true })
-	if looks > int(Ranks)*tries {
-		t.Errorf("%d were looked at", looks)
+	calls := 0
+	m.table.Victim(m.now, newest.seat, func(*Seat[int]) bool { calls++; return true })
+	if calls > int(NumRanks)*maxCandidates {
+		t.Errorf("%d connections were considered", calls)
 	}
 }
 
@@ -321,8 +325,8 @@
 	t.Enter(now, a)
 	t.Enter(now, b)
 	answer(a)
-	answer(b) // one is idle already
-	answer(a) // it came back
+	answer(b) // one connection is idle already
+	answer(a) // its second request
 	// Output:
 	// a ends with its answer: false
 	// b ends with its answer: true
