--- a/internal/netio/eventloop/conn.go
+++ b/internal/netio/eventloop/conn.go
@@ -14,61 +14,61 @@
 	"golang.org/x/sys/unix"
 )
 
-// interest is what the poller is to tell of a connection.
+// interest is the set of events of a connection that the poller reports.
 type interest int
 
 const (
-	nothing interest = iota
-	reads
-	readsAndWrites
+	noEvents interest = iota
+	readEvents
+	readWriteEvents
 )
 
-// Conn is one connection. It belongs to the loop's goroutine.
+// Conn is one connection. It may be used on the loop's goroutine only.
 type Conn struct {
-	loop    *Loop
-	fd      int // -1 once it is closed
-	handler Handler
-	out     bytes.Buffer // what the system has not taken yet
-	have    interest     // that the poller knows of
-	stalled bool         // left alone until a timer ends that
-	stalls  int          // in a row
-	tries   int          // of its registration
-	closing bool         // it is to be closed in the next round
-	muted   bool         // nothing is written any more
-	closed  bool
+	loop          *Loop
+	fd            int // -1 once it is closed
+	handler       Handler
+	unsent        bytes.Buffer // bytes given to Write that the system has not accepted yet
+	registered    interest     // what it is registered for with the poller
+	paused        bool         // nothing is read or written until a timer resumes it
+	pauses        int          // in a row
+	registerFails int          // failed registrations with the poller, in a row
+	closing       bool         // it will be closed in the next round
+	muted         bool         // nothing more is written
+	closed        bool
 }
 
-// Enroll has the loop serve a connection that was opened elsewhere; its Opened tells of it. It may be called
-// from any goroutine, and takes the connection over in any case.
+// Enroll adds a connection that was opened elsewhere to the loop, which calls h.Opened. It may be called from
+// any goroutine, and takes ownership of the connection even if it returns an error.
 func (l *Loop) Enroll(c net.Conn, h Handler) error {
 	defer c.Close()
 	fd, err := duplicate(c)
 	if err != nil {
 		return err
 	}
-	// Its other descriptor is closed before the loop knows this one: as long as there are two, the poller
-	// would tell of it even after this one is closed.
+	// The original descriptor is closed before the loop registers the duplicate: as long as both are open, the
+	// poller would report events of the connection even after the duplicate is closed.
 	_ = c.Close()
-	if err := l.Execute(func() { l.register(fd, h) }); err != nil {
+	if err := l.Execute(func() { l.addConn(fd, h) }); err != nil {
 		_ = unix.Close(fd)
 		return err
 	}
 	return nil
 }
 
-// duplicateTries bounds the tries to take a connection over.
-const duplicateTries = 6
+// maxDuplicateTries bounds the attempts to duplicate a connection's descriptor.
+const maxDuplicateTries = 6
 
 func duplicate(c net.Conn) (fd int, err error) {
 	s, ok := c.(syscall.Conn)
 	if !ok {
-		return -1, fmt.Errorf("a connection of type %T has no descriptor", c)
+		return -1, fmt.Errorf("connection of type %T has no file descriptor", c)
 	}
 	raw, err := s.SyscallConn()
 	if err != nil {
 		return -1, err
 	}
-	for try := range duplicateTries {
+	for try := range maxDuplicateTries {
 		failed := raw.Control(func(from uintptr) {
 			fd, err = unix.FcntlInt(from, unix.F_DUPFD_CLOEXEC, 0)
 		})
@@ -81,148 +81,151 @@
 		if !Transient(err) {
 			break
 		}
-		time.Sleep(leastRetry << try)
+		time.Sleep(minRetryWait << try)
 	}
 	return -1, os.NewSyscallError("fcntl", err)
 }
 
-func (l *Loop) register(fd int, h Handler) {
+func (l *Loop) addConn(fd int, h Handler) {
 	c := &Conn{loop: l, fd: fd, handler: h}
 	l.conns[fd] = c
-	c.update()
+	c.updateInterest()
 	h.Opened(c)
 }
 
-// update has the poller know what is wanted of it. Where that fails it is tried again.
-func (c *Conn) update() {
-	want := c.wanted()
-	if c.closed || want == c.have {
+// updateInterest registers the connection with the poller for the events that are wanted now. A registration
+// that fails is retried.
+func (c *Conn) updateInterest() {
+	want := c.wantedInterest()
+	if c.closed || want == c.registered {
 		return
 	}
-	if err := c.tell(want); err != nil {
-		c.loop.count("epoll_ctl", err)
-		c.loop.retry(c)
+	if err := c.register(want); err != nil {
+		c.loop.countFailure("epoll_ctl", err)
+		c.loop.retryRegistration(c)
 		return
 	}
-	c.have, c.tries = want, 0
+	c.registered, c.registerFails = want, 0
 }
 
-func (c *Conn) wanted() interest {
+func (c *Conn) wantedInterest() interest {
 	switch {
-	case c.stalled:
-		return nothing
-	case c.out.Len() > 0 && !c.muted:
-		return readsAndWrites
+	case c.paused:
+		return noEvents
+	case c.unsent.Len() > 0 && !c.muted:
+		return readWriteEvents
 	}
-	return reads
+	return readEvents
 }
 
-func (c *Conn) tell(want interest) error {
-	poller, at := c.loop.poller, &netpoll.PollAttachment{FD: c.fd}
+func (c *Conn) register(want interest) error {
+	poller, attachment := c.loop.poller, &netpoll.PollAttachment{FD: c.fd}
 	switch {
-	case want == nothing:
+	case want == noEvents:
 		return poller.Delete(c.fd)
-	case c.have == nothing && want == reads:
-		return poller.AddRead(at, false)
-	case c.have == nothing:
-		return poller.AddReadWrite(at, false)
-	case want == reads:
-		return poller.ModRead(at, false)
+	case c.registered == noEvents && want == readEvents:
+		return poller.AddRead(attachment, false)
+	case c.registered == noEvents:
+		return poller.AddReadWrite(attachment, false)
+	case want == readEvents:
+		return poller.ModRead(attachment, false)
 	}
-	return poller.ModReadWrite(at, false)
+	return poller.ModReadWrite(attachment, false)
 }
 
-// retry has a connection's registration tried again.
-func (l *Loop) retry(c *Conn) {
-	c.tries++
+// retryRegistration schedules a further attempt to register a connection with the poller.
+func (l *Loop) retryRegistration(c *Conn) {
+	c.registerFails++
 	l.counters.Retries++
-	l.retries[c] = struct{}{}
-	if !l.retrying {
-		l.retrying = true
-		l.after(c.tries, l.retryAll)
+	l.unregistered[c] = struct{}{}
+	if !l.retryScheduled {
+		l.retryScheduled = true
+		l.retryAfter(c.registerFails, l.retryRegistrations)
 	}
 }
 
-func (l *Loop) retryAll() {
-	l.retrying = false
-	list := l.retries
-	l.retries = make(map[*Conn]struct{})
-	for c := range list {
-		c.update()
+func (l *Loop) retryRegistrations() {
+	l.retryScheduled = false
+	conns := l.unregistered
+	l.unregistered = make(map[*Conn]struct{})
+	for c := range conns {
+		c.updateInterest()
 	}
 }
 
-// ready deals with what the poller has told.
-func (c *Conn) ready(events netpoll.IOEvent) {
-	const fault = unix.EPOLLERR | unix.EPOLLHUP
-	if events&(unix.EPOLLOUT|fault) != 0 && c.out.Len() > 0 {
+// handleEvents handles the events that the poller has reported.
+func (c *Conn) handleEvents(events netpoll.IOEvent) {
+	const failed = unix.EPOLLERR | unix.EPOLLHUP
+	if events&(unix.EPOLLOUT|failed) != 0 && c.unsent.Len() > 0 {
 		c.flush()
 	}
-	if events&(unix.EPOLLIN|unix.EPOLLPRI|unix.EPOLLRDHUP|fault) != 0 {
+	if events&(unix.EPOLLIN|unix.EPOLLPRI|unix.EPOLLRDHUP|failed) != 0 {
 		c.read()
 	}
 }
 
 func (c *Conn) read() {
-	if c.closed || c.stalled {
+	if c.closed || c.paused {
 		return
 	}
-	n, err := interrupted(func() (int, error) { return unix.Read(c.fd, c.loop.buffer) }, func() { c.loop.count("read", unix.EINTR) })
+	n, err := retryInterrupted(func() (int, error) { return unix.Read(c.fd, c.loop.buffer) }, func() { c.loop.countFailure("read", unix.EINTR) })
 	switch {
 	case err == nil && n > 0:
-		c.stalls = 0
+		c.pauses = 0
 		c.handler.Traffic(c.loop.buffer[:n])
 	case err == nil:
 		c.CloseNow(io.EOF)
-	case err == unix.EAGAIN, err == unix.EINTR: // the poller tells of it again
-	case stalls(err):
-		c.stall("read", err)
+	case err == unix.EAGAIN, err == unix.EINTR: // the poller reports it again
+	case isMemoryShortage(err):
+		c.pause("read", err)
 	default:
 		c.CloseNow(os.NewSyscallError("read", err))
 	}
 }
 
-// interrupted makes a call until it is not interrupted any more, within a bound.
-func interrupted(call func() (int, error), count func()) (n int, err error) {
-	for range interruptTries {
+// retryInterrupted repeats a system call while it fails with EINTR, up to maxInterruptTries times. It calls
+// interrupted for each of these failures.
+func retryInterrupted(call func() (int, error), interrupted func()) (n int, err error) {
+	for range maxInterruptTries {
 		if n, err = call(); err != unix.EINTR {
 			return n, err
 		}
-		count()
+		interrupted()
 	}
 	return n, err
 }
 
-// stall leaves a connection alone for a moment, in which nothing is read or written.
-func (c *Conn) stall(call string, err error) {
-	c.loop.count(call, err)
+// pause stops reading and writing on the connection for a short time after a system call that failed with err.
+// After maxPauses in a row the connection is closed.
+func (c *Conn) pause(call string, err error) {
+	c.loop.countFailure(call, err)
 	c.loop.counters.Stalls++
-	if c.stalls++; c.stalls > mostStalls {
+	if c.pauses++; c.pauses > maxPauses {
 		c.CloseNow(os.NewSyscallError(call, err))
 		return
 	}
-	c.stalled = true
-	c.update()
-	c.loop.after(c.stalls, func() {
-		c.stalled = false
-		if c.out.Len() > 0 {
+	c.paused = true
+	c.updateInterest()
+	c.loop.retryAfter(c.pauses, func() {
+		c.paused = false
+		if c.unsent.Len() > 0 {
 			c.flush()
 		}
-		c.update()
+		c.updateInterest()
 	})
 }
 
-// ErrClosed is why nothing is written any more.
+// ErrClosed is returned by Write after the connection is closed.
 var ErrClosed = errors.New("the connection is closed")
 
-// Write sends bytes, or keeps those that the system does not take yet; see Buffered. Where it returns an error
-// the connection has ended, and the handler has been told.
+// Write sends bytes, and buffers those that the system does not accept yet; see Buffered. If it returns an
+// error, the connection is closed and the handler's Closed has been called.
 func (c *Conn) Write(b []byte) error {
 	if c.closed {
 		return ErrClosed
 	}
-	if c.out.Len() > 0 || c.stalled || c.muted {
-		c.out.Write(b)
+	if c.unsent.Len() > 0 || c.paused || c.muted {
+		c.unsent.Write(b)
 		return nil
 	}
 	n, err := c.send(b)
@@ -230,38 +233,38 @@
 		return err
 	}
 	if n < len(b) {
-		c.out.Write(b[n:])
-		c.update()
+		c.unsent.Write(b[n:])
+		c.updateInterest()
 	}
 	return nil
 }
 
-// flush sends what is kept.
+// flush sends the buffered bytes.
 func (c *Conn) flush() {
-	if c.closed || c.stalled || c.muted {
+	if c.closed || c.paused || c.muted {
 		return
 	}
-	n, err := c.send(c.out.Bytes())
+	n, err := c.send(c.unsent.Bytes())
 	if err != nil {
 		return
 	}
-	c.out.Next(n)
-	c.update()
+	c.unsent.Next(n)
+	c.updateInterest()
 }
 
-// send gives bytes to the system and returns how many it has taken. Where it returns an error the connection
-// has ended.
+// send passes bytes to the system and returns how many it has accepted. If it returns an error, the connection
+// is closed.
 func (c *Conn) send(b []byte) (sent int, err error) {
 	for sent < len(b) {
-		n, err := interrupted(func() (int, error) { return unix.Write(c.fd, b[sent:]) }, func() { c.loop.count("write", unix.EINTR) })
+		n, err := retryInterrupted(func() (int, error) { return unix.Write(c.fd, b[sent:]) }, func() { c.loop.countFailure("write", unix.EINTR) })
 		switch {
 		case err == nil:
 			sent += n
-			c.stalls = 0
+			c.pauses = 0
 		case err == unix.EAGAIN, err == unix.EINTR:
 			return sent, nil
-		case stalls(err):
-			if c.stall("write", err); c.closed {
+		case isMemoryShortage(err):
+			if c.pause("write", err); c.closed {
 				return sent, os.NewSyscallError("write", err)
 			}
 			return sent, nil
@@ -274,16 +277,16 @@
 	return sent, nil
 }
 
-// Buffered is how many bytes were given to Write that the system has not taken yet.
-func (c *Conn) Buffered() int { return c.out.Len() }
+// Buffered returns the number of bytes given to Write that the system has not accepted yet.
+func (c *Conn) Buffered() int { return c.unsent.Len() }
 
-// Mute has nothing written any more: what the system has not taken by now never leaves, and stays Buffered.
+// Mute stops all writing: bytes that the system has not accepted by now are never sent, and stay Buffered.
 func (c *Conn) Mute() {
 	c.muted = true
-	c.update()
+	c.updateInterest()
 }
 
-// Fd is the descriptor; -1 once the connection is closed.
+// Fd returns the file descriptor; -1 once the connection is closed.
 func (c *Conn) Fd() int { return c.fd }
 
 // Close closes the connection in the loop's next round.
@@ -294,18 +297,18 @@
 	}
 }
 
-// CloseNow closes the connection at once, for a reason. What is kept of writes is dropped.
+// CloseNow closes the connection at once and passes reason to the handler's Closed. Buffered bytes are dropped.
 func (c *Conn) CloseNow(reason error) {
 	if c.closed {
 		return
 	}
 	c.closed = true
 	delete(c.loop.conns, c.fd)
-	delete(c.loop.retries, c)
+	delete(c.loop.unregistered, c)
 	c.handler.Closed(reason)
-	if c.have != nothing {
-		_ = c.loop.poller.Delete(c.fd) // the close takes it off as well
+	if c.registered != noEvents {
+		_ = c.loop.poller.Delete(c.fd) // closing the descriptor removes it as well
 	}
-	_ = unix.Close(c.fd) // after EINTR too, the descriptor is free
+	_ = unix.Close(c.fd) // the descriptor is released even if this fails with EINTR
 	c.fd = -1
 }
--- a/internal/netio/eventloop/errors.go
+++ b/internal/netio/eventloop/errors.go
@@ -8,9 +8,9 @@
 	"golang.org/x/sys/unix"
 )
 
-// Transient tells whether a system call has failed for a reason on this machine that passes by itself: want
-// of memory, buffers, descriptors or ports, an interruption, or a network that is away for a moment. It says
-// nothing of the peer. What else fails is final for the connection concerned.
+// Transient reports whether a system call has failed for a temporary reason on this machine: a shortage of
+// memory, buffers, descriptors or ports, an interruption, or a network that is unavailable for a moment. It
+// tells nothing about the peer. All other errors are final for the connection concerned.
 func Transient(err error) bool {
 	var number syscall.Errno
 	if !errors.As(err, &number) {
@@ -24,13 +24,15 @@
 	return false
 }
 
-// stalls tells whether a read or a write that failed may succeed on the same connection a little later.
-func stalls(err error) bool {
+// isMemoryShortage reports whether a read or a write failed because the system has no memory or buffers, so that
+// it may succeed on the same connection a little later.
+func isMemoryShortage(err error) bool {
 	return err == unix.ENOMEM || err == unix.ENOBUFS
 }
 
-// broken tells whether accept can never succeed again: the listener itself is at fault.
-func broken(err error) bool {
+// isListenerBroken reports whether accept failed with an error of the listener itself, so that it can never
+// succeed again.
+func isListenerBroken(err error) bool {
 	switch err {
 	case unix.EBADF, unix.EINVAL, unix.ENOTSOCK, unix.EFAULT, unix.ENOSYS:
 		return true
@@ -38,31 +40,31 @@
 	return false
 }
 
-// Counters counts the system calls that have failed and were borne.
+// Counters counts the system calls that have failed without ending the loop.
 type Counters struct {
-	Fails     map[string]int // by call and error, as "accept4.ENFILE"
-	WakeFails int            // writes that wake the loop
-	Retries   int            // registrations with the poller that were tried again
-	Stalls    int            // connections that were left alone for a moment
+	Fails     map[string]int // by call and error, such as "accept4.ENFILE"
+	WakeFails int            // failed writes to wake the loop
+	Retries   int            // retries of registrations with the poller
+	Stalls    int            // times that a connection was paused because the system had no memory or buffers
 }
 
-// maxNames bounds Counters.Fails; further names are counted as "other".
-const maxNames = 64
+// maxFailNames bounds the keys of Counters.Fails; further ones are counted as "other".
+const maxFailNames = 64
 
 func newCounters() Counters { return Counters{Fails: make(map[string]int)} }
 
-// count books a call that has failed.
-func (l *Loop) count(call string, err error) {
+// countFailure counts a system call that has failed, and logs the first failure of each call and error.
+func (l *Loop) countFailure(call string, err error) {
 	name := call
 	var number syscall.Errno
 	if errors.As(err, &number) {
 		name += "." + unix.ErrnoName(number)
 	}
-	if _, known := l.counters.Fails[name]; !known && len(l.counters.Fails) >= maxNames {
+	if _, known := l.counters.Fails[name]; !known && len(l.counters.Fails) >= maxFailNames {
 		name = "other"
 	}
 	l.counters.Fails[name]++
 	if l.counters.Fails[name] == 1 && l.opts.Log != nil {
-		l.opts.Log.Warn("a system call fails; it is tried again", "call", call, "err", os.NewSyscallError(call, err))
+		l.opts.Log.Warn("a system call failed; it is retried", "call", call, "err", os.NewSyscallError(call, err))
 	}
 }
--- a/internal/netio/eventloop/listener.go
+++ b/internal/netio/eventloop/listener.go
@@ -9,17 +9,18 @@
 	"golang.org/x/sys/unix"
 )
 
-// backlog is how many connections the system may hold that were not accepted yet; it cuts that to its own bound.
+// backlog is the maximum number of connections that wait to be accepted; the system reduces it to its own limit.
 const backlog = 4096
 
 // listener is a listening socket.
 type listener struct {
 	fd    int
 	addr  string
-	fails int // calls of accept in a row that have failed
+	fails int // failed calls of accept, in a row
 }
 
-// open binds the socket. Another process may still listen there: one that drains.
+// open binds the socket and listens. A draining process may still listen at the same address, so the port is
+// opened for reuse.
 func (s *listener) open(address string) error {
 	at, err := net.ResolveTCPAddr("tcp", address)
 	if err != nil {
@@ -76,47 +77,47 @@
 	case *unix.SockaddrInet6:
 		return (&net.TCPAddr{IP: at.Addr[:], Port: at.Port}).String(), nil
 	}
-	return "", fmt.Errorf("the listener's address is a %T, want one of IPv4 or IPv6", at)
+	return "", fmt.Errorf("listener address: found type %T, want an IPv4 or IPv6 address", at)
 }
 
-// accept takes one connection; the poller tells of further ones in its next round. Where accept fails for a
-// moment the listener rests: what waits there stays in the system's queue.
+// accept accepts one connection; the poller reports further ones in its next round. If accept fails for a
+// temporary reason, the listener is paused; waiting connections stay in the system's queue.
 func (l *Loop) accept() {
 	fd, _, err := unix.Accept4(l.listener.fd, unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC)
 	switch {
 	case err == nil:
 		if l.listener.fails > 0 {
-			l.opts.Log.Info("connections are accepted again", "fails", l.listener.fails)
+			l.opts.Log.Info("accepting connections again", "fails", l.listener.fails)
 			l.listener.fails = 0
 		}
-		l.register(fd, l.opts.Accepted())
+		l.addConn(fd, l.opts.Accepted())
 	case err == unix.EAGAIN:
 	case err == unix.EINTR, err == unix.ECONNABORTED:
-		l.count("accept4", err) // the next one in the queue can be taken at once
-	case broken(err):
-		l.opts.Log.Error("the listener is broken", "err", os.NewSyscallError("accept4", err))
+		l.countFailure("accept4", err) // the next connection in the queue can be accepted at once
+	case isListenerBroken(err):
+		l.opts.Log.Error("the listener has failed permanently", "err", os.NewSyscallError("accept4", err))
 		l.fail(os.NewSyscallError("accept4", err))
 	default:
-		l.count("accept4", err)
-		l.restListener()
+		l.countFailure("accept4", err)
+		l.pauseListener()
 	}
 }
 
-// restListener takes the listener off the poller for a while.
-func (l *Loop) restListener() {
+// pauseListener removes the listener from the poller for a short time.
+func (l *Loop) pauseListener() {
 	l.listener.fails++
 	if err := l.poller.Delete(l.listener.fd); err != nil {
-		l.count("epoll_ctl", err)
-		return // the poller tells of it again at once
+		l.countFailure("epoll_ctl", err)
+		return // still registered, so the poller reports the listener again at once
 	}
-	l.after(l.listener.fails, l.watchListener)
+	l.retryAfter(l.listener.fails, l.resumeListener)
 }
 
-func (l *Loop) watchListener() {
+func (l *Loop) resumeListener() {
 	err := l.poller.AddRead(&netpoll.PollAttachment{FD: l.listener.fd}, false)
 	if err != nil {
-		l.count("epoll_ctl", err)
+		l.countFailure("epoll_ctl", err)
 		l.counters.Retries++
-		l.after(l.listener.fails, l.watchListener)
+		l.retryAfter(l.listener.fails, l.resumeListener)
 	}
 }
--- a/internal/netio/eventloop/loop.go
+++ b/internal/netio/eventloop/loop.go
@@ -1,10 +1,10 @@
-// Package eventloop serves the sockets of a process on one goroutine. gnet's poller (netpoll) waits until
-// they are ready; this package accepts, reads, writes and wakes the loop itself.
+// Package eventloop serves the sockets of a process on one goroutine. gnet's poller (netpoll) waits until they
+// are ready; this package itself accepts connections, reads, writes and wakes the loop.
 //
 // gnet's own loop is not used: it ends when accept fails with most errors, closes a connection whose read or
 // write is interrupted or whose registration fails, and is never woken again once a write to its eventfd has
-// failed. Nothing of that can be made good by its caller. Here a call that fails for a moment is tried again,
-// and only what can't pass ends a connection or the loop: see errors.go.
+// failed. Its caller can't recover from any of that. In this package, system calls that fail temporarily are
+// retried, and only permanent errors end a connection or the loop: see errors.go.
 package eventloop
 
 import (
@@ -20,18 +20,19 @@
 	"golang.org/x/sys/unix"
 )
 
-// Handler is told what happens to one connection, on the loop.
+// Handler receives the events of one connection. Its methods are called on the loop's goroutine.
 type Handler interface {
 	// Opened is called once the connection is served.
 	Opened(*Conn)
-	// Traffic is called with bytes that have come. They hold until it returns.
+	// Traffic is called with received bytes, which are valid until it returns.
 	Traffic([]byte)
-	// Closed is called when the connection ends, by whichever side, with the reason; nil where it was closed
-	// here. It may be called within Conn.Write. The descriptor is closed once it returns.
+	// Closed is called when either side closes the connection. The error is the reason; it is nil if this
+	// process closed the connection without an error. Closed may be called within Conn.Write. The descriptor
+	// is closed once Closed returns.
 	Closed(error)
 }
 
-// Options is how a loop works.
+// Options configures a Loop.
 type Options struct {
 	Accepted func() Handler // returns the handler of a new connection
 	After    func()         // called after each event and each round of functions; may be nil
@@ -41,45 +42,45 @@
 
 // Times and bounds.
 const (
-	readBuffer     = 64 << 10
-	leastRetry     = time.Millisecond // before the first further try of what failed for a moment; twice as long each time
-	mostRetry      = 64 * time.Millisecond
-	interruptTries = 64 // tries in a row of a call that is interrupted
-	mostStalls     = 64 // failures in a row after which a connection is taken for broken: some 3 s
-	repollWait     = time.Millisecond
-	mostRepolls    = 1000 // failures of the wait in a row after which the loop ends
+	readBufferSize    = 64 << 10
+	minRetryWait      = time.Millisecond // before the first retry after a temporary failure; doubled each time
+	maxRetryWait      = 64 * time.Millisecond
+	maxInterruptTries = 64 // attempts in a row of a system call that is interrupted
+	maxPauses         = 64 // pauses in a row, which take about 3 s, after which a connection counts as broken
+	pollRetryWait     = time.Millisecond
+	maxPollFails      = 1000 // failures of the poller in a row after which the loop ends
 )
 
-// ErrEnded is why nothing is taken any more.
+// ErrEnded is returned by Execute and Enroll after the loop has ended.
 var ErrEnded = errors.New("the event loop has ended")
 
-// Loop serves a listener and connections. Its fields belong to its goroutine, but for those below mu.
+// Loop serves a listener and connections. The fields above mu may be used on its goroutine only.
 type Loop struct {
-	opts     Options
-	poller   *netpoll.Poller
-	wakeFD   int
-	listener listener
-	conns    map[int]*Conn
-	retries  map[*Conn]struct{} // whose registration is to be tried again
-	retrying bool               // a timer for that runs
-	buffer   []byte
-	random   *rand.Rand
-	stopped  bool
-	counters Counters
-	fault    error // why the loop has ended by itself
+	opts           Options
+	poller         *netpoll.Poller
+	wakeFD         int
+	listener       listener
+	conns          map[int]*Conn
+	unregistered   map[*Conn]struct{} // connections whose registration with the poller is to be retried
+	retryScheduled bool               // the timer of these retries runs
+	buffer         []byte
+	random         *rand.Rand
+	stopped        bool
+	counters       Counters
+	err            error // why the loop has ended without Stop
 
-	mu       sync.Mutex
-	tasks    []func()
-	signaled bool // the eventfd was written to, or will be
-	ended    bool
-	lost     int // writes to the eventfd that failed
+	mu        sync.Mutex
+	tasks     []func()
+	signaled  bool // the eventfd was written to, or will be
+	ended     bool
+	wakeFails int // failed writes to the eventfd
 }
 
-// Open makes a loop that listens at an address. Run serves.
+// Open returns a Loop that listens at an address. Run serves it.
 func Open(address string, o Options) (*Loop, error) {
 	l := &Loop{
-		opts: o, wakeFD: -1, conns: make(map[int]*Conn), retries: make(map[*Conn]struct{}),
-		buffer: make([]byte, readBuffer), random: rand.New(rand.NewPCG(o.Seed, 0)), counters: newCounters(),
+		opts: o, wakeFD: -1, conns: make(map[int]*Conn), unregistered: make(map[*Conn]struct{}),
+		buffer: make([]byte, readBufferSize), random: rand.New(rand.NewPCG(o.Seed, 0)), counters: newCounters(),
 	}
 	l.listener.fd = -1
 	if err := l.open(address); err != nil {
@@ -105,28 +106,28 @@
 	return l.poller.AddRead(&netpoll.PollAttachment{FD: l.listener.fd}, false)
 }
 
-// Addr is the address listened on.
+// Addr returns the address that the loop listens on.
 func (l *Loop) Addr() string { return l.listener.addr }
 
-// ListenerFd is the descriptor of the listener, for the loop's goroutine.
+// ListenerFd returns the descriptor of the listener. It may be called on the loop's goroutine only.
 func (l *Loop) ListenerFd() int { return l.listener.fd }
 
-// Counters counts what the loop had to bear. For the loop's goroutine.
+// Counters returns the counts of failed system calls. It may be called on the loop's goroutine only.
 func (l *Loop) Counters() Counters {
 	c := l.counters
 	c.Fails = maps.Clone(c.Fails)
 	l.mu.Lock()
-	c.WakeFails = l.lost
+	c.WakeFails = l.wakeFails
 	l.mu.Unlock()
 	return c
 }
 
-// Run serves until Stop, and returns why it could not go on; nil after Stop.
+// Run serves until Stop. It returns nil after Stop, or the error because of which the loop could not continue.
 func (l *Loop) Run() error {
 	for fails := 0; !l.stopped; {
-		told := false
+		handled := false
 		err := l.poller.Polling(func(fd int, events netpoll.IOEvent, _ netpoll.IOFlags) error {
-			told = true
+			handled = true
 			l.handle(fd, events)
 			if l.stopped {
 				return gneterrors.ErrEngineShutdown
@@ -136,37 +137,37 @@
 		if l.stopped {
 			break
 		}
-		if told {
+		if handled {
 			fails = 0
 		}
-		if fails++; fails > mostRepolls {
+		if fails++; fails > maxPollFails {
 			l.fail(err)
 			break
 		}
-		l.count("epoll_wait", err)
-		time.Sleep(repollWait)
+		l.countFailure("epoll_wait", err)
+		time.Sleep(pollRetryWait)
 	}
-	l.end()
-	return l.fault
+	l.shutdown()
+	return l.err
 }
 
-// Stop ends the loop once the event in hand has been dealt with. For the loop's goroutine.
+// Stop ends the loop once the current event has been handled. It may be called on the loop's goroutine only.
 func (l *Loop) Stop() { l.stopped = true }
 
-// fail ends the loop for an error that can't pass.
+// fail ends the loop because of a permanent error.
 func (l *Loop) fail(err error) {
-	l.fault = err
+	l.err = err
 	l.stopped = true
 }
 
-func (l *Loop) end() {
+func (l *Loop) shutdown() {
 	l.mu.Lock()
 	l.ended = true
 	tasks := l.tasks
 	l.tasks = nil
 	l.mu.Unlock()
 	for _, task := range tasks {
-		task() // a connection that was handed over may be among them
+		task() // tasks of Enroll add connections, which are closed below
 	}
 	for _, c := range l.conns {
 		c.CloseNow(nil)
@@ -196,7 +197,7 @@
 		l.accept()
 	default:
 		if c := l.conns[fd]; c != nil {
-			c.ready(events)
+			c.handleEvents(events)
 		}
 	}
 	if l.opts.After != nil && !l.stopped {
@@ -204,7 +205,8 @@
 	}
 }
 
-// Execute has f run on the loop. It may be called from any goroutine; the error is ErrEnded.
+// Execute runs f on the loop's goroutine, in a later round. It may be called from any goroutine. It returns
+// ErrEnded if the loop has ended.
 func (l *Loop) Execute(f func()) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -219,35 +221,35 @@
 	return nil
 }
 
-// signal wakes the loop. A write that fails is tried again until it succeeds: without it the loop would sleep
-// on. It is called with mu held.
+// signal wakes the loop. A failed write is retried until it succeeds, because the loop would not wake without
+// it. The caller holds mu.
 func (l *Loop) signal() {
-	one := [8]byte{1} // the system's byte order does not matter: anything but 0 wakes
-	for range interruptTries {
+	one := [8]byte{1} // the byte order does not matter: any value but 0 wakes the loop
+	for range maxInterruptTries {
 		if l.wakeFD < 0 {
 			return
 		}
 		_, err := unix.Write(l.wakeFD, one[:])
-		if err == nil || err == unix.EAGAIN { // EAGAIN: its counter is full, so it is readable
+		if err == nil || err == unix.EAGAIN { // EAGAIN: the eventfd's counter is full, so it is readable
 			return
 		}
-		l.lost++
+		l.wakeFails++
 		if err != unix.EINTR {
 			break
 		}
 	}
-	time.AfterFunc(leastRetry, func() {
+	time.AfterFunc(minRetryWait, func() {
 		l.mu.Lock()
 		defer l.mu.Unlock()
 		l.signal()
 	})
 }
 
-// runTasks runs what Execute was given.
+// runTasks runs the functions that were passed to Execute.
 func (l *Loop) runTasks() {
 	var count [8]byte
 	if _, err := unix.Read(l.wakeFD, count[:]); err != nil && err != unix.EAGAIN {
-		l.count("eventfd", err) // it stays readable, so that the loop comes here again
+		l.countFailure("eventfd", err) // the eventfd stays readable, so the loop runs this again
 	}
 	l.mu.Lock()
 	tasks := l.tasks
@@ -258,9 +260,9 @@
 	}
 }
 
-// after runs f on the loop after a wait for a further try: twice as long for each try before, with jitter.
-func (l *Loop) after(tries int, f func()) {
-	wait := min(leastRetry<<min(tries, 10), mostRetry)
+// retryAfter runs f on the loop after a wait that doubles with the number of failures, with jitter.
+func (l *Loop) retryAfter(fails int, f func()) {
+	wait := min(minRetryWait<<min(fails, 10), maxRetryWait)
 	wait = wait/2 + time.Duration(l.random.Int64N(int64(wait)))
 	time.AfterFunc(wait, func() { _ = l.Execute(f) })
 }
--- a/internal/netio/eventloop/loop_test.go
+++ b/internal/netio/eventloop/loop_test.go
@@ -17,7 +17,7 @@
 	"eiderwinch/internal/trial/testpeer"
 )
 
-// echo sends back what comes.
+// echo is a Handler that sends back the bytes it receives.
 type echo struct {
 	conn   *Conn
 	ended  chan error
@@ -33,7 +33,8 @@
 func (e *echo) Traffic(b []byte)    { _ = e.conn.Write(b) }
 func (e *echo) Closed(reason error) { e.ended <- reason }
 
-// serve runs a loop whose connections echo, and returns it with where connections tell of their ends.
+// serve runs a loop whose connections echo. It returns the loop, the channel of the reasons with which its
+// connections are closed, and the channel of Run's result.
 func serve(t *testing.T) (l *Loop, ended chan error, done chan error) {
 	t.Helper()
 	ended, done = make(chan error, 16), make(chan error, 1)
@@ -56,10 +57,10 @@
 	return c
 }
 
-func TestALoopServesUntilItIsStopped(t *testing.T) {
+func TestLoopServesUntilStopped(t *testing.T) {
 	l, ended, done := serve(t)
 	c := dial(t, l)
-	sent := bytes.Repeat([]byte("0123456789abcdef"), 1<<16) // more than the system holds: it waits in the connection
+	sent := bytes.Repeat([]byte("0123456789abcdef"), 1<<16) // more than the system buffers: the rest waits in the Conn
 	go func() { _, _ = c.Write(sent) }()
 	got := make([]byte, len(sent))
 	for n := 0; n < len(got); {
@@ -70,7 +71,7 @@
 		n += k
 	}
 	if !bytes.Equal(sent, got) {
-		t.Error("other bytes have come back")
+		t.Error("the echoed bytes differ from those sent")
 	}
 	if err := l.Execute(l.Stop); err != nil {
 		t.Error(err)
@@ -79,14 +80,15 @@
 		t.Error(err)
 	}
 	if err := testpeer.Get(t, ended, "the connection's end"); err != nil {
-		t.Errorf("closed for %v", err)
+		t.Errorf("connection closed with reason %v, want nil", err)
 	}
-	if err := l.Execute(func() { t.Error("run after the end") }); !errors.Is(err, ErrEnded) {
+	if err := l.Execute(func() { t.Error("function run after the loop has ended") }); !errors.Is(err, ErrEnded) {
 		t.Errorf("Execute after the end: %v", err)
 	}
 }
 
-func TestWhatIsEnrolledAfterTheEndIsClosed(t *testing.T) {
+// A connection that is enrolled after the loop has ended must be closed: otherwise its descriptor leaks.
+func TestConnEnrolledAfterLoopEndIsClosed(t *testing.T) {
 	l, _, done := serve(t)
 	peer, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -108,12 +110,12 @@
 	}
 	_ = far.SetDeadline(time.Now().Add(testpeer.Patience))
 	if n, err := far.Read(make([]byte, 1)); n != 0 || errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Errorf("the other side reads %d, %v", n, err)
+		t.Errorf("the peer read %d bytes, error %v, want a closed connection", n, err)
 	}
 }
 
-// What a muted connection holds never leaves.
-func TestAMutedConnectionWritesNothing(t *testing.T) {
+// Bytes that are buffered in a muted connection are never sent.
+func TestMutedConnWritesNothing(t *testing.T) {
 	l, ended, _ := serve(t)
 	peer, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -134,24 +136,24 @@
 		t.Fatal(err)
 	}
 	own := testpeer.Get(t, h.opened, "the connection")
-	held := make(chan int, 1)
+	buffered := make(chan int, 1)
 	_ = l.Execute(func() {
 		own.Mute()
 		_ = own.Write([]byte("held"))
-		held <- own.Buffered()
+		buffered <- own.Buffered()
 		own.Close()
 	})
-	if n := testpeer.Get(t, held, "what is held"); n != len("held") {
-		t.Errorf("%d bytes held", n)
+	if n := testpeer.Get(t, buffered, "the number of buffered bytes"); n != len("held") {
+		t.Errorf("%d bytes buffered", n)
 	}
 	_ = far.SetDeadline(time.Now().Add(testpeer.Patience))
 	if n, _ := far.Read(make([]byte, 8)); n != 0 {
-		t.Errorf("%d bytes have left", n)
+		t.Errorf("%d bytes were sent", n)
 	}
 	_ = l.Execute(l.Stop)
 }
 
-func TestWhichErrorsPass(t *testing.T) {
+func TestTransientErrors(t *testing.T) {
 	for err, want := range map[syscall.Errno]bool{
 		unix.EINTR: true, unix.ENFILE: true, unix.EMFILE: true, unix.ENOBUFS: true, unix.ENOMEM: true,
 		unix.EADDRNOTAVAIL: true, unix.ENETUNREACH: true,
@@ -162,26 +164,27 @@
 		}
 	}
 	for _, err := range [...]error{unix.EMFILE, unix.ENFILE, unix.EPROTO, unix.ENETDOWN, unix.EPERM, unix.EOPNOTSUPP} {
-		if broken(err) {
-			t.Errorf("accept: %v ends the loop", err)
+		if isListenerBroken(err) {
+			t.Errorf("accept: %v is taken for an error that ends the loop", err)
 		}
 	}
-	if Transient(errors.New("malformed")) || !broken(unix.EBADF) {
-		t.Error("what can't pass is taken to pass")
+	if Transient(errors.New("malformed")) || !isListenerBroken(unix.EBADF) {
+		t.Error("a permanent error is taken for a temporary one")
 	}
 }
 
-func TestCountersOfFailuresAreBounded(t *testing.T) {
+// Neither the failure counters nor the log may grow without bound, whatever calls fail.
+func TestFailureCountersAreBounded(t *testing.T) {
 	var log bytes.Buffer
 	l := &Loop{counters: newCounters(), opts: Options{Log: slog.New(slog.NewTextHandler(&log, nil))}}
-	for i := range 3 * maxNames {
-		l.count(fmt.Sprintf("call%d", i), unix.EIO)
+	for i := range 3 * maxFailNames {
+		l.countFailure(fmt.Sprintf("call%d", i), unix.EIO)
 	}
-	l.count("call0", unix.EIO)
-	if n := len(l.counters.Fails); n > maxNames+1 || l.counters.Fails["call0.EIO"] != 2 {
-		t.Errorf("%d names, %d", n, l.counters.Fails["call0.EIO"])
+	l.countFailure("call0", unix.EIO)
+	if n := len(l.counters.Fails); n > maxFailNames+1 || l.counters.Fails["call0.EIO"] != 2 {
+		t.Errorf("%d names; call0.EIO counted %d times", n, l.counters.Fails["call0.EIO"])
 	}
-	if lines := strings.Count(log.String(), "\n"); lines > maxNames+1 {
-		t.Errorf("%d lines of log", lines)
+	if lines := strings.Count(log.String(), "\n"); lines > maxFailNames+1 {
+		t.Errorf("%d lines logged", lines)
 	}
 }
