--- a/internal/follow/follow.go
+++ b/internal/follow/follow.go
@@ -1,15 +1,17 @@
-// Package follow decides when discovery is asked for the list of searchers, which of the
-// asks counts, and what of the list may be believed. It does no I/O and reads no clock;
-// what belongs to one gatherer belongs to one goroutine.
+// Package follow decides when a gatherer requests the member list from discovery, which
+// of its requests is used, and which entries of a list are believed. It does no I/O and
+// reads no clock, and its types are not safe for concurrent use.
 //
-// News of a searcher that leaves counts as told while no watch is open, too: what an agent
-// on the gatherer's own machine has counts at once, and nothing may be sent there after
-// Settings.Grace. So a Follower that has lost its watch asks again within a part of that
-// grace, and does not wait until an ask has failed: asks that hang stay open beside the
-// next ones, and the first that brings something counts.
+// A gatherer counts as notified that a searcher leaves even while it has no watch open: if
+// the list comes from an agent on the gatherer's own machine, from the moment at which the
+// agent has the update. Settings.Grace later nothing may be sent to the searcher any more.
+// So a Follower that has lost its watch sends the next request within a fraction of that
+// grace, and does not wait until a request has failed: requests that hang stay open beside
+// the next ones, and the first one that receives an update is used.
 //
-// Where lists are asked of one service by all gatherers (not Settings.Pushed), asks cost
-// that service work, and news counts later. There waits grow, see package backoff.
+// If all gatherers request the list from one shared service (Settings.Pushed is false),
+// each request costs that service work, and the gatherer counts as notified later. In that
+// case the waits grow, see package backoff.
 package follow
 
 import (
@@ -21,202 +23,213 @@
 )
 
 const (
-	// silence is how long a watch may bring nothing: an empty line comes every 2 s. What a
-	// silent one misses counts as told 6 s after it fell silent.
-	silence = 2500 * time.Millisecond
-
-	// Asks to an agent follow each other after a fifth to two fifths of the grace: the rest
-	// of it is for the dial, the answer and a loop that is busy.
-	paceShare   = 5
-	paceLongest = 200 * time.Millisecond
-
-	mostAsks = 5 // that may be open at once; the oldest is given up for the next
-
-	// A shared service fails calls that have waited for their turn for callWait; an ask there
-	// is given up a second later.
-	callWait  = 2 * time.Second
-	shareLife = callWait + time.Second
-	// silentCounts is when what a silent watch has missed counts as told, and how late what
-	// discovery has to tell counts as told at the latest: so long after it could be reached,
-	// whatever became of the calls before.
-	silentCounts = 6 * time.Second
-	// The next call may wait so long after one that was refused or has ended, and after one that
-	// was given up: it may then take its whole callWait, and the rest is for the way and the loop.
-	refusedWait = silentCounts - callWait - spareTime
-	givenUpWait = refusedWait - shareLife
-	spareTime   = 500 * time.Millisecond
+	// silenceTimeout is the time without any data after which a watch counts as silent:
+	// discovery sends an empty line every 2 s. The gatherer counts as notified of an update
+	// that a silent watch misses 6 s after the watch fell silent.
+	silenceTimeout = 2500 * time.Millisecond
+
+	// Requests to an agent follow each other after a fifth to two fifths of the grace, and at
+	// most maxAgentInterval. The rest of the grace is for dialing, the answer and a busy event
+	// loop.
+	agentIntervalShare = 5
+	maxAgentInterval   = 200 * time.Millisecond
+
+	maxOpenRequests = 5 // the oldest request is given up for a further one
+
+	// A shared service fails calls that have waited in its queue for queueTimeout; a request to
+	// it is given up a second later.
+	queueTimeout         = 2 * time.Second
+	sharedRequestTimeout = queueTimeout + time.Second
+	// silentNotifyDelay is the time from when a watch fell silent until the gatherer counts as
+	// notified of an update that the watch has missed. It is also the time from when discovery
+	// could be reached until the gatherer counts as notified of all that discovery knows, whatever
+	// became of the calls before.
+	silentNotifyDelay = 6 * time.Second
+	// Maximum waits for the next call after one that was refused or has ended, and after one that
+	// was given up. The next call may then take its whole queueTimeout; waitReserve is for the
+	// network and the event loop.
+	maxWaitAfterRefusal = silentNotifyDelay - queueTimeout - waitReserve
+	maxWaitAfterGivenUp = maxWaitAfterRefusal - sharedRequestTimeout
+	waitReserve         = 500 * time.Millisecond
 )
 
-// Settings are what a Follower keeps to.
+// Settings configure a Follower.
 type Settings struct {
-	Pushed  bool          // an agent on this machine has the list, and answers at no cost
-	Grace   time.Duration // after the news that a searcher leaves, until which it may be sent something
-	Within  time.Duration // not Pushed: the longest time to go without a watch; 0 means that none is named
-	Clients int           // gatherers of the fleet
+	Pushed  bool          // an agent on this machine has the list, and requests to it cost nothing
+	Grace   time.Duration // how long a searcher may be sent something after the notification that it leaves
+	Within  time.Duration // not Pushed: the maximum time without a watch; 0 means that none is set
+	Clients int           // gatherers in the fleet
 	Seed    uint64
 }
 
-// Ask names one connection to discovery.
+// Ask identifies one request to discovery, which has a connection of its own.
 type Ask uint64
 
-// ask is one that is open.
-type ask struct {
-	id     Ask
-	opened time.Time
-	heard  time.Time // when it last showed that it is alive; zero while it has not
+// request is an open request.
+type request struct {
+	id           Ask
+	opened       time.Time
+	lastReceived time.Time // when it last showed that it is alive; zero if it has not yet
 }
 
-// Follower follows discovery at one address.
+// Follower decides when the member list is requested from discovery at one address.
 type Follower struct {
-	set  Settings
-	rng  *rand.Rand
-	wait *backoff.Backoff
-	asks []ask // by age
-	last Ask
-	next time.Time // when to ask again, where no watch is alive
-	lost time.Time // since when none is; zero while one is
+	settings    Settings
+	rng         *rand.Rand
+	backoff     *backoff.Backoff
+	requests    []request // oldest first
+	lastID      Ask
+	nextRequest time.Time // when to send the next request, if no watch is alive
+	lostSince   time.Time // since when no watch is alive; zero while one is
 }
 
-// New returns a Follower that wants to ask at once. Its times come from the seed alone.
-func New(set Settings, now time.Time) *Follower {
+// New returns a Follower that sends its first request at once. Its random waits are
+// determined by the seed.
+func New(settings Settings, now time.Time) *Follower {
 	return &Follower{
-		set: set, rng: rand.New(rand.NewPCG(set.Seed, 0x666f6c6c)), wait: backoff.New(set.Seed, set.Clients),
-		next: now, lost: now,
+		settings: settings, rng: rand.New(rand.NewPCG(settings.Seed, 0x666f6c6c)),
+		backoff:     backoff.New(settings.Seed, settings.Clients),
+		nextRequest: now, lostSince: now,
 	}
 }
 
-// alive tells that a watch is open that has not fallen silent.
-func (f *Follower) alive(now time.Time) bool {
-	return slices.ContainsFunc(f.asks, func(a ask) bool { return !a.heard.IsZero() && now.Sub(a.heard) < silence })
+// hasLiveWatch reports whether a watch is open that has not fallen silent.
+func (f *Follower) hasLiveWatch(now time.Time) bool {
+	return slices.ContainsFunc(f.requests, func(r request) bool {
+		return !r.lastReceived.IsZero() && now.Sub(r.lastReceived) < silenceTimeout
+	})
 }
 
-// until is when an ask is given up, if it stays as it is. A watch that has fallen silent
-// is kept for a while: it may speak again before another is up.
-func (f *Follower) until(a ask) time.Time {
+// expires returns when a request is given up if nothing more is received on it. A watch
+// that has fallen silent is kept for a while, because it may receive something again before
+// another one is established.
+func (f *Follower) expires(r request) time.Time {
 	switch {
-	case !a.heard.IsZero():
-		return a.heard.Add(2 * silence)
-	case f.set.Pushed:
-		return a.opened.Add(silence)
+	case !r.lastReceived.IsZero():
+		return r.lastReceived.Add(2 * silenceTimeout)
+	case f.settings.Pushed:
+		return r.opened.Add(silenceTimeout)
 	}
-	return a.opened.Add(shareLife)
+	return r.opened.Add(sharedRequestTimeout)
 }
 
-// Due is when Run is wanted next.
+// Due returns when Run is to be called next.
 func (f *Follower) Due() time.Time {
-	due := f.next
-	if f.lost.IsZero() { // the watch heard last falls silent
+	due := f.nextRequest
+	if f.lostSince.IsZero() { // due when the watch that received something last falls silent
 		due = time.Time{}
-		for _, a := range f.asks {
-			if t := a.heard.Add(silence); t.After(due) {
+		for _, r := range f.requests {
+			if t := r.lastReceived.Add(silenceTimeout); t.After(due) {
 				due = t
 			}
 		}
 	}
-	for _, a := range f.asks {
-		if t := f.until(a); t.Before(due) {
+	for _, r := range f.requests {
+		if t := f.expires(r); t.Before(due) {
 			due = t
 		}
 	}
 	return due
 }
 
-// Run says what is to be done: which asks are to be closed and, where another is to be
-// opened, its name. That one is open from now on, until Lost or a later Run says otherwise.
+// Run returns the requests that the caller closes and, if it is to send a further one, the
+// id of that; 0 if not. The new request counts as open until Lost or a later Run ends it.
 func (f *Follower) Run(now time.Time) (open Ask, drop []Ask) {
-	f.asks = slices.DeleteFunc(f.asks, func(a ask) bool {
-		over := !now.Before(f.until(a))
-		if over {
-			drop = append(drop, a.id)
+	f.requests = slices.DeleteFunc(f.requests, func(r request) bool {
+		expired := !now.Before(f.expires(r))
+		if expired {
+			drop = append(drop, r.id)
 		}
-		return over
+		return expired
 	})
-	if f.alive(now) {
+	if f.hasLiveWatch(now) {
 		return 0, drop
 	}
-	if f.lost.IsZero() {
-		f.lost = now
-		if !f.set.Pushed {
-			f.next = now.Add(f.wait.NextWithin(silentCounts - silence - callWait))
+	if f.lostSince.IsZero() {
+		f.lostSince = now
+		if !f.settings.Pushed {
+			f.nextRequest = now.Add(f.backoff.NextWithin(silentNotifyDelay - silenceTimeout - queueTimeout))
 		}
 	}
-	if now.Before(f.next) {
+	if now.Before(f.nextRequest) {
 		return 0, drop
 	}
-	if len(f.asks) >= mostAsks {
-		drop = append(drop, f.asks[0].id)
-		f.asks = slices.Delete(f.asks, 0, 1)
+	if len(f.requests) >= maxOpenRequests {
+		drop = append(drop, f.requests[0].id)
+		f.requests = slices.Delete(f.requests, 0, 1)
 	}
-	f.last++
-	f.asks = append(f.asks, ask{id: f.last, opened: now})
-	f.next = now.Add(f.pace())
-	return f.last, drop
+	f.lastID++
+	f.requests = append(f.requests, request{id: f.lastID, opened: now})
+	f.nextRequest = now.Add(f.requestInterval())
+	return f.lastID, drop
 }
 
-// pace is how long after one ask the next may follow.
-func (f *Follower) pace() time.Duration {
-	if !f.set.Pushed {
-		return shareLife + f.wait.NextWithin(givenUpWait)
+// requestInterval returns how long after a request the next one may follow.
+func (f *Follower) requestInterval() time.Duration {
+	if !f.settings.Pushed {
+		return sharedRequestTimeout + f.backoff.NextWithin(maxWaitAfterGivenUp)
 	}
-	most := min(max(2*f.set.Grace/paceShare, time.Millisecond), paceLongest)
-	return most/2 + time.Duration(f.rng.Int64N(int64(most/2)+1))
+	longest := min(max(2*f.settings.Grace/agentIntervalShare, time.Millisecond), maxAgentInterval)
+	return longest/2 + time.Duration(f.rng.Int64N(int64(longest/2)+1))
 }
 
-// Heard tells that an ask has shown that it is alive. No further one is opened then; those
-// that are stay, until one brings more.
+// Heard records that a request has shown that it is alive. No further one is opened then;
+// those that are open stay so until one receives more.
 func (f *Follower) Heard(id Ask, now time.Time) {
-	if i := f.find(id); i >= 0 {
-		f.asks[i].heard = now
-		f.lost = time.Time{}
+	if i := f.index(id); i >= 0 {
+		f.requests[i].lastReceived = now
+		f.lostSince = time.Time{}
 	}
 }
 
-// Brought tells that an ask has brought news, or the empty line that says there is none. It
-// is followed from then on; it returns all others, which are to be closed.
+// Brought records that a request has received an update, or the empty line that says that
+// there is none. That request is the watch from then on. Brought returns all others, which
+// the caller closes.
 func (f *Follower) Brought(id Ask, now time.Time) (drop []Ask) {
-	i := f.find(id)
+	i := f.index(id)
 	if i < 0 {
 		return nil
 	}
 	f.Heard(id, now)
-	a := f.asks[i]
-	for _, other := range f.asks {
+	r := f.requests[i]
+	for _, other := range f.requests {
 		if other.id != id {
 			drop = append(drop, other.id)
 		}
 	}
-	f.asks = append(f.asks[:0], a)
-	f.wait.Reset()
+	f.requests = append(f.requests[:0], r)
+	f.backoff.Reset()
 	return drop
 }
 
-// Lost tells that an ask could not be opened, or has ended.
+// Lost records that a request could not be opened or has ended.
 func (f *Follower) Lost(id Ask, now time.Time) {
-	i := f.find(id)
+	i := f.index(id)
 	if i < 0 {
 		return
 	}
-	alive := !f.asks[i].heard.IsZero()
-	f.asks = slices.Delete(f.asks, i, i+1)
-	if alive && f.lost.IsZero() && !f.alive(now) {
-		f.lost = now
-		if !f.set.Pushed {
-			f.next = now.Add(f.wait.NextWithin(f.within()))
+	alive := !f.requests[i].lastReceived.IsZero()
+	f.requests = slices.Delete(f.requests, i, i+1)
+	if alive && f.lostSince.IsZero() && !f.hasLiveWatch(now) {
+		f.lostSince = now
+		if !f.settings.Pushed {
+			f.nextRequest = now.Add(f.backoff.NextWithin(f.maxWait()))
 		}
 	}
-	if !f.set.Pushed && len(f.asks) == 0 && !alive {
-		f.next = now.Add(f.wait.NextWithin(f.within())) // the service has answered that it can't, or can't be reached
+	if !f.settings.Pushed && len(f.requests) == 0 && !alive {
+		f.nextRequest = now.Add(f.backoff.NextWithin(f.maxWait())) // the service has refused the call, or can't be reached
 	}
 }
 
-// within is how long the next call to a shared service may wait after one that has ended.
-func (f *Follower) within() time.Duration {
-	if f.set.Within > 0 {
-		return min(f.set.Within/2, refusedWait)
+// maxWait returns the maximum wait for the next call to a shared service after one that
+// has ended.
+func (f *Follower) maxWait() time.Duration {
+	if f.settings.Within > 0 {
+		return min(f.settings.Within/2, maxWaitAfterRefusal)
 	}
-	return refusedWait
+	return maxWaitAfterRefusal
 }
 
-func (f *Follower) find(id Ask) int {
-	return slices.IndexFunc(f.asks, func(a ask) bool { return a.id == id })
+func (f *Follower) index(id Ask) int {
+	return slices.IndexFunc(f.requests, func(r request) bool { return r.id == id })
 }
--- a/internal/follow/roster.go
+++ b/internal/follow/roster.go
@@ -8,57 +8,62 @@
 	"eiderwinch/internal/format/catalog"
 )
 
-// doubt is how long a searcher that was told to leave stays so where a list that may be
-// older says otherwise: what one still says when all news counts is no old news.
-const doubt = silentCounts
+// maxListAge is how far a list may lag behind. A searcher that was reported as leaving is
+// considered leaving for this long, even if a list that may be older says otherwise. After
+// that time the gatherer counts as notified of every update, so a list that still says
+// otherwise is not outdated.
+const maxListAge = silentNotifyDelay
 
-// leaving is a searcher that was told to leave.
+// leaving is a searcher that was reported as leaving.
 type leaving struct {
-	started  int64 // its start, Unix ms
-	told     time.Time
-	source   string // the address that said so
+	started  int64     // its start, Unix ms
+	notified time.Time // when it was first reported as leaving
+	source   string    // the discovery address that reported it
 	revision int64
-	doubted  *catalog.Member // what a list said that was not believed
+	rejected *catalog.Member // the entry of a later list that was not believed; nil if none
 }
 
-// serving is a searcher that was told to be ready.
+// serving is a searcher that was reported as ready.
 type serving struct {
 	catalog.Member
-	source   string // the address that said so
+	source   string // the discovery address that reported it
 	revision int64
 }
 
-// Roster keeps which searchers were told to leave, so that no older list has them back:
-// one of another address, whose revisions do not compare, or one whose revision is lower
-// than that of the news. Such a list is believed once it can't be old any more.
+// Roster keeps which searchers were reported as leaving, so that an older list does not
+// make them ready again. A list may be older if it comes from another discovery address,
+// because revisions of different addresses can't be compared, or if its revision is not
+// higher than that of the update. Such a list is believed once it can't be outdated any more.
 //
-// Who is left out of a whole list has left as surely as who is told to leave.
+// A searcher that a complete list omits counts as leaving too.
 //
-// It also keeps which process of a searcher is the latest: a list that knows of an earlier start alone is
-// older, and its address may be that of the process before. A start that was told stays told.
+// Roster also keeps the latest start of each searcher. A list with an earlier start is
+// older, and its network address may be that of the previous process, so an earlier start
+// does not replace a later one, unless the same discovery address reports it with a higher
+// revision.
 type Roster struct {
-	leaving map[string]*leaving
-	serving map[string]serving // by id
-	Doubted int                // members of lists that were not believed
+	leaving map[string]*leaving // by id
+	serving map[string]serving  // by id
+	Doubted int                 // entries of lists that were not believed
 }
 
-// Take takes in a list, or changes to one, and returns its members as they are to be
-// believed. Nothing in it is changed in place.
+// Take applies a list, or changes to one, and returns its members with the entries that
+// are not believed corrected. It does not modify u.
 func (r *Roster) Take(now time.Time, source string, u catalog.Update) []catalog.Member {
 	if r.leaving == nil {
 		r.leaving, r.serving = make(map[string]*leaving), make(map[string]serving)
 	}
-	if u.Complete && len(u.Members) > 0 { // an empty one is no list, see gatherer.Core.List
-		r.omitted(now, source, u)
+	if u.Complete && len(u.Members) > 0 { // an empty list is ignored, see gatherer.Core.List
+		r.recordOmitted(now, source, u)
 	}
 	out := slices.Clone(u.Members)
 	for i, m := range out {
 		old := r.leaving[m.ID]
 		switch {
 		case m.Phase != catalog.Ready:
-			l := &leaving{started: m.UpSinceMS, told: now, source: source, revision: u.Revision}
+			l := &leaving{started: m.UpSinceMS, notified: now, source: source, revision: u.Revision}
 			if old != nil && old.started == m.UpSinceMS {
-				l.told = old.told
+				l.notified = old.notified
 			}
 			r.leaving[m.ID] = l
 			delete(r.serving, m.ID)
@@ -69,48 +74,50 @@
 				break
 			}
 			r.serving[m.ID] = serving{m, source, u.Revision}
-		case m.UpSinceMS > old.started, source == old.source && u.Revision > old.revision, now.Sub(old.told) >= doubt:
+		case m.UpSinceMS > old.started, source == old.source && u.Revision > old.revision, now.Sub(old.notified) >= maxListAge:
 			delete(r.leaving, m.ID)
 			r.serving[m.ID] = serving{m, source, u.Revision}
 		default:
 			r.Doubted++
-			held := m
-			old.doubted = &held
+			entry := m
+			old.rejected = &entry
 			out[i].Phase = catalog.Terminating
 		}
 	}
 	return out
 }
 
-// omitted books those as leaving that were ready and that a whole list leaves out.
-func (r *Roster) omitted(now time.Time, source string, u catalog.Update) {
-	named := make(map[string]bool, len(u.Members))
+// recordOmitted records as leaving the searchers that were ready and that a complete list
+// omits.
+func (r *Roster) recordOmitted(now time.Time, source string, u catalog.Update) {
+	listed := make(map[string]bool, len(u.Members))
 	for _, m := range u.Members {
-		named[m.ID] = true
+		listed[m.ID] = true
 	}
 	for id, s := range r.serving {
-		if !named[id] {
-			r.leaving[id] = &leaving{started: s.UpSinceMS, told: now, source: source, revision: u.Revision}
+		if !listed[id] {
+			r.leaving[id] = &leaving{started: s.UpSinceMS, notified: now, source: source, revision: u.Revision}
 			delete(r.serving, id)
 		}
 	}
 }
 
-// Review returns the searchers that a list had back, which was not believed, and is now,
-// and forgets those that left too long ago for any list to be in doubt. spoke is when the
-// address in use said something last: one that is silent learns nothing, so what it said
-// stays as old as it was.
-func (r *Roster) Review(spoke time.Time) (back []catalog.Member) {
+// Review returns the searchers that a list reported as ready again, if that list was not
+// believed before and is now. It forgets the searchers that left so long ago that no list
+// about them can be outdated. lastReceived is when the discovery address in use last sent
+// anything: a silent address may have learned nothing since, so the time of its silence does
+// not make its lists more credible.
+func (r *Roster) Review(lastReceived time.Time) (reinstated []catalog.Member) {
 	for id, l := range r.leaving {
-		if spoke.Sub(l.told) < doubt {
+		if lastReceived.Sub(l.notified) < maxListAge {
 			continue
 		}
-		if l.doubted != nil {
-			back = append(back, *l.doubted)
-			r.serving[id] = serving{*l.doubted, l.source, l.revision}
+		if l.rejected != nil {
+			reinstated = append(reinstated, *l.rejected)
+			r.serving[id] = serving{*l.rejected, l.source, l.revision}
 		}
 		delete(r.leaving, id)
 	}
-	slices.SortFunc(back, func(a, b catalog.Member) int { return cmp.Compare(a.ID, b.ID) })
-	return back
+	slices.SortFunc(reinstated, func(a, b catalog.Member) int { return cmp.Compare(a.ID, b.ID) })
+	return reinstated
 }
