--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -1,5 +1,5 @@
-// Package daemon puts a gatherer together as its configuration says, for every
-// command and test that runs one.
+// Package daemon builds a gatherer from its configuration, for all commands and
+// tests that run one.
 package daemon
 
 import (
@@ -18,16 +18,16 @@
 	"eiderwinch/internal/stats"
 )
 
-// Options are what a gatherer does beside its configuration.
+// Options configure a gatherer beyond its configuration file.
 type Options struct {
-	Layout *layout.Layout // nil: the platform's cells say who holds what
-	Live   *netio.Live    // the settings that can change; nil: as the configuration says
-	Record bool           // how queries fare is recorded, for its admin socket
-	Share  time.Time      // nothing of the fleet's limits may be used until then; zero: the own part from the start
-	Report time.Duration  // the counters are logged so often; 0 means on request only
+	Layout *layout.Layout // nil: the platform's cells determine which searchers hold which shards
+	Live   *netio.Live    // the settings that can change while the gatherer runs; nil: those of the configuration
+	Record bool           // record the results of queries, for the admin socket
+	Share  time.Time      // until when no slots of the fleet's limits may be used; zero: the gatherer's own share may be used from the start
+	Report time.Duration  // interval at which the counters are logged; 0 means only on request
 }
 
-// New returns a gatherer that is to be started with its Run.
+// New returns a gatherer, which is started with its Run method.
 func New(cfg *config.Config, o Options, counters *stats.Counters, log *slog.Logger) *netio.Node {
 	limits := cfg.Settings.Limits
 	var recorder *service.Recorder
@@ -53,7 +53,8 @@
 	}, eiderwinch.New(cfg.Settings.Module), counters, log)
 }
 
-// Live is what a candidate tells a running gatherer, as a generation.
+// Live returns the settings that a running gatherer takes from a candidate, as the
+// given generation.
 func Live(c *bundle.Candidate, gen change.Generation) netio.Live {
 	limits, own := c.Config.Settings.Limits, c.File.Live
 	core := &gatherer.Live{Generation: uint64(gen), MaxOpen: cmp.Or(own.Admission.Open, limits.MaxOpen)}
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -13,9 +13,9 @@
 	"eiderwinch/internal/trial/testpeer"
 )
 
-// A deployment is its settings: nothing in the program knows a class, a tenant or a figure of one. Each row turns
-// one of them to where it hurts, and says what a client then sees.
-func TestWhateverTheSettingsSay(t *testing.T) {
+// Classes, tenants and limits come from the settings only: the program must not assume any of them. Each case sets
+// one of them to a value that changes what the gatherer does, and states what a client then receives.
+func TestSettingsDetermineAnswers(t *testing.T) {
 	const base = `{"membership_mode":"pushed","balancers":1,"domain":{"places":1,"in_a_row":1,"shards":4,"per_call":4},
 		"classes":[{"name":"one","aim":60000000000,"deadline":60000000000,"effect":"safe","worth":1},
 		           {"name":"two","aim":60000000000,"deadline":60000000000,"effect":"safe","worth":1}],
@@ -23,12 +23,12 @@
 	replace := func(pairs ...string) string {
 		text := strings.NewReplacer(pairs...).Replace(base)
 		if text == base && len(pairs) > 0 {
-			t.Fatalf("%q changes nothing", pairs)
+			t.Fatalf("%q does not change the settings", pairs)
 		}
 		return text
 	}
 	const effect = `"name":"two","aim":60000000000,"deadline":60000000000,"effect":"safe"`
-	as := func(effect string) string {
+	withEffect := func(effect string) string {
 		return `"name":"two","aim":60000000000,"deadline":60000000000,"repeat_window":60000000000,"effect":"` + effect + `"`
 	}
 	serve := func(s *testpeer.Searcher, parts int) {
@@ -54,41 +54,41 @@
 		parts    int
 		do       func(*testpeer.Searcher)
 		status   int
-		whole    string // in the body
+		want     string // in the body
 	}{
-		"as they are":                    {base, "two", time.Minute, 2, served(2), 200, `"full":true`},
+		"the base settings":              {base, "two", time.Minute, 2, served(2), 200, `"full":true`},
 		"an unknown class":               {base, "three", time.Minute, 1, nothing, 404, `"three"`},
 		"other names":                    {replace(`"name":"two"`, `"name":"Größe/2"`), "two", time.Minute, 1, nothing, 404, ""},
 		"no class at all":                {`{"membership_mode":"pushed","domain":{"places":1,"in_a_row":1,"shards":4}}`, "one", time.Minute, 1, nothing, 404, ""},
 		"no limits named":                {`{"membership_mode":"pushed","domain":{"places":1,"in_a_row":1,"shards":4},"classes":[{"name":"one","aim":1000000000,"deadline":60000000000,"effect":"safe"}]}`, "one", time.Minute, 1, served(1), 200, `"full":true`},
-		"a list that is asked for":       {replace(`"pushed"`, `"on_request"`), "two", time.Minute, 1, served(1), 200, `"full":true`},
+		"a member list on request":       {replace(`"pushed"`, `"on_request"`), "two", time.Minute, 1, served(1), 200, `"full":true`},
 		"a second step":                  {replace(`"per_call":4`, `"per_call":4,"class_fetch":[0,2]`), "two", time.Minute, 3, served(5), 200, `"full":true`},
-		"one of a class without":         {replace(`"per_call":4`, `"per_call":4,"class_fetch":[0,2]`), "one", time.Minute, 3, served(3), 200, `"full":true`},
-		"a second step of all and more":  {replace(`"per_call":4`, `"per_call":4,"class_fetch":[0,99]`), "two", time.Minute, 2, served(4), 200, `"full":true`},
+		"a class without a second step":  {replace(`"per_call":4`, `"per_call":4,"class_fetch":[0,2]`), "one", time.Minute, 3, served(3), 200, `"full":true`},
+		"a second step above all shards": {replace(`"per_call":4`, `"per_call":4,"class_fetch":[0,99]`), "two", time.Minute, 2, served(4), 200, `"full":true`},
 		"one part a call":                {replace(`"per_call":4`, `"per_call":1`), "two", time.Minute, 4, served(4), 200, `"full":true`},
 		"one part a connection":          {replace(`"cancel":true`, `"cancel":true,"multiplex":1`), "two", time.Minute, 4, served(4), 200, `"full":true`},
-		"one attempt, broke":             {replace(`"attempts_cap":4`, `"attempts_cap":1`), "two", time.Minute, 1, fails("broke", 0), 503, ""},
-		"one attempt, keyed, broke":      {replace(`"attempts_cap":4`, `"attempts_cap":1`, effect, as("keyed")), "two", time.Minute, 1, fails("broke", 0), 502, ""},
-		"two attempts, broke":            {replace(`"attempts_cap":4`, `"attempts_cap":2`), "two", time.Minute, 1, fails("broke", 1), 200, `"full":true`},
-		"a class that turns keyed":       {replace(effect, as("keyed")), "two", time.Minute, 1, fails("broke", 1), 200, `"full":true`},
-		"a class that turns unsafe":      {replace(effect, as("unsafe")), "two", time.Minute, 1, fails("broke", 0), 502, ""},
-		"unsafe, but it never ran":       {replace(effect, as("unsafe")), "two", time.Minute, 1, fails("skipped", 1), 200, `"full":true`},
+		"one attempt, fails":             {replace(`"attempts_cap":4`, `"attempts_cap":1`), "two", time.Minute, 1, fails("broke", 0), 503, ""},
+		"one attempt, keyed, fails":      {replace(`"attempts_cap":4`, `"attempts_cap":1`, effect, withEffect("keyed")), "two", time.Minute, 1, fails("broke", 0), 502, ""},
+		"two attempts, one fails":        {replace(`"attempts_cap":4`, `"attempts_cap":2`), "two", time.Minute, 1, fails("broke", 1), 200, `"full":true`},
+		"keyed, one attempt fails":       {replace(effect, withEffect("keyed")), "two", time.Minute, 1, fails("broke", 1), 200, `"full":true`},
+		"unsafe, one attempt fails":      {replace(effect, withEffect("unsafe")), "two", time.Minute, 1, fails("broke", 0), 502, ""},
+		"unsafe, one attempt skipped":    {replace(effect, withEffect("unsafe")), "two", time.Minute, 1, fails("skipped", 1), 200, `"full":true`},
 		"keyed without a window":         {replace(effect, `"name":"two","aim":60000000000,"deadline":60000000000,"effect":"keyed"`), "two", time.Minute, 1, fails("broke", 0), 502, ""},
 		"a window shorter than a tick":   {replace(effect, `"name":"two","aim":60000000000,"deadline":60000000000,"repeat_window":1000000,"effect":"keyed"`), "two", time.Minute, 1, fails("broke", 0), 502, ""},
-		"room for nothing":               {replace(`"cancel":true`, `"cancel":true,"max_open":1`), "two", time.Minute, 1, nothing, 503, ""},
+		"no room for any query":          {replace(`"cancel":true`, `"cancel":true,"max_open":1`), "two", time.Minute, 1, nothing, 503, ""},
 		"room for nothing, no advice":    {replace(`"cancel":true`, `"cancel":true,"max_open":1`, `"retry_after":true`, `"retry_after":false`), "two", time.Minute, 1, nothing, 503, ""},
-		"one attempt, no advice":         {replace(`"attempts_cap":4`, `"attempts_cap":1`, `"retry_after":true`, `"retry_after":false`), "two", time.Minute, 1, fails("broke", 0), 503, ""},
+		"one attempt, no retry advice":   {replace(`"attempts_cap":4`, `"attempts_cap":1`, `"retry_after":true`, `"retry_after":false`), "two", time.Minute, 1, fails("broke", 0), 503, ""},
 		"room for one part":              {replace(`"cancel":true`, `"cancel":true,"max_open":2`), "two", time.Minute, 1, served(1), 200, `"full":true`},
 		"a deadline of 100 ms, served":   {replace(`60000000000`, `100000000`), "two", 100 * time.Millisecond, 1, served(1), 200, `"full":true`},
 		"a deadline of 100 ms, silent":   {replace(`60000000000`, `100000000`), "two", 100 * time.Millisecond, 1, silent, 503, ""},
-		"the same, keyed":                {replace(effect, as("keyed"), `60000000000`, `100000000`), "two", 100 * time.Millisecond, 1, silent, 502, ""},
-		"an aim under a tick":            {replace(`"aim":60000000000`, `"aim":1000000`), "two", time.Minute, 1, nothing, 503, ""},
-		"half is enough, half is there":  {replace(`"per_call":4`, `"per_call":4,"floor_by_class":[1,0.5],"class_partial":[1,0.9]`, `"attempts_cap":4`, `"attempts_cap":1`), "two", time.Minute, 2, fails("broke", 1), 200, `"full":false`},
-		"all are needed, half is there":  {replace(`"attempts_cap":4`, `"attempts_cap":1`), "two", time.Minute, 2, fails("broke", 1), 503, ""},
-		"half makes a whole":             {replace(`"per_call":4`, `"per_call":4,"whole_at":[1,0.5],"floor_by_class":[1,0.5]`), "two", time.Minute, 2, served(1), 200, `"full":true`},
-		"tenants, and one that is none":  {replace(`"policy_limits"`, `"over_share_worth":0.1,"parties":[{"name":"x","share":1}],"policy_limits"`), "two", time.Minute, 1, served(1), 200, `"full":true`},
-		"connections that idle for 1 ms": {replace(`"cancel":true`, `"cancel":true,"conn_idle":1000000`), "two", time.Minute, 2, served(2), 200, `"full":true`},
-		"no cancel":                      {replace(`"cancel":true`, `"cancel":false`), "two", time.Minute, 2, served(2), 200, `"full":true`},
+		"100 ms, keyed, silent":          {replace(effect, withEffect("keyed"), `60000000000`, `100000000`), "two", 100 * time.Millisecond, 1, silent, 502, ""},
+		"an aim shorter than a tick":     {replace(`"aim":60000000000`, `"aim":1000000`), "two", time.Minute, 1, nothing, 503, ""},
+		"half suffices, half is served":  {replace(`"per_call":4`, `"per_call":4,"floor_by_class":[1,0.5],"class_partial":[1,0.9]`, `"attempts_cap":4`, `"attempts_cap":1`), "two", time.Minute, 2, fails("broke", 1), 200, `"full":false`},
+		"all required, half is served":   {replace(`"attempts_cap":4`, `"attempts_cap":1`), "two", time.Minute, 2, fails("broke", 1), 503, ""},
+		"half counts as whole":           {replace(`"per_call":4`, `"per_call":4,"whole_at":[1,0.5],"floor_by_class":[1,0.5]`), "two", time.Minute, 2, served(1), 200, `"full":true`},
+		"a tenant that is not listed":    {replace(`"policy_limits"`, `"over_share_worth":0.1,"parties":[{"name":"x","share":1}],"policy_limits"`), "two", time.Minute, 1, served(1), 200, `"full":true`},
+		"connections closed after 1 ms":  {replace(`"cancel":true`, `"cancel":true,"conn_idle":1000000`), "two", time.Minute, 2, served(2), 200, `"full":true`},
+		"no cancellation":                {replace(`"cancel":true`, `"cancel":false`), "two", time.Minute, 2, served(2), 200, `"full":true`},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -102,20 +102,20 @@
 			client := testpeer.NewClient(t, run(t, n)).Say(testpeer.Query(c.class, "t", c.expires, c.parts))
 			c.do(s)
 			resp, body := client.Hear()
-			if resp.StatusCode != c.status || !strings.Contains(body, c.whole) {
-				t.Errorf("have %s %s, want %d with %s", resp.Status, body, c.status, c.whole)
+			if resp.StatusCode != c.status || !strings.Contains(body, c.want) {
+				t.Errorf("have %s %s, want %d with %s", resp.Status, body, c.status, c.want)
 			}
 			if advice := resp.Header.Get("Retry-After"); advice != "" && !strings.Contains(c.settings, `"retry_after":true`) {
-				t.Errorf("told to come back after %s s: clients are not given that", advice)
+				t.Errorf("Retry-After is %s s, want none: the settings do not enable retry_after", advice)
 			}
 			if len(s.Parts) > 0 {
-				t.Error("more was sent")
+				t.Error("more parts were sent than expected")
 			}
 		})
 	}
 }
 
-// run starts a gatherer, which has to end in order, and returns its address.
+// run starts a gatherer and returns its address. When the test ends, the gatherer must drain without an error.
 func run(t *testing.T, n *netio.Node) string {
 	ended := make(chan error, 1)
 	go func() { ended <- n.Run() }()
--- a/internal/stats/stats.go
+++ b/internal/stats/stats.go
@@ -1,4 +1,4 @@
-// Package stats counts what the program takes in, sends and answers.
+// Package stats counts what a gatherer receives, sends and answers.
 package stats
 
 import (
@@ -7,33 +7,34 @@
 	"slices"
 )
 
-// Counters belongs to the loop that owns the gatherer; it has no locks.
+// Counters are the counters of one gatherer. They may be used only on the event loop that
+// owns the gatherer; there are no locks.
 type Counters struct {
-	Taken     int // queries taken from clients
-	Malformed int // requests answered with a 4xx or 5xx for their form
+	Taken     int // queries accepted from clients
+	Malformed int // requests rejected with a 4xx or 5xx because they were no valid query
 
 	Whole    int // answers marked whole
 	Partial  int // other answers
-	Refused  int // refusals, those at the limit included
-	Full     int // refusals since as many were open as may be
-	Failed   int // failures, overdue ones included
-	Late     int // answers after their class's aim
-	Unsent   int // refusals and failures of queries of which no part was ever sent, those for want of room aside
+	Refused  int // refusals, including those in Full
+	Full     int // refusals because the maximum number of queries and parts was open
+	Failed   int // failures, including those in Overdue
+	Late     int // answers given after the aim of their class
+	Unsent   int // refusals and failures of queries of which no part was ever sent, except those in Full
 	Overdue  int // queries that the core had to end at their deadline
-	CutShort int // those that it ended before, for the end of the process
-	Gone     int // queries whose client left
+	CutShort int // queries that the core ended before their deadline because the process was ending
+	Gone     int // queries whose client disconnected
 
-	LeftUnread int // of Gone: found out as they were to be sent on, before the client's end was read
+	LeftUnread int // of Gone: noticed when parts were to be sent, before the end of the client's connection was read
 
 	Turns       int
 	Calls       int // calls given to the searcher connections
-	Sent        int // parts in them
+	Sent        int // parts in these calls
 	SecondSteps int
 	Further     int // of Sent: attempts of a part after its first
-	Copies      int // of Further: those sent while another attempt of the part was out
-	Cold        int // of Sent: parts to searchers that had started less than the settings' cold time before
-	NotSent     int // sends that the core did not let out
-	OK          int // outcomes, by kind
+	Copies      int // of Further: sent while another attempt of the part was in flight
+	Cold        int // of Sent: parts to searchers that had started less than the configured cold time before
+	NotSent     int // sends that the core rejected
+	OK          int // outcomes of attempts, by kind
 	Errors      int
 	Skipped     int
 	TimedOut    int
@@ -41,55 +42,55 @@
 	Reset       int
 	Cancelled   int
 	Reports     int // of OK, Errors and Skipped: answers with a load report that is used
-	ReportsBad  int // those whose report can't be used
+	ReportsBad  int // of OK, Errors and Skipped: answers with a load report that can't be used
 
-	Clients int            // connections that clients opened
-	Reused  int            // requests on one that had carried another before
-	Noticed int            // those told to end by an answer, since many were idle
-	Trimmed int            // idle ones closed between requests, since many were
-	Silent  int            // those closed since no request came
-	Evicted map[string]int // those closed to make room for others, by rank
-	Spared  int            // those not chosen for that, since something had come on them
-	Crossed int            // of Evicted: those on which something had come that was not read, or whose answer had not left
-	Unread  int            // those closed since their client did not read its answers
+	Clients int            // connections opened by clients
+	Reused  int            // requests on a client connection that had carried another before
+	Noticed int            // client connections that ended with an answer because many were idle
+	Trimmed int            // client connections closed between requests because many were idle
+	Silent  int            // client connections closed because no request arrived
+	Evicted map[string]int // client connections closed to make room for others, by rank
+	Spared  int            // times that a client connection was not closed because it had unread bytes or an unsent answer
+	Crossed int            // of Evicted: connections that had unread bytes or an unsent answer
+	Unread  int            // client connections closed because the client did not read its answers
 
 	Dialed     int // connections opened to searchers
-	DialFails  int
-	IdleClosed int // connections to searchers closed as idle
-	Left       int // those that their searchers ended
-	LeftOut    int // of Left: with parts out
-	Beside     int // of Dialed and DialFails: dialed while another to the same searcher was open
-	HalfOpen   int // those set aside since nothing came on them while a part was out
-	Spoilt     int // those closed for what they carried
-	HeldBack   int // those closed since a part was still in their buffer when its searcher was told to leave
-	Outlived   int // those closed since their searcher has started anew since they came up
-	GivenUp    int // those closed to give a part up, since they carried as many as they may
-	EndUnread  int // those not used since their searcher had ended them, which was not read yet
+	DialFails  int // failed attempts to open one
+	IdleClosed int // connections to searchers closed because they were idle
+	Left       int // connections closed by their searcher
+	LeftOut    int // of Left: with attempts in flight
+	Beside     int // of Dialed and DialFails: dialed while another connection to the same searcher was open
+	HalfOpen   int // connections to searchers considered half-open because nothing was received while an attempt was in flight
+	Spoilt     int // connections to searchers closed because of a malformed response
+	HeldBack   int // connections closed because a part was still in their buffer when their searcher was reported as leaving
+	Outlived   int // connections closed because their searcher has restarted since they were opened
+	GivenUp    int // connections closed to give up an attempt, because they carried the maximum number of attempts
+	EndUnread  int // times that a connection was not used because its searcher had closed it, which was not read yet
 	Watches    int // watches opened
-	WatchFails int // those of them that failed or ended
-	Updates    int // lists and changes received
-	ListsBad   int // lists and changes that can't be used
-	Twice      int // members that stood twice in a list
-	NewsFirst  int // times that sends waited since news had come which was not read
-	Doubted    int // members that an older list had back, which was not believed
-	EmptyLists int // of Updates: whole lists without a single searcher, passed over
+	WatchFails int // watches that failed or ended
+	Updates    int // member lists and changes received
+	ListsBad   int // member lists and changes that can't be used
+	Twice      int // members that were listed twice in a list
+	NewsFirst  int // times that sends were delayed because an update had arrived that was not read yet
+	Doubted    int // members that an older list reported as ready, which was not believed
+	EmptyLists int // of Updates: complete lists without a single searcher, which were ignored
 
-	Epochs      int // epochs of the layout taken up
-	EpochsOld   int // those that were not newer than the one at hand
-	EpochsAhead int // queries refused that named an epoch not known yet
-	Translated  int // queries whose parts were translated to the epoch at hand
+	Epochs      int // epochs of the layout adopted
+	EpochsOld   int // epochs of the layout ignored because they were not newer than the current one
+	EpochsAhead int // queries refused because they named an epoch that is not known yet
+	Translated  int // queries whose parts were translated to the current epoch
 
-	Generations int // settings put in force
-	ClassFull   int // refusals since as many of the class were open as may be; of Full
+	Generations int // generations of settings put in force
+	ClassFull   int // of Full: refusals because the maximum number of queries of the class was open
 
-	SystemFails map[string]int // system calls on sockets that have failed and were tried again, by call and error
-	WakeFails   int            // writes that wake the event loop
-	PollRetries int            // registrations of sockets that were tried again
-	Stalls      int            // connections left alone for a moment, since the system had no memory or buffers
-	DialRetries int            // dials tried again, since they failed for a reason on this machine
+	SystemFails map[string]int // failed and retried system calls on sockets, by call and error
+	WakeFails   int            // failed writes to wake the event loop
+	PollRetries int            // retries of registrations of sockets with the poller
+	Stalls      int            // times that a connection was paused because the system had no memory or buffers
+	DialRetries int            // dials retried after failing for a reason on this machine
 
-	Reloads     int // configurations read again
-	ReloadFails int // those that could not be used
+	Reloads     int // configurations reloaded
+	ReloadFails int // configurations that could not be used
 }
 
 // New returns counters that are all 0.
