--- a/aggregator.go
+++ b/aggregator.go
@@ -1,19 +1,19 @@
 // Package eiderwinch makes the decisions of an aggregator: which replica gets which part of a query, for how
-// long, and when and how each query ends. Its interface, settings, events and actions, is in api.go.
+// long, and when and how each query ends. Its settings, events and actions are in api.go.
 //
-// A broker makes one Aggregator with New and calls Turn whenever something has happened, with all that has
-// happened, in order. Each turn
+// A gatherer creates one Aggregator with New and calls Turn with all events since the last call, in order.
+// Each turn
 //
-//  1. takes in the events: queries, of which only a share may start when the servers are overloaded,
-//     outcomes, news of the list;
-//  2. judges the servers by what they have out and by how calls ended;
-//  3. settles the queries that are whole, too late, without hope or deadly to servers;
-//  4. gathers the parts to be sent: first tries, other tries, second copies;
-//  5. gives them to the fewest servers that can take them, one call each;
-//  6. asks to be woken when next something falls due.
+//  1. handles the events: queries, of which only a share is admitted while the searchers are overloaded,
+//     outcomes, updates of the member list;
+//  2. updates the health of the searchers from their attempts in flight and from how calls ended;
+//  3. completes the queries that are whole, too late, can no longer succeed or crash searchers;
+//  4. selects the parts to send: first attempts, retries, second copies;
+//  5. assigns them to the fewest searchers that can take them, one call each;
+//  6. requests a wake-up for the next time at which something is due.
 //
-// An Aggregator is deterministic, does no I/O and is for one goroutine only. Unknown ids and repeated or
-// late events are ignored.
+// An Aggregator is deterministic, does no I/O and must be used by one goroutine only. Events with unknown
+// IDs and repeated or late events are ignored.
 package eiderwinch
 
 import (
@@ -21,113 +21,171 @@
 	"time"
 )
 
-// The constants. Times come from the settings and from what is observed; these are plain ratios.
+// Ratios of the decisions. Times are derived from the settings and from observed latencies.
 const (
-	slack = 1e-6 // weights may fall short of a share by so much: they are rounded on their way
+	// weightSlack is how far weights may fall short of a share: they are rounded before they arrive.
+	weightSlack = 1e-6
 
-	learn     = 0.05 // weight of one call in the fleet's usual time: some twenty calls make it
-	learnOne  = 0.3  // weight of one call in a server's record: two bad calls outweigh its past
-	lateBlame = 0.5  // an overdue call counts half a failed one: ordinary stalls make calls late
-	asideAt   = 0.28 // record from which a server is set aside: one failure or three late calls
+	// slowSmoothing is the weight of one sample in averages over all searchers: about twenty samples form an
+	// average.
+	slowSmoothing = 0.05
+	// fastSmoothing is the weight of one call in a searcher's failure score and relative latency: two bad
+	// calls outweigh all earlier ones.
+	fastSmoothing = 0.3
+	// lateFailureWeight is the weight of an overdue call against that of a failed one: ordinary stalls make
+	// calls late.
+	lateFailureWeight = 0.5
+	// ejectionScore is the failure score from which a searcher is ejected: one failure or three late calls.
+	ejectionScore = 0.28
 
-	overdueTimes = 2.5 // a part is overdue after so many usual times,
-	overdueLeast = 4   // but not before this fraction (1/4) of its class's aim,
-	overdueMost  = 2   // and at this fraction (1/2) at the latest: a second copy needs the rest
-	overdueFar   = 8   // after so many usual times it is, however long the aim: few calls take half as long
-	copyTimes    = 5   // after so many from a server without any answer a second copy may go: two calls' time
-	trialTimes   = 4   // after so many a server set aside gets its first trial: most calls have ended then
+	// overdueFactor is the number of typical latencies after which a part is overdue.
+	overdueFactor = 2.5
+	// overdueMinAimDivisor bounds the overdue time from below: a part is not overdue before this fraction
+	// (1/4) of its class's aim.
+	overdueMinAimDivisor = 4
+	// overdueMaxAimDivisor bounds the overdue time from above: a part is overdue after this fraction (1/2) of
+	// the aim, because a second copy needs the rest of it.
+	overdueMaxAimDivisor = 2
+	// overdueCapFactor is the number of typical latencies after which a part is overdue however long the aim
+	// of its class is: few calls take half as long.
+	overdueCapFactor = 8
+	// secondCopyFactor is the number of typical latencies without any answer from a searcher after which a
+	// second copy may be sent: the time of two calls.
+	secondCopyFactor = 5
+	// firstProbeFactor is the number of typical latencies after which an ejected searcher gets its first
+	// probe attempt: most calls have ended by then.
+	firstProbeFactor = 4
 
-	queueApart = 2   // queues that differ by more parts are not alike: reports are noisy and late
-	queueShare = 0.5 // a part that waits there counts so much of one that is out: some are among those out
-	queueTimes = 2   // a report counts for so many usual times: by then other parts wait
+	// queueMargin is the difference, in parts, up to which two queues count as equal: reports are noisy and
+	// late.
+	queueMargin = 2
+	// queueWeight is the weight of a part in a searcher's reported queue against that of a part in flight:
+	// some of those in the queue are among those in flight.
+	queueWeight = 0.5
+	// reportLifetimeFactor is the number of typical latencies for which a report counts: after that other
+	// parts wait.
+	reportLifetimeFactor = 2
 
-	deadSlow  = 1.5 // so many times that from a server known to be slow: its calls do end
-	deadTimes = 4   // after so many usual times without any answer a connection is taken to be dead
+	// slowRelativeLatency is the relative latency from which a searcher counts as slow. It also bounds by how
+	// much deadConnFactor is extended for a slow searcher, whose calls do end.
+	slowRelativeLatency = 1.5
+	// deadConnFactor is the number of typical latencies without any answer after which a connection is
+	// assumed to be dead.
+	deadConnFactor = 4
 
-	deadSure    = 2    // calls lost on idle connections, less those answered, that make it sure that they die
-	targetShare = 4    // a window shrinks on calls longer than this fraction (1/4) of the aim
-	paceApart   = 0.3  // servers whose calls differ by so much of the usual time are not alike
-	easeUp      = 0.2  // an answer early by all its aim lets so much more start
-	easeDown    = 0.2  // each late part lets so much less start
-	shareLeast  = 0.15 // some must start: only they tell when the trouble is over
-	pulse       = 20   // ticks between turns at most: a longer gap is this aggregator's own standing still
-	look        = 4    // the same while a query is open
-	turnsUsed   = 2    // a turn at a cold server mostly passes unused: so many shares are given out
-	turnsQuick  = 2    // times as many at one that answers as quickly as others: it has cores to spare
-	shrink      = 0.8  // by so much a call: a window halves in three
-	copyShare   = 0.03 // second copies for each first try: more would feed an overload
-	copyEasy    = 0.1  // the same while calls are well within their aim: then there is room for them
-	copyMost    = 10   // second copies saved up at most, for when a server falls silent
-	repeatsEach = 2    // repeats to be expected for each query given up
-	firstVotes  = 20   // tries that are remembered when telling first tries from repeats
-	firstWork   = 8    // a part's work is taken to be this fraction (1/8) of its aim until calls tell
-	quickest    = 0.3  // the share of one-part calls that were served without much waiting
-	quickShare  = 0.5  // a part with less than this share of the usual time left goes unsent
+	// deadConnThreshold is the number of calls lost on idle connections, less those answered, from which idle
+	// connections are taken to be dead.
+	deadConnThreshold = 2
+	// quickCallAimDivisor sets the latency above which a window shrinks, as a fraction (1/4) of the aim.
+	quickCallAimDivisor = 4
+	// latencyMargin is the difference in relative latency up to which two searchers count as equal.
+	latencyMargin = 0.3
+	// admissionIncrease is added to the admission share by an answer that leaves all of its aim unused.
+	admissionIncrease = 0.2
+	// admissionDecrease is the fraction by which each late part reduces the admission share.
+	admissionDecrease = 0.2
+	// minAdmissionShare is the least admission share: only queries that start show when an overload is over.
+	minAdmissionShare = 0.15
+	// idleWakeTicks is the most ticks between turns: a longer gap means that this aggregator itself stalled.
+	idleWakeTicks = 20
+	// busyWakeTicks is the most ticks between turns while a query is open.
+	busyWakeTicks = 4
+	// coldOvercommit is how many times the capacity of a cold searcher is given out: most turns at it pass
+	// unused.
+	coldOvercommit = 2
+	// quickColdFactor multiplies the capacity of a cold searcher that answers as quickly as others: it has
+	// cores to spare.
+	quickColdFactor = 2
+	// windowDecrease is what a window is multiplied by at each slow call: three of them halve it.
+	windowDecrease = 0.8
+	// secondCopyRatio is the number of second copies for each first attempt: more would feed an overload.
+	secondCopyRatio = 0.03
+	// secondCopyRatioQuick replaces secondCopyRatio while calls end well within their aim: then there is
+	// capacity for more copies.
+	secondCopyRatioQuick = 0.1
+	// maxSecondCopyCredit is the most second copies saved up, for when a searcher becomes silent.
+	maxSecondCopyCredit = 10
+	// repeatsPerGivenUpQuery is the number of clients' repeats to expect for each query given up.
+	repeatsPerGivenUpQuery = 2
+	// maxFirstTryVotes is how many tries are remembered to distinguish first tries from repeats, and how many
+	// repeats are expected at most.
+	maxFirstTryVotes = 20
+	// initialWorkAimDivisor sets the assumed work of a part, as a fraction (1/8) of its aim, until calls have
+	// been observed.
+	initialWorkAimDivisor = 8
+	// uncontendedQuantile is the share of one-part calls that are assumed to be served without much waiting.
+	uncontendedQuantile = 0.3
+	// minTimeLeftRatio is the least time left, as a share of the typical latency, with which a part is sent.
+	minTimeLeftRatio = 0.5
 )
 
-// New returns an Aggregator that knows nothing but its settings.
+// New returns an Aggregator with no state but its settings.
 func New(s Settings) *Aggregator {
 	a := &Aggregator{
-		set:   s,
-		byID:  make(map[string]*server),
-		open:  make(map[uint64]*query),
-		parts: make(map[uint64]*part),
+		settings:      s,
+		searchersByID: make(map[string]*searcher),
+		openQueries:   make(map[uint64]*query),
+		parts:         make(map[uint64]*part),
 
-		spots:   make(map[int]*spot),
-		mix:     make([]float64, len(s.Tenants)),
-		crashes: make(map[string]time.Duration),
+		replicaGroups:      make(map[int]*replicaGroup),
+		tenantMix:          make([]float64, len(s.Tenants)),
+		crashesBySignature: make(map[string]time.Duration),
 	}
-	a.set.Brokers, a.set.Batch, a.set.Cells = max(s.Brokers, 1), max(s.Batch, 1), max(s.Cells, 1)
+	a.settings.Brokers, a.settings.Batch, a.settings.Cells =
+		max(s.Brokers, 1), max(s.Batch, 1), max(s.Cells, 1)
 	for _, c := range s.Classes {
-		a.classes = append(a.classes, &class{Class: c, work: float64(c.Aim) / firstWork})
+		a.classes = append(a.classes, &class{Class: c, partWork: float64(c.Aim) / initialWorkAimDivisor})
 	}
 	return a
 }
 
-// Turn takes in what has happened until now and returns what is to be done, in order.
+// Turn handles the events that have happened until now and returns the actions to take, in order.
 func (a *Aggregator) Turn(now time.Duration, events []Event) []Action {
 	a.now, a.actions = now, nil
-	a.missed = 0 // a wake that is long due tells of this aggregator's own stall, not of the servers
-	if late := now - a.wakeAt; a.wakeAt > 0 && late > pulse*a.set.Tick {
-		a.missed, a.stalled = late, now
+	a.stallDuration = 0 // a wake that is long overdue shows a stall of this aggregator, not of the searchers
+	if late := now - a.wakeAt; a.wakeAt > 0 && late > idleWakeTicks*a.settings.Tick {
+		a.stallDuration, a.stallEndedAt = late, now
 	}
-	for _, e := range events {
-		switch e := e.(type) {
+	for _, event := range events {
+		switch event := event.(type) {
 		case Query:
-			a.takeQuery(e)
+			a.handleQuery(event)
 		case SecondStep:
-			a.takeStep(e)
+			a.handleSecondStep(event)
 		case Outcome:
-			a.takeOutcome(e)
+			a.handleOutcome(event)
 		case Gone:
-			if q := a.open[e.Query]; q != nil {
-				a.close(q)
+			if q := a.openQueries[event.Query]; q != nil {
+				a.closeQuery(q)
 			}
 		case ListChange:
-			a.takeList(e)
+			a.handleListChange(event)
 		case Share:
-			a.share = e
+			a.slotShare = event
 		}
 	}
-	maps.DeleteFunc(a.crashes, func(_ string, at time.Duration) bool { return now-at >= a.set.ColdFor })
-	if a.set.AskForList && !a.asked && a.now >= a.askAt {
-		a.asked = true
-		a.do(Subscribe{})
+	maps.DeleteFunc(a.crashesBySignature, func(_ string, at time.Duration) bool {
+		return now-at >= a.settings.ColdFor
+	})
+	if a.settings.AskForList && !a.subscribed && a.now >= a.subscribeAt {
+		a.subscribed = true
+		a.emit(Subscribe{})
 	}
-	a.judge()
-	a.settle()
-	a.plan(a.gather())
-	a.sweep()
-	a.wake()
+	a.updateHealth()
+	a.completeQueries()
+	a.assign(a.selectParts())
+	a.removeEnded()
+	a.requestWake()
 	return a.actions
 }
 
-// wake asks for a turn when next a query ends, and every few ticks while any is open.
-func (a *Aggregator) wake() {
-	next := a.now + pulse*a.set.Tick
+// requestWake asks for a turn at the time when the next query ends, and every few ticks while any is
+// open.
+func (a *Aggregator) requestWake() {
+	next := a.now + idleWakeTicks*a.settings.Tick
 	for _, q := range a.queries {
-		next = min(next, a.now+look*a.set.Tick)
-		for _, t := range []time.Duration{q.goal, q.end} {
+		next = min(next, a.now+busyWakeTicks*a.settings.Tick)
+		for _, t := range []time.Duration{q.aimAt, q.endAt} {
 			if t > a.now {
 				next = min(next, t)
 			}
@@ -135,6 +193,6 @@
 	}
 	if a.wakeAt <= a.now || a.wakeAt > next {
 		a.wakeAt = next
-		a.do(Wake{next - a.now})
+		a.emit(Wake{next - a.now})
 	}
 }
--- a/example_test.go
+++ b/example_test.go
@@ -7,7 +7,7 @@
 	"eiderwinch"
 )
 
-// A broker hands over what has happened and does what it is told.
+// A gatherer passes the events to Turn and carries out the actions that it returns.
 func Example() {
 	a := eiderwinch.New(eiderwinch.Settings{
 		Brokers: 1, Tick: time.Millisecond, Shards: 2, Cells: 2, Reach: 2, Batch: 8, MaxAttempts: 3,
--- a/gather.go
+++ b/gather.go
@@ -5,113 +5,119 @@
 	"slices"
 )
 
-// Gathering the parts to be sent: first tries, other tries, second copies.
+// Selection of the parts to send: first attempts, retries, second copies.
 
-// mayTry tells that a part may get a first try or another one now.
-func (a *Aggregator) mayTry(p *part) bool {
-	free := p.open == 0 || a.set.SecondCopies
-	return !p.in && !a.late(p.query) && (len(p.attempts) == 0 || free && a.mayAgain(p))
+// mayAttempt reports whether a part may get a first attempt or a retry now.
+func (a *Aggregator) mayAttempt(p *part) bool {
+	free := p.inFlight == 0 || a.settings.SecondCopies
+	return !p.answered && !a.isTooLateForCall(p.query) && (len(p.attempts) == 0 || free && a.mayRetry(p))
 }
 
-// mayAgain tells that a part may get another try by the rules, once none is out.
-func (a *Aggregator) mayAgain(p *part) bool {
-	q, most := p.query, a.set.MaxAttempts
-	if q.Attempts > 0 && (most == 0 || q.Attempts < most) {
-		most = q.Attempts
+// mayRetry reports whether the rules allow a retry of a part once no attempt of it is in flight.
+func (a *Aggregator) mayRetry(p *part) bool {
+	q, limit := p.query, a.settings.MaxAttempts
+	if q.Attempts > 0 && (limit == 0 || q.Attempts < limit) {
+		limit = q.Attempts
 	}
-	if most > 0 && len(p.attempts) >= most {
+	if limit > 0 && len(p.attempts) >= limit {
 		return false
 	}
 	return q.class.Effect == Safe || !mayHaveRun(p) ||
-		q.class.Effect == Keyed && a.now+a.set.Tick < p.attempts[0].sent+q.class.RepeatWindow
+		q.class.Effect == Keyed && a.now+a.settings.Tick < p.attempts[0].sentAt+q.class.RepeatWindow
 }
 
-// mayHaveRun tells that not every attempt of a part is proved never to have run.
+// mayHaveRun reports whether any attempt of a part may have run, that is, is not proved never to have
+// run.
 func mayHaveRun(p *part) bool {
-	return slices.ContainsFunc(p.attempts, func(t *attempt) bool { return !t.never })
+	return slices.ContainsFunc(p.attempts, func(attempt *attempt) bool { return !attempt.neverRan })
 }
 
-// needsTry tells that a part should get an attempt: it has none out, or those out are on servers that are
-// silent or set aside.
-func (a *Aggregator) needsTry(p *part) bool {
-	for _, t := range p.attempts {
-		if !t.over && !t.server.aside && !a.silent(t) {
+// needsAttempt reports whether a part should get an attempt: it has none in flight, or those in flight
+// are at searchers that are silent or ejected.
+func (a *Aggregator) needsAttempt(p *part) bool {
+	for _, attempt := range p.attempts {
+		if !attempt.ended && !attempt.searcher.ejected && !a.isSilent(attempt) {
 			return false
 		}
 	}
 	return true
 }
 
-// gather returns the parts to be sent, those first that are worth most for their work and the time they have:
-// what is wanted later can wait.
-func (a *Aggregator) gather() []*part {
+// selectParts returns the parts to send, those first that are worth most for their work and the time they
+// have: parts with a longer aim can wait.
+func (a *Aggregator) selectParts() []*part {
 	var pending []*part
 	for _, q := range a.queries {
-		if q.ended || q.step == stepAsked {
+		if q.ended || q.step == stepAwaitingSecond {
 			continue
 		}
-		q.going = q.going || a.startable(q)
-		scout, free := a.scouting(q)
-		w := a.promised(q)
+		q.mayStart = q.mayStart || a.isStartable(q)
+		probing, maySend := a.probesFirst(q)
+		expected := a.expectedWeight(q)
 		for _, p := range q.parts {
-			if q.want < q.need && w >= q.want-slack {
-				break // trimmed
+			if q.wantedWeight < q.neededWeight && expected >= q.wantedWeight-weightSlack {
+				break // the rest was trimmed
 			}
-			if (q.going || a.orphan(p)) && a.mayTry(p) && a.needsTry(p) && (!scout || free) {
+			if (q.mayStart || a.lacksHealthyReplica(p)) && a.mayAttempt(p) && a.needsAttempt(p) &&
+				(!probing || maySend) {
 				pending = append(pending, p)
-				w += p.Weight
-				free = !scout
+				expected += p.Weight
+				maySend = !probing
 			}
 		}
-		q.density = a.worthOf(q) / q.class.Aim.Seconds()
+		q.worthDensity = a.worthPerPart(q) / q.class.Aim.Seconds()
 	}
-	dearer := func(x, y *part) int { return cmp.Compare(y.query.density, x.query.density) }
-	slices.SortStableFunc(pending, dearer)
+	byDensity := func(x, y *part) int { return cmp.Compare(y.query.worthDensity, x.query.worthDensity) }
+	slices.SortStableFunc(pending, byDensity)
 	return pending
 }
 
-// startable tells that enough of a query's parts for an answer, if only in part where that may be, have a
-// sound server with room. It spares work for nothing in outages of whole shards; the query waits.
-func (a *Aggregator) startable(q *query) bool {
-	able := 0.0
+// isStartable reports whether enough of a query's parts for an answer, if need be a partial one where
+// that is allowed, have a healthy searcher with capacity. Otherwise the query waits, which avoids useless
+// work while whole shards are out of service.
+func (a *Aggregator) isStartable(q *query) bool {
+	startable := 0.0
 	for _, p := range q.parts {
-		for _, s := range a.holding(p) {
-			if a.sound(s) && len(s.out) < int(s.window) {
-				able += p.Weight
+		for _, s := range a.replicasOf(p) {
+			if a.isHealthy(s) && len(s.inFlight) < int(s.window) {
+				startable += p.Weight
 				break
 			}
 		}
 	}
-	return able >= q.floor-slack
+	return startable >= q.floorWeight-weightSlack
 }
 
-// orphan tells that a part's shard has no sound server: it goes first, as a trial; its query's rest waits.
-func (a *Aggregator) orphan(p *part) bool {
-	return !slices.ContainsFunc(a.holding(p), a.sound)
+// lacksHealthyReplica reports whether a part's shard has no healthy searcher. Such a part is sent first,
+// as a probe attempt; the rest of its query waits.
+func (a *Aggregator) lacksHealthyReplica(p *part) bool {
+	return !slices.ContainsFunc(a.replicasOf(p), a.isHealthy)
 }
 
-// promised is the weight of a query's parts that are in or out without doubt.
-func (a *Aggregator) promised(q *query) float64 {
-	w := 0.0
+// expectedWeight returns the weight of a query's parts that are answered or in flight with no reason for
+// doubt.
+func (a *Aggregator) expectedWeight(q *query) float64 {
+	weight := 0.0
 	for _, p := range q.parts {
-		if p.in || p.open > 0 && !a.needsTry(p) {
-			w += p.Weight
+		if p.answered || p.inFlight > 0 && !a.needsAttempt(p) {
+			weight += p.Weight
 		}
 	}
-	return w
+	return weight
 }
 
-// budget tells that so many more further attempts are within the budget now.
-func (a *Aggregator) budget(more int) bool {
-	if a.set.BudgetWindow <= 0 {
+// withinRetryBudget reports whether this many more retries are within the retry budget now.
+func (a *Aggregator) withinRetryBudget(more int) bool {
+	if a.settings.BudgetWindow <= 0 {
 		return true
 	}
-	from := a.now - a.set.BudgetWindow
-	for len(a.taken) > 0 && a.taken[0] <= from {
-		a.taken = a.taken[1:]
+	windowStart := a.now - a.settings.BudgetWindow
+	for len(a.arrivalTimes) > 0 && a.arrivalTimes[0] <= windowStart {
+		a.arrivalTimes = a.arrivalTimes[1:]
 	}
-	for len(a.further) > 0 && a.further[0] < from-a.set.Tick {
-		a.further = a.further[1:]
+	for len(a.retryTimes) > 0 && a.retryTimes[0] < windowStart-a.settings.Tick {
+		a.retryTimes = a.retryTimes[1:]
 	}
-	return float64(len(a.further)+more) <= a.set.BudgetFree+a.set.BudgetRatio*float64(len(a.taken))
+	return float64(len(a.retryTimes)+more) <=
+		a.settings.BudgetFree+a.settings.BudgetRatio*float64(len(a.arrivalTimes))
 }
--- a/intake.go
+++ b/intake.go
@@ -6,177 +6,190 @@
 	"time"
 )
 
-// Queries that come in: of which only a share may start when the servers are overloaded.
+// Arriving queries and admission control: while the searchers are overloaded only a share of the queries
+// starts.
 
-// takeQuery books a query. First tries of a class all have the same time left; one with another is a client's
-// repeat, has all that is left of the deadline, and its aim has been running since the first try. It guards
-// against work for repeats that can earn nothing any more.
-func (a *Aggregator) takeQuery(e Query) {
-	if a.open[e.ID] != nil || e.Class < 0 || e.Class >= len(a.classes) {
+// handleQuery adds a query. First tries of a class all have the same time left. A try with another time
+// left is a client's repeat: it has all that remains of the deadline, and its aim has been running since
+// the first try. This avoids work for repeats that can no longer earn anything.
+func (a *Aggregator) handleQuery(event Query) {
+	if a.openQueries[event.ID] != nil || event.Class < 0 || event.Class >= len(a.classes) {
 		return
 	}
-	c := a.classes[e.Class]
-	q := &query{Query: e, class: c, came: a.now, end: a.now + e.Left, goal: a.now + c.Aim}
-	if waited := c.first - e.Left; a.missed > 0 && waited > 0 && waited <= a.missed {
-		q.goal -= waited // it came while this aggregator stood still
-	} else if !c.firstTry(e.Left, 2*a.set.Tick) && a.repeated(e) {
-		q.goal -= max(c.Deadline-e.Left, 0)
+	c := a.classes[event.Class]
+	q := &query{Query: event, class: c, arrivedAt: a.now, endAt: a.now + event.Left, aimAt: a.now + c.Aim}
+	if waited := c.firstTryTimeLeft - event.Left; a.stallDuration > 0 &&
+		waited > 0 && waited <= a.stallDuration {
+		q.aimAt -= waited // it arrived while this aggregator was stalled
+	} else if !c.isFirstTry(event.Left, 2*a.settings.Tick) && a.isRepeat(event) {
+		q.aimAt -= max(c.Deadline-event.Left, 0)
 	}
-	q.goal -= 2 * a.set.Tick // an answer is a turn late and has a way to go
+	q.aimAt -= 2 * a.settings.Tick // an answer leaves up to a turn late and then has to travel
 	if c.LateWorth <= 0 {
-		q.end = min(q.end, q.goal)
+		q.endAt = min(q.endAt, q.aimAt)
 	}
-	q.goal = min(q.goal, q.end)
-	q.need, q.floor, q.last = c.Need, c.Floor, q.goal
+	q.aimAt = min(q.aimAt, q.endAt)
+	q.neededWeight, q.floorWeight, q.finalAimAt = c.Need, c.Floor, q.aimAt
 	if c.Fetch > 0 {
-		q.goal -= a.overdueAfter(c) // the second step takes a call
+		q.aimAt -= a.overdueAfter(c) // the second step takes another call
 	}
 	slices.SortStableFunc(q.Parts, func(x, y Part) int { return cmp.Compare(y.Weight, x.Weight) })
 	q.shed = !a.admit(q)
-	a.book(q)
+	a.addQuery(q)
 }
 
-// trim sets the weight that a query aims for and returns how many of its parts make it, the heaviest first:
-// under load a query that may be answered in part does without parts that earn less than what is shed does.
-func (a *Aggregator) trim(q *query) int {
-	q.want = q.need
-	share := a.shareOf(q)
-	if share >= 1 || q.floor >= q.need {
-		return len(q.Parts)
-	}
-	w, earns := 0.0, a.worthOf(q)*float64(len(q.Parts))*q.class.Partial/q.class.Need
-	for i, p := range q.Parts {
-		if w >= q.floor && earns*p.Weight < (1-share)*a.worth {
-			q.want = min(w, q.need)
+// trimParts sets the weight that a query asks for and returns how many of its parts, the heaviest first,
+// make up that weight. Under load a query that may be answered in part goes without the parts that earn
+// less than the queries that are shed.
+func (a *Aggregator) trimParts(query *query) int {
+	query.wantedWeight = query.neededWeight
+	share := a.admissionShare(query)
+	if share >= 1 || query.floorWeight >= query.neededWeight {
+		return len(query.Parts)
+	}
+	weight, earns := 0.0, a.worthPerPart(query)*float64(len(query.Parts))*query.class.Partial/query.class.Need
+	for i, p := range query.Parts {
+		if weight >= query.floorWeight && earns*p.Weight < (1-share)*a.typicalWorth {
+			query.wantedWeight = min(weight, query.neededWeight)
 			return i
 		}
-		w += p.Weight
+		weight += p.Weight
 	}
-	return len(q.Parts)
+	return len(query.Parts)
 }
 
-// takeStep enters the parts of a query's second step, all of which a whole answer needs.
-func (a *Aggregator) takeStep(e SecondStep) {
-	q := a.open[e.Query]
-	if q == nil || q.step != stepAsked {
+// handleSecondStep adds the parts of a query's second step. A whole answer needs all of them.
+func (a *Aggregator) handleSecondStep(event SecondStep) {
+	q := a.openQueries[event.Query]
+	if q == nil || q.step != stepAwaitingSecond {
 		return
 	}
-	q.step, q.Parts, q.parts, q.in, q.goal = stepSecond, e.Parts, nil, 0, q.last
-	if q.floor >= q.need {
-		q.floor = 1
+	q.step, q.Parts, q.parts, q.answeredWeight, q.aimAt = stepSecond, event.Parts, nil, 0, q.finalAimAt
+	if q.floorWeight >= q.neededWeight {
+		q.floorWeight = 1
 	}
-	q.need, q.want = 1, 1
-	a.bookParts(q)
+	q.neededWeight, q.wantedWeight = 1, 1
+	a.addParts(q)
 }
 
-// admit tells that a query may start by the share of parts that are to start at each of its spots; ease sets
-// those shares by how a query that was started ended: they grow with an early answer, by the square of how
-// early, since barely early ones tell of full servers, and shrink with a late end, where its late parts were.
-// They are shares of the usual rate, not of what is asked, so bursts and clients' repeats start no more. They
-// guard against all aggregators together starting more than the servers can end when each server looks idle
-// to each; against the jam after a burst or outage too. They are kept by spot, since at a large fleet few
-// servers in trouble would else have the queries shed that do not need them.
-func (a *Aggregator) admit(q *query) bool {
-	asked := float64(max(a.trim(q), 1))
-	worth := a.worthOf(q)
-	if q.goal-a.now < time.Duration(q.class.whole) {
-		worth *= q.class.LateWorth // most likely late
-	}
-	worth *= a.inShare(q.Tenant - 1)
-	a.worth = blend(a.worth, worth, learn)
-	worth *= float64(max(len(q.Parts), 1)) / asked / max(a.worth, slack)
-	spots, start := a.spotsOf(q), true
-	cost := func(s *spot) float64 { return spots[s] / max(worth, s.share) }
-	for s, n := range spots {
-		since := 1.0 // in usual gaps between queries; each counts where those are not known yet
-		if s.gap > 0 {
-			since = float64(a.now-s.took) / s.gap
+// admit reports whether a query may start, given the admission shares of its replica groups.
+// adjustAdmission sets those shares by how the queries that started have ended: they grow with early
+// answers, by the square of how early, since barely early answers show that searchers are full, and
+// shrink with a late end at the replica groups of the late parts. They are shares of the typical rate of
+// queries, not of the requested one, so bursts and clients' repeats do not start more.
+//
+// Admission control prevents all aggregators together from starting more than the searchers can complete
+// while each searcher looks idle to each aggregator. It also prevents congestion after a burst or an
+// outage. The shares are kept by replica group because in a large fleet a few overloaded searchers would
+// otherwise cause queries to be shed that do not need them.
+func (a *Aggregator) admit(query *query) bool {
+	wantedParts := float64(max(a.trimParts(query), 1))
+	worth := a.worthPerPart(query)
+	if query.aimAt-a.now < time.Duration(query.class.typicalQueryTime) {
+		worth *= query.class.LateWorth // the answer will most likely be late
+	}
+	worth *= a.tenantWorthFactor(query.Tenant - 1)
+	a.typicalWorth = smooth(a.typicalWorth, worth, slowSmoothing)
+	worth *= float64(max(len(query.Parts), 1)) / wantedParts / max(a.typicalWorth, weightSlack)
+	groups, admitted := a.partsByGroup(query), true
+	cost := func(g *replicaGroup) float64 { return groups[g] / max(worth, g.admissionShare) }
+	for g, n := range groups {
+		gaps := 1.0 // time since the last query, in typical gaps; 1 until the typical gap is known
+		if g.typicalGap > 0 {
+			gaps = float64(a.now-g.lastQueryAt) / g.typicalGap
 		}
-		if s.share >= 1 && s.took > 0 {
-			s.gap = blend(s.gap, float64(a.now-s.took), learn)
+		if g.admissionShare >= 1 && g.lastQueryAt > 0 {
+			g.typicalGap = smooth(g.typicalGap, float64(a.now-g.lastQueryAt), slowSmoothing)
 		}
-		s.took, s.width = a.now, blend(s.width, n, learn)
-		s.credit = min(s.credit+s.share*s.width*since, 2*max(cost(s), s.width))
-		start = start && (s.share >= 1 || s.credit >= cost(s))
+		g.lastQueryAt, g.typicalParts = a.now, smooth(g.typicalParts, n, slowSmoothing)
+		g.credit = min(g.credit+g.admissionShare*g.typicalParts*gaps, 2*max(cost(g), g.typicalParts))
+		admitted = admitted && (g.admissionShare >= 1 || g.credit >= cost(g))
 	}
-	for s := range spots {
-		if start && s.share < 1 {
-			s.credit -= cost(s)
+	for g := range groups {
+		if admitted && g.admissionShare < 1 {
+			g.credit -= cost(g)
 		}
 	}
-	return start
+	return admitted
 }
 
-// worthOf is what a part of a query earns for its work, all answered in time. Where worth counts by work
-// that is its class's: by the query one of wide queries would seem worth least, though it earns most.
-func (a *Aggregator) worthOf(q *query) float64 {
-	if a.set.WorthByWork {
+// worthPerPart returns what a query earns for each unit of its work if all of it is answered in time.
+// Where worth grows with work, that is the worth of its class: divided by the number of parts, wide
+// queries would seem to be worth least although they earn most.
+func (a *Aggregator) worthPerPart(q *query) float64 {
+	if a.settings.WorthByWork {
 		return q.class.Worth
 	}
 	return q.class.Worth / float64(max(len(q.Parts), 1))
 }
 
-// inShare is what a tenant's query is worth if the others send here what they usually do, and it the rest.
-// Who is no known tenant has no share, or it would be served on that of others.
-func (a *Aggregator) inShare(tenant int) float64 {
-	if len(a.mix) == 0 {
+// tenantWorthFactor returns the factor by which the worth of a tenant's query is reduced if the tenant
+// exceeds its share. It assumes that the other tenants send what they typically do and this tenant the
+// rest. An unknown tenant has no share; otherwise it would be served on the shares of others.
+func (a *Aggregator) tenantWorthFactor(tenant int) float64 {
+	if len(a.tenantMix) == 0 {
 		return 1
-	} else if tenant < 0 || tenant >= len(a.mix) {
-		return a.set.OverShare
+	} else if tenant < 0 || tenant >= len(a.tenantMix) {
+		return a.settings.OverShare
 	}
-	for i := range a.mix {
-		a.mix[i] *= 1 - learn
+	for i := range a.tenantMix {
+		a.tenantMix[i] *= 1 - slowSmoothing
 	}
-	a.mix[tenant] += learn
-	share, mix := a.set.Tenants[tenant].Share, a.mix[tenant]
-	in := min(share*(1-mix)/max((1-share)*mix, slack), 1)
-	return in + (1-in)*a.set.OverShare
+	a.tenantMix[tenant] += slowSmoothing
+	share, mix := a.settings.Tenants[tenant].Share, a.tenantMix[tenant]
+	within := min(share*(1-mix)/max((1-share)*mix, weightSlack), 1)
+	return within + (1-within)*a.settings.OverShare
 }
 
-func (a *Aggregator) ease(q *query) {
-	if q.came <= a.stalled {
+// adjustAdmission raises the admission shares of a query's replica groups after an early answer and
+// reduces those of the groups with unanswered parts after a late end. Queries that arrived before the end
+// of this aggregator's last stall do not count.
+func (a *Aggregator) adjustAdmission(query *query) {
+	if query.arrivedAt <= a.stallEndedAt {
 		return
 	}
-	if early := 1 - float64(a.now-q.came)/float64(q.class.Aim); early > 0 && q.in >= q.want-slack {
-		for s := range a.spotsOf(q) {
-			s.share = min(s.share+easeUp*early*early, 1)
+	if early := 1 - float64(a.now-query.arrivedAt)/float64(query.class.Aim); early > 0 &&
+		query.answeredWeight >= query.wantedWeight-weightSlack {
+		for g := range a.partsByGroup(query) {
+			g.admissionShare = min(g.admissionShare+admissionIncrease*early*early, 1)
 		}
 		return
 	}
-	if q.class.easy() {
-		return // not load: other calls are quick
+	if query.class.hasQuickCalls() {
+		return // load is not the reason: other calls are quick
 	}
-	for _, p := range q.parts {
-		if !p.in && len(p.attempts) > 0 {
-			a.spot(p.Part).ease(easeDown)
+	for _, p := range query.parts {
+		if !p.answered && len(p.attempts) > 0 {
+			a.replicaGroup(p.Part).reduceAdmission(admissionDecrease)
 		}
 	}
 }
 
-// repeated tells whether a try that does not look like a first one is a client's repeat, not just impatience:
-// by its mark where clients mark repeats, else by whether queries given up here account for it.
-func (a *Aggregator) repeated(e Query) bool {
-	if a.set.MarksRepeats {
+// isRepeat reports whether a try that does not look like a first one is a client's repeat rather than a
+// try of a client with a shorter timeout. It decides by the mark where clients mark repeats, else by
+// whether queries given up here account for a repeat.
+func (a *Aggregator) isRepeat(e Query) bool {
+	if a.settings.MarksRepeats {
 		return e.Repeat
 	}
-	if a.repeats < 1 {
+	if a.expectedRepeats < 1 {
 		return false
 	}
-	a.repeats--
+	a.expectedRepeats--
 	return true
 }
 
-// firstTry tells whether a try with so much time left looks like a first one: whether it has as much as most
-// tries had, by a running majority vote.
-func (c *class) firstTry(left, about time.Duration) bool {
-	if (left - c.first).Abs() <= about {
-		c.votes = min(c.votes+1, firstVotes)
+// isFirstTry reports whether a try with this time left looks like a first one, that is, has as much time
+// left as most tries had. It keeps a running majority vote.
+func (c *class) isFirstTry(left, tolerance time.Duration) bool {
+	if (left - c.firstTryTimeLeft).Abs() <= tolerance {
+		c.firstTryVotes = min(c.firstTryVotes+1, maxFirstTryVotes)
 		return true
 	}
-	c.votes--
-	if c.votes > 0 {
+	c.firstTryVotes--
+	if c.firstTryVotes > 0 {
 		return false
 	}
-	c.first, c.votes = left, 1
+	c.firstTryTimeLeft, c.firstTryVotes = left, 1
 	return true
 }
--- a/judge.go
+++ b/judge.go
@@ -6,107 +6,128 @@
 	"time"
 )
 
-// Judging the servers by what they have out and by how calls ended.
+// Health of the searchers, from their attempts in flight and from how calls ended.
 
-// blame and praise keep a server's record, once for each call: the parts of a call share its fate. A server
-// whose record is bad is set aside: only trials go there, at growing intervals, until one goes well. It
-// guards against servers that fail, fail fast (and so look idle), crawl or keep silent. It could do harm when
-// all servers are in trouble alike: hence no shard's last server is set aside, unless it can't be reached.
-func (a *Aggregator) blame(s *server, t *attempt, weight float64) {
-	if t.sent < s.judged {
+// recordFailure and recordSuccess update a searcher's failure score, once for each call, since the parts
+// of a call have the same outcome. A searcher with a bad score is ejected: it gets only probe attempts,
+// at growing intervals, until one succeeds. This protects against searchers that fail, fail fast (and so
+// look idle), are very slow or do not respond. It could do harm when all searchers are in trouble at
+// once, so the last replica of a shard is not ejected unless it is unreachable.
+func (a *Aggregator) recordFailure(searcher *searcher, attempt *attempt, weight float64) {
+	if attempt.sentAt < searcher.failureRecordedAt {
 		return
 	}
-	s.judged = a.now
-	s.record += learnOne * (weight - s.record*weight)
-	if s.aside {
-		s.backoff = min(2*s.backoff, max(a.set.ColdFor, s.backoff))
-		s.trialAt = a.now + s.backoff
-	} else if s.record >= asideAt && (s.down || !a.last(s)) {
-		s.aside = true
-		s.backoff = a.soon(t.part.query.class.Aim/2, trialTimes)
-		s.trialAt = a.now + s.backoff
-		a.logf("server %s set aside", s.ID)
+	searcher.failureRecordedAt = a.now
+	searcher.failureScore += fastSmoothing * (weight - searcher.failureScore*weight)
+	if searcher.ejected {
+		searcher.probeBackoff = min(2*searcher.probeBackoff, max(a.settings.ColdFor, searcher.probeBackoff))
+		searcher.probeAt = a.now + searcher.probeBackoff
+	} else if searcher.failureScore >= ejectionScore && (searcher.unreachable || !a.isLastReplica(searcher)) {
+		searcher.ejected = true
+		searcher.probeBackoff = a.capWait(attempt.part.query.class.Aim/2, firstProbeFactor)
+		searcher.probeAt = a.now + searcher.probeBackoff
+		a.logf("searcher %s ejected", searcher.ID)
 	}
 }
 
-func (a *Aggregator) praise(s *server, t *attempt) {
-	s.record *= 1 - learnOne/2
-	if s.aside && t.sent >= s.trialAt {
-		s.aside = false
-		s.record = min(s.record, asideAt/2)
-		s.window = 1
-		a.logf("server %s taken back", s.ID)
+// recordSuccess improves the failure score of a searcher and reinstates it after a successful probe
+// attempt.
+func (a *Aggregator) recordSuccess(searcher *searcher, attempt *attempt) {
+	searcher.failureScore *= 1 - fastSmoothing/2
+	if searcher.ejected && attempt.sentAt >= searcher.probeAt {
+		searcher.ejected = false
+		searcher.failureScore = min(searcher.failureScore, ejectionScore/2)
+		searcher.window = 1
+		a.logf("searcher %s reinstated", searcher.ID)
 	}
 }
 
-// overdueAfter is how long a part of a class may be out before something is taken to be wrong.
-func (a *Aggregator) overdueAfter(c *class) time.Duration { return a.patience(c, overdueTimes) }
+// overdueAfter returns how long a part of a class may be in flight before something is taken to be wrong.
+func (a *Aggregator) overdueAfter(c *class) time.Duration { return a.waitLimit(c, overdueFactor) }
 
-// patience is so many usual times of a class's calls, within what its aim bears.
-func (a *Aggregator) patience(c *class, times float64) time.Duration {
-	least := a.soon(c.Aim/overdueLeast, overdueFar)
-	return min(max(time.Duration(c.usual*times), least), c.Aim/overdueMost)
+// waitLimit returns a multiple of the typical latency of a class's calls, bounded by fractions of its
+// aim.
+func (a *Aggregator) waitLimit(c *class, factor float64) time.Duration {
+	least := a.capWait(c.Aim/overdueMinAimDivisor, overdueCapFactor)
+	return min(max(time.Duration(c.typicalLatency*factor), least), c.Aim/overdueMaxAimDivisor)
 }
 
-// soon cuts a wait that an aim sets: else a server would miss fifty short calls for one, and the others jam.
-func (a *Aggregator) soon(aim time.Duration, times float64) time.Duration {
-	return min(aim, max(time.Duration(times*cmp.Or(a.usual, float64(aim))), 2*a.set.Tick))
+// capWait bounds a wait that is derived from an aim by a multiple of the typical latency. Without the
+// bound a searcher would go without fifty short calls because of one, and the other searchers would be
+// congested.
+func (a *Aggregator) capWait(wait time.Duration, factor float64) time.Duration {
+	return min(wait, max(time.Duration(factor*cmp.Or(a.typicalLatency, float64(wait))), 2*a.settings.Tick))
 }
 
-func (a *Aggregator) tooLong(t *attempt) bool {
-	return a.now-t.sent >= a.overdueAfter(t.part.query.class)
+// isOverdue reports whether an attempt has been in flight for too long.
+func (a *Aggregator) isOverdue(attempt *attempt) bool {
+	return a.now-attempt.sentAt >= a.overdueAfter(attempt.part.query.class)
 }
 
-// silent tells that an attempt is not likely to be answered. A server that answers what it was sent before
-// is slow or crowded and will come to it; a second copy would be work on top, which a cancel need not stop,
-// just when there is too much of it: hence far later.
-func (a *Aggregator) silent(t *attempt) bool {
-	return a.waited(t) >= a.patience(t.part.query.class, copyTimes) && (t.unheard() || a.far(t))
+// isSilent reports whether an attempt is unlikely to be answered. A searcher that answers what it was
+// sent earlier is slow or crowded and will reach the attempt. A second copy would be additional work,
+// which a cancel need not stop, just when there is too much work already. In that case an attempt counts
+// as silent far later.
+func (a *Aggregator) isSilent(attempt *attempt) bool {
+	return a.silentFor(attempt) >= a.waitLimit(attempt.part.query.class, secondCopyFactor) &&
+		(attempt.noResponseSince() || a.isLongSilent(attempt))
 }
 
-// waited is for how long nothing has told that an attempt will be answered: since its server's last answer,
-// or since it was sent if that was later, or if a later one was answered, which has overtaken it.
-func (a *Aggregator) waited(t *attempt) time.Duration {
-	if t.sent < t.server.newest {
-		return a.now - t.sent
+// silentFor returns for how long there has been no sign that an attempt will be answered: since its
+// searcher's last answer, or since it was sent if that was later or if an attempt sent later has been
+// answered, which has overtaken it.
+func (a *Aggregator) silentFor(attempt *attempt) time.Duration {
+	if attempt.sentAt < attempt.searcher.newestAnsweredSentAt {
+		return a.now - attempt.sentAt
 	}
-	return a.now - max(t.sent, t.server.lastOK)
+	return a.now - max(attempt.sentAt, attempt.searcher.lastAnswerAt)
 }
 
-// far tells that this is for so long that few calls take half as long: heavy parts are overtaken, too.
-func (a *Aggregator) far(t *attempt) bool {
-	return float64(a.waited(t)) >= overdueFar*t.part.query.class.usual
+// isLongSilent reports whether that time is so long that few calls take half as long. Heavy parts are
+// overtaken, too, so being overtaken alone proves nothing.
+func (a *Aggregator) isLongSilent(attempt *attempt) bool {
+	return float64(a.silentFor(attempt)) >= overdueCapFactor*attempt.part.query.class.typicalLatency
 }
 
-// judge marks the servers that hold a part for too long; they get nothing new until its outcome is in.
-func (a *Aggregator) judge() {
-	for _, s := range a.working {
-		s.overdue = slices.ContainsFunc(s.out, a.tooLong)
-		a.freeDead(s)
+// updateHealth marks the searchers that have had a part for too long. They get nothing new until its
+// outcome has arrived.
+func (a *Aggregator) updateHealth() {
+	for _, s := range a.busySearchers {
+		s.hasOverduePart = slices.ContainsFunc(s.inFlight, a.isOverdue)
+		a.cancelUnanswered(s)
 	}
-	a.rest()
+	a.dropIdleSearchers()
 }
 
-// freeDead takes back safe work that a server is not likely to answer while calls are usually far faster, if
-// it may be sent again, another quick server can take it, its spot is not overloaded, and some calls were
-// lost on idle connections or calls are quick: from dead connections, hung servers, lost answers. It harms
-// work that would end and feeds jams, and a large fleet does it all at once: hence late, with room only.
-// Keyed work stays: a server that stands still may do it when the repeat elsewhere is past its window.
-func (a *Aggregator) freeDead(s *server) {
-	if !s.overdue || !a.set.MayCancel {
+// cancelUnanswered cancels the attempts of safe queries that a searcher is unlikely to answer while calls
+// are typically far faster. The conditions are: the part may be retried, another quick searcher can take
+// it, its replica group is not overloaded, and either some calls were lost on idle connections or calls
+// are quick. This recovers from dead connections, hung searchers and lost answers. It does harm to work
+// that would have ended and adds to congestion, and in a large fleet all aggregators do it at once;
+// therefore it is done late, and only where there is capacity. Keyed work is not cancelled: a searcher
+// that is stalled may do it when the retry elsewhere is past its repeat window.
+func (a *Aggregator) cancelUnanswered(overdue *searcher) {
+	if !overdue.hasOverduePart || !a.settings.MayCancel {
 		return
 	}
-	other := func(o *server) bool { return o != s && a.sound(o) && o.pace < deadSlow }
-	patience := deadTimes * min(max(s.pace, 1), deadSlow) // a slow one takes its time for each
-	alone := !a.set.SecondCopies                          // else copies go, and a cancel may stop nothing
-	for _, t := range s.out {
-		c := t.part.query.class
-		if c.Effect == Safe && !t.recalled && c.usual > 0 && float64(a.waited(t)) >= patience*c.usual &&
-			(t.unheard() && (a.dead >= 1 || alone && c.easy()) || a.far(t) && c.easy()) &&
-			a.mayAgain(t.part) && a.spot(t.part.Part).share >= 1 &&
-			slices.ContainsFunc(a.holding(t.part), other) {
-			t.recalled = true
-			a.do(Cancel{t.part.ID, t.number})
+	isQuickAlternative := func(other *searcher) bool {
+		return other != overdue && a.isHealthy(other) && other.relativeLatency < slowRelativeLatency
+	}
+	// A slow searcher takes longer for each call.
+	factor := deadConnFactor * min(max(overdue.relativeLatency, 1), slowRelativeLatency)
+	// Where second copies are allowed they are sent instead, and a cancel may stop nothing.
+	withoutCopies := !a.settings.SecondCopies
+	for _, attempt := range overdue.inFlight {
+		class := attempt.part.query.class
+		if class.Effect == Safe && !attempt.cancelled && class.typicalLatency > 0 &&
+			float64(a.silentFor(attempt)) >= factor*class.typicalLatency &&
+			(attempt.noResponseSince() &&
+				(a.deadConnEvidence >= 1 || withoutCopies && class.hasQuickCalls()) ||
+				a.isLongSilent(attempt) && class.hasQuickCalls()) &&
+			a.mayRetry(attempt.part) && a.replicaGroup(attempt.part.Part).admissionShare >= 1 &&
+			slices.ContainsFunc(a.replicasOf(attempt.part), isQuickAlternative) {
+			attempt.cancelled = true
+			a.emit(Cancel{attempt.part.ID, attempt.number})
 		}
 	}
 }
--- a/lost_test.go
+++ b/lost_test.go
@@ -5,15 +5,15 @@
 	"testing"
 )
 
-// held sends part 10 to a server, and then others until that server has one of them too. It returns
-// the server, and the other part, the latest that was sent there.
-func (c *script) held() (server string, later uint64) {
-	c.a.classes[0].usual, c.a.usual = float64(50*ms), float64(50*ms)
-	server = only[Send](c.turn(ask(1, 0, 0)))[0].Replica
+// sendTwoPartsToOneSearcher sends part 10 to a searcher, and then other parts until that searcher has one of
+// them too. It returns the searcher and that part, the last one sent there.
+func (c *driver) sendTwoPartsToOneSearcher() (searcher string, later uint64) {
+	c.aggregator.classes[0].typicalLatency, c.aggregator.typicalLatency = float64(50*ms), float64(50*ms)
+	searcher = actionsOf[Send](c.turn(newQuery(1, 0, 0)))[0].Replica
 	elsewhere := make(map[uint64]string)
 	for id := uint64(2); later == 0; id++ {
-		for _, x := range only[Send](c.after(5*ms, ask(id, 0, 0))) {
-			if x.Replica == server {
+		for _, x := range actionsOf[Send](c.after(5*ms, newQuery(id, 0, 0))) {
+			if x.Replica == searcher {
 				later = x.Part
 			} else {
 				elsewhere[x.Part] = x.Replica
@@ -21,67 +21,71 @@
 		}
 	}
 	for id, s := range elsewhere {
-		c.turn(ok(id, 0, s))
+		c.turn(okOutcome(id, 0, s))
 	}
-	return server, later
+	return searcher, later
 }
 
-// A server that answers what it was sent later has lost the answer to a part, or its connection was cut:
-// were the part to wait for its query's end, its server would get nothing new for as long.
-func TestAPartThatLaterOnesOvertookIsTriedAgain(t *testing.T) {
+// A searcher that answers what it was sent later has lost the answer to a part, or its connection was cut. If the
+// part waited until the end of its query, its searcher would get nothing new for as long.
+func TestOvertakenPartIsRetried(t *testing.T) {
 	for _, copies := range []bool{false, true} {
 		s := testSettings()
 		s.SecondCopies = copies
-		c := start(t, s)
-		server, later := c.held()
-		c.after(40*ms, ok(later, 0, server))
-		var again []Send
-		for until := c.now + 500*ms; len(again) == 0 && c.now < until; {
-			for _, x := range only[Cancel](c.after(20 * ms)) {
-				again = append(again, only[Send](c.after(5*ms, with(ok(x.Part, x.Attempt, server), Cancelled)))...)
+		c := startAggregator(t, s)
+		searcher, later := c.sendTwoPartsToOneSearcher()
+		c.after(40*ms, okOutcome(later, 0, searcher))
+		var retries []Send
+		for until := c.now + 500*ms; len(retries) == 0 && c.now < until; {
+			for _, x := range actionsOf[Cancel](c.after(20 * ms)) {
+				retries = append(retries, actionsOf[Send](
+					c.after(5*ms, withStatus(okOutcome(x.Part, x.Attempt, searcher), Cancelled)))...)
 			}
-			if p := c.a.parts[10]; len(p.attempts) > 1 && len(again) == 0 {
-				again = append(again, Send{Part: 10, Replica: p.attempts[1].server.ID})
+			if p := c.aggregator.parts[10]; len(p.attempts) > 1 && len(retries) == 0 {
+				retries = append(retries, Send{Part: 10, Replica: p.attempts[1].searcher.ID})
 			}
 		}
-		if len(again) != 1 || again[0].Part != 10 || again[0].Replica == server {
-			t.Fatalf("copies allowed %v: tried again at %v, want one try on the other than %s", copies, again, server)
+		if len(retries) != 1 || retries[0].Part != 10 || retries[0].Replica == searcher {
+			t.Fatalf("copies allowed %v: retried by %v, want one retry at another searcher than %s", copies, retries, searcher)
 		}
-		c.want("not while it may only be heavy", c.now-c.a.parts[10].attempts[0].sent >= 350*ms, true)
-		c.after(40*ms, ok(10, 1, again[0].Replica))
+		c.want("not while the part may only be heavy", c.now-c.aggregator.parts[10].attempts[0].sentAt >= 350*ms, true)
+		c.after(40*ms, okOutcome(10, 1, retries[0].Replica))
 		for range 2 {
-			c.after(5*ms, with(ok(10, 0, server), Cancelled))
+			c.after(5*ms, withStatus(okOutcome(10, 0, searcher), Cancelled))
 		}
-		c.want("its server is free", c.a.byID[server].overdue || len(c.a.byID[server].out) > 0, false)
+		c.want("its searcher is busy", c.aggregator.searchersByID[searcher].hasOverduePart ||
+			len(c.aggregator.searchersByID[searcher].inFlight) > 0, false)
 	}
 }
 
-// One lost answer must not keep what came after it on a connection that is dead from being taken back.
-func TestALostAnswerDoesNotHideASilentServer(t *testing.T) {
+// One lost answer must not prevent the cancelling of what was sent after it on a connection that is dead.
+func TestLostAnswerDoesNotHideSilentSearcher(t *testing.T) {
 	s := testSettings()
 	s.SecondCopies = false
-	c := start(t, s)
-	server, later := c.held()
-	c.a.byID[server].lastOK = c.a.parts[later].attempts[0].sent - ms // it was answering when part 10 was out
-	var back []uint64
+	c := startAggregator(t, s)
+	searcher, later := c.sendTwoPartsToOneSearcher()
+	// It was answering while part 10 was in flight.
+	c.aggregator.searchersByID[searcher].lastAnswerAt = c.aggregator.parts[later].attempts[0].sentAt - ms
+	var cancelled []uint64
 	for until := c.now + 600*ms; c.now < until; {
-		for _, x := range only[Cancel](c.after(20 * ms)) {
-			back = append(back, x.Part)
+		for _, x := range actionsOf[Cancel](c.after(20 * ms)) {
+			cancelled = append(cancelled, x.Part)
 		}
 	}
-	slices.Sort(back)
-	c.want("both are taken back", back, []uint64{10, later})
+	slices.Sort(cancelled)
+	c.want("both are cancelled", cancelled, []uint64{10, later})
 }
 
-// A copy's answer ends what is out beside it, not only when the whole query ends: a place there is free.
-func TestWhatIsOutBesideAnAnswerIsTakenBack(t *testing.T) {
-	c := start(t, testSettings())
-	c.a.copies = 1
-	c.want("calls", len(only[Send](c.turn(ask(1, 1, 0, 2)))), 2) // keyed work is not taken back before that
-	second := only[Send](c.after(300 * ms))
-	c.want("copies", len(second), 1)
-	part := second[0].Part
-	c.want("cancels", only[Cancel](c.after(20*ms, ok(part, 1, second[0].Replica))), []Cancel{{part, 0}})
-	c.want("again", len(only[Cancel](c.after(20*ms))), 0)
-	c.want("the query goes on", c.a.open[1] != nil, true)
+// The answer of a copy cancels the part's other attempt at once, not only when the whole query ends: that frees
+// its place at the searcher.
+func TestOtherAttemptsAreCancelledAfterAnAnswer(t *testing.T) {
+	c := startAggregator(t, testSettings())
+	c.aggregator.secondCopyCredit = 1
+	c.want("calls", len(actionsOf[Send](c.turn(newQuery(1, 1, 0, 2)))), 2) // keyed work is not cancelled before that
+	copies := actionsOf[Send](c.after(300 * ms))
+	c.want("copies", len(copies), 1)
+	part := copies[0].Part
+	c.want("cancels", actionsOf[Cancel](c.after(20*ms, okOutcome(part, 1, copies[0].Replica))), []Cancel{{part, 0}})
+	c.want("again", len(actionsOf[Cancel](c.after(20*ms))), 0)
+	c.want("the query goes on", c.aggregator.openQueries[1] != nil, true)
 }
--- a/outcome.go
+++ b/outcome.go
@@ -1,154 +1,166 @@
 package eiderwinch
 
-// What outcomes say of servers, and the news of the list.
+// Outcomes of attempts, what they show of the searchers, and updates of the member list.
 
-// takeOutcome books how an attempt ended.
-func (a *Aggregator) takeOutcome(e Outcome) {
-	p := a.parts[e.Part]
-	if p == nil || e.Attempt < 0 || e.Attempt >= len(p.attempts) || p.attempts[e.Attempt].over {
+// handleOutcome records how an attempt ended.
+func (a *Aggregator) handleOutcome(outcome Outcome) {
+	part := a.parts[outcome.Part]
+	if part == nil || outcome.Attempt < 0 || outcome.Attempt >= len(part.attempts) ||
+		part.attempts[outcome.Attempt].ended {
 		return
 	}
-	t := p.attempts[e.Attempt]
-	t.over = true
-	p.open--
-	a.release(t)
-	a.learn(t, e)
-	t.never = e.Status == Full || e.Status == NoConnection || e.Status == NotSent
-	if e.Status == OK && !p.in && !p.over {
-		if p.open > 0 && t.number > 0 {
-			a.copies = min(a.copies+1, copyMost) // it paid: another may
+	attempt := part.attempts[outcome.Attempt]
+	attempt.ended = true
+	part.inFlight--
+	a.removeFromSearcher(attempt)
+	a.recordOutcome(attempt, outcome)
+	attempt.neverRan = outcome.Status == Full || outcome.Status == NoConnection || outcome.Status == NotSent
+	if outcome.Status == OK && !part.answered && !part.ended {
+		if part.inFlight > 0 && attempt.number > 0 {
+			// The copy was useful: another may follow.
+			a.secondCopyCredit = min(a.secondCopyCredit+1, maxSecondCopyCredit)
 		}
-		p.in = true
-		p.query.in += p.Weight
-		a.recall(p)
+		part.answered = true
+		part.query.answeredWeight += part.Weight
+		a.cancelAttempts(part)
 	}
-	if p.over && p.open == 0 {
-		delete(a.parts, p.ID)
+	if part.ended && part.inFlight == 0 {
+		delete(a.parts, part.ID)
 	}
 }
 
-// learn draws on an outcome for the usual times, the server's window and its record.
-func (a *Aggregator) learn(t *attempt, e Outcome) {
-	s, c := t.server, t.part.query.class
-	if e.Load != nil {
-		s.queue, s.heard = e.Load.Waiting, a.now
+// recordOutcome updates the typical latencies and the searcher's window and failure score by an outcome.
+func (a *Aggregator) recordOutcome(attempt *attempt, outcome Outcome) {
+	searcher, class := attempt.searcher, attempt.part.query.class
+	if outcome.Load != nil {
+		searcher.reportedQueue, searcher.reportedAt = outcome.Load.Waiting, a.now
 	}
-	took := float64(a.now - t.sent)
-	if e.Took > 0 {
-		took = min(took, float64(e.Took))
+	took := float64(a.now - attempt.sentAt)
+	if outcome.Took > 0 {
+		took = min(took, float64(outcome.Took))
 	}
-	pace := blend(s.pace, took/max(a.usual, 1), learnOne)
-	if a.usual == 0 {
-		pace = s.pace
+	relativeLatency := smooth(searcher.relativeLatency, took/max(a.typicalLatency, 1), fastSmoothing)
+	if a.typicalLatency == 0 {
+		relativeLatency = searcher.relativeLatency
 	}
-	switch e.Status {
+	switch outcome.Status {
 	case OK:
-		s.lastOK, s.newest, s.down = a.now, max(s.newest, t.sent), false
-		if t.fresh {
-			a.dead = max(a.dead-learn*learn, 0) // so it is forgotten in time
-		} else if float64(t.idle) >= a.stale {
-			a.dead = max(a.dead-learnOne, 0)
+		searcher.lastAnswerAt, searcher.newestAnsweredSentAt, searcher.unreachable =
+			a.now, max(searcher.newestAnsweredSentAt, attempt.sentAt), false
+		if attempt.onNewConn {
+			// The evidence decays, so that it is gone after some time.
+			a.deadConnEvidence = max(a.deadConnEvidence-slowSmoothing*slowSmoothing, 0)
+		} else if float64(attempt.searcherIdle) >= a.deadAfterIdle {
+			a.deadConnEvidence = max(a.deadConnEvidence-fastSmoothing, 0)
 		}
-		if t.alone {
-			step := quickest // towards the time that so many calls stay under
-			if took < c.work {
+		if attempt.aloneInCall {
+			step := uncontendedQuantile // moves partWork towards this quantile of the latencies
+			if took < class.partWork {
 				step -= 1
 			}
-			c.work *= 1 + learn*step
+			class.partWork *= 1 + slowSmoothing*step
 		}
-		s.pace = pace
-		a.usual = blend(a.usual, took, learn)
-		c.usual = blend(c.usual, took, learn)
-		if took > float64(c.Aim)/targetShare {
-			a.narrow(s, t)
-		} else if float64(len(s.out)+1) >= s.window/2 {
-			s.window = min(s.window+1/s.window, float64(2*a.set.Batch))
+		searcher.relativeLatency = relativeLatency
+		a.typicalLatency = smooth(a.typicalLatency, took, slowSmoothing)
+		class.typicalLatency = smooth(class.typicalLatency, took, slowSmoothing)
+		if took > float64(class.Aim)/quickCallAimDivisor {
+			a.narrowWindow(searcher, attempt)
+		} else if float64(len(searcher.inFlight)+1) >= searcher.window/2 {
+			searcher.window = min(searcher.window+1/searcher.window, float64(2*a.settings.Batch))
 		}
-		if took > float64(a.overdueAfter(c)) {
-			a.blame(s, t, lateBlame)
+		if took > float64(a.overdueAfter(class)) {
+			a.recordFailure(searcher, attempt, lateFailureWeight)
 		} else {
-			a.praise(s, t)
+			a.recordSuccess(searcher, attempt)
 		}
 	case Failed, Reset, NoConnection:
-		if e.Status == Reset {
-			t.reset = true
-			a.lost(t, e)
+		if outcome.Status == Reset {
+			attempt.connReset = true
+			a.recordLostCall(attempt, outcome)
 		}
-		if e.Status == NoConnection {
-			s.down, a.closeAt = true, a.now+a.set.ColdFor
+		if outcome.Status == NoConnection {
+			searcher.unreachable, a.disconnectAllowedAt = true, a.now+a.settings.ColdFor
 		}
-		a.blame(s, t, 1)
+		a.recordFailure(searcher, attempt, 1)
 	case TimedOut, Full, Cancelled:
-		if e.Status == Full {
-			a.spot(t.part.Part).ease(easeDown / 4)
+		if outcome.Status == Full {
+			a.replicaGroup(attempt.part.Part).reduceAdmission(admissionDecrease / 4)
 		}
-		a.lost(t, e)
-		s.pace = max(s.pace, pace) // it would have taken longer
-		if e.Status != Cancelled {
-			a.narrow(s, t)
+		a.recordLostCall(attempt, outcome)
+		// The call would have taken longer than this.
+		searcher.relativeLatency = max(searcher.relativeLatency, relativeLatency)
+		if outcome.Status != Cancelled {
+			a.narrowWindow(searcher, attempt)
 		}
-		if e.Status != Cancelled || took > float64(a.overdueAfter(c)) {
-			a.blame(s, t, lateBlame)
+		if outcome.Status != Cancelled || took > float64(a.overdueAfter(class)) {
+			a.recordFailure(searcher, attempt, lateFailureWeight)
 		}
 	}
 }
 
-// lost counts calls that were lost and after how long without an answer from their server; once more are lost
-// than answered, renew closes a server's connections before a call if it has brought no answer for as long: a
-// guard against connections that die while idle, of which an aggregator has many where its calls are rare.
-// Hung servers mislead it: that costs handshakes. None are closed for a while after one was not to be had.
-func (a *Aggregator) lost(t *attempt, e Outcome) {
-	idled := t.idle > 0 && !t.fresh && e.Status != Full && (e.Status == Reset || t.server.overdue)
-	if !idled || t.sent < t.server.judged {
+// recordLostCall counts the calls that were lost after their searcher had been idle, and keeps the
+// shortest such idle time. Once more calls are lost than answered after that time, closeDeadConns closes
+// a searcher's connections before a call if the searcher has answered nothing for as long. This protects
+// against connections that die while idle, of which an aggregator has many if its calls are rare. Hung
+// searchers look the same, which costs handshakes. No connections are closed for a while after a new one
+// could not be established.
+func (a *Aggregator) recordLostCall(attempt *attempt, outcome Outcome) {
+	afterIdle := attempt.searcherIdle > 0 && !attempt.onNewConn && outcome.Status != Full &&
+		(outcome.Status == Reset || attempt.searcher.hasOverduePart)
+	if !afterIdle || attempt.sentAt < attempt.searcher.failureRecordedAt {
 		return
 	}
-	if a.dead == 0 || float64(t.idle) < a.stale {
-		a.stale = float64(t.idle)
+	if a.deadConnEvidence == 0 || float64(attempt.searcherIdle) < a.deadAfterIdle {
+		a.deadAfterIdle = float64(attempt.searcherIdle)
 	}
-	a.dead = min(a.dead+1, 2*deadSure)
+	a.deadConnEvidence = min(a.deadConnEvidence+1, 2*deadConnThreshold)
 }
 
-func (a *Aggregator) renew(s *server) bool {
-	idle := float64(a.now - s.lastOK)
-	if a.dead < deadSure || s.lastOK == 0 || idle < a.stale || len(s.out) > 0 || a.now < a.closeAt {
+// closeDeadConns closes the connections to a searcher that has been idle for so long that they are likely
+// to be dead, and reports whether it did.
+func (a *Aggregator) closeDeadConns(s *searcher) bool {
+	idle := float64(a.now - s.lastAnswerAt)
+	if a.deadConnEvidence < deadConnThreshold || s.lastAnswerAt == 0 || idle < a.deadAfterIdle ||
+		len(s.inFlight) > 0 || a.now < a.disconnectAllowedAt {
 		return false
 	}
-	a.do(Disconnect{s.ID})
+	a.emit(Disconnect{s.ID})
 	return true
 }
 
-// narrow shrinks a server's window, once a call.
-func (a *Aggregator) narrow(s *server, t *attempt) {
-	if t.sent >= s.judged {
-		s.window = max(s.window*shrink, 1)
+// narrowWindow shrinks a searcher's window, once for each call.
+func (a *Aggregator) narrowWindow(s *searcher, attempt *attempt) {
+	if attempt.sentAt >= s.failureRecordedAt {
+		s.window = max(s.window*windowDecrease, 1)
 	}
 }
 
-// takeList follows the list of servers.
-func (a *Aggregator) takeList(e ListChange) {
-	if e.Kind == NoList {
-		a.asked = false
-		a.askWait = max(2*a.askWait, 20*a.set.Tick)
-		if a.set.AskWithin > 0 {
-			a.askWait = min(a.askWait, a.set.AskWithin/8)
+// handleListChange applies an update of the member list.
+func (a *Aggregator) handleListChange(event ListChange) {
+	if event.Kind == NoList {
+		a.subscribed = false
+		a.subscribeBackoff = max(2*a.subscribeBackoff, 20*a.settings.Tick)
+		if a.settings.AskWithin > 0 {
+			a.subscribeBackoff = min(a.subscribeBackoff, a.settings.AskWithin/8)
 		}
-		a.askAt = a.now + a.askWait
+		a.subscribeAt = a.now + a.subscribeBackoff
 		return
 	}
-	a.askWait, a.left = 0, true
-	a.forgetHolders()
-	if e.Kind != Changes {
-		for _, s := range a.servers {
-			s.listed, s.State = false, Removed // those that are in it are entered below
+	a.subscribeBackoff, a.someUnlisted = 0, true
+	a.invalidateReplicas()
+	if event.Kind != Changes {
+		for _, s := range a.searchers {
+			s.listed, s.State = false, Removed // those in the list are set again below
 		}
 	}
-	for _, r := range e.Replicas {
-		s := a.byID[r.ID]
+	for _, r := range event.Replicas {
+		s := a.searchersByID[r.ID]
 		if s == nil {
-			s = a.enter(r.ID)
-			s.window = float64(a.set.Batch)
-		} else if r.Started > s.Started { // a new process: nothing that was known of the old one holds
-			s.record, s.aside, s.down, s.window, s.pace, s.heard = 0, false, false, 1, 0, 0
+			s = a.addSearcher(r.ID)
+			s.window = float64(a.settings.Batch)
+		} else if r.Started > s.Started { // a new process: what was known of the old one is void
+			s.failureScore, s.ejected, s.unreachable, s.window, s.relativeLatency, s.reportedAt =
+				0, false, false, 1, 0, 0
 		}
 		s.Replica = r
 		s.listed = r.State == Ready
--- a/plan.go
+++ b/plan.go
@@ -2,228 +2,250 @@
 
 import "time"
 
-// Giving the parts to the fewest servers that can take them, one call each.
+// Assignment of the parts to the fewest searchers that can take them, one call each.
 
-// plan gives the pending parts to the fewest servers: again and again it takes the server that covers most of
-// them and sends it one call.
-func (a *Aggregator) plan(pending []*part) {
-	a.note(pending)
+// assign assigns the pending parts to the fewest searchers: it repeatedly takes the searcher that covers
+// most of them and sends it one call.
+func (a *Aggregator) assign(pending []*part) {
+	a.indexPending(pending)
 	for {
-		var best *server
-		var cover []*part
-		for _, s := range a.noted {
-			if s.called || !s.listed {
+		var best *searcher
+		var bestParts []*part
+		for _, s := range a.candidates {
+			if s.hasCall || !s.listed {
 				continue
 			}
-			c := a.cover(s)
-			if len(c) == 0 || len(c) < len(cover) {
+			parts := a.coveredParts(s)
+			if len(parts) == 0 || len(parts) < len(bestParts) {
 				continue
 			}
-			if best == nil || len(c) > len(cover) || a.before(s, best, c[0]) {
-				best, cover = s, c
+			if best == nil || len(parts) > len(bestParts) || a.isPreferred(s, best, parts[0]) {
+				best, bestParts = s, parts
 			}
 		}
 		if best == nil {
 			return
 		}
-		best.called = true
-		best.calls++
-		fresh := a.renew(best)
-		for _, p := range cover {
-			a.send(best, p, len(cover) == 1, fresh)
+		best.hasCall = true
+		best.callsInFlight++
+		onNewConn := a.closeDeadConns(best)
+		for _, p := range bestParts {
+			a.sendPart(best, p, len(bestParts) == 1, onNewConn)
 		}
 	}
 }
 
-// before breaks a tie in cover: fewest calls out, then the clearly shorter queue by a fresh report, the own
-// zone where crossing costs, then the quicker where they clearly differ (crowded and slow servers are left
-// before they are late), then the server that other aggregators would also choose for this key, where keys
-// warm servers.
-func (a *Aggregator) before(s, t *server, p *part) bool {
-	if s.calls != t.calls {
-		return s.calls < t.calls
-	}
-	if d := s.queue - t.queue; a.fresh(s) && a.fresh(t) && (d < -queueApart || d > queueApart) {
+// isPreferred reports whether a searcher is preferred to another that covers as many parts. The criteria
+// are, in order: fewer calls in flight; a clearly shorter queue by a current report; the own zone, where
+// crossing zones costs; a clearly lower relative latency, so that crowded and slow searchers are avoided
+// before they are late; the order of searchers for the query's key that all aggregators share, since keys
+// warm searchers.
+func (a *Aggregator) isPreferred(searcher, other *searcher, part *part) bool {
+	if searcher.callsInFlight != other.callsInFlight {
+		return searcher.callsInFlight < other.callsInFlight
+	}
+	if d := searcher.reportedQueue - other.reportedQueue; a.hasCurrentReport(searcher) &&
+		a.hasCurrentReport(other) && (d < -queueMargin || d > queueMargin) {
 		return d < 0
 	}
-	if a.set.CrossZoneCosts && (s.Zone == a.set.Zone) != (t.Zone == a.set.Zone) {
-		return s.Zone == a.set.Zone
+	if a.settings.CrossZoneCosts && (searcher.Zone == a.settings.Zone) != (other.Zone == a.settings.Zone) {
+		return searcher.Zone == a.settings.Zone
 	}
-	if d := s.pace - t.pace; d < -paceApart || d > paceApart {
+	if d := searcher.relativeLatency - other.relativeLatency; d < -latencyMargin || d > latencyMargin {
 		return d < 0
 	}
-	return hash(p.query.Key, s.ID) < hash(p.query.Key, t.ID)
+	return stableHash(part.query.Key, searcher.ID) < stableHash(part.query.Key, other.ID)
 }
 
-// cover returns the pending parts that a server would get: as many as its window and the batch limit allow,
-// and of each query no more than make it whole. An idle server may get a full call, which costs little more
-// than a small one, a busy one none that its window would cut, and second copies only if it has one part out.
-func (a *Aggregator) cover(s *server) []*part {
-	room := min(int(s.window)-len(s.out), a.set.Batch)
-	if len(s.out) == 0 {
-		room = a.set.Batch
-	}
-	if s.aside {
+// coveredParts returns the pending parts that a searcher would get: as many as its window and the batch
+// limit allow, and of each query no more than make it whole. An idle searcher may get a full call, which
+// costs little more than a small one. A busy one gets no call that its window would cut, and second
+// copies only if it has no more than one part in flight.
+func (a *Aggregator) coveredParts(searcher *searcher) []*part {
+	room := min(int(searcher.window)-len(searcher.inFlight), a.settings.Batch)
+	if len(searcher.inFlight) == 0 {
+		room = a.settings.Batch
+	}
+	if searcher.ejected {
 		room = min(room, 1)
 	}
-	var c []*part
-	wanted := make(map[*query]float64)
-	extra := 0
+	var covered []*part
+	expected := make(map[*query]float64)
+	retries := 0
 	var work time.Duration
-	for _, p := range s.pending {
-		if len(c) >= room && (room <= 0 || len(c) >= a.set.Batch || s.aside) {
+	for _, p := range searcher.pendingParts {
+		if len(covered) >= room && (room <= 0 || len(covered) >= a.settings.Batch || searcher.ejected) {
 			break
 		}
-		if p.open > 0 && p.attempts[len(p.attempts)-1].sent == a.now || !a.eligible(s, p) {
+		if p.inFlight > 0 && p.attempts[len(p.attempts)-1].sentAt == a.now || !a.isEligible(searcher, p) {
 			continue
 		}
-		w, ok := wanted[p.query]
+		weight, ok := expected[p.query]
 		if !ok {
-			w = a.promised(p.query)
+			weight = a.expectedWeight(p.query)
 		}
-		if w >= p.query.want-slack && p.open == 0 {
+		if weight >= p.query.wantedWeight-weightSlack && p.inFlight == 0 {
 			continue
 		}
 		if len(p.attempts) > 0 {
-			loaded := len(s.out) > 1 || a.spot(p.Part).share < 1 && !p.query.class.easy()
-			barred := p.open > 0 && (loaded || a.copies < float64(extra+1))
-			if barred || !a.budget(extra+1) {
+			busy := len(searcher.inFlight) > 1 ||
+				a.replicaGroup(p.Part).admissionShare < 1 && !p.query.class.hasQuickCalls()
+			copyBarred := p.inFlight > 0 && (busy || a.secondCopyCredit < float64(retries+1))
+			if copyBarred || !a.withinRetryBudget(retries+1) {
 				continue
 			}
-			extra++
+			retries++
 		}
-		cost := a.workOf(p)
-		if len(c) == 0 {
-			cost += a.set.CallCost
+		cost := a.estimatedWork(p)
+		if len(covered) == 0 {
+			cost += a.settings.CallCost
 		}
-		if !a.coldRoom(s, work+cost) {
+		if !a.hasColdCapacity(searcher, work+cost) {
 			break
 		}
 		work += cost
-		if len(c) >= room {
-			return nil // it would be cut: better wait for the rest than pay for two calls
+		if len(covered) >= room {
+			return nil // the call would be cut: waiting for the rest costs less than two calls
 		}
-		wanted[p.query] = w + p.Weight
-		c = append(c, p)
+		expected[p.query] = weight + p.Weight
+		covered = append(covered, p)
 	}
-	return c
+	return covered
 }
 
-// sound tells that a server may be given a part by its state alone.
-func (a *Aggregator) sound(s *server) bool { return s.listed && !s.overdue && !s.aside }
+// isHealthy reports whether a searcher may be given a part as far as its state is concerned.
+func (a *Aggregator) isHealthy(s *searcher) bool { return s.listed && !s.hasOverduePart && !s.ejected }
 
-// load is a server's parts with one more, or part of its queue if it has reported a long one of late, which
-// others have filled; times what its calls take beyond the usual: twice it is chance.
-func (a *Aggregator) load(s *server) float64 {
-	n := float64(len(s.out) + 1)
-	if a.fresh(s) {
-		n = max(n, queueShare*s.queue)
-	}
-	return n * max(s.pace-1, 1)
+// load returns the number of a searcher's parts in flight plus one, or a share of its queue if that is
+// more and was reported recently, since other aggregators have filled the queue. The number is multiplied
+// by the relative latency less one if that is above 1: calls of up to twice the typical latency are
+// chance.
+func (a *Aggregator) load(s *searcher) float64 {
+	n := float64(len(s.inFlight) + 1)
+	if a.hasCurrentReport(s) {
+		n = max(n, queueWeight*s.reportedQueue)
+	}
+	return n * max(s.relativeLatency-1, 1)
 }
 
-// fresh tells that a server's report still says something: what waited then has not all been served since.
-func (a *Aggregator) fresh(s *server) bool {
-	return s.heard > 0 && float64(a.now-s.heard) < queueTimes*a.usual
+// hasCurrentReport reports whether a searcher's last report is still meaningful: not all that waited then
+// has been served since.
+func (a *Aggregator) hasCurrentReport(s *searcher) bool {
+	return s.reportedAt > 0 && float64(a.now-s.reportedAt) < reportLifetimeFactor*a.typicalLatency
 }
 
-// eligible tells that a server may get a part: no attempt of it is out there, no sound server that has not
-// had it is left if this one has, and at most one more of our parts is out here than on the shard's least
-// busy sound server, those of a slow one counted by its pace: so wide queries needn't wait for slow servers;
-// it could do harm when one call's time misleads. One that is not sound gets a part only as a trial or where
-// the shard has no sound one. Coming back to a server guards against failures that strike calls, not servers.
-func (a *Aggregator) eligible(s *server, p *part) bool {
-	out, had := p.at(s)
-	if out {
+// isEligible reports whether a searcher may get a part. No attempt of the part may be in flight there. If
+// one has ended there, no healthy searcher that has not had the part may be left; returning to a searcher
+// helps against failures that affect calls rather than searchers. And it may have at most one more of
+// this aggregator's parts in flight than the least busy healthy searcher of the shard, where those of a
+// slow searcher count by its relative latency: so wide queries need not wait for slow searchers. This can
+// do harm if the latency of a single call is misleading.
+//
+// A searcher that is not healthy gets a part only as a probe attempt or if the shard has no healthy
+// searcher.
+func (a *Aggregator) isEligible(searcher *searcher, part *part) bool {
+	inFlight, ended := part.attemptsAt(searcher)
+	if inFlight {
 		return false
 	}
-	least, sound := a.load(s), false
-	for _, o := range a.holding(p) {
-		if !a.sound(o) || !a.coldRoom(o, a.set.CallCost) {
+	leastLoad, anyHealthy := a.load(searcher), false
+	for _, other := range a.replicasOf(part) {
+		if !a.isHealthy(other) || !a.hasColdCapacity(other, a.settings.CallCost) {
 			continue
 		}
-		if oOut, oHad := p.at(o); had && !oOut && !oHad {
+		if otherInFlight, otherEnded := part.attemptsAt(other); ended && !otherInFlight && !otherEnded {
 			return false
 		}
-		least, sound = min(least, a.load(o)), true
+		leastLoad, anyHealthy = min(leastLoad, a.load(other)), true
 	}
-	if a.sound(s) {
-		return a.load(s) <= least+1
+	if a.isHealthy(searcher) {
+		return a.load(searcher) <= leastLoad+1
 	}
-	if !sound {
-		return !s.aside || len(s.out) == 0 && (!s.down || a.now >= s.trialAt)
+	if !anyHealthy {
+		return !searcher.ejected ||
+			len(searcher.inFlight) == 0 && (!searcher.unreachable || a.now >= searcher.probeAt)
 	}
-	return s.aside && len(s.out) == 0 && a.now >= s.trialAt && p.query.class.Effect != Unsafe
+	return searcher.ejected && len(searcher.inFlight) == 0 && a.now >= searcher.probeAt &&
+		part.query.class.Effect != Unsafe
 }
 
-// coldRoom tells that a server is warm, or that this aggregator's share of what a cold one can surely do, on
-// one core at least, has room for more work. Among many aggregators an equal share is less than one call:
-// then they take turns, by their numbers and those that Share gives, as many at a time as can each send one.
-// It guards a server just started against all together; were all turns used, one core could be pushed over.
-func (a *Aggregator) coldRoom(s *server, more time.Duration) bool {
-	age := a.now - s.Started
-	if s.Started <= 0 || a.set.ColdFor <= 0 || age >= a.set.ColdFor {
-		s.cold = nil
+// hasColdCapacity reports whether a searcher is warm, or whether this aggregator's share of the capacity
+// that a cold searcher certainly has, with at least one core, has room for more work. Among many
+// aggregators an equal share is less than one call. They then take turns, by their numbers and those that
+// Share gives, and as many have their turn at a time as can each send one call. This protects a searcher
+// that has just started from the sum of all aggregators. If all turns were used, a searcher with one core
+// could be overloaded.
+func (a *Aggregator) hasColdCapacity(searcher *searcher, more time.Duration) bool {
+	age := a.now - searcher.Started
+	if searcher.Started <= 0 || a.settings.ColdFor <= 0 || age >= a.settings.ColdFor {
+		searcher.coldWork = nil
 		return true
 	}
-	for len(s.cold) > 0 && s.cold[0].at <= a.now-a.set.ColdOverloads {
-		s.cold = s.cold[1:]
-	}
-	for _, x := range s.cold {
-		more += x.work
-	}
-	share := a.set.ColdShare + (1-a.set.ColdShare)*max(float64(age), 0)/float64(a.set.ColdFor)
-	able := share * a.set.ColdMultiple * float64(a.set.ColdOverloads) * turnsUsed
-	if s.lastOK > s.Started && a.now-s.lastOK < a.set.ColdOverloads && s.pace < 1+paceApart {
-		able *= turnsQuick
-	}
-	at := min(max(int(able/float64(a.set.CallCost+a.workOf(nil))), 1), a.set.Brokers) // whose turn it is
-	turn := a.set.Number + int(hash("", s.ID)%uint64(a.set.Brokers))
-	turn += at * int(max(age, 0)/max(a.set.ColdOverloads, 1))
-	turns := 0.0
-	for n := range a.slots() {
-		if (turn+a.set.Brokers-n)%a.set.Brokers < at {
-			turns++
+	for len(searcher.coldWork) > 0 && searcher.coldWork[0].sentAt <= a.now-a.settings.ColdOverloads {
+		searcher.coldWork = searcher.coldWork[1:]
+	}
+	for _, sent := range searcher.coldWork {
+		more += sent.work
+	}
+	share := a.settings.ColdShare + (1-a.settings.ColdShare)*max(float64(age), 0)/float64(a.settings.ColdFor)
+	capacity := share * a.settings.ColdMultiple * float64(a.settings.ColdOverloads) * coldOvercommit
+	if searcher.lastAnswerAt > searcher.Started && a.now-searcher.lastAnswerAt < a.settings.ColdOverloads &&
+		searcher.relativeLatency < 1+latencyMargin {
+		capacity *= quickColdFactor
+	}
+	// The number of gatherers that may send at a time: as many as can each send one call.
+	senders := min(
+		max(int(capacity/float64(a.settings.CallCost+a.estimatedWork(nil))), 1), a.settings.Brokers)
+	position := a.settings.Number + int(stableHash("", searcher.ID)%uint64(a.settings.Brokers))
+	position += senders * int(max(age, 0)/max(a.settings.ColdOverloads, 1))
+	ownTurns := 0.0
+	for n := range a.ownSlots() {
+		if (position+a.settings.Brokers-n)%a.settings.Brokers < senders {
+			ownTurns++
 		}
 	}
-	return turns > 0 && float64(more) <= able/float64(at)*turns
+	return ownTurns > 0 && float64(more) <= capacity/float64(senders)*ownTurns
 }
 
-// send starts one attempt, which may be alone in its call.
-func (a *Aggregator) send(s *server, p *part, alone, fresh bool) {
+// sendPart starts one attempt of a part. aloneInCall reports whether its call has no other part,
+// onNewConn whether idle connections were closed before it.
+func (a *Aggregator) sendPart(searcher *searcher, part *part, aloneInCall, onNewConn bool) {
 	switch {
-	case len(p.attempts) == 0:
-		share := copyShare
-		if p.query.class.easy() {
-			share = copyEasy
+	case len(part.attempts) == 0:
+		ratio := secondCopyRatio
+		if part.query.class.hasQuickCalls() {
+			ratio = secondCopyRatioQuick
 		}
-		a.copies = min(a.copies+share, copyMost)
-	case p.open > 0:
-		a.copies--
+		a.secondCopyCredit = min(a.secondCopyCredit+ratio, maxSecondCopyCredit)
+	case part.inFlight > 0:
+		a.secondCopyCredit--
 		fallthrough
 	default:
-		a.tally(&a.further)
+		a.recordForBudget(&a.retryTimes)
+	}
+	if part.query.startedAt == 0 {
+		part.query.startedAt = a.now
 	}
-	if p.query.started == 0 {
-		p.query.started = a.now
+	started := &attempt{
+		part: part, number: len(part.attempts), searcher: searcher, sentAt: a.now,
+		aloneInCall: aloneInCall, onNewConn: onNewConn,
 	}
-	t := &attempt{part: p, number: len(p.attempts), server: s, sent: a.now, alone: alone, fresh: fresh}
-	if s.lastOK > 0 {
-		t.idle = a.now - s.lastOK
+	if searcher.lastAnswerAt > 0 {
+		started.searcherIdle = a.now - searcher.lastAnswerAt
 	}
-	p.attempts = append(p.attempts, t)
-	p.open++
-	work := a.workOf(p)
-	if len(s.out) == 0 || s.out[len(s.out)-1].sent != a.now {
-		work += a.set.CallCost
+	part.attempts = append(part.attempts, started)
+	part.inFlight++
+	work := a.estimatedWork(part)
+	if len(searcher.inFlight) == 0 || searcher.inFlight[len(searcher.inFlight)-1].sentAt != a.now {
+		work += a.settings.CallCost
 	}
-	a.starts(s)
-	s.out = append(s.out, t)
-	if s.Started > 0 && a.now-s.Started < a.set.ColdFor {
-		s.cold = append(s.cold, spent{a.now, work})
+	a.markBusy(searcher)
+	searcher.inFlight = append(searcher.inFlight, started)
+	if searcher.Started > 0 && a.now-searcher.Started < a.settings.ColdFor {
+		searcher.coldWork = append(searcher.coldWork, sentWork{a.now, work})
 	}
-	if s.aside {
-		s.trialAt = a.now
+	if searcher.ejected {
+		searcher.probeAt = a.now
 	}
-	a.do(Send{p.ID, s.ID, p.query.end - a.now})
+	a.emit(Send{part.ID, searcher.ID, part.query.endAt - a.now})
 }
--- a/scale_test.go
+++ b/scale_test.go
@@ -5,8 +5,9 @@
 	"time"
 )
 
-// A server that failed once must be tried again by the time calls take, not by their aim alone.
-func TestTrialsComeByTheUsualTimeOfCalls(t *testing.T) {
+// An ejected searcher must be probed again after a delay that follows the typical latency of calls, not only
+// their aim: with short calls it would otherwise be left unused for a long time.
+func TestProbeDelayFollowsTypicalLatency(t *testing.T) {
 	for _, c := range []struct{ call, latest time.Duration }{
 		{5 * time.Millisecond, 40 * time.Millisecond}, {200 * time.Millisecond, 600 * time.Millisecond},
 	} {
@@ -15,12 +16,16 @@
 			Classes: []Class{{Name: "c", Aim: time.Second, Deadline: time.Minute, Worth: 1, Need: 1, Floor: 1}},
 		})
 		now := time.Second
-		a.Turn(now, []Event{ListChange{Kind: Whole, Replicas: []Replica{{ID: "a", State: Ready}, {ID: "b", State: Ready}}}})
+		a.Turn(now, []Event{
+			ListChange{Kind: Whole, Replicas: []Replica{{ID: "a", State: Ready}, {ID: "b", State: Ready}}},
+		})
 		id := uint64(0)
-		// ask sends one query and ends its call; it returns where that went.
-		ask := func(s Status) (to string) {
+		// sendQuery sends one query, ends its call and returns the searcher that got it.
+		sendQuery := func(s Status) (to string) {
 			id += 2
-			for _, x := range a.Turn(now, []Event{Query{ID: id, Left: time.Minute, Parts: []Part{{ID: id + 1, Weight: 1}}}}) {
+			for _, x := range a.Turn(now, []Event{
+				Query{ID: id, Left: time.Minute, Parts: []Part{{ID: id + 1, Weight: 1}}},
+			}) {
 				if x, ok := x.(Send); ok {
 					to = x.Replica
 				}
@@ -30,16 +35,16 @@
 			return to
 		}
 		for range 100 {
-			ask(OK)
+			sendQuery(OK)
 		}
-		failed, at := ask(Failed), now
-		for ask(OK) != failed {
-			if now-at > time.Minute {
-				t.Fatalf("calls of %v: never tried again", c.call)
+		failed, failedAt := sendQuery(Failed), now
+		for sendQuery(OK) != failed {
+			if now-failedAt > time.Minute {
+				t.Fatalf("calls of %v: never probed", c.call)
 			}
 		}
-		if took := now - c.call - at; took > c.latest {
-			t.Errorf("calls of %v: tried again after %v", c.call, took)
+		if took := now - c.call - failedAt; took > c.latest {
+			t.Errorf("calls of %v: probed after %v", c.call, took)
 		}
 	}
 }
--- a/settle.go
+++ b/settle.go
@@ -6,137 +6,152 @@
 	"time"
 )
 
-// Ending the queries that are whole, too late, without hope or deadly to servers.
+// Completion of the queries that are whole, too late, can no longer succeed or crash searchers.
 
-// close forgets a query and takes back what it still has out.
-func (a *Aggregator) close(q *query) {
+// closeQuery removes a query and cancels its attempts in flight.
+func (a *Aggregator) closeQuery(q *query) {
 	q.ended = true
-	delete(a.open, q.ID)
-	a.withdraw(q)
+	delete(a.openQueries, q.ID)
+	a.withdrawParts(q)
 }
 
-func (a *Aggregator) withdraw(q *query) {
-	a.forgetParts(q)
+// withdrawParts removes the parts of a query's current step and cancels their attempts in flight.
+func (a *Aggregator) withdrawParts(q *query) {
+	a.removeParts(q)
 	for _, p := range q.parts {
-		a.recall(p)
+		a.cancelAttempts(p)
 	}
 }
 
-// recall takes back what a part has out.
-func (a *Aggregator) recall(p *part) {
-	for _, t := range p.attempts {
-		if a.set.MayCancel && !t.over && !t.recalled {
-			t.recalled = true
-			a.do(Cancel{p.ID, t.number})
+// cancelAttempts cancels a part's attempts in flight.
+func (a *Aggregator) cancelAttempts(p *part) {
+	for _, attempt := range p.attempts {
+		if a.settings.MayCancel && !attempt.ended && !attempt.cancelled {
+			attempt.cancelled = true
+			a.emit(Cancel{p.ID, attempt.number})
 		}
 	}
 }
 
-// settle ends the queries that are whole, and those whose time or hope is gone.
-func (a *Aggregator) settle() {
+// completeQueries ends the queries that are whole, and those that have no time left or can no longer
+// succeed.
+func (a *Aggregator) completeQueries() {
 	for _, q := range a.queries {
-		reach := a.reach(q)
+		reachable := a.reachableWeight(q)
 		switch {
-		case q.ended || q.step == stepAsked && a.now < q.end:
-		case q.step != stepAsked && q.in >= q.want-slack && !a.stepLate(q):
-			a.answer(q, q.in >= q.need-slack && (q.step == stepFirst || q.whole))
-		case q.shed || a.now >= q.end || reach < q.floor-slack,
-			q.in >= q.floor-slack && (a.now >= q.goal || reach <= q.in+slack):
+		case q.ended || q.step == stepAwaitingSecond && a.now < q.endAt:
+		case q.step != stepAwaitingSecond && q.answeredWeight >= q.wantedWeight-weightSlack &&
+			!a.isTooLateForSecondStep(q):
+			a.answer(q, q.answeredWeight >= q.neededWeight-weightSlack &&
+				(q.step == stepFirst || q.firstStepWhole))
+		case q.shed || a.now >= q.endAt || reachable < q.floorWeight-weightSlack,
+			q.answeredWeight >= q.floorWeight-weightSlack &&
+				(a.now >= q.aimAt || reachable <= q.answeredWeight+weightSlack):
 			a.giveUp(q)
-		case a.deadly(q):
-			a.crashes[a.kin(q)] = a.now
-			q.goal = a.now // so that the client is told to stay away for long
+		case a.crashesSearchers(q):
+			a.crashesBySignature[a.querySignature(q)] = a.now
+			q.aimAt = a.now // so that the client is advised to retry much later
 			a.giveUp(q)
 		}
 	}
 }
 
-// stepLate tells that a first answer would leave its second step no time: the query would be lost.
-func (a *Aggregator) stepLate(q *query) bool {
-	return q.step == stepFirst && q.class.Fetch > 0 && (a.now >= q.end || a.late(q))
+// isTooLateForSecondStep reports whether a first answer now would leave no time for the second step, so
+// that the query would be lost.
+func (a *Aggregator) isTooLateForSecondStep(q *query) bool {
+	return q.step == stepFirst && q.class.Fetch > 0 && (a.now >= q.endAt || a.isTooLateForCall(q))
 }
 
-// answer ends a query, or its first step where there is a second: the same query then waits for more parts.
+// answer ends a query, or its first step where there is a second one: the query then waits for more
+// parts.
 func (a *Aggregator) answer(q *query, whole bool) {
 	if q.step == stepFirst && q.class.Fetch > 0 {
-		a.withdraw(q)
-		q.step, q.whole = stepAsked, whole
+		a.withdrawParts(q)
+		q.step, q.firstStepWhole = stepAwaitingSecond, whole
 	} else {
-		a.close(q)
-		if q.in >= q.want-slack {
-			q.class.whole = blend(q.class.whole, float64(a.now-q.started), learn)
-			a.ease(q)
+		a.closeQuery(q)
+		if q.answeredWeight >= q.wantedWeight-weightSlack {
+			q.class.typicalQueryTime =
+				smooth(q.class.typicalQueryTime, float64(a.now-q.startedAt), slowSmoothing)
+			a.adjustAdmission(q)
 		}
 	}
-	a.do(Answer{q.ID, whole})
+	a.emit(Answer{q.ID, whole})
 }
 
-// reach is the weight of a query's parts that are in or may still come.
-func (a *Aggregator) reach(q *query) float64 {
-	reach := q.in
+// reachableWeight returns the weight of a query's parts that are answered or may still be.
+func (a *Aggregator) reachableWeight(q *query) float64 {
+	reachable := q.answeredWeight
 	for _, p := range q.parts {
-		if !p.in && (p.open > 0 || a.mayTry(p)) {
-			reach += p.Weight
+		if !p.answered && (p.inFlight > 0 || a.mayAttempt(p)) {
+			reachable += p.Weight
 		}
 	}
-	return reach
+	return reachable
 }
 
-// kin names the queries that are likely to do to servers what this one does: by its key, else its class.
-func (a *Aggregator) kin(q *query) string { return cmp.Or(q.Key, q.class.Name) }
+// querySignature identifies the queries that are likely to affect searchers as this one does: by its key,
+// or by its class if it has none.
+func (a *Aggregator) querySignature(q *query) string { return cmp.Or(q.Key, q.class.Name) }
 
-// suspect tells that a query may crash the servers that begin it: one of its kin did so lately.
-func (a *Aggregator) suspect(q *query) bool { return a.crashes[a.kin(q)] > 0 }
+// isSuspect reports whether a query may crash the searchers that begin it: a query with its signature did
+// so recently.
+func (a *Aggregator) isSuspect(q *query) bool { return a.crashesBySignature[a.querySignature(q)] > 0 }
 
-// deadly tells that a query has crashed the servers that began it: each call of it that has ended was reset,
-// on two servers, or on one if it was suspect. Others' queries caught in it have answers elsewhere.
-func (a *Aggregator) deadly(q *query) bool {
-	out, crashed := q.crashed()
-	return q.in == 0 && out == 0 && (crashed > 1 || crashed > 0 && a.suspect(q))
+// crashesSearchers reports whether a query has crashed the searchers that began it: each of its calls
+// that has ended was reset, on two searchers, or on one if the query was suspect. Queries of others that
+// were in the same crash have answers elsewhere.
+func (a *Aggregator) crashesSearchers(q *query) bool {
+	inFlight, crashes := q.connResets()
+	return q.answeredWeight == 0 && inFlight == 0 && (crashes > 1 || crashes > 0 && a.isSuspect(q))
 }
 
-// scouting tells that a query may send one part only, and whether it may now: it is suspect or was reset and
-// has no answer yet. It spares servers that it would crash; where connections break for other reasons it
-// costs a call's time.
-func (a *Aggregator) scouting(q *query) (scout, now bool) {
-	if q.in > 0 {
+// probesFirst reports whether a query may send only one part, as a probe, and whether it may send that
+// now. This applies to a query that is suspect or was reset and has no answer yet. It spares the
+// searchers that the query would crash; where connections break for other reasons it costs the time of a
+// call.
+func (a *Aggregator) probesFirst(q *query) (probing, maySend bool) {
+	if q.answeredWeight > 0 {
 		return false, true
 	}
-	out, crashed := q.crashed()
-	return crashed > 0 || a.suspect(q), out == 0
+	inFlight, crashes := q.connResets()
+	return crashes > 0 || a.isSuspect(q), inFlight == 0
 }
 
-// giveUp ends a query with what is in if that may be answered, else by a refusal where a repeat is harmless.
-func (a *Aggregator) giveUp(q *query) {
-	if q.going {
-		a.ease(q)
+// giveUp ends a query: with an answer from the parts that are in if that is allowed, else with a refusal
+// where a repeat is harmless, else with a failure.
+func (a *Aggregator) giveUp(query *query) {
+	if query.mayStart {
+		a.adjustAdmission(query)
 	}
-	if q.step != stepAsked && q.in > 0 && q.in >= q.floor-slack && !a.stepLate(q) {
-		a.answer(q, false)
+	if query.step != stepAwaitingSecond && query.answeredWeight > 0 &&
+		query.answeredWeight >= query.floorWeight-weightSlack && !a.isTooLateForSecondStep(query) {
+		a.answer(query, false)
 		return
 	}
-	a.close(q)
-	if a.now > q.came {
-		a.repeats = min(a.repeats+repeatsEach, firstVotes)
+	a.closeQuery(query)
+	if a.now > query.arrivedAt {
+		a.expectedRepeats = min(a.expectedRepeats+repeatsPerGivenUpQuery, maxFirstTryVotes)
 	}
-	if q.class.Effect != Safe && (q.step != stepFirst || slices.ContainsFunc(q.parts, mayHaveRun)) {
-		a.do(Fail{q.ID})
+	if query.class.Effect != Safe &&
+		(query.step != stepFirst || slices.ContainsFunc(query.parts, mayHaveRun)) {
+		a.emit(Fail{query.ID})
 		return
 	}
-	r := Refuse{Query: q.ID}
-	if a.set.RetryAdvice && a.now < q.goal {
-		r.RetryAfter = min(time.Duration(a.usual), a.set.MaxRetryAdvice)
-	} else if a.set.RetryAdvice {
-		r.RetryAfter = a.set.MaxRetryAdvice // nothing is gained by coming back soon
+	refusal := Refuse{Query: query.ID}
+	if a.settings.RetryAdvice && a.now < query.aimAt {
+		refusal.RetryAfter = min(time.Duration(a.typicalLatency), a.settings.MaxRetryAdvice)
+	} else if a.settings.RetryAdvice {
+		refusal.RetryAfter = a.settings.MaxRetryAdvice // an early retry gains nothing
 	}
-	a.do(r)
+	a.emit(refusal)
 }
 
-// late tells that a part has too little time left for a call.
-func (a *Aggregator) late(q *query) bool {
-	least := max(time.Duration(quickShare*q.class.usual), a.set.CallCost)
-	if q.started == 0 {
-		least = max(least, min(time.Duration(q.class.whole), q.class.Aim/overdueMost))
+// isTooLateForCall reports whether a query has too little time left for a call.
+func (a *Aggregator) isTooLateForCall(q *query) bool {
+	least := max(time.Duration(minTimeLeftRatio*q.class.typicalLatency), a.settings.CallCost)
+	if q.startedAt == 0 {
+		least = max(least, min(time.Duration(q.class.typicalQueryTime), q.class.Aim/overdueMaxAimDivisor))
 	}
-	return q.end-a.now < least
+	return q.endAt-a.now < least
 }
--- a/state.go
+++ b/state.go
@@ -9,155 +9,169 @@
 	"time"
 )
 
-// The books that an Aggregator keeps. They decide nothing.
+// The state of an Aggregator and how it is updated. Nothing here decides anything.
 
-// Aggregator decides for one broker. Make it with New.
+// Aggregator makes the decisions for one gatherer. It is created with New.
 type Aggregator struct {
-	set     Settings
-	now     time.Duration
-	actions []Action
-	classes []*class
-	servers []*server // by id
-	byID    map[string]*server
-	holders [][]*server // by shard, after the cells; nil until asked for after a change
-	changes int         // changes of servers so far; see part.holders
-	working []*server   // those with parts out, by id, and some that had until the last turn
-	noted   []*server   // those with pending parts in the last plan, by id
-	left    bool        // some servers are not listed
-	queries []*query    // in the order they came
-	open    map[uint64]*query
-	parts   map[uint64]*part         // of open queries or with attempts out
-	usual   float64                  // usual time of a call in ns, all classes; 0 until one is in
-	wakeAt  time.Duration            // the earliest wake asked for; 0 if none
-	taken   []time.Duration          // when queries and parts were taken, for the budget
-	further []time.Duration          // when further attempts were sent, for the budget
-	repeats float64                  // repeats to be expected from clients
-	stale   float64                  // connections without an answer for so long, in ns, may be dead
-	dead    float64                  // how sure that is, see deadSure
-	closeAt time.Duration            // when connections may be closed again
-	copies  float64                  // second copies that may go now
-	spots   map[int]*spot            // by what a.spot says, one for each set of servers or shard
-	missed  time.Duration            // how long this aggregator stood still before this turn
-	stalled time.Duration            // when it last woke from that
-	worth   float64                  // usual worth of a query for each of its parts
-	mix     []float64                // each tenant's part of the queries
-	crashes map[string]time.Duration // when queries last crashed servers, by kin
-	asked   bool                     // a subscription stands or was asked for
-	askAt   time.Duration
-	askWait time.Duration
-	share   Share
-}
-
-func (a *Aggregator) do(x Action) { a.actions = append(a.actions, x) }
-
-func (a *Aggregator) logf(format string, args ...any) { a.do(Log{fmt.Sprintf(format, args...)}) }
-
-// slots is how many numbers' parts of the fleet's limits are this aggregator's now.
-func (a *Aggregator) slots() int {
-	if a.now < a.share.Until {
-		return min(a.share.Slots, a.set.Brokers)
+	settings Settings
+	now      time.Duration
+	actions  []Action
+	classes  []*class
+
+	searchers     []*searcher // by ID
+	searchersByID map[string]*searcher
+	// replicasByShard are the searchers that hold each shard by the rule of Settings.Cells; nil until needed
+	// after a change.
+	replicasByShard    [][]*searcher
+	searcherSetVersion int // number of changes of the set of searchers; see part.replicasVersion
+	// busySearchers are those with attempts in flight, by ID, and some that had until the last turn.
+	busySearchers []*searcher
+	candidates    []*searcher // those with pending parts in the last assignment, by ID
+	someUnlisted  bool        // some searchers are not listed
+
+	queries     []*query // in order of arrival
+	openQueries map[uint64]*query
+	parts       map[uint64]*part // of open queries or with attempts in flight
+
+	typicalLatency float64         // of a call of any class, in ns; 0 until one has ended
+	wakeAt         time.Duration   // the earliest wake requested; 0 if none
+	arrivalTimes   []time.Duration // of queries and parts, for the retry budget
+	retryTimes     []time.Duration // of attempts after the first, for the retry budget
+
+	expectedRepeats     float64       // repeats still to expect from clients
+	deadAfterIdle       float64       // time in ns without an answer after which connections may be dead
+	deadConnEvidence    float64       // how certain that is, see deadConnThreshold
+	disconnectAllowedAt time.Duration // when connections may be closed again
+	secondCopyCredit    float64       // second copies that may be sent now
+
+	// replicaGroups has one entry for each set of searchers with the same shards, or for each shard; see the
+	// method replicaGroup.
+	replicaGroups map[int]*replicaGroup
+
+	stallDuration time.Duration // how long this aggregator itself stalled before this turn
+	stallEndedAt  time.Duration // when it last recovered from a stall
+
+	typicalWorth       float64                  // of a query for each of its parts
+	tenantMix          []float64                // each tenant's share of the queries
+	crashesBySignature map[string]time.Duration // when queries last crashed searchers, by query signature
+
+	subscribed       bool // a subscription is active or has been requested
+	subscribeAt      time.Duration
+	subscribeBackoff time.Duration
+	slotShare        Share
+}
+
+func (a *Aggregator) emit(x Action) { a.actions = append(a.actions, x) }
+
+func (a *Aggregator) logf(format string, args ...any) { a.emit(Log{fmt.Sprintf(format, args...)}) }
+
+// ownSlots returns how many gatherers' shares of the fleet's limits this aggregator may use now.
+func (a *Aggregator) ownSlots() int {
+	if a.now < a.slotShare.Until {
+		return min(a.slotShare.Slots, a.settings.Brokers)
 	}
 	return 1
 }
 
-// enter makes the record of a server that was not known.
-func (a *Aggregator) enter(id string) *server {
-	s := new(server)
-	a.byID[id], a.left = s, true
-	at := sort.Search(len(a.servers), func(i int) bool { return a.servers[i].ID >= id })
-	a.servers = slices.Insert(a.servers, at, s)
+// addSearcher adds a searcher that was not known.
+func (a *Aggregator) addSearcher(id string) *searcher {
+	s := new(searcher)
+	a.searchersByID[id], a.someUnlisted = s, true
+	index := sort.Search(len(a.searchers), func(i int) bool { return a.searchers[i].ID >= id })
+	a.searchers = slices.Insert(a.searchers, index, s)
 	return s
 }
 
-// starts books that a server gets something.
-func (a *Aggregator) starts(s *server) {
-	if !s.working {
-		s.working = true
-		at := sort.Search(len(a.working), func(i int) bool { return a.working[i].ID >= s.ID })
-		a.working = slices.Insert(a.working, at, s)
+// markBusy records that a searcher is sent an attempt.
+func (a *Aggregator) markBusy(s *searcher) {
+	if !s.busy {
+		s.busy = true
+		index := sort.Search(len(a.busySearchers), func(i int) bool { return a.busySearchers[i].ID >= s.ID })
+		a.busySearchers = slices.Insert(a.busySearchers, index, s)
 	}
 }
 
-// rest forgets which servers had something out and have not any more.
-func (a *Aggregator) rest() {
-	a.working = slices.DeleteFunc(a.working, func(s *server) bool {
-		s.working = len(s.out) > 0
-		return !s.working
+// dropIdleSearchers removes the searchers that have no attempt in flight any more from busySearchers.
+func (a *Aggregator) dropIdleSearchers() {
+	a.busySearchers = slices.DeleteFunc(a.busySearchers, func(s *searcher) bool {
+		s.busy = len(s.inFlight) > 0
+		return !s.busy
 	})
 }
 
-// note enters pending parts at the servers that hold them. At a large fleet most
-// servers hold none: a turn must not go through all.
-func (a *Aggregator) note(pending []*part) {
-	for _, s := range a.noted {
-		s.pending, s.called = s.pending[:0], false
+// indexPending adds each pending part to the searchers that hold it. In a large fleet most searchers hold
+// none of them, so a turn must not visit all searchers.
+func (a *Aggregator) indexPending(pending []*part) {
+	for _, s := range a.candidates {
+		s.pendingParts, s.hasCall = s.pendingParts[:0], false
 	}
-	a.noted = a.noted[:0]
+	a.candidates = a.candidates[:0]
 	for _, p := range pending {
-		for _, s := range a.holding(p) {
-			if len(s.pending) == 0 {
-				a.noted = append(a.noted, s)
+		for _, s := range a.replicasOf(p) {
+			if len(s.pendingParts) == 0 {
+				a.candidates = append(a.candidates, s)
 			}
-			s.pending = append(s.pending, p)
+			s.pendingParts = append(s.pendingParts, p)
 		}
 	}
-	slices.SortFunc(a.noted, func(s, t *server) int { return cmp.Compare(s.ID, t.ID) })
+	slices.SortFunc(a.candidates, func(s, t *searcher) int { return cmp.Compare(s.ID, t.ID) })
 }
 
-// book enters a query and its parts.
-func (a *Aggregator) book(q *query) {
-	a.open[q.ID] = q
+// addQuery adds a query and its parts.
+func (a *Aggregator) addQuery(q *query) {
+	a.openQueries[q.ID] = q
 	a.queries = append(a.queries, q)
-	a.tally(&a.taken)
-	a.bookParts(q)
+	a.recordForBudget(&a.arrivalTimes)
+	a.addParts(q)
 }
 
-// bookParts enters the parts of a query's present step.
-func (a *Aggregator) bookParts(q *query) {
+// addParts adds the parts of a query's current step.
+func (a *Aggregator) addParts(q *query) {
 	for _, p := range q.Parts {
 		pt := &part{Part: p, query: q}
 		q.parts = append(q.parts, pt)
 		a.parts[p.ID] = pt
-		a.tally(&a.taken)
+		a.recordForBudget(&a.arrivalTimes)
 	}
 }
 
-// tally counts something for the budget. Without one nothing would ever be taken off again.
-func (a *Aggregator) tally(times *[]time.Duration) {
-	if a.set.BudgetWindow > 0 {
+// recordForBudget records an event for the retry budget. Without a budget nothing would ever remove it
+// again.
+func (a *Aggregator) recordForBudget(times *[]time.Duration) {
+	if a.settings.BudgetWindow > 0 {
 		*times = append(*times, a.now)
 	}
 }
 
-// forgetParts takes the parts of a query's present step that have nothing out off the books.
-func (a *Aggregator) forgetParts(q *query) {
+// removeParts ends the parts of a query's current step and removes those with no attempt in flight.
+func (a *Aggregator) removeParts(q *query) {
 	for _, p := range q.parts {
-		p.over = true
-		if p.open == 0 {
+		p.ended = true
+		if p.inFlight == 0 {
 			delete(a.parts, p.ID)
 		}
 	}
 }
 
-// last tells that a server holds a shard of which no other server is listed and not set aside.
-// Where holders come with the parts, it is told of the shards that are asked for now.
-func (a *Aggregator) last(s *server) bool {
-	only := func(holders []*server) bool {
+// isLastReplica reports whether a searcher holds a shard for which no other searcher is listed and not
+// ejected. Where holders come with the parts, the shards of open queries are checked.
+func (a *Aggregator) isLastReplica(replica *searcher) bool {
+	isLast := func(replicas []*searcher) bool {
 		holds, other := false, false
-		for _, o := range holders {
-			holds = holds || o == s
-			other = other || o != s && o.listed && !o.aside
+		for _, o := range replicas {
+			holds = holds || o == replica
+			other = other || o != replica && o.listed && !o.ejected
 		}
 		return holds && !other
 	}
-	for shard := range a.set.Shards {
-		if only(a.ofCells(shard)) {
+	for shard := range a.settings.Shards {
+		if isLast(a.shardReplicas(shard)) {
 			return true
 		}
 	}
 	for _, q := range a.queries {
 		for _, p := range q.parts {
-			if p.Holders != nil && only(a.holding(p)) {
+			if p.Holders != nil && isLast(a.replicasOf(p)) {
 				return true
 			}
 		}
@@ -165,259 +179,275 @@
 	return false
 }
 
-// server is what is known of one replica.
-type server struct {
+// searcher is the state of one replica.
+type searcher struct {
 	Replica
-	listed bool // ready, by the latest news
-
-	out    []*attempt    // in the order they were sent
-	queue  float64       // parts of all aggregators that waited there, by its last report
-	heard  time.Duration // when that came; 0 if none did
-	pace   float64       // time of its calls in usual times
-	calls  int           // calls out
-	window float64       // most of our parts to have out there
-	record float64       // 0 good to 1 bad, by its last calls
-	judged time.Duration
-	lastOK time.Duration // when it last answered
-	newest time.Duration // when the latest of those that it has answered was sent
-
-	overdue bool          // holds a part for too long
-	down    bool          // not reached at the last try
-	aside   bool          // set aside: only trials go there
-	trialAt time.Duration // when the next trial may go
-	backoff time.Duration
-
-	cold []spent // work sent while it is cold
-
-	working bool    // it is among Aggregator.working
-	pending []*part // this turn's parts that it holds
-	called  bool    // has a call this turn
-}
-
-// spot is the servers that hold the same shards, or a shard where holders come with the parts.
-type spot struct {
-	share  float64       // share of the parts that are to start there
-	credit float64       // parts that may start
-	width  float64       // usual number of a query's parts
-	took   time.Duration // when a query with parts there was last taken
-	gap    float64       // usual time between those in ns, while all may start
-}
-
-// ease lets so much less start.
-func (s *spot) ease(by float64) { s.share = max(s.share*(1-by), shareLeast) }
-
-// spot returns the spot of a part.
-func (a *Aggregator) spot(p Part) *spot {
-	at := p.Shard
+	listed bool // ready, by the latest update
+
+	inFlight             []*attempt    // in the order they were sent
+	reportedQueue        float64       // parts of all aggregators that waited there, by its last report
+	reportedAt           time.Duration // when that report came; 0 if none did
+	relativeLatency      float64       // latency of its calls relative to the typical one
+	callsInFlight        int
+	window               float64 // most of this aggregator's parts to have in flight there
+	failureScore         float64 // 0 good to 1 bad, by its last calls
+	failureRecordedAt    time.Duration
+	lastAnswerAt         time.Duration
+	newestAnsweredSentAt time.Duration // when the most recently sent attempt that it has answered was sent
+
+	hasOverduePart bool
+	unreachable    bool          // the last attempt found no connection
+	ejected        bool          // gets probe attempts only
+	probeAt        time.Duration // when the next probe attempt may be sent
+	probeBackoff   time.Duration
+
+	coldWork []sentWork // work sent while it is cold
+
+	busy         bool    // it is in Aggregator.busySearchers
+	pendingParts []*part // this turn's parts that it holds
+	hasCall      bool    // it has a call in this turn
+}
+
+// replicaGroup is the set of searchers that hold the same shards, or one shard where holders come with the
+// parts.
+type replicaGroup struct {
+	admissionShare float64       // share of the parts that may start there
+	credit         float64       // parts that may start
+	typicalParts   float64       // typical number of a query's parts
+	lastQueryAt    time.Duration // when a query with parts there last arrived
+	typicalGap     float64       // typical time between those in ns, while all may start
+}
+
+// reduceAdmission reduces the admission share by a fraction, down to minAdmissionShare.
+func (g *replicaGroup) reduceAdmission(by float64) {
+	g.admissionShare = max(g.admissionShare*(1-by), minAdmissionShare)
+}
+
+// replicaGroup returns the replica group of a part.
+func (a *Aggregator) replicaGroup(p Part) *replicaGroup {
+	key := p.Shard
 	if p.Holders == nil {
-		at %= a.set.Cells
+		key %= a.settings.Cells
 	}
-	if a.spots[at] == nil {
-		a.spots[at] = &spot{share: 1}
+	if a.replicaGroups[key] == nil {
+		a.replicaGroups[key] = &replicaGroup{admissionShare: 1}
 	}
-	return a.spots[at]
+	return a.replicaGroups[key]
 }
 
-// spotsOf counts a query's parts of its present step by spot.
-func (a *Aggregator) spotsOf(q *query) map[*spot]float64 {
-	spots := make(map[*spot]float64)
+// partsByGroup counts the parts of a query's current step by replica group.
+func (a *Aggregator) partsByGroup(q *query) map[*replicaGroup]float64 {
+	counts := make(map[*replicaGroup]float64)
 	for _, p := range q.Parts {
-		spots[a.spot(p)]++
+		counts[a.replicaGroup(p)]++
 	}
-	return spots
+	return counts
 }
 
-// shareOf is the least share among a query's spots.
-func (a *Aggregator) shareOf(q *query) float64 {
+// admissionShare returns the least admission share among a query's replica groups.
+func (a *Aggregator) admissionShare(q *query) float64 {
 	share := 1.0
 	for _, p := range q.Parts {
-		share = min(share, a.spot(p).share)
+		share = min(share, a.replicaGroup(p).admissionShare)
 	}
 	return share
 }
 
-type spent struct {
-	at   time.Duration
-	work time.Duration
+// sentWork is work sent to a cold searcher.
+type sentWork struct {
+	sentAt time.Duration
+	work   time.Duration
 }
 
+// attempt is one try of a part at one searcher.
 type attempt struct {
-	part   *part
-	number int
-	server *server
-	sent   time.Duration
-	over   bool
-	never  bool          // proved never to have run
-	alone  bool          // the only one in its call
-	fresh  bool          // the connections were closed for it
-	idle   time.Duration // since the server's last answer, when it was sent
-	reset  bool          // its connection broke
+	part         *part
+	number       int
+	searcher     *searcher
+	sentAt       time.Duration
+	ended        bool
+	neverRan     bool          // it is certain that it never ran
+	aloneInCall  bool          // the only one in its call
+	onNewConn    bool          // idle connections were closed before it
+	searcherIdle time.Duration // time from the searcher's last answer until it was sent
+	connReset    bool          // its connection broke
 
-	recalled bool // cancelled, though its part may still be wanted
+	cancelled bool // a Cancel was issued, though its part may still be wanted
 }
 
-// unheard tells that its server has answered nothing since it was sent.
-func (t *attempt) unheard() bool { return t.server.lastOK <= t.sent }
+// noResponseSince reports whether the searcher has answered nothing since the attempt was sent.
+func (t *attempt) noResponseSince() bool { return t.searcher.lastAnswerAt <= t.sentAt }
 
+// part is the state of a part of a query.
 type part struct {
 	Part
 	query    *query
-	in       bool
+	answered bool
 	attempts []*attempt
-	open     int  // attempts out
-	over     bool // its query or its step of it has ended
+	inFlight int  // number of attempts in flight
+	ended    bool // its query, or the step of the query that it belongs to, has ended
 
-	holders []*server // by id, where Holders names them
-	known   int       // Aggregator.changes when holders was made, and 1 more; 0 if it was not
+	replicas        []*searcher // those named by Holders, by ID
+	replicasVersion int         // 1 + Aggregator.searcherSetVersion when replicas was built; 0 if it was not
 }
 
-// at tells whether an attempt of a part is out on a server, and whether one has ended there.
-func (p *part) at(s *server) (out, had bool) {
-	for _, t := range p.attempts {
-		if t.server == s {
-			out = out || !t.over
-			had = had || t.over
+// attemptsAt reports whether an attempt of the part is in flight at a searcher, and whether one has ended
+// there.
+func (p *part) attemptsAt(s *searcher) (inFlight, ended bool) {
+	for _, attempt := range p.attempts {
+		if attempt.searcher == s {
+			inFlight = inFlight || !attempt.ended
+			ended = ended || attempt.ended
 		}
 	}
-	return out, had
+	return inFlight, ended
 }
 
-// step is how far a query is.
+// step is the step that a query has reached.
 type step int
 
 const (
-	stepFirst  step = iota
-	stepAsked       // the first answer was given, the second step's parts are to come
-	stepSecond      // they are here
+	stepFirst          step = iota
+	stepAwaitingSecond      // the first answer was given, the second step's parts have not arrived
+	stepSecond              // the second step's parts have arrived
 )
 
+// query is the state of a query.
 type query struct {
 	Query
-	class *class
-	came  time.Duration
-	goal  time.Duration // an answer until then earns the full worth
-	end   time.Duration // an answer until then earns something
-	last  time.Duration // the same after the last step; goal is the present one's
-	want  float64       // weight that is asked for: less than need where it was trimmed
-	need  float64       // weight that makes the present step whole
-	floor float64       // least weight that it may be answered from
-	parts []*part       // of the present step
-	in    float64       // weight that is in
-
-	step  step
-	whole bool // its first step's answer was whole
-
-	started time.Duration // when its first part was sent; 0 if none was
-	density float64       // worth of each part and second of its aim
-	ended   bool
-	going   bool // all its parts may be sent
-	shed    bool // not to be started
-}
-
-// crashed counts a query's attempts out, and the servers that broke the connection on one.
-func (q *query) crashed() (out, servers int) {
-	var seen []*server
+	class          *class
+	arrivedAt      time.Duration
+	aimAt          time.Duration // an answer of the current step until then earns the full worth
+	endAt          time.Duration // an answer until then earns something
+	finalAimAt     time.Duration // as aimAt, for the last step
+	wantedWeight   float64       // weight that is asked for: less than neededWeight if the query was trimmed
+	neededWeight   float64       // weight that makes the current step whole
+	floorWeight    float64       // least weight that the query may be answered from
+	parts          []*part       // of the current step
+	answeredWeight float64       // weight of the answered parts
+
+	step           step
+	firstStepWhole bool // the answer of the first step was whole
+
+	startedAt    time.Duration // when its first part was sent; 0 if none was
+	worthDensity float64       // worth for each part and second of the aim
+	ended        bool
+	mayStart     bool // all its parts may be sent
+	shed         bool // not admitted
+}
+
+// connResets counts a query's attempts in flight, and the searchers whose connection broke during one of
+// its attempts.
+func (q *query) connResets() (inFlight, searchers int) {
+	var seen []*searcher
 	for _, p := range q.parts {
-		out += p.open
+		inFlight += p.inFlight
 		for _, t := range p.attempts {
-			if t.reset && !slices.Contains(seen, t.server) {
-				seen = append(seen, t.server)
+			if t.connReset && !slices.Contains(seen, t.searcher) {
+				seen = append(seen, t.searcher)
 			}
 		}
 	}
-	return out, len(seen)
+	return inFlight, len(seen)
 }
 
+// class is a class with what has been observed of its queries.
 type class struct {
 	Class
-	first time.Duration // time left that first tries have
-	votes int           // how sure that is
-	usual float64       // usual time of a call in ns, by this class's parts
-	work  float64       // a part's work in ns, guessed from above
-	whole float64       // usual time of a query in ns, from its first call on
+	firstTryTimeLeft time.Duration // time left that first tries have
+	firstTryVotes    int           // how certain that is
+	typicalLatency   float64       // of calls with this class's parts, in ns
+	partWork         float64       // a part's work in ns, estimated from above
+	typicalQueryTime float64       // typical time of a query in ns, from its first call on
 }
 
-// easy tells that calls for a class take well under its aim: what is late then is not for load.
-func (c *class) easy() bool { return c.usual > 0 && c.usual < float64(c.Aim)/targetShare }
+// hasQuickCalls reports whether calls for the class take well under its aim: then load is not the reason
+// for late parts.
+func (c *class) hasQuickCalls() bool {
+	return c.typicalLatency > 0 && c.typicalLatency < float64(c.Aim)/quickCallAimDivisor
+}
 
-// release takes an attempt off its server's books.
-func (a *Aggregator) release(t *attempt) {
-	s := t.server
+// removeFromSearcher removes an attempt from the searcher's attempts in flight.
+func (a *Aggregator) removeFromSearcher(attempt *attempt) {
+	s := attempt.searcher
 	last := true
-	for i := len(s.out) - 1; i >= 0; i-- {
-		if s.out[i] == t {
-			s.out = append(s.out[:i], s.out[i+1:]...)
-		} else if s.out[i].sent == t.sent {
+	for i := len(s.inFlight) - 1; i >= 0; i-- {
+		if s.inFlight[i] == attempt {
+			s.inFlight = append(s.inFlight[:i], s.inFlight[i+1:]...)
+		} else if s.inFlight[i].sentAt == attempt.sentAt {
 			last = false
 		}
 	}
 	if last {
-		s.calls--
+		s.callsInFlight--
 	}
 }
 
-func blend(old, new, weight float64) float64 {
-	if old == 0 {
-		return new
+// smooth moves an exponentially weighted average towards a sample; an average of 0 is unset.
+func smooth(average, sample, weight float64) float64 {
+	if average == 0 {
+		return sample
 	}
-	return old + weight*(new-old)
+	return average + weight*(sample-average)
 }
 
-// workOf returns the work that a part is taken for, by its class; of no part, by the class with most.
-func (a *Aggregator) workOf(p *part) time.Duration {
+// estimatedWork returns the estimated work of a part, by its class; of a nil part, that of the class with
+// the most work.
+func (a *Aggregator) estimatedWork(p *part) time.Duration {
 	if p != nil {
-		return time.Duration(p.query.class.work)
+		return time.Duration(p.query.class.partWork)
 	}
 	most := 0.0
 	for _, c := range a.classes {
-		most = max(most, c.work)
+		most = max(most, c.partWork)
 	}
 	return time.Duration(most)
 }
 
-// holding returns the servers that hold a part's shard, by id.
-func (a *Aggregator) holding(p *part) []*server {
+// replicasOf returns the searchers that hold a part's shard, by ID.
+func (a *Aggregator) replicasOf(p *part) []*searcher {
 	if p.Holders == nil {
-		return a.ofCells(p.Shard)
+		return a.shardReplicas(p.Shard)
 	}
-	if p.known != a.changes+1 {
-		p.holders, p.known = p.holders[:0], a.changes+1
+	if p.replicasVersion != a.searcherSetVersion+1 {
+		p.replicas, p.replicasVersion = p.replicas[:0], a.searcherSetVersion+1
 		for _, id := range p.Holders {
-			if s := a.byID[id]; s != nil {
-				p.holders = append(p.holders, s)
+			if s := a.searchersByID[id]; s != nil {
+				p.replicas = append(p.replicas, s)
 			}
 		}
-		slices.SortFunc(p.holders, func(s, t *server) int { return cmp.Compare(s.ID, t.ID) })
+		slices.SortFunc(p.replicas, func(s, t *searcher) int { return cmp.Compare(s.ID, t.ID) })
 	}
-	return p.holders
+	return p.replicas
 }
 
-// forgetHolders is called when servers have come or gone.
-func (a *Aggregator) forgetHolders() {
-	a.holders = nil
-	a.changes++
+// invalidateReplicas discards the cached holders of shards. It is called when searchers come or go.
+func (a *Aggregator) invalidateReplicas() {
+	a.replicasByShard = nil
+	a.searcherSetVersion++
 }
 
-// ofCells returns the servers that hold a shard by the cells' rule, by id.
-func (a *Aggregator) ofCells(shard int) []*server {
-	if shard < 0 || shard >= a.set.Shards {
+// shardReplicas returns the searchers that hold a shard by the rule of Settings.Cells, by ID.
+func (a *Aggregator) shardReplicas(shard int) []*searcher {
+	if shard < 0 || shard >= a.settings.Shards {
 		return nil
 	}
-	if a.holders == nil {
-		a.holders = make([][]*server, a.set.Shards)
-		for _, s := range a.servers {
-			for shard := range a.holders {
-				if d := (s.Cell - shard) % a.set.Cells; (d+a.set.Cells)%a.set.Cells < a.set.Reach {
-					a.holders[shard] = append(a.holders[shard], s)
+	if a.replicasByShard == nil {
+		a.replicasByShard = make([][]*searcher, a.settings.Shards)
+		for _, s := range a.searchers {
+			for shard := range a.replicasByShard {
+				distance := (s.Cell - shard) % a.settings.Cells
+				if (distance+a.settings.Cells)%a.settings.Cells < a.settings.Reach {
+					a.replicasByShard[shard] = append(a.replicasByShard[shard], s)
 				}
 			}
 		}
 	}
-	return a.holders[shard]
+	return a.replicasByShard[shard]
 }
 
-// sweep forgets ended queries and departed servers.
-func (a *Aggregator) sweep() {
+// removeEnded removes ended queries and departed searchers.
+func (a *Aggregator) removeEnded() {
 	kept := a.queries[:0]
 	for _, q := range a.queries {
 		if !q.ended {
@@ -426,38 +456,39 @@
 	}
 	clear(a.queries[len(kept):])
 	a.queries = kept
-	if a.left {
-		a.sweepServers()
+	if a.someUnlisted {
+		a.removeDeparted()
 	}
-	a.budget(0)
+	a.withinRetryBudget(0)
 }
 
-// sweepServers forgets the servers that are gone for good.
-func (a *Aggregator) sweepServers() {
-	a.left = false
-	before := len(a.servers)
-	left := a.servers[:0]
-	for _, s := range a.servers {
-		if forgettable(s) {
-			delete(a.byID, s.ID)
+// removeDeparted removes the searchers that have left for good.
+func (a *Aggregator) removeDeparted() {
+	a.someUnlisted = false
+	before := len(a.searchers)
+	kept := a.searchers[:0]
+	for _, s := range a.searchers {
+		if isRemovable(s) {
+			delete(a.searchersByID, s.ID)
 			continue
 		}
-		left = append(left, s)
-		a.left = a.left || !s.listed
+		kept = append(kept, s)
+		a.someUnlisted = a.someUnlisted || !s.listed
 	}
-	clear(a.servers[len(left):])
-	a.servers = left
-	if len(left) < before {
-		a.forgetHolders()
+	clear(a.searchers[len(kept):])
+	a.searchers = kept
+	if len(kept) < before {
+		a.invalidateReplicas()
 	}
 }
 
-// hash orders servers alike at all aggregators, and otherwise by chance.
-func hash(key, id string) uint64 {
+// stableHash orders the searchers for a key pseudo-randomly, in the same order at all aggregators.
+func stableHash(key, id string) uint64 {
 	h := fnv.New64a()
 	h.Write([]byte(key + "\x00" + id))
 	return h.Sum64()
 }
 
-// forgettable tells that a server is gone for good: nothing is out there, and no drain to be kept.
-func forgettable(s *server) bool { return !s.listed && len(s.out) == 0 && s.State != Draining }
+// isRemovable reports whether a searcher has left for good: it is not listed, has no attempt in flight
+// and is not draining. The state of a draining one must be kept.
+func isRemovable(s *searcher) bool { return !s.listed && len(s.inFlight) == 0 && s.State != Draining }
