--- a/internal/fleet/net/node.go
+++ b/internal/fleet/net/node.go
@@ -1,7 +1,7 @@
-// Package net puts a gatherer's view of its fleet (package view) on sockets: datagrams over
-// UDP, and messages that may be longer than one over TCP, at the same address. One goroutine
-// owns the view; all queues in front of it and behind it are bounded, and what does not fit
-// is dropped and counted: the view bears loss, and no peer or log may hold it up.
+// Package net runs a gatherer's view of its fleet (package view) over sockets: datagrams over UDP, and messages
+// that may be longer than a datagram over TCP, at the same address. One goroutine owns the view. All queues to
+// and from it are bounded, and what does not fit is dropped and counted, because the view tolerates loss and no
+// peer or log may block it.
 package net
 
 import (
@@ -23,87 +23,87 @@
 )
 
 const (
-	queued       = 1024                 // messages that wait for the view
-	streams      = 32                   // connections that are written to, and as many that are read
-	longest      = 4 << 20              // bytes of a message over a stream: 4,096 members take a tenth
-	datagram     = 1<<16 - 1            // bytes of the longest datagram
-	streamFor    = 2 * time.Second      // for one message over a stream, its connection included
-	writeFor     = 5 * time.Millisecond // for a datagram: one that waits longer is as good as lost
-	bindAttempts = 20                   // to find a port that is free for both
-	idleWake     = time.Hour            // where the view names no time
-	leaveFor     = 300 * time.Millisecond
+	inboxSize        = 1024                 // messages waiting for the view
+	maxStreams       = 32                   // streams being written, and as many being read
+	maxMessageBytes  = 4 << 20              // of a message over a stream; 4,096 members take a tenth of it
+	maxDatagramBytes = 1<<16 - 1            // of the longest datagram
+	streamTimeout    = 2 * time.Second      // for one message over a stream, including the connection
+	datagramTimeout  = 5 * time.Millisecond // for writing a datagram, which is of no use if it is delayed longer
+	bindAttempts     = 20                   // to find a port that is free for both TCP and UDP
+	idleInterval     = time.Hour            // if the view has no timer set
+	leaveDelay       = 300 * time.Millisecond
 )
 
-// Config is what a Node is told.
+// Config configures a Node.
 type Config struct {
-	Self     view.Member // Addr may have port 0
+	Self     view.Member // the port may be 0
 	Settings view.Settings
 	Sealer   *seal.Sealer
-	Seeds    []string // addresses at which others may be
-	Seed     uint64   // of all that is drawn by chance
-	Slots    []string // by number, where the fleet's limits are divided: see package share
+	Seeds    []string // addresses at which other members may be
+	Seed     uint64   // of all random numbers
+	Slots    []string // addresses by slot number if the fleet's limits are divided; see package share
 	Share    share.Settings
-	// Advertise is where the others reach this member; empty: where it listens.
+	// Advertise is the address at which other members reach this one. If empty, it is the listen address.
 	Advertise string
 	Log       *slog.Logger
 }
 
-// Counts are a Node's, beside those of its view and of its envelopes.
+// Counts are the counters of a Node, its view, its share of the limits and its envelopes.
 type Counts struct {
 	View       view.Counts
 	Share      share.Counts
 	Seal       seal.Counts
-	Datagrams  int // that have come
-	Streams    int // messages over streams that have come
-	QueueFull  int // messages that were dropped since the view was busy
-	StreamFull int // messages that were not sent since too many streams were busy
+	Datagrams  int // received
+	Streams    int // messages received over streams
+	QueueFull  int // messages dropped because the view was busy
+	StreamFull int // messages not sent because too many streams were in use
 	SendFails  int // datagrams and streams that could not be sent
-	Unsealed   int // messages that could not be sealed: the key does not hold
+	Unsealed   int // messages that could not be sealed because the key is not valid
 }
 
-// Node is one member on sockets.
+// Node is one fleet member on sockets.
 type Node struct {
-	cfg   Config
-	core  *view.Core
-	addr  string // where the others reach it
-	ip    stdnet.IP
-	udp   *stdnet.UDPConn
-	tcp   *stdnet.TCPListener
-	in    chan input
-	do    chan func()
-	out   chan struct{} // a place for each stream that is written to
-	read  chan struct{} // and for each that is read
-	ctx   context.Context
-	stop  context.CancelFunc
-	done  sync.WaitGroup
-	ended chan struct{} // closed once nothing of the node runs any more
-
-	shares *shares // nil: the fleet's limits are not divided
-
-	// Of the loop.
+	cfg        Config
+	core       *view.Core
+	addr       string // at which other members reach this one
+	listenIP   stdnet.IP
+	udp        *stdnet.UDPConn
+	tcp        *stdnet.TCPListener
+	inbox      chan inbound
+	commands   chan func()
+	writeSlots chan struct{} // semaphore of streams being written
+	readSlots  chan struct{} // semaphore of streams being read
+	ctx        context.Context
+	cancel     context.CancelFunc
+	done       sync.WaitGroup
+	ended      chan struct{} // closed once all goroutines of the node have ended
+
+	slots *slotManager // nil if the fleet's limits are not divided
+
+	// Owned by the loop.
 	counts Counts
 
-	mu    sync.Mutex // of what others read while the loop runs
-	view  view.View
-	over  bool // it has stepped down
-	watch []chan view.View
-	full  int // input that was dropped
-	fails int // streams that failed
+	mu            sync.Mutex // guards the fields below, which others read while the loop runs
+	view          view.View
+	steppedDown   bool // a newer process has the member's name
+	watchers      []chan view.View
+	droppedInputs int // messages dropped because the inbox was full
+	streamFails   int // streams that could not be sent
 }
 
-// input is what has come from an address.
-type input struct {
-	from   string // "" where it stands in the message
+// inbound is a message that was received from an address.
+type inbound struct {
+	from   string // for a stream, the address in the message replaces it
 	data   []byte
 	stream bool
-	reply  chan<- []byte // stream: takes what is to be written back, and is closed then
+	reply  chan<- []byte // for a stream: takes the reply, if there is one, and is then closed
 }
 
-// Listen starts a member. It runs until Close.
+// Listen starts a member. It runs until Close is called.
 func Listen(cfg Config) (*Node, error) {
 	n := &Node{
-		cfg: cfg, in: make(chan input, queued), do: make(chan func()), out: make(chan struct{}, streams), read: make(chan struct{}, streams),
-		ended: make(chan struct{}),
+		cfg: cfg, inbox: make(chan inbound, inboxSize), commands: make(chan func()), writeSlots: make(chan struct{}, maxStreams),
+		readSlots: make(chan struct{}, maxStreams), ended: make(chan struct{}),
 	}
 	if err := n.bind(cfg.Self.Addr); err != nil {
 		return nil, fmt.Errorf("fleet: listening on %s: %w", cfg.Self.Addr, err)
@@ -120,19 +120,19 @@
 	}
 	n.view = n.core.View()
 	if len(cfg.Slots) > 0 {
-		if n.shares, err = newShares(n, cfg.Slots, cfg.Share); err != nil {
+		if n.slots, err = newSlotManager(n, cfg.Slots, cfg.Share); err != nil {
 			_, _ = n.udp.Close(), n.tcp.Close()
 			return nil, err
 		}
 		n.done.Add(1)
 	}
-	n.ctx, n.stop = context.WithCancel(context.Background())
+	n.ctx, n.cancel = context.WithCancel(context.Background())
 	n.done.Add(3)
-	go n.datagrams()
-	go n.accept()
+	go n.readDatagrams()
+	go n.acceptStreams()
 	go n.loop()
-	if n.shares != nil {
-		go n.shares.run()
+	if n.slots != nil {
+		go n.slots.run()
 	}
 	go func() {
 		n.done.Wait()
@@ -141,7 +141,7 @@
 	return n, nil
 }
 
-// bind takes one port for both protocols.
+// bind listens on one port for both protocols.
 func (n *Node) bind(addr string) error {
 	want, err := netip.ParseAddrPort(addr)
 	if err != nil {
@@ -153,7 +153,7 @@
 		}
 		at := n.tcp.Addr().(*stdnet.TCPAddr).AddrPort()
 		if n.udp, err = stdnet.ListenUDP("udp", stdnet.UDPAddrFromAddrPort(at)); err == nil {
-			n.addr, n.ip = at.String(), at.Addr().AsSlice()
+			n.addr, n.listenIP = at.String(), at.Addr().AsSlice()
 			return nil
 		}
 		_ = n.tcp.Close()
@@ -164,50 +164,51 @@
 	return err
 }
 
-// Addr is where the member listens.
+// Addr returns the address at which other members reach this one: the advertised one, or else the listen address.
 func (n *Node) Addr() string { return n.addr }
 
-// View is the latest. It may be called from any goroutine.
+// View returns the latest view. It is safe for concurrent use.
 func (n *Node) View() view.View {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.view
 }
 
-// Over tells that a newer process bears the own name, so that this one takes no part any more.
+// Over reports whether a newer process has the member's name, so that this one no longer takes part.
 func (n *Node) Over() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.over
+	return n.steppedDown
 }
 
-// Watch returns a channel of views: the one at hand, then each new one. A reader that is slow
-// misses those between, never the latest. It ends with the node.
+// Watch returns a channel that receives the current view, then each new one. A slow reader misses intermediate
+// views, never the latest. The channel is closed when the node ends.
 func (n *Node) Watch() <-chan view.View {
 	ch := make(chan view.View, 1)
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	ch <- n.view
-	n.watch = append(n.watch, ch)
+	n.watchers = append(n.watchers, ch)
 	return ch
 }
 
-// Describe tells the others what the gatherer serves from now on.
+// Describe announces the configuration generation and the layout epoch that the gatherer serves from now on.
 func (n *Node) Describe(generation, epoch uint64) {
-	n.run(func() { n.step(view.Describe{Generation: generation, Epoch: epoch}) })
+	n.post(func() { n.step(view.Describe{Generation: generation, Epoch: epoch}) })
 }
 
-// Known returns all members that are known, and the counts so far; ok is false once the node has ended.
+// Known returns all known members, including those that are gone, and the counters. ok is false once the node
+// has ended.
 func (n *Node) Known() (list []view.Member, c Counts, ok bool) {
-	ok = n.wait(func() {
+	ok = n.call(func() {
 		list, c = n.core.Known(), n.counts
 		c.View, c.Seal = n.core.Counts(), n.cfg.Sealer.Counts()
 		n.mu.Lock()
-		c.QueueFull += n.full
-		c.SendFails += n.fails
+		c.QueueFull += n.droppedInputs
+		c.SendFails += n.streamFails
 		n.mu.Unlock()
-		if n.shares != nil {
-			_, c.Share = n.shares.state()
+		if n.slots != nil {
+			_, c.Share = n.slots.state()
 		}
 	})
 	if !ok {
@@ -216,18 +217,18 @@
 	return list, c, true
 }
 
-// run has the loop do something; nothing is done once it has ended.
-func (n *Node) run(f func()) {
+// post has the loop run f. It does nothing once the node has ended.
+func (n *Node) post(f func()) {
 	select {
-	case n.do <- f:
+	case n.commands <- f:
 	case <-n.ctx.Done():
 	}
 }
 
-// wait has the loop do something and waits for that; false where the node has ended. Not for the loop.
-func (n *Node) wait(f func()) bool {
+// call has the loop run f and waits for it. It returns false if the node has ended. The loop itself must not use it.
+func (n *Node) call(f func()) bool {
 	done := make(chan struct{})
-	n.run(func() {
+	n.post(func() {
 		f()
 		close(done)
 	})
@@ -239,30 +240,30 @@
 	}
 }
 
-// Leave tells the others that the member is about to end, and gives that time to go out.
+// Leave announces that the member is about to end, and waits for that message to go out.
 func (n *Node) Leave() {
-	n.run(func() { n.step(view.Leave{}) })
+	n.post(func() { n.step(view.Leave{}) })
 	select {
-	case <-time.After(leaveFor):
+	case <-time.After(leaveDelay):
 	case <-n.ctx.Done():
 	}
 }
 
-// Close ends the member without a word, as a crash would. It waits for all that it has started.
+// Close ends the member without notifying the others, as a crash would. It waits for all goroutines of the node.
 func (n *Node) Close() {
-	n.stop()
+	n.cancel()
 	_, _ = n.udp.Close(), n.tcp.Close()
 	<-n.ended
 }
 
-// loop owns the view.
+// loop owns the view and feeds it all events.
 func (n *Node) loop() {
 	defer n.done.Done()
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	n.step(view.Join{Seeds: n.cfg.Seeds})
 	for {
-		wait := idleWake
+		wait := idleInterval
 		if due := n.core.Due(); !due.IsZero() {
 			wait = max(time.Until(due), 0)
 		}
@@ -270,65 +271,65 @@
 		select {
 		case <-n.ctx.Done():
 			n.mu.Lock()
-			for _, ch := range n.watch {
+			for _, ch := range n.watchers {
 				close(ch)
 			}
-			n.watch = nil
+			n.watchers = nil
 			n.mu.Unlock()
 			return
-		case f := <-n.do:
+		case f := <-n.commands:
 			f()
-		case m := <-n.in:
-			n.receive(m)
+		case message := <-n.inbox:
+			n.receive(message)
 		case <-timer.C:
 			n.step(view.Wake{})
 		}
 	}
 }
 
-// receive opens a message and hands it to the view.
-func (n *Node) receive(m input) {
-	if m.stream {
+// receive opens a message and passes it to the view.
+func (n *Node) receive(message inbound) {
+	if message.stream {
 		n.counts.Streams++
-		defer close(m.reply)
+		defer close(message.reply)
 	} else {
 		n.counts.Datagrams++
 	}
-	data, err := n.cfg.Sealer.Open(time.Now(), m.data)
+	data, err := n.cfg.Sealer.Open(time.Now(), message.data)
 	if err != nil {
-		n.cfg.Log.Debug("message of the fleet dropped", "from", m.from, "err", err)
+		n.cfg.Log.Debug("fleet message dropped", "from", message.from, "err", err)
 		return
 	}
-	if m.stream { // its connection comes from another port than the sender listens on
+	if message.stream { // the connection comes from another port than the sender listens on
 		if len(data) == 0 || len(data) < 1+int(data[0]) {
 			return
 		}
 		if data[0] == 0 {
-			if reply := n.shares.answer(data[1:]); reply != nil {
+			if reply := n.slots.answerQuestion(data[1:]); reply != nil {
 				if sealed, err := n.cfg.Sealer.Seal(time.Now(), reply); err == nil {
-					m.reply <- sealed
+					message.reply <- sealed
 				}
 			}
 			return
 		}
-		m.from, data = string(data[1:1+int(data[0])]), data[1+int(data[0]):]
+		message.from, data = string(data[1:1+int(data[0])]), data[1+int(data[0]):]
 	}
-	n.step(view.Received{From: m.from, Data: data})
+	n.step(view.Received{From: message.from, Data: data})
 }
 
-// step takes the view a step on and does what it wants done.
+// step passes an event to the view and carries out the effects.
 func (n *Node) step(e view.Event) {
 	for _, x := range n.core.Step(time.Now(), e) {
 		switch x := x.(type) {
 		case view.Send:
 			n.send(x)
-		case view.Changed:
-			n.changed(x.View)
-		case view.Found:
-			n.cfg.Log.Info("member", "name", x.Member.Name, "state", x.Member.State, "was", x.Was, "addr", x.Member.Addr, "new", x.New)
+		case view.ViewChanged:
+			n.publishView(x.View)
+		case view.MemberChanged:
+			n.cfg.Log.Info("member", "name", x.Member.Name, "state", x.Member.State, "was", x.Previous, "addr", x.Member.Addr, "new", x.New)
 		case view.SteppedDown:
 			n.mu.Lock()
-			n.over = true
+			n.steppedDown = true
 			n.mu.Unlock()
 		case view.Warn:
 			n.cfg.Log.Warn(x.Text)
@@ -336,13 +337,13 @@
 	}
 }
 
-func (n *Node) changed(v view.View) {
+func (n *Node) publishView(v view.View) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.view = v
-	for _, ch := range n.watch {
+	for _, ch := range n.watchers {
 		select {
-		case <-ch: // the one before was not read
+		case <-ch: // discards the previous view if it was not read
 		default:
 		}
 		ch <- v
@@ -352,23 +353,23 @@
 // send seals and sends a message.
 func (n *Node) send(x view.Send) {
 	data := x.Data
-	if x.Whole {
+	if x.Stream {
 		data = append(append([]byte{byte(len(n.addr))}, n.addr...), data...)
 	}
 	sealed, err := n.cfg.Sealer.Seal(time.Now(), data)
 	if err != nil {
 		if n.counts.Unsealed++; n.counts.Unsealed == 1 {
-			n.cfg.Log.Error("messages of the fleet can't be sealed", "err", err)
+			n.cfg.Log.Error("cannot seal fleet messages", "err", err)
 		}
 		return
 	}
-	if x.Whole {
-		n.stream(x.To, sealed)
+	if x.Stream {
+		n.sendStream(x.To, sealed)
 		return
 	}
 	to, err := netip.ParseAddrPort(x.To)
 	if err == nil {
-		_ = n.udp.SetWriteDeadline(time.Now().Add(writeFor))
+		_ = n.udp.SetWriteDeadline(time.Now().Add(datagramTimeout))
 		_, err = n.udp.WriteToUDPAddrPort(sealed, to)
 	}
 	if err != nil {
@@ -376,10 +377,10 @@
 	}
 }
 
-// stream sends a message over a connection of its own, in a goroutine of its own.
-func (n *Node) stream(to string, sealed []byte) {
+// sendStream sends a message over a connection of its own, in a goroutine of its own.
+func (n *Node) sendStream(to string, sealed []byte) {
 	select {
-	case n.out <- struct{}{}:
+	case n.writeSlots <- struct{}{}:
 	default:
 		n.counts.StreamFull++
 		return
@@ -387,129 +388,131 @@
 	n.done.Add(1)
 	go func() {
 		defer n.done.Done()
-		defer func() { <-n.out }()
-		if err := n.write(to, sealed); err != nil && !errors.Is(err, context.Canceled) {
+		defer func() { <-n.writeSlots }()
+		if err := n.writeStream(to, sealed); err != nil && !errors.Is(err, context.Canceled) {
 			n.mu.Lock()
-			n.fails++
+			n.streamFails++
 			n.mu.Unlock()
 		}
 	}()
 }
 
-func (n *Node) write(to string, sealed []byte) error {
-	ctx, cancel := context.WithTimeout(n.ctx, streamFor)
+func (n *Node) writeStream(to string, sealed []byte) error {
+	ctx, cancel := context.WithTimeout(n.ctx, streamTimeout)
 	defer cancel()
-	c, err := n.dialer().DialContext(ctx, "tcp", to)
+	conn, err := n.dialer().DialContext(ctx, "tcp", to)
 	if err != nil {
 		return err
 	}
-	defer c.Close()
-	_ = c.SetDeadline(time.Now().Add(streamFor))
-	_, err = c.Write(framed(sealed))
+	defer conn.Close()
+	_ = conn.SetDeadline(time.Now().Add(streamTimeout))
+	_, err = conn.Write(frame(sealed))
 	return err
 }
 
-// framed puts a message's length before it, and readStream reads one.
-func framed(b []byte) []byte { return append(binary.BigEndian.AppendUint32(nil, uint32(len(b))), b...) }
+// frame prepends a message's length to it. readFrame reads such a message.
+func frame(b []byte) []byte { return append(binary.BigEndian.AppendUint32(nil, uint32(len(b))), b...) }
 
-var errTooLong = errors.New("fleet: a message that is too long")
+var errTooLong = errors.New("fleet: message too long")
 
-func readStream(c io.Reader) ([]byte, error) {
+func readFrame(conn io.Reader) ([]byte, error) {
 	var head [4]byte
-	if _, err := io.ReadFull(c, head[:]); err != nil {
+	if _, err := io.ReadFull(conn, head[:]); err != nil {
 		return nil, err
 	}
 	size := int64(binary.BigEndian.Uint32(head[:]))
-	if size > longest {
+	if size > maxMessageBytes {
 		return nil, errTooLong
 	}
-	data, err := io.ReadAll(io.LimitReader(c, size)) // grows with what comes, not with what is announced
+	data, err := io.ReadAll(io.LimitReader(conn, size)) // the buffer grows with the data received, not with the announced size
 	if err == nil && int64(len(data)) < size {
 		err = io.ErrUnexpectedEOF
 	}
 	return data, err
 }
 
-// dialer opens connections from the address that the member listens at: so the others can tell
-// whose they are on a machine with several.
-func (n *Node) dialer() *stdnet.Dialer { return &stdnet.Dialer{LocalAddr: &stdnet.TCPAddr{IP: n.ip}} }
+// dialer opens connections from the member's listen address, so that others can tell members on one machine with
+// several of them apart.
+func (n *Node) dialer() *stdnet.Dialer {
+	return &stdnet.Dialer{LocalAddr: &stdnet.TCPAddr{IP: n.listenIP}}
+}
 
-// put hands a message to the loop, or drops it.
-func (n *Node) put(m input) bool {
+// enqueue hands a message to the loop, or drops it if the inbox is full.
+func (n *Node) enqueue(message inbound) bool {
 	select {
-	case n.in <- m:
+	case n.inbox <- message:
 		return true
 	default:
 		n.mu.Lock()
-		n.full++
+		n.droppedInputs++
 		n.mu.Unlock()
 		return false
 	}
 }
 
-// datagrams reads what comes over UDP.
-func (n *Node) datagrams() {
+// readDatagrams reads what arrives over UDP.
+func (n *Node) readDatagrams() {
 	defer n.done.Done()
-	buf := make([]byte, datagram)
+	buf := make([]byte, maxDatagramBytes)
 	for {
 		k, from, err := n.udp.ReadFromUDPAddrPort(buf)
 		if err != nil {
 			if n.ctx.Err() != nil {
 				return
 			}
-			if !errors.Is(err, syscall.ECONNREFUSED) { // else an ICMP error of what was sent to a port that nobody listens on
-				n.rest()
+			if !errors.Is(err, syscall.ECONNREFUSED) { // which is an ICMP error for a datagram sent to a port without a listener
+				n.backOff()
 			}
 			continue
 		}
-		n.put(input{from: netip.AddrPortFrom(from.Addr().Unmap(), from.Port()).String(), data: append([]byte(nil), buf[:k]...)})
+		n.enqueue(inbound{from: netip.AddrPortFrom(from.Addr().Unmap(), from.Port()).String(), data: append([]byte(nil), buf[:k]...)})
 	}
 }
 
-// rest waits after a call that has failed.
-func (n *Node) rest() {
+// backOff waits briefly after a failed call.
+func (n *Node) backOff() {
 	select {
-	case <-time.After(writeFor):
+	case <-time.After(datagramTimeout):
 	case <-n.ctx.Done():
 	}
 }
 
-// accept takes connections, each for one message.
-func (n *Node) accept() {
+// acceptStreams accepts connections, each of which carries one message.
+func (n *Node) acceptStreams() {
 	defer n.done.Done()
 	for {
-		c, err := n.tcp.Accept()
+		conn, err := n.tcp.Accept()
 		if err != nil {
 			if n.ctx.Err() != nil {
 				return
 			}
-			n.rest() // out of descriptors, most likely
+			n.backOff() // most likely out of file descriptors
 			continue
 		}
 		select {
-		case n.read <- struct{}{}:
+		case n.readSlots <- struct{}{}:
 		default:
-			_ = c.Close()
+			_ = conn.Close()
 			continue
 		}
 		n.done.Add(1)
 		go func() {
 			defer n.done.Done()
-			defer func() { <-n.read }()
-			defer c.Close()
-			_ = c.SetDeadline(time.Now().Add(streamFor))
-			data, err := readStream(c)
+			defer func() { <-n.readSlots }()
+			defer conn.Close()
+			_ = conn.SetDeadline(time.Now().Add(streamTimeout))
+			data, err := readFrame(conn)
 			if err != nil {
 				return
 			}
 			reply := make(chan []byte, 1)
-			if !n.put(input{from: c.RemoteAddr().String(), data: data, stream: true, reply: reply}) {
+			if !n.enqueue(inbound{from: conn.RemoteAddr().String(), data: data, stream: true, reply: reply}) {
 				return
 			}
 			select {
-			case b := <-reply: // nil where there is none
+			case b := <-reply: // nil if there is no reply
 				if b != nil {
-					_, _ = c.Write(framed(b))
+					_, _ = conn.Write(frame(b))
 				}
 			case <-n.ctx.Done():
 			}
--- a/internal/fleet/net/node_test.go
+++ b/internal/fleet/net/node_test.go
@@ -18,7 +18,7 @@
 
 func TestMain(m *testing.M) { steady.Main(m) }
 
-func keys(t testing.TB) *signature.Keys {
+func testKeys(t testing.TB) *signature.Keys {
 	k, err := signature.Read("keys.xml", strings.NewReader(testpeer.KeyFile("k")))
 	if err != nil {
 		t.Fatal(err)
@@ -26,13 +26,13 @@
 	return k
 }
 
-func listen(t testing.TB, i int, fleet string, seeds ...string) *Node {
-	return listenAs(t, fmt.Sprint("g", i), i, fleet, seeds...)
+func listenNode(t testing.TB, i int, fleet string, seeds ...string) *Node {
+	return listenNamed(t, fmt.Sprint("g", i), i, fleet, seeds...)
 }
 
-// listenAs starts a process of a name; those with a higher number are newer.
-func listenAs(t testing.TB, name string, i int, fleet string, seeds ...string) *Node {
-	s, err := seal.New(keys(t), "k", fleet, uint64(i+1))
+// listenNamed starts a process with a name. One with a higher number is newer.
+func listenNamed(t testing.TB, name string, i int, fleet string, seeds ...string) *Node {
+	s, err := seal.New(testKeys(t), "k", fleet, uint64(i+1))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -47,11 +47,11 @@
 	return n
 }
 
-// counted waits until all nodes count so many members, with one digest.
-func counted(t testing.TB, what string, nodes []*Node, want int) time.Duration {
+// waitForMembers waits until the views of all nodes have the given number of members, and one digest.
+func waitForMembers(t testing.TB, what string, nodes []*Node, want int) time.Duration {
 	t.Helper()
 	began := time.Now()
-	testpeer.Until(t, fmt.Sprintf("%s: all count %d", what, want), func() bool {
+	testpeer.Until(t, fmt.Sprintf("%s: all views have %d members", what, want), func() bool {
 		for _, n := range nodes {
 			if v := n.View(); len(v.Members) != want || v.Digest != nodes[0].View().Digest {
 				return false
@@ -62,45 +62,46 @@
 	return time.Since(began)
 }
 
-func TestMembersOnSocketsCountEachOther(t *testing.T) {
-	first := listen(t, 0, "f")
+// Members find each other through a seed, learn what others serve, and notice a newer process, a crash and a leave.
+func TestMembersFindEachOtherOverSockets(t *testing.T) {
+	first := listenNode(t, 0, "f")
 	nodes := []*Node{first}
 	for i := 1; i < 5; i++ {
-		nodes = append(nodes, listen(t, i, "f", first.Addr()))
+		nodes = append(nodes, listenNode(t, i, "f", first.Addr()))
 	}
-	t.Logf("all count five after %v", counted(t, "the start", nodes, 5))
+	t.Logf("all views have five members after %v", waitForMembers(t, "the start", nodes, 5))
 	views := nodes[1].Watch()
 	if v := <-views; len(v.Members) != 5 {
 		t.Errorf("watched %+v", v)
 	}
 	nodes[2].Describe(3, 4)
-	testpeer.Until(t, "what a member serves is told", func() bool {
+	testpeer.Until(t, "others know what a member serves", func() bool {
 		list, _, _ := nodes[1].Known()
 		return slices.ContainsFunc(list, func(m view.Member) bool { return m.Name == "g2" && m.Generation == 3 && m.Epoch == 4 })
 	})
-	newer := listenAs(t, "g3", 50, "f", first.Addr())
-	testpeer.Until(t, "the older of two processes of a name steps down", nodes[3].Over)
+	newer := listenNamed(t, "g3", 50, "f", first.Addr())
+	testpeer.Until(t, "the older of two processes with one name steps down", nodes[3].Over)
 	if newer.Over() {
-		t.Error("the newer has stepped down, too")
+		t.Error("the newer process has stepped down, too")
 	}
 	nodes[3].Close()
 	nodes[3] = newer
-	counted(t, "a newer process of a name", nodes, 5)
+	waitForMembers(t, "a newer process with a known name", nodes, 5)
 	nodes[4].Close()
-	t.Logf("one is gone after %v", counted(t, "a crash", nodes[:4], 4))
+	t.Logf("a crashed member is gone after %v", waitForMembers(t, "a crash", nodes[:4], 4))
 	nodes[3].Leave()
-	t.Logf("one has left after %v more", counted(t, "an end that was told", nodes[:3], 3))
+	t.Logf("a member that left is gone after %v more", waitForMembers(t, "an announced leave", nodes[:3], 3))
 	nodes[3].Close()
 	if v := <-views; len(v.Members) > 4 {
 		t.Errorf("watched %+v", v)
 	}
 }
 
-// Strangers, other fleets, replays and noise change nothing, and are counted.
-func TestWhatIsNoMemberSaysChangesNothing(t *testing.T) {
-	n := listen(t, 0, "f")
-	listen(t, 1, "another", n.Addr())
-	s, err := seal.New(keys(t), "k", "f", 99)
+// Messages from strangers and other fleets, replays and noise change nothing, and are counted.
+func TestMessagesFromNonMembersChangeNothing(t *testing.T) {
+	n := listenNode(t, 0, "f")
+	listenNode(t, 1, "another", n.Addr())
+	s, err := seal.New(testKeys(t), "k", "f", 99)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -133,8 +134,8 @@
 	}
 }
 
-func TestAddressesThatCannotBeTaken(t *testing.T) {
-	n := listen(t, 0, "f")
+func TestUnusableAddressesAreRejected(t *testing.T) {
+	n := listenNode(t, 0, "f")
 	for _, addr := range []string{"localhost:1", "127.0.0.1", n.Addr()} {
 		if _, err := Listen(Config{Self: view.Member{Name: "x", Addr: addr}, Settings: view.LAN()}); err == nil || !strings.Contains(err.Error(), addr) {
 			t.Errorf("%s: %v", addr, err)
--- a/internal/fleet/net/shares.go
+++ b/internal/fleet/net/shares.go
@@ -15,207 +15,213 @@
 	"eiderwinch/internal/fleet/view"
 )
 
-// shares finds out which slots of the fleet's limits are this member's: it connects to the
-// addresses of those that seem gone, and asks those after it when it starts.
-type shares struct {
-	n       *Node
-	slots   []string
-	set     share.Settings
-	ended   chan ended // connections
-	out     chan share.Share
-	hanging sync.WaitGroup
-
-	mu     sync.Mutex // the holder takes some microseconds
-	holder *share.Holder
-	now    share.Share
+// slotManager determines which slots of the fleet's limits this member may use. It dials the addresses of
+// slots whose gatherers seem gone, and when it starts it questions the gatherers after it in the ring.
+type slotManager struct {
+	node     *Node
+	addrs    []string
+	settings share.Settings
+	results  chan dialResult // outcomes of dials and questions
+	updates  chan share.Share
+	dials    sync.WaitGroup
+
+	mu      sync.Mutex // guards the fields below; the holder's methods take some microseconds
+	holder  *share.Holder
+	current share.Share
 }
 
-// ended is how a connection to a slot has.
-type ended struct {
-	ask      share.Ask
-	question bool
-	reply    share.Reply
+// dialResult is the outcome of a connection to a slot's address.
+type dialResult struct {
+	dial       share.Dial
+	isQuestion bool
+	reply      share.Reply
 }
 
-// question is what one that starts asks about its slot, and what it is answered: CBOR with numbered
-// fields, over a stream whose first byte is 0. Nonce is the asker's, so that no older reply counts.
-type question struct {
-	Slot  int           `cbor:"1,keyasint"` // the asker's
-	Nonce uint64        `cbor:"2,keyasint"`
-	Said  share.Said    `cbor:"3,keyasint,omitempty"`
-	Wait  time.Duration `cbor:"4,keyasint,omitempty"`
+// questionMessage is a starting gatherer's question about its slot, and the reply to it. It is CBOR with
+// numbered fields, sent over a stream whose first byte is 0. The asker draws Nonce, so that an older reply is
+// not accepted.
+type questionMessage struct {
+	Slot  int             `cbor:"1,keyasint"` // of the asker
+	Nonce uint64          `cbor:"2,keyasint"`
+	Kind  share.ReplyKind `cbor:"3,keyasint,omitempty"`
+	Wait  time.Duration   `cbor:"4,keyasint,omitempty"`
 }
 
-func newShares(n *Node, slots []string, set share.Settings) (*shares, error) {
-	h, err := share.New(set, time.Now())
+func newSlotManager(n *Node, addrs []string, settings share.Settings) (*slotManager, error) {
+	holder, err := share.New(settings, time.Now())
 	if err != nil {
 		return nil, err
 	}
-	s := &shares{n: n, holder: h, slots: slots, set: set, ended: make(chan ended), out: make(chan share.Share, 1)}
-	s.now = h.Share(time.Now())
-	return s, nil
+	manager := &slotManager{
+		node: n, holder: holder, addrs: addrs, settings: settings, results: make(chan dialResult), updates: make(chan share.Share, 1),
+	}
+	manager.current = holder.Share(time.Now())
+	return manager, nil
 }
 
-// Share is what the member may use of the fleet's limits; ok is false where they are not
-// divided, as where there is no node. It may be called from any goroutine.
+// Share returns what the member may use of the fleet's limits. ok is false if they are not divided, or if n is
+// nil. It is safe for concurrent use.
 func (n *Node) Share() (s share.Share, ok bool) {
-	if n == nil || n.shares == nil {
+	if n == nil || n.slots == nil {
 		return s, false
 	}
-	s, _ = n.shares.state()
+	s, _ = n.slots.state()
 	return s, true
 }
 
-// Shares returns a channel of what the member may use, each time that it changes. A reader that
-// is slow misses those between, never the latest. It ends with the node. There is one of it.
-func (n *Node) Shares() <-chan share.Share { return n.shares.out }
+// Shares returns a channel that receives the member's share each time it changes. A slow reader misses
+// intermediate values, never the latest. The channel is closed when the node ends. There is one channel, which
+// every call returns, so it is meant for one reader.
+func (n *Node) Shares() <-chan share.Share { return n.slots.updates }
 
-func (s *shares) state() (share.Share, share.Counts) {
+func (s *slotManager) state() (share.Share, share.Counts) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.now, s.holder.Counts()
+	return s.current, s.holder.Counts()
 }
 
-// alive tells of which slots the view counts a member that answers.
-func alive(v view.View, slots []string) func(slot int) bool {
-	at := make(map[string]bool)
+// aliveSlots returns a function that reports whether the view has an alive member at a slot's address.
+func aliveSlots(v view.View, slots []string) func(slot int) bool {
+	alive := make(map[string]bool)
 	for _, m := range v.Members {
 		if m.State == view.Alive {
-			at[m.Addr] = true
+			alive[m.Addr] = true
 		}
 	}
-	return func(slot int) bool { return at[slots[slot]] }
+	return func(slot int) bool { return alive[slots[slot]] }
 }
 
-func (s *shares) run() {
-	defer s.n.done.Done()
-	defer close(s.out)
-	defer s.hanging.Wait() // all end with the node's context
+func (s *slotManager) run() {
+	defer s.node.done.Done()
+	defer close(s.updates)
+	defer s.dials.Wait() // all dials end with the node's context
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
 		select {
-		case <-s.n.ctx.Done():
+		case <-s.node.ctx.Done():
 			return
-		case e := <-s.ended:
-			s.take(e)
+		case e := <-s.results:
+			s.handleResult(e)
 		case <-timer.C:
 		}
 		timer.Reset(time.Until(s.step()))
 	}
 }
 
-// take takes in how a connection has ended.
-func (s *shares) take(e ended) {
+// handleResult passes the outcome of a connection to the holder.
+func (s *slotManager) handleResult(result dialResult) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if e.question {
-		s.holder.Heard(time.Now(), e.reply)
+	if result.isQuestion {
+		s.holder.Heard(time.Now(), result.reply)
 	} else {
-		s.holder.Ended(time.Now(), e.ask, e.reply.Kind == share.Refused)
+		s.holder.Ended(time.Now(), result.dial, result.reply.Kind == share.Refused)
 	}
 }
 
-// step does what is due, and returns when the next one is.
-func (s *shares) step() time.Time {
-	alive := alive(s.n.View(), s.slots)
+// step starts the dials and questions that are due, and returns when the next step is due.
+func (s *slotManager) step() time.Time {
+	alive := aliveSlots(s.node.View(), s.addrs)
 	s.mu.Lock()
 	now := time.Now()
-	asks := s.holder.Run(now, alive)
+	dials := s.holder.Run(now, alive)
 	slot, question := s.holder.Question(now)
-	x, due := s.holder.Share(now), s.holder.Due(now)
+	usable, due := s.holder.Share(now), s.holder.Due(now)
 	s.mu.Unlock()
-	s.hanging.Add(len(asks))
-	for _, a := range asks {
-		go s.connect(ended{ask: a})
+	s.dials.Add(len(dials))
+	for _, dial := range dials {
+		go s.connect(dialResult{dial: dial})
 	}
 	if question {
-		s.hanging.Add(1)
-		go s.connect(ended{ask: share.Ask{Slot: slot}, question: true})
+		s.dials.Add(1)
+		go s.connect(dialResult{dial: share.Dial{Slot: slot}, isQuestion: true})
 	}
-	s.tell(x)
+	s.publish(usable)
 	return due
 }
 
-// connect opens a connection to a slot's address, to see whether it is refused, or to ask.
-func (s *shares) connect(e ended) {
-	defer s.hanging.Done()
-	ctx, cancel := context.WithTimeout(s.n.ctx, s.set.Lease/2)
+// connect dials a slot's address, to find out whether the connection is refused, or to ask a question.
+func (s *slotManager) connect(result dialResult) {
+	defer s.dials.Done()
+	ctx, cancel := context.WithTimeout(s.node.ctx, s.settings.Lease/2)
 	defer cancel()
-	c, err := s.n.dialer().DialContext(ctx, "tcp", s.slots[e.ask.Slot])
+	conn, err := s.node.dialer().DialContext(ctx, "tcp", s.addrs[result.dial.Slot])
 	switch {
 	case errors.Is(err, syscall.ECONNREFUSED):
-		e.reply.Kind = share.Refused
+		result.reply.Kind = share.Refused
 	case err == nil:
-		if e.question {
-			_ = c.SetDeadline(time.Now().Add(s.set.Lease / 2))
-			e.reply = s.question(c)
+		if result.isQuestion {
+			_ = conn.SetDeadline(time.Now().Add(s.settings.Lease / 2))
+			result.reply = s.exchangeQuestion(conn)
 		}
-		_ = c.Close()
+		_ = conn.Close()
 	}
 	select {
-	case s.ended <- e:
-	case <-s.n.ctx.Done():
+	case s.results <- result:
+	case <-s.node.ctx.Done():
 	}
 }
 
-// question asks over a connection. What can't be understood is silence.
-func (s *shares) question(c io.ReadWriter) (r share.Reply) {
-	q := question{Slot: s.set.Number, Nonce: rand.Uint64()} // of the runtime's: no seed may bring it again
-	b, err := cbor.Marshal(q)
+// exchangeQuestion sends the question and reads the reply. An unreadable or invalid reply counts as none.
+func (s *slotManager) exchangeQuestion(conn io.ReadWriter) (r share.Reply) {
+	request := questionMessage{Slot: s.settings.Number, Nonce: rand.Uint64()} // from the runtime's generator: a seeded one could repeat a nonce
+	b, err := cbor.Marshal(request)
 	if err != nil {
 		return r
 	}
 	var sealed []byte
-	if !s.n.wait(func() { sealed, err = s.n.cfg.Sealer.Seal(time.Now(), append([]byte{0}, b...)) }) || err != nil {
+	if !s.node.call(func() { sealed, err = s.node.cfg.Sealer.Seal(time.Now(), append([]byte{0}, b...)) }) || err != nil {
 		return r
 	}
-	if _, err := c.Write(framed(sealed)); err != nil {
+	if _, err := conn.Write(frame(sealed)); err != nil {
 		return r
 	}
-	if sealed, err = readStream(c); err != nil {
+	if sealed, err = readFrame(conn); err != nil {
 		return r
 	}
-	var x question
-	if !s.n.wait(func() { b, err = s.n.cfg.Sealer.Open(time.Now(), sealed) }) || err != nil ||
-		cbor.Unmarshal(b, &x) != nil || x.Slot != q.Slot || x.Nonce != q.Nonce || x.Said > share.Clear || x.Wait < 0 || x.Wait > time.Hour {
+	var response questionMessage
+	if !s.node.call(func() { b, err = s.node.cfg.Sealer.Open(time.Now(), sealed) }) || err != nil ||
+		cbor.Unmarshal(b, &response) != nil || response.Slot != request.Slot || response.Nonce != request.Nonce ||
+		response.Kind > share.Clear || response.Wait < 0 || response.Wait > time.Hour {
 		return r
 	}
-	return share.Reply{Kind: x.Said, Wait: x.Wait}
+	return share.Reply{Kind: response.Kind, Wait: response.Wait}
 }
 
-// answer answers a question; nil where it can't.
-func (s *shares) answer(b []byte) []byte {
-	var q question
-	if s == nil || cbor.Unmarshal(b, &q) != nil || q.Slot < 0 || q.Slot >= s.set.Slots || q.Slot == s.set.Number {
+// answerQuestion returns the reply to a question, or nil if it can't be answered.
+func (s *slotManager) answerQuestion(data []byte) []byte {
+	var question questionMessage
+	if s == nil || cbor.Unmarshal(data, &question) != nil ||
+		question.Slot < 0 || question.Slot >= s.settings.Slots || question.Slot == s.settings.Number {
 		return nil
 	}
 	s.mu.Lock()
-	r := s.holder.Answer(time.Now(), q.Slot)
+	reply := s.holder.Answer(time.Now(), question.Slot)
 	s.mu.Unlock()
-	q.Said, q.Wait = r.Kind, r.Wait
-	b, err := cbor.Marshal(q)
+	question.Kind, question.Wait = reply.Kind, reply.Wait
+	data, err := cbor.Marshal(question)
 	if err != nil {
 		return nil
 	}
-	return b
+	return data
 }
 
-// tell hands on what may be used, where that has changed.
-func (s *shares) tell(x share.Share) {
+// publish hands the share to the reader if it has changed.
+func (s *slotManager) publish(next share.Share) {
 	s.mu.Lock()
-	was := s.now
-	s.now = x
+	previous := s.current
+	s.current = next
 	s.mu.Unlock()
-	if x == was {
+	if next == previous {
 		return
 	}
-	if x.Slots != was.Slots {
-		s.n.cfg.Log.Info("share", "slots", x.Slots, "of", s.set.Slots, "until", x.Until)
+	if next.Slots != previous.Slots {
+		s.node.cfg.Log.Info("share", "slots", next.Slots, "of", s.settings.Slots, "until", next.Until)
 	}
 	select {
-	case <-s.out: // the one before was not read
+	case <-s.updates: // discards the previous share if it was not read
 	default:
 	}
-	s.out <- x
+	s.updates <- next
 }
--- a/internal/fleet/net/shares_test.go
+++ b/internal/fleet/net/shares_test.go
@@ -12,22 +12,22 @@
 	"eiderwinch/internal/trial/testpeer"
 )
 
-// Members on sockets use the slots of those that have ended, and of nobody else.
-func TestSlotsOfMembersThatEndedAreUsed(t *testing.T) {
+// Members on sockets use the slots of members that have ended, and of no others.
+func TestSlotsOfEndedMembersAreTakenOver(t *testing.T) {
 	const slots = 4
 	var addrs []string
 	for i := range slots {
-		n := listen(t, i, "slots") // only to find a free port
+		n := listenNode(t, i, "slots") // only to find a free port
 		addrs = append(addrs, n.Addr())
 		n.Close()
 	}
-	start := func(i, life int) *Node {
-		s, err := seal.New(keys(t), "k", "slots", uint64(10*life+i+1))
+	start := func(i, run int) *Node {
+		s, err := seal.New(testKeys(t), "k", "slots", uint64(10*run+i+1))
 		if err != nil {
 			t.Fatal(err)
 		}
 		n, err := Listen(Config{
-			Self:     view.Member{Name: fmt.Sprint("g", i), Addr: addrs[i], Incarnation: view.Incarnation{Start: uint64(10*life + i + 1)}},
+			Self:     view.Member{Name: fmt.Sprint("g", i), Addr: addrs[i], Incarnation: view.Incarnation{Start: uint64(10*run + i + 1)}},
 			Settings: view.LAN(), Sealer: s, Seeds: addrs[:1], Seed: uint64(i), Log: slog.New(slog.DiscardHandler), Slots: addrs,
 			Share: share.Settings{Slots: slots, Number: i, Lease: 300 * time.Millisecond, Window: 200 * time.Millisecond},
 		})
@@ -41,7 +41,7 @@
 	for i := range slots {
 		nodes = append(nodes, start(i, 0))
 	}
-	hold := func(what string, want ...int) {
+	waitForSlots := func(what string, want ...int) {
 		t.Helper()
 		testpeer.Until(t, what, func() bool {
 			for i, n := range nodes {
@@ -53,20 +53,20 @@
 		})
 	}
 	if s, ok := nodes[0].Share(); !ok || s.Slots > 1 || time.Until(s.Until) > time.Second {
-		t.Errorf("right after its start one may use %+v", s)
+		t.Errorf("directly after its start a member may use %+v", s)
 	}
-	hold("all have their own", 1, 1, 1, 1)
+	waitForSlots("all have their own", 1, 1, 1, 1)
 	nodes[1].Close()
 	nodes[2].Close()
-	hold("the last has those before it", 1, 0, 0, 3)
+	waitForSlots("the last has the slots of the ended ones before it", 1, 0, 0, 3)
 	nodes[2] = start(2, 1)
-	hold("who comes again has its own, and the one before it", 1, 0, 2, 1)
+	waitForSlots("a restarted member has its own slot, and the one before it", 1, 0, 2, 1)
 	var last share.Share
 	nodes[2].Close()
 	for s := range nodes[2].Shares() {
 		last = s
 	}
 	if last.Slots != 2 {
-		t.Errorf("the last news was %+v", last)
+		t.Errorf("the last update was %+v", last)
 	}
 }
--- a/internal/fleet/seal/seal.go
+++ b/internal/fleet/seal/seal.go
@@ -1,14 +1,14 @@
-// Package seal puts the messages of gatherers among themselves into envelopes that only
-// members of their fleet can make, and opens them: what comes from a stranger, from another
-// fleet, or for a second time is told apart. It does no I/O and reads no clock.
+// Package seal puts the messages between gatherers into envelopes that only members of their fleet can make, and
+// opens them. It distinguishes envelopes from strangers, from other fleets, and replayed ones. It does no I/O and
+// reads no clock.
 //
-// An envelope is CBOR (RFC 8949) with numbered fields. Its code is BLAKE3 in keyed mode over
-// all other fields, under a shared secret of a key file (package signature), whose keys hold
-// for a time each, so that they can be changed one after the other.
+// An envelope is CBOR (RFC 8949) with numbered fields. Its MAC is BLAKE3 in keyed mode over all other fields,
+// under a shared secret of a key file (package signature). Each key is valid for a limited time, so that keys can
+// be replaced one after the other.
 //
-// An envelope that was kept and is sent again is told by its sender's count, as long as the
-// receiver has heard of that process. One that has just started has not: what it may be made
-// to believe by an old envelope is what package view believes of old news.
+// A replayed envelope is recognized by its sender's sequence number, provided that the receiver has heard from
+// that process before. A receiver that has just started has not: what an old envelope can make it believe is
+// limited by how package view treats old updates.
 package seal
 
 import (
@@ -22,159 +22,160 @@
 	"eiderwinch/internal/configuration/signature"
 )
 
-// purpose keeps an envelope's code from being taken for one of something else.
-const purpose = "eiderwinch fleet 1\n"
+// macDomain keeps an envelope's MAC from being valid for any other purpose.
+const macDomain = "eiderwinch fleet 1\n"
 
-// The reasons why an envelope is not opened.
+// The reasons for which an envelope is rejected.
 var (
-	ErrForm     = errors.New("malformed envelope")
-	ErrFleet    = errors.New("an envelope of another fleet")
-	ErrStranger = errors.New("an envelope whose code does not fit")
-	ErrReplayed = errors.New("an envelope that has come before, or is too old to tell")
+	ErrMalformed       = errors.New("malformed envelope")
+	ErrWrongFleet      = errors.New("envelope of another fleet")
+	ErrUnauthenticated = errors.New("envelope authentication failed")
+	ErrReplayed        = errors.New("envelope replayed or too old to check")
 )
 
-// Overhead is what an envelope takes beside the message, with names of 128 bytes at most.
+// Overhead is the size that an envelope adds to its message, with names of at most 128 bytes.
 const Overhead = 2*(128+3) + 64
 
 const (
-	window = 1024 // envelopes of one process that may overtake each other
-	most   = 4096 // processes whose counts are kept; who was heard longest ago goes for the next
+	replayWindow = 1024 // envelopes of one process that may arrive out of order
+	maxProcesses = 4096 // processes whose replay state is kept; the least recently heard one is evicted
 )
 
-// envelope is what travels.
+// envelope is the encoded form of a sealed message.
 type envelope struct {
-	Key     string `cbor:"1,keyasint"`
-	Fleet   string `cbor:"2,keyasint"`
-	Process uint64 `cbor:"3,keyasint"` // by chance, anew at each start
-	Count   uint64 `cbor:"4,keyasint"` // from 1
-	Data    []byte `cbor:"5,keyasint"`
-	Code    []byte `cbor:"6,keyasint,omitempty"`
+	Key      string `cbor:"1,keyasint"`
+	Fleet    string `cbor:"2,keyasint"`
+	Process  uint64 `cbor:"3,keyasint"` // random, new at each start
+	Sequence uint64 `cbor:"4,keyasint"` // from 1
+	Data     []byte `cbor:"5,keyasint"`
+	MAC      []byte `cbor:"6,keyasint,omitempty"`
 }
 
-// Counts are what was opened and what was not, and why.
+// Counts are the counters of a Sealer: envelopes opened, envelopes rejected by reason, and processes whose replay
+// state was evicted.
 type Counts struct{ Opened, Malformed, Fleet, Stranger, Replayed, Forgotten int }
 
-// Sealer is one process's. It belongs to one goroutine.
+// Sealer seals and opens the envelopes of one process. It belongs to one goroutine.
 type Sealer struct {
-	keys    *signature.Keys
-	key     string
-	fleet   string
-	process uint64
-	count   uint64
-	heard   map[uint64]*heard
-	order   uint64
-	counts  Counts
-	enc     cbor.EncMode
-	dec     cbor.DecMode
+	keys         *signature.Keys
+	keyName      string
+	fleet        string
+	process      uint64
+	sequence     uint64
+	replayStates map[uint64]*replayState
+	useClock     uint64 // logical time of the last use of replayStates
+	counts       Counts
+	encMode      cbor.EncMode
+	decMode      cbor.DecMode
 }
 
-// heard is which envelopes of a process have come: the highest count, and which of those
-// below it, by their count modulo the window.
-type heard struct {
-	last  uint64
-	came  [window / 64]uint64
-	order uint64
+// replayState records which envelopes of a process have arrived: the highest sequence number, and a bitmap of those
+// below it, indexed by sequence number modulo replayWindow.
+type replayState struct {
+	highest uint64
+	seen    [replayWindow / 64]uint64
+	lastUse uint64 // by Sealer.useClock
 }
 
-// New returns a Sealer that seals with a key of a name. process tells this start of the program
-// from all others: it must come from chance, and not be 0.
-func New(keys *signature.Keys, key, fleet string, process uint64) (*Sealer, error) {
-	if process == 0 || len(fleet) > 128 || len(key) > 128 {
-		return nil, fmt.Errorf("seal: process %d, fleet %.128q, key %.128q: want a process other than 0 and names of 128 bytes at most", process, fleet, key)
+// New returns a Sealer that seals with the named key. process distinguishes this start of the program from all
+// others: it must be random and not 0.
+func New(keys *signature.Keys, keyName, fleet string, process uint64) (*Sealer, error) {
+	if process == 0 || len(fleet) > 128 || len(keyName) > 128 {
+		return nil, fmt.Errorf("seal: process %d, fleet %.128q, key %.128q: want a process other than 0 and names of 128 bytes at most", process, fleet, keyName)
 	}
-	enc, err := cbor.CoreDetEncOptions().EncMode()
+	encMode, err := cbor.CoreDetEncOptions().EncMode()
 	if err != nil {
 		return nil, fmt.Errorf("seal: %w", err)
 	}
-	dec, err := cbor.DecOptions{MaxNestedLevels: 4, MaxArrayElements: 16, MaxMapPairs: 16, IndefLength: cbor.IndefLengthForbidden}.DecMode()
+	decMode, err := cbor.DecOptions{MaxNestedLevels: 4, MaxArrayElements: 16, MaxMapPairs: 16, IndefLength: cbor.IndefLengthForbidden}.DecMode()
 	if err != nil {
 		return nil, fmt.Errorf("seal: %w", err)
 	}
-	return &Sealer{keys: keys, key: key, fleet: fleet, process: process, heard: make(map[uint64]*heard), enc: enc, dec: dec}, nil
+	return &Sealer{keys: keys, keyName: keyName, fleet: fleet, process: process, replayStates: make(map[uint64]*replayState), encMode: encMode, decMode: decMode}, nil
 }
 
-// Counts is what was opened so far, and what was not.
+// Counts returns the counters.
 func (s *Sealer) Counts() Counts { return s.counts }
 
-// Seal puts a message into an envelope. It fails where the key does not hold now.
+// Seal puts a message into an envelope. It fails if the key is not valid now.
 func (s *Sealer) Seal(now time.Time, data []byte) ([]byte, error) {
-	s.count++
-	e := envelope{Key: s.key, Fleet: s.fleet, Process: s.process, Count: s.count, Data: data}
+	s.sequence++
+	e := envelope{Key: s.keyName, Fleet: s.fleet, Process: s.process, Sequence: s.sequence, Data: data}
 	var err error
-	if e.Code, err = s.code(now, e); err != nil {
+	if e.MAC, err = s.mac(now, e); err != nil {
 		return nil, fmt.Errorf("seal: %w", err)
 	}
-	return s.enc.Marshal(e)
+	return s.encMode.Marshal(e)
 }
 
-// code is an envelope's under the key that it names.
-func (s *Sealer) code(now time.Time, e envelope) ([]byte, error) {
-	e.Code = nil
-	b, err := s.enc.Marshal(e)
+// mac computes an envelope's MAC under the key that it names.
+func (s *Sealer) mac(now time.Time, e envelope) ([]byte, error) {
+	e.MAC = nil
+	b, err := s.encMode.Marshal(e)
 	if err != nil {
 		return nil, err
 	}
-	return s.keys.Mac(now, e.Key, purpose, b)
+	return s.keys.Mac(now, e.Key, macDomain, b)
 }
 
-// Open returns the message in an envelope, or why it is not to be believed.
+// Open returns the message in an envelope, or the reason for which the envelope is rejected.
 func (s *Sealer) Open(now time.Time, b []byte) ([]byte, error) {
 	var e envelope
-	if err := s.dec.Unmarshal(b, &e); err != nil || e.Process == 0 || e.Count == 0 {
+	if err := s.decMode.Unmarshal(b, &e); err != nil || e.Process == 0 || e.Sequence == 0 {
 		s.counts.Malformed++
-		return nil, fmt.Errorf("seal: %w of %d bytes", ErrForm, len(b))
+		return nil, fmt.Errorf("seal: %w of %d bytes", ErrMalformed, len(b))
 	}
 	if e.Fleet != s.fleet {
 		s.counts.Fleet++
-		return nil, fmt.Errorf("seal: %w: have %.128q, want %q", ErrFleet, e.Fleet, s.fleet)
+		return nil, fmt.Errorf("seal: %w: have %.128q, want %q", ErrWrongFleet, e.Fleet, s.fleet)
 	}
-	code, err := s.code(now, e)
-	if err != nil || subtle.ConstantTimeCompare(code, e.Code) != 1 {
+	mac, err := s.mac(now, e)
+	if err != nil || subtle.ConstantTimeCompare(mac, e.MAC) != 1 {
 		s.counts.Stranger++
-		return nil, errors.Join(fmt.Errorf("seal: %w", ErrStranger), err)
+		return nil, errors.Join(fmt.Errorf("seal: %w", ErrUnauthenticated), err)
 	}
-	if !s.fresh(e.Process, e.Count) {
+	if !s.acceptSequence(e.Process, e.Sequence) {
 		s.counts.Replayed++
-		return nil, fmt.Errorf("seal: %w: count %d of process %x", ErrReplayed, e.Count, e.Process)
+		return nil, fmt.Errorf("seal: %w: sequence number %d of process %x", ErrReplayed, e.Sequence, e.Process)
 	}
 	s.counts.Opened++
 	return e.Data, nil
 }
 
-// fresh books an envelope's count, and tells whether it has not come before.
-func (s *Sealer) fresh(process, count uint64) bool {
-	h := s.heard[process]
-	if h == nil {
-		s.forget()
-		h = new(heard)
-		s.heard[process] = h
+// acceptSequence records an envelope's sequence number, and reports whether it has not arrived before.
+func (s *Sealer) acceptSequence(process, sequence uint64) bool {
+	state := s.replayStates[process]
+	if state == nil {
+		s.evictOldest()
+		state = new(replayState)
+		s.replayStates[process] = state
 	}
-	s.order++
-	h.order = s.order
+	s.useClock++
+	state.lastUse = s.useClock
 	switch {
-	case count > h.last:
-		for c := h.last + 1; c <= count && c-h.last <= window; c++ { // their places are those of older ones
-			h.came[c%window/64] &^= 1 << (c % 64)
+	case sequence > state.highest:
+		for c := state.highest + 1; c <= sequence && c-state.highest <= replayWindow; c++ { // clears bits that were set for older envelopes
+			state.seen[c%replayWindow/64] &^= 1 << (c % 64)
 		}
-		h.last = count
-	case h.last-count >= window, h.came[count%window/64]&(1<<(count%64)) != 0:
+		state.highest = sequence
+	case state.highest-sequence >= replayWindow, state.seen[sequence%replayWindow/64]&(1<<(sequence%64)) != 0:
 		return false
 	}
-	h.came[count%window/64] |= 1 << (count % 64)
+	state.seen[sequence%replayWindow/64] |= 1 << (sequence % 64)
 	return true
 }
 
-// forget makes room for another process.
-func (s *Sealer) forget() {
-	if len(s.heard) < most {
+// evictOldest makes room for another process.
+func (s *Sealer) evictOldest() {
+	if len(s.replayStates) < maxProcesses {
 		return
 	}
 	var oldest uint64
-	for p, h := range s.heard {
-		if oldest == 0 || h.order < s.heard[oldest].order {
-			oldest = p
+	for process, state := range s.replayStates {
+		if oldest == 0 || state.lastUse < s.replayStates[oldest].lastUse {
+			oldest = process
 		}
 	}
-	delete(s.heard, oldest)
+	delete(s.replayStates, oldest)
 	s.counts.Forgotten++
 }
--- a/internal/fleet/seal/seal_test.go
+++ b/internal/fleet/seal/seal_test.go
@@ -13,10 +13,10 @@
 	"eiderwinch/internal/configuration/signature"
 )
 
-var now = time.Date(2026, 12, 2, 0, 0, 0, 0, time.UTC)
+var testTime = time.Date(2026, 12, 2, 0, 0, 0, 0, time.UTC)
 
-// file is a key file: "old" until noon, "new" from then on, beside "other", of the same times as old.
-func file(t testing.TB, secret string) *signature.Keys {
+// readKeys returns the keys of a key file: "old" is valid until noon, "new" from then on.
+func readKeys(t testing.TB, secret string) *signature.Keys {
 	key := func(name, from, until, secret string) string {
 		return fmt.Sprintf(`<key name=%q algorithm="blake3" value=%q from=%q until=%q/>`, name,
 			base64.StdEncoding.EncodeToString([]byte(strings.Repeat(secret, 32))), from, until)
@@ -30,17 +30,18 @@
 }
 
 func sealer(t testing.TB, secret, key, fleet string, process uint64) *Sealer {
-	s, err := New(file(t, secret), key, fleet, process)
+	s, err := New(readKeys(t, secret), key, fleet, process)
 	if err != nil {
 		t.Fatal(err)
 	}
 	return s
 }
 
-func TestWhatIsOpened(t *testing.T) {
+// Open rejects envelopes that strangers, other fleets or expired keys have sealed, and those that were changed.
+func TestOpenAcceptsOnlyEnvelopesOfTheFleet(t *testing.T) {
 	const noon = 12 * time.Hour
-	good := func(s *Sealer) []byte {
-		b, err := s.Seal(now, []byte("news"))
+	sealNow := func(s *Sealer) []byte {
+		b, err := s.Seal(testTime, []byte("news"))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -51,72 +52,73 @@
 		at   time.Duration
 		want error
 	}{
-		"a member's":                {func() []byte { return good(sealer(t, "o", "old", "f", 7)) }, 0, nil},
-		"a stranger's":              {func() []byte { return good(sealer(t, "x", "old", "f", 7)) }, 0, ErrStranger},
-		"another fleet's":           {func() []byte { return good(sealer(t, "o", "old", "g", 7)) }, 0, ErrFleet},
-		"one under a key that ends": {func() []byte { return good(sealer(t, "o", "old", "f", 7)) }, noon, signature.ErrExpired},
-		"noise":                     {func() []byte { return []byte("noise") }, 0, ErrForm},
-		"nothing":                   {func() []byte { return nil }, 0, ErrForm},
+		"a member's":               {func() []byte { return sealNow(sealer(t, "o", "old", "f", 7)) }, 0, nil},
+		"a stranger's":             {func() []byte { return sealNow(sealer(t, "x", "old", "f", 7)) }, 0, ErrUnauthenticated},
+		"another fleet's":          {func() []byte { return sealNow(sealer(t, "o", "old", "g", 7)) }, 0, ErrWrongFleet},
+		"one under an expired key": {func() []byte { return sealNow(sealer(t, "o", "old", "f", 7)) }, noon, signature.ErrExpired},
+		"noise":                    {func() []byte { return []byte("noise") }, 0, ErrMalformed},
+		"nothing":                  {func() []byte { return nil }, 0, ErrMalformed},
 		"a changed message": {func() []byte {
-			b := good(sealer(t, "o", "old", "f", 7))
+			b := sealNow(sealer(t, "o", "old", "f", 7))
 			return []byte(strings.Replace(string(b), "news", "lies", 1))
-		}, 0, ErrStranger},
-		"another's name for the key": {func() []byte {
-			b := good(sealer(t, "o", "old", "f", 7))
+		}, 0, ErrUnauthenticated},
+		"another key's name": {func() []byte {
+			b := sealNow(sealer(t, "o", "old", "f", 7))
 			return []byte(strings.Replace(string(b), "old", "odd", 1))
 		}, 0, signature.ErrUnknown},
 	} {
 		s := sealer(t, "o", "old", "f", 9)
-		got, err := s.Open(now.Add(c.at), c.make())
+		got, err := s.Open(testTime.Add(c.at), c.make())
 		if c.want == nil && (err != nil || string(got) != "news") || c.want != nil && !errors.Is(err, c.want) {
 			t.Errorf("%s: have %q, %v, want %v", name, got, err, c.want)
 		}
 	}
-	if _, err := sealer(t, "o", "old", "f", 9).Seal(now.Add(noon), nil); !errors.Is(err, signature.ErrExpired) {
-		t.Errorf("sealed with a key that has ended: %v", err)
+	if _, err := sealer(t, "o", "old", "f", 9).Seal(testTime.Add(noon), nil); !errors.Is(err, signature.ErrExpired) {
+		t.Errorf("sealed with an expired key: %v", err)
 	}
-	if b := good(sealer(t, "o", "old", strings.Repeat("f", 128), 7)); len(b) > Overhead+4 {
-		t.Errorf("%d bytes beside the message, want %d at most", len(b)-4, Overhead)
+	if b := sealNow(sealer(t, "o", "old", strings.Repeat("f", 128), 7)); len(b) > Overhead+4 {
+		t.Errorf("overhead of %d bytes, want at most %d", len(b)-4, Overhead)
 	}
 }
 
-// Envelopes may overtake each other, get lost and come twice: each is opened once, those too far behind not at all.
-func TestEachIsOpenedOnce(t *testing.T) {
+// Envelopes may arrive out of order, get lost and be replayed: each is opened once. Those before the replay window are not
+// opened at all.
+func TestEachEnvelopeIsOpenedOnce(t *testing.T) {
 	a, b := sealer(t, "o", "old", "f", 7), sealer(t, "o", "old", "f", 9)
-	var kept [][]byte
-	for range 2*window + 10 {
-		e, err := a.Seal(now, nil)
+	var envelopes [][]byte
+	for range 2*replayWindow + 10 {
+		e, err := a.Seal(testTime, nil)
 		if err != nil {
 			t.Fatal(err)
 		}
-		kept = append(kept, e)
+		envelopes = append(envelopes, e)
 	}
 	rapid.Check(t, func(t *rapid.T) {
-		b.heard = make(map[uint64]*heard)
-		opened, last := make(map[int]bool), 0
+		b.replayStates = make(map[uint64]*replayState)
+		opened, highest := make(map[int]bool), 0
 		for range rapid.IntRange(1, 40).Draw(t, "envelopes") {
-			i := rapid.IntRange(0, len(kept)-1).Draw(t, "which")
-			_, err := b.Open(now, kept[i])
-			if last = max(last, i); err == nil && opened[i] || err != nil && !opened[i] && last-i < window {
-				t.Fatalf("envelope %d of %d: opened before %t, now %v", i, last, opened[i], err)
+			i := rapid.IntRange(0, len(envelopes)-1).Draw(t, "which")
+			_, err := b.Open(testTime, envelopes[i])
+			if highest = max(highest, i); err == nil && opened[i] || err != nil && !opened[i] && highest-i < replayWindow {
+				t.Fatalf("envelope %d of %d: opened before %t, now %v", i, highest, opened[i], err)
 			}
 			opened[i] = opened[i] || err == nil
 		}
 	})
-	for p := range uint64(most + 10) {
-		b.fresh(p+100, 1)
+	for p := range uint64(maxProcesses + 10) {
+		b.acceptSequence(p+100, 1)
 	}
-	if len(b.heard) != most || b.Counts().Forgotten == 0 {
-		t.Errorf("%d processes are kept, %d forgotten", len(b.heard), b.Counts().Forgotten)
+	if len(b.replayStates) != maxProcesses || b.Counts().Forgotten == 0 {
+		t.Errorf("%d processes are kept, %d forgotten", len(b.replayStates), b.Counts().Forgotten)
 	}
 }
 
 func FuzzOpen(f *testing.F) {
 	s := sealer(f, "o", "old", "f", 7)
-	e, _ := s.Seal(now, []byte("news"))
+	e, _ := s.Seal(testTime, []byte("news"))
 	f.Add(e)
 	f.Fuzz(func(t *testing.T, b []byte) {
-		if got, err := sealer(t, "o", "old", "f", 9).Open(now, b); err == nil && string(got) != "news" {
+		if got, err := sealer(t, "o", "old", "f", 9).Open(testTime, b); err == nil && string(got) != "news" {
 			t.Errorf("opened %q", got)
 		}
 	})
@@ -127,9 +129,9 @@
 	data := make([]byte, 400)
 	b.ReportAllocs()
 	for range b.N {
-		e, err := a.Seal(now, data)
+		e, err := a.Seal(testTime, data)
 		if err == nil {
-			_, err = o.Open(now, e)
+			_, err = o.Open(testTime, e)
 		}
 		if err != nil {
 			b.Fatal(err)
--- a/internal/fleet/share/share.go
+++ b/internal/fleet/share/share.go
@@ -1,30 +1,30 @@
-// Package share divides the fleet's limits among the gatherers that are there. It does no
-// I/O, reads no clock and starts no goroutine; a Holder belongs to one goroutine.
+// Package share divides the fleet's limits among the gatherers that are running. It does no I/O, reads no clock
+// and starts no goroutine; a Holder belongs to one goroutine.
 //
-// The whole is cut into as many slots as gatherers are planned; each belongs to one number
-// of Settings.Slots, so without talk nobody uses more than its own. A slot whose gatherer
-// is gone is used by the next one after it that is there, in the ring of numbers, and by
-// nobody else: whatever views differ, two gatherers never use one slot at an instant.
+// The limits are divided into as many slots as gatherers are planned. Each slot belongs to one number below
+// Settings.Slots, so without any communication no gatherer uses more than its own slot. The slot of a gatherer
+// that is gone is used by the next running gatherer after it in the ring of numbers, and by no other: however much
+// views differ, two gatherers never use one slot at the same time.
 //
-// That rests on what cannot be mistaken. A view can't tell a gatherer that is dead from one
-// that is cut off, and both sides of a cut would take the other's. So a Holder believes only
-// that the host of a slot's address has refused a connection: nothing listened there, so no
-// process of that slot ran. Silence proves nothing. A gatherer that stops answers no more,
-// yet its host still takes connections; a host that has lost its power refuses nothing, and
-// its slots lie idle.
+// This relies only on evidence that can't be mistaken. A view can't distinguish a dead gatherer from a partitioned
+// one, and both sides of a partition would take over the slots of the other. So a Holder believes only that the
+// host of a slot's address has refused a connection: nothing listened there, so no process of that slot ran.
+// Silence proves nothing. A gatherer that is stopped no longer answers, but its host still accepts connections; a
+// host that has lost its power refuses nothing, and its slots stay unused.
 //
-// A refusal holds for Settings.Lease from when the connection was begun, on the clock of who
-// was refused. A gatherer that starts listens first, and then uses no slot, not even its own,
-// for Settings.Wait, which is longer: whoever was refused before it listened has stopped by then.
+// A refusal is valid for Settings.Lease from the start of the connection, on the clock of the gatherer that was
+// refused. A gatherer that starts first listens, and then uses no slot, not even its own, for Settings.Wait, which
+// is longer: any gatherer that was refused before it listened has stopped using its slot by then.
 //
-// It need not wait where it can ask. The only ones that may use its slot are those after it in the
-// ring, up to the first that is there and has waited itself: nobody beyond that one can have found
-// it gone since. So it asks one after the other. Who has waited tells for how long its own promises
-// hold, for the asker's slot and all that it reaches through it, and forgets what it has found
-// there; who still waits, or is refused, uses nothing. Who says nothing leaves the whole wait.
+// A starting gatherer need not wait if it can ask. The only gatherers that may use its slot are those after it in
+// the ring, up to the first one that is running and has completed its own wait: none beyond that one can have found
+// it gone since. So it questions them one after the other. A gatherer that has completed its wait replies how long
+// its own claims are valid, for the slot of the asker and all slots that it reaches through it, and forgets what it
+// has found out about them. A gatherer that is still waiting, or is refused, uses nothing. If one does not reply,
+// the full wait remains.
 //
-// What a process has done in the window before its end goes out of the books with it, as it does
-// where limits are not divided and a gatherer starts anew.
+// What a process did in the window before its end is not counted any more after its end, as is the case when limits
+// are not divided and a gatherer restarts.
 package share
 
 import (
@@ -34,301 +34,307 @@
 	"time"
 )
 
-// Settings are a Holder's. All gatherers of a fleet must have the same Slots and Window.
+// Settings configure a Holder. All gatherers of a fleet must have the same Slots and Window.
 type Settings struct {
-	Slots  int // gatherers that are planned
-	Number int // the own slot, from 0
-	// Lease is how long a refusal holds. A shorter one has a gatherer that starts wait less,
-	// and costs a connection to each gone slot before the own one as much more often.
+	Slots  int // number of planned gatherers
+	Number int // own slot, from 0
+	// Lease is how long a refusal is valid. A shorter lease shortens the wait of a starting gatherer, and costs
+	// proportionally more connections to each gone slot before the own one.
 	Lease time.Duration
-	// Window is the span over which the limits count. A slot is taken only once it was gone
-	// for so long, and used by one that starts only so long after all others that are there have
-	// stopped: then no window holds what two that are there have done with one slot.
+	// Window is the span over which the limits count. A slot is taken over only after it has been gone for that
+	// long, and a starting gatherer uses its slot only that long after all other running gatherers have stopped
+	// using it. So no window contains the use of one slot by two running gatherers.
 	Window time.Duration
 	Seed   uint64
 }
 
 const (
-	// DefaultLease is long beside a dial, which takes some milliseconds, and a turn of the
-	// loop; a gatherer that starts waits little more than it.
+	// DefaultLease is long compared with a dial, which takes some milliseconds, and with a turn of the loop. A
+	// starting gatherer waits little longer than that.
 	DefaultLease = time.Second
 
-	// drift is the part (1/50) by which clocks of two machines may run apart: some hundred
-	// times of what a bad quartz does.
-	drift = 50
+	// driftDivisor is the inverse of the fraction (1/50) by which the clocks of two machines may drift apart: some
+	// hundred times the drift of a bad quartz.
+	driftDivisor = 50
 
-	renewShare = 3 // a refusal is renewed after a third of its time: two dials may fail
-	mostTries  = 2 // of a question that brings nothing: one connection may be lost
-	mostSlots  = 4096
+	renewDivisor     = 3 // a refusal is renewed after a third of its lease, so two dials may fail
+	maxQuestionTries = 2 // of a question without a reply, because one connection may be lost
+	maxSlots         = 4096
 )
 
-var errSettings = errors.New("share: settings that can't be used")
+var errInvalidSettings = errors.New("share: invalid settings")
 
-// Check tells what of the settings can't be used, if anything.
+// Check returns an error that describes the first invalid setting, if there is one.
 func (s Settings) Check() error {
 	switch {
-	case s.Slots < 1 || s.Slots > mostSlots:
-		return fmt.Errorf("%w: %d slots, want 1 to %d", errSettings, s.Slots, mostSlots)
+	case s.Slots < 1 || s.Slots > maxSlots:
+		return fmt.Errorf("%w: %d slots, want 1 to %d", errInvalidSettings, s.Slots, maxSlots)
 	case s.Number < 0 || s.Number >= s.Slots:
-		return fmt.Errorf("%w: number %d, want 0 to %d", errSettings, s.Number, s.Slots-1)
+		return fmt.Errorf("%w: number %d, want 0 to %d", errInvalidSettings, s.Number, s.Slots-1)
 	case s.Lease < 10*time.Millisecond || s.Lease > time.Minute:
-		return fmt.Errorf("%w: a lease of %v, want 10ms to 1m", errSettings, s.Lease)
+		return fmt.Errorf("%w: a lease of %v, want 10ms to 1m", errInvalidSettings, s.Lease)
 	case s.Window < 0 || s.Window > time.Hour:
-		return fmt.Errorf("%w: a window of %v, want 0 to 1h", errSettings, s.Window)
+		return fmt.Errorf("%w: a window of %v, want 0 to 1h", errInvalidSettings, s.Window)
 	}
 	return nil
 }
 
-// Wait is how long a gatherer that starts uses no slot, counted from when it listens.
-func (s Settings) Wait() time.Duration { return s.Lease + s.Lease/drift + s.Window + s.Window/drift }
+// Wait returns how long a starting gatherer uses no slot, counted from when it listens.
+func (s Settings) Wait() time.Duration {
+	return s.Lease + s.Lease/driftDivisor + s.Window + s.Window/driftDivisor
+}
 
-// Share is what a gatherer may use: its own slot and those right before it, Slots in all,
-// until Until, which is zero where nothing ends it. After that it is the own one again.
+// Share is what a gatherer may use: its own slot and those directly before it, Slots in all, until Until. After
+// that it may use its own slot only. If Until is zero, the share has no end.
 type Share struct {
 	Slots int
 	Until time.Time
 }
 
-// Counts are what a Holder has seen.
+// Counts are the counters of a Holder.
 type Counts struct {
-	Asked, Refused, Silent int // connections to slots that seem gone; those refused; those that were not
-	Questions              int // asked at the start
-	Most                   int // slots held at once
+	Asked, Refused, Silent int // connections to slots that seem gone; those that were refused; those that were not
+	Questions              int // sent at the start
+	Most                   int // slots held at the same time
 }
 
-// finding is what is known of a slot.
-type finding struct {
-	asked time.Time // when the connection that is under way was begun; zero if none is
-	tried time.Time // when the last one was
-	since time.Time // since when all of them were refused; zero if it is not known to be gone
-	until time.Time // when that has to be found anew
+// slotState is what a Holder knows about another slot.
+type slotState struct {
+	dialBegun time.Time // start of the dial in progress; zero if there is none
+	lastDial  time.Time // start of the last dial
+	goneSince time.Time // since when all dials were refused; zero if the slot is not known to be gone
+	goneUntil time.Time // when the last refusal expires
 }
 
-// Ask is a connection to a slot, to see whether it is refused.
-type Ask struct {
+// Dial is a connection to a slot's address, made to find out whether it is refused.
+type Dial struct {
 	Slot  int
 	Begun time.Time
 }
 
-// Reply is what a gatherer that starts gets from one that it has asked about its slot.
+// Reply is the outcome of a starting gatherer's question to another one about its slot.
 type Reply struct {
-	Kind Said
-	Wait time.Duration // Clear: the asker may use its slot after so long
+	Kind ReplyKind
+	Wait time.Duration // Clear: time until the asker may use its slot
 }
 
-// Said is what kind a Reply is of.
-type Said int
+// ReplyKind is the kind of a Reply.
+type ReplyKind int
 
-// What may be said.
+// The kinds of replies.
 const (
-	Silent  Said = iota // nothing came
-	Refused             // its host has refused the connection
-	Waiting             // it has started itself, and uses no slot yet
-	Clear               // it has waited itself, and uses the asker's slot no longer than Wait
+	NoReply ReplyKind = iota // no reply arrived
+	Refused                  // the host refused the connection
+	Waiting                  // the gatherer has started itself, and uses no slot yet
+	Clear                    // the gatherer has completed its wait, and uses the asker's slot no longer than Wait
 )
 
-// Holder is one gatherer's. Make it with New once the gatherer listens at its slot's address.
+// Holder tracks which slots one gatherer may use. Create it with New once the gatherer listens at its slot's address.
 type Holder struct {
-	set    Settings
-	draw   func(n int64) int64 // a number by chance below n
-	ready  time.Time           // nothing is used before
-	next   int                 // how far after the own slot the next question goes; 0 once none does
-	asked  bool                // one is under way
-	tries  int                 // how often the same one was asked and said nothing
-	found  map[int]*finding    // slots from the one before the own back to the first that is not known to be gone
-	lent   map[int]time.Time   // slots that were used lately, and until when that was promised
-	counts Counts
+	settings       Settings
+	randN          func(n int64) int64 // returns a random number below n
+	readyAt        time.Time           // no slot is used before
+	questionOffset int                 // distance after the own slot of the next one to question; 0 if there is none
+	questionOpen   bool                // a question is in progress
+	questionTries  int                 // unanswered tries of the current question
+	slotStates     map[int]*slotState  // from the slot before the own one back to the first that is not known to be gone
+	usedUntil      map[int]time.Time   // slots used recently, and until when their use was claimed
+	counts         Counts
 }
 
-// New returns a Holder of a gatherer that has begun to listen.
-func New(set Settings, now time.Time) (*Holder, error) {
-	if err := set.Check(); err != nil {
+// New returns a Holder for a gatherer that has begun to listen.
+func New(settings Settings, now time.Time) (*Holder, error) {
+	if err := settings.Check(); err != nil {
 		return nil, err
 	}
-	draw := rand.New(rand.NewPCG(set.Seed, 0x73686172)).Int64N
-	h := &Holder{set: set, draw: draw, ready: now.Add(set.Wait()), found: make(map[int]*finding), lent: make(map[int]time.Time)}
-	if set.Slots > 1 {
-		h.next = 1
+	randN := rand.New(rand.NewPCG(settings.Seed, 0x73686172)).Int64N
+	h := &Holder{settings: settings, randN: randN, readyAt: now.Add(settings.Wait()), slotStates: make(map[int]*slotState), usedUntil: make(map[int]time.Time)}
+	if settings.Slots > 1 {
+		h.questionOffset = 1
 	} else {
-		h.ready = now
+		h.readyAt = now
 	}
 	return h, nil
 }
 
-// before is the slot so many before the own one.
-func (h *Holder) before(n int) int { return ((h.set.Number-n)%h.set.Slots + h.set.Slots) % h.set.Slots }
+// slotBefore returns the slot n places before the own one.
+func (h *Holder) slotBefore(n int) int {
+	return ((h.settings.Number-n)%h.settings.Slots + h.settings.Slots) % h.settings.Slots
+}
 
-// far is how far before the own slot another lies.
-func (h *Holder) far(slot int) int { return h.before(slot) } // the ring is the same both ways
+// distance returns how many places before the own slot another slot lies.
+func (h *Holder) distance(slot int) int { return h.slotBefore(slot) } // the calculation is its own inverse
 
-// forget drops what was found of all slots so far before the own one, and farther.
-func (h *Holder) forget(far int) {
-	for n := far; n < h.set.Slots; n++ {
-		delete(h.found, h.before(n))
+// forgetFrom drops the states of all slots at the given distance before the own slot, and beyond.
+func (h *Holder) forgetFrom(distance int) {
+	for n := distance; n < h.settings.Slots; n++ {
+		delete(h.slotStates, h.slotBefore(n))
 	}
 }
 
-// gone tells that a slot is surely gone now.
-func (f *finding) gone(now time.Time) bool {
-	return f != nil && !f.since.IsZero() && now.Before(f.until)
+// isGone reports whether a slot is certainly gone now.
+func (s *slotState) isGone(now time.Time) bool {
+	return s != nil && !s.goneSince.IsZero() && now.Before(s.goneUntil)
 }
 
-// pace is how long after one connection the next to the same slot follows.
-func (h *Holder) pace() time.Duration {
-	most := h.set.Lease / renewShare
-	return most*3/4 + time.Duration(h.draw(int64(most/4)+1))
+// redialInterval returns the time between two dials to the same slot.
+func (h *Holder) redialInterval() time.Duration {
+	longest := h.settings.Lease / renewDivisor
+	return longest*3/4 + time.Duration(h.randN(int64(longest/4)+1))
 }
 
-// Question returns the slot whose gatherer is to be asked now what it uses of the own slot, at
-// the start; ok is false where none is. Each that is returned is owed a Heard.
+// Question returns the slot whose gatherer is to be asked now, at the start, about its use of the own slot. ok is
+// false if there is none. The caller must report the outcome of each question with Heard.
 func (h *Holder) Question(now time.Time) (slot int, ok bool) {
-	if h.next == 0 || h.asked || !now.Before(h.ready) {
+	if h.questionOffset == 0 || h.questionOpen || !now.Before(h.readyAt) {
 		return 0, false
 	}
-	h.asked = true
+	h.questionOpen = true
 	h.counts.Questions++
-	return (h.set.Number + h.next) % h.set.Slots, true
+	return (h.settings.Number + h.questionOffset) % h.settings.Slots, true
 }
 
-// Heard takes in what a question has brought.
+// Heard processes the outcome of a question.
 func (h *Holder) Heard(now time.Time, r Reply) {
-	if !h.asked {
+	if !h.questionOpen {
 		return
 	}
-	h.asked = false
-	if r.Kind == Silent {
-		if h.tries++; h.tries >= mostTries {
-			h.next = 0
+	h.questionOpen = false
+	if r.Kind == NoReply {
+		if h.questionTries++; h.questionTries >= maxQuestionTries {
+			h.questionOffset = 0
 		}
 		return
 	}
-	h.tries = 0
-	switch h.next++; {
+	h.questionTries = 0
+	switch h.questionOffset++; {
 	case r.Kind == Clear:
-		h.next = 0
-		h.sooner(now.Add(r.Wait + r.Wait/drift))
-	case h.next == h.set.Slots: // all others have started, too, or are gone
-		h.next = 0
-		h.sooner(now)
+		h.questionOffset = 0
+		h.advanceReady(now.Add(r.Wait + r.Wait/driftDivisor))
+	case h.questionOffset == h.settings.Slots: // all others have just started too, or are gone
+		h.questionOffset = 0
+		h.advanceReady(now)
 	}
 }
 
-// sooner lets the own slot be used from then on.
-func (h *Holder) sooner(t time.Time) {
-	if t.Before(h.ready) {
-		h.ready = t
+// advanceReady lets the own slot be used from t on, unless it may be used earlier.
+func (h *Holder) advanceReady(t time.Time) {
+	if t.Before(h.readyAt) {
+		h.readyAt = t
 	}
 }
 
-// Answer answers the gatherer of another slot that has started and listens. From now on nothing that
-// was found of that slot counts.
+// Answer replies to the gatherer of another slot, which has started and listens. From now on, nothing that was found
+// out about that slot counts.
 func (h *Holder) Answer(now time.Time, slot int) Reply {
-	r := Reply{Kind: Clear}
-	far := h.far(slot)
-	h.forget(far) // through it alone are those beyond it reached
-	for n := far; n < h.set.Slots; n++ {
-		if until, ok := h.lent[h.before(n)]; ok {
-			r.Wait = max(r.Wait, until.Sub(now)+h.margin())
+	reply := Reply{Kind: Clear}
+	distance := h.distance(slot)
+	h.forgetFrom(distance) // the slots beyond it are reached only through it
+	for n := distance; n < h.settings.Slots; n++ {
+		if until, ok := h.usedUntil[h.slotBefore(n)]; ok {
+			reply.Wait = max(reply.Wait, until.Sub(now)+h.windowWithDrift())
 		}
 	}
-	if now.Before(h.ready) {
+	if now.Before(h.readyAt) {
 		return Reply{Kind: Waiting}
 	}
-	return r
+	return reply
 }
 
-// margin is the window, on the slower of two clocks.
-func (h *Holder) margin() time.Duration { return h.set.Window + h.set.Window/drift }
+// windowWithDrift returns the window, measured on the slower of two clocks.
+func (h *Holder) windowWithDrift() time.Duration {
+	return h.settings.Window + h.settings.Window/driftDivisor
+}
 
-// Run returns the slots to be connected to now. alive tells of which slots the view counts a
-// member that answers: they are not asked. Each that is returned is owed an Ended.
-func (h *Holder) Run(now time.Time, alive func(slot int) bool) (ask []Ask) {
-	// As far as slots are known to be gone, and the next one. None is asked before all nearer ones are
-	// found: who starts need only ask as far as the first that is there.
+// Run returns the dials to make now. alive reports whether the view has an alive member for a slot: such slots are
+// not dialed. The caller must report the outcome of each dial with Ended.
+func (h *Holder) Run(now time.Time, alive func(slot int) bool) (dials []Dial) {
+	// Covers the slots that are known to be gone, and the next one. No slot is dialed before all nearer ones are
+	// known to be gone: a starting gatherer then needs to question only as far as the first running one.
 	reach := 1
-	for reach < h.set.Slots && h.found[h.before(reach)].gone(now) {
+	for reach < h.settings.Slots && h.slotStates[h.slotBefore(reach)].isGone(now) {
 		reach++
 	}
-	reach = min(reach+1, h.set.Slots)
-	seen := make(map[int]bool)
+	reach = min(reach+1, h.settings.Slots)
+	inReach := make(map[int]bool)
 	for n := 1; n < reach; n++ {
-		slot := h.before(n)
-		if alive(slot) { // none beyond it can become ours
+		slot := h.slotBefore(n)
+		if alive(slot) { // no slot beyond it can be taken over
 			break
 		}
-		seen[slot] = true
-		f := h.found[slot]
-		if f == nil {
-			f = &finding{}
-			h.found[slot] = f
+		inReach[slot] = true
+		state := h.slotStates[slot]
+		if state == nil {
+			state = &slotState{}
+			h.slotStates[slot] = state
 		}
-		if f.asked.IsZero() && (f.tried.IsZero() || now.Sub(f.tried) >= h.pace()) {
-			f.asked, f.tried = now, now
+		if state.dialBegun.IsZero() && (state.lastDial.IsZero() || now.Sub(state.lastDial) >= h.redialInterval()) {
+			state.dialBegun, state.lastDial = now, now
 			h.counts.Asked++
-			ask = append(ask, Ask{slot, now})
+			dials = append(dials, Dial{slot, now})
 		}
 	}
-	for slot := range h.found {
-		if !seen[slot] {
-			delete(h.found, slot)
+	for slot := range h.slotStates {
+		if !inReach[slot] {
+			delete(h.slotStates, slot)
 		}
 	}
-	for slot, until := range h.lent {
-		if now.Sub(until) > h.margin() {
-			delete(h.lent, slot)
+	for slot, until := range h.usedUntil {
+		if now.Sub(until) > h.windowWithDrift() {
+			delete(h.usedUntil, slot)
 		}
 	}
-	return ask
+	return dials
 }
 
-// Ended takes in how a connection has ended: refused by the slot's host, or not, which may
-// be that it stands, that nothing came, or that there is no way.
-func (h *Holder) Ended(now time.Time, a Ask, refused bool) {
-	f := h.found[a.Slot]
-	if f == nil || !f.asked.Equal(a.Begun) || f.asked.IsZero() {
-		return // what was found there does not count any more
+// Ended processes the outcome of a dial: refused by the slot's host, or not. The latter includes an accepted
+// connection, no response, and no route.
+func (h *Holder) Ended(now time.Time, dial Dial, refused bool) {
+	state := h.slotStates[dial.Slot]
+	if state == nil || !state.dialBegun.Equal(dial.Begun) || state.dialBegun.IsZero() {
+		return // the state it belongs to was dropped
 	}
-	f.asked = time.Time{}
+	state.dialBegun = time.Time{}
 	if !refused {
-		// What was refused before still holds to its end: the slot's gatherer waits for that.
+		// Earlier refusals stay valid until they expire: the slot's gatherer waits for that.
 		h.counts.Silent++
 		return
 	}
 	h.counts.Refused++
-	if !f.gone(now) {
-		f.since = now // it may have ended while the connection was on its way
-		h.forget(h.far(a.Slot) + 1)
+	if !state.isGone(now) {
+		state.goneSince = now // the process may have ended while the dial was in progress
+		h.forgetFrom(h.distance(dial.Slot) + 1)
 	}
-	f.until = a.Begun.Add(h.set.Lease)
+	state.goneUntil = dial.Begun.Add(h.settings.Lease)
 }
 
-// Share is what may be used now.
+// Share returns what may be used now.
 func (h *Holder) Share(now time.Time) Share {
-	if now.Before(h.ready) {
-		return Share{0, h.ready}
+	if now.Before(h.readyAt) {
+		return Share{0, h.readyAt}
 	}
-	s := Share{Slots: 1}
-	for s.Slots < h.set.Slots {
-		f := h.found[h.before(s.Slots)]
-		if !f.gone(now) || now.Sub(f.since) < h.margin() {
+	share := Share{Slots: 1}
+	for share.Slots < h.settings.Slots {
+		state := h.slotStates[h.slotBefore(share.Slots)]
+		if !state.isGone(now) || now.Sub(state.goneSince) < h.windowWithDrift() {
 			break
 		}
-		if s.Until.IsZero() || f.until.Before(s.Until) {
-			s.Until = f.until
+		if share.Until.IsZero() || state.goneUntil.Before(share.Until) {
+			share.Until = state.goneUntil
 		}
-		s.Slots++
+		share.Slots++
 	}
-	for n := 1; n < s.Slots; n++ {
-		if slot := h.before(n); s.Until.After(h.lent[slot]) { // what was promised before may be in use yet
-			h.lent[slot] = s.Until
+	for n := 1; n < share.Slots; n++ {
+		if slot := h.slotBefore(n); share.Until.After(h.usedUntil[slot]) { // never shortened: what was claimed before may still be in use
+			h.usedUntil[slot] = share.Until
 		}
 	}
-	h.counts.Most = max(h.counts.Most, s.Slots)
-	return s
+	h.counts.Most = max(h.counts.Most, share.Slots)
+	return share
 }
 
-// Due is when Run and Share are wanted next, at the latest.
-func (h *Holder) Due(now time.Time) time.Time { return now.Add(h.set.Lease / renewShare / 4) }
+// Due returns when Run and Share are to be called next, at the latest.
+func (h *Holder) Due(now time.Time) time.Time { return now.Add(h.settings.Lease / renewDivisor / 4) }
 
-// Counts is what was seen so far.
+// Counts returns the counters.
 func (h *Holder) Counts() Counts { return h.counts }
--- a/internal/fleet/view/bench_test.go
+++ b/internal/fleet/view/bench_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// BenchmarkFleet plays fleets in virtual time, one seed a turn: what a member sends in calm, how soon a crash and a join
-// are known to all, and what loss makes of it.
+// BenchmarkFleet simulates fleets in virtual time, with one seed per iteration. It measures what a member sends when
+// nothing happens, how soon a crash and a join are known to all members, and the effect of packet loss.
 //
 //	go test -run xxx -bench Fleet -benchtime 5x ./internal/fleet/view
 func BenchmarkFleet(b *testing.B) {
@@ -21,32 +21,32 @@
 			runtime.GC()
 			runtime.ReadMemStats(&before)
 			for i := range b.N {
-				w := newWorld(b, *viewFirst+uint64(i), LAN())
+				sim := newSimulation(b, *viewFirst+uint64(i), LAN())
 				for k := range size {
-					w.begin(name(k), "addr-"+name(k), "addr-"+name(0), "addr-"+name(1))
+					sim.startNode(name(k), "addr-"+name(k), "addr-"+name(0), "addr-"+name(1))
 				}
-				start += seconds(w.until(time.Minute, w.settled))
-				w.sent, w.bytes = 0, 0
-				w.run(10 * time.Second)
-				messages += float64(w.sent) / 10 / float64(size)
-				bytes += float64(w.bytes) / 10 / float64(size)
-				w.kill(w.order[size/2])
-				took := seconds(w.until(time.Minute, w.settled))
+				start += inSeconds(sim.runUntil(time.Minute, sim.converged))
+				sim.sent, sim.bytes = 0, 0
+				sim.run(10 * time.Second)
+				messages += float64(sim.sent) / 10 / float64(size)
+				bytes += float64(sim.bytes) / 10 / float64(size)
+				sim.kill(sim.order[size/2])
+				took := inSeconds(sim.runUntil(time.Minute, sim.converged))
 				crash += took
 				worst = max(worst, took)
-				w.begin("new", "addr-new", "addr-"+name(3))
-				join += seconds(w.until(time.Minute, w.settled))
+				sim.startNode("new", "addr-new", "addr-"+name(3))
+				join += inSeconds(sim.runUntil(time.Minute, sim.converged))
 				for k, loss := range losses {
-					w.loss = loss
-					w.forgetDoubts()
-					w.run(10 * time.Second)
-					doubts[k] += float64(len(w.doubted())) / 10 / float64(size)
+					sim.loss = loss
+					sim.resetSuspected()
+					sim.run(10 * time.Second)
+					doubts[k] += float64(len(sim.suspicions())) / 10 / float64(size)
 				}
 				var now runtime.MemStats
 				runtime.GC()
 				runtime.ReadMemStats(&now)
 				memory = float64(now.HeapAlloc-min(before.HeapAlloc, now.HeapAlloc)) / float64(size)
-				runtime.KeepAlive(w)
+				runtime.KeepAlive(sim)
 			}
 			n := float64(b.N)
 			b.ReportMetric(start/n, "start-s")
@@ -63,4 +63,4 @@
 	}
 }
 
-func seconds(d time.Duration) float64 { return d.Seconds() }
+func inSeconds(d time.Duration) float64 { return d.Seconds() }
--- a/internal/fleet/view/core.go
+++ b/internal/fleet/view/core.go
@@ -10,23 +10,23 @@
 	"eiderwinch/internal/due"
 )
 
-// Event is what Step is told.
+// Event is an input of Step.
 type Event interface{ event() }
 
 // The events.
 type (
-	// Wake tells that it is time for what Due has named.
+	// Wake reports that the time returned by Due has come.
 	Wake struct{}
-	// Received is a message from an address.
+	// Received is a message received from an address.
 	Received struct {
 		From string
 		Data []byte
 	}
-	// Join names seeds: addresses at which others may be.
+	// Join names seeds: addresses at which other members may be.
 	Join struct{ Seeds []string }
-	// Describe tells what the gatherer itself serves from now on.
+	// Describe sets what the gatherer itself serves from now on.
 	Describe struct{ Generation, Epoch uint64 }
-	// Leave tells that the gatherer is about to end.
+	// Leave reports that the gatherer is about to end.
 	Leave struct{}
 )
 
@@ -36,141 +36,141 @@
 func (Describe) event() {}
 func (Leave) event()    {}
 
-// Effect is what the caller of Step is to do, in order.
+// Effect is what the caller of Step must carry out, in order.
 type Effect interface{ effect() }
 
 // The effects.
 type (
-	// Send sends a message: Whole ones over a stream, since they may be longer than a
-	// datagram, others as a datagram.
+	// Send sends a message: over a stream if Stream is set, because it may be longer than a datagram, otherwise as a
+	// datagram.
 	Send struct {
-		To    string
-		Data  []byte
-		Whole bool
+		To     string
+		Data   []byte
+		Stream bool
 	}
-	// Changed tells of a new view.
-	Changed struct{ View View }
-	// Found tells of a member whose state has changed.
-	Found struct {
-		Member Member
-		Was    State
-		New    bool // it was not known
+	// ViewChanged reports a new view.
+	ViewChanged struct{ View View }
+	// MemberChanged reports a new member, or a member whose state has changed.
+	MemberChanged struct {
+		Member   Member
+		Previous State
+		New      bool // the member was not known before
 	}
-	// SteppedDown tells that a newer process bears the own name and answers at its address.
-	// Nothing more is done from then on.
-	SteppedDown struct{ For Member }
-	// Warn tells of something that operators should know.
+	// SteppedDown reports that a newer process has the member's name and answers at its address. The Core does nothing
+	// from then on.
+	SteppedDown struct{ Newer Member }
+	// Warn reports something that operators should know.
 	Warn struct{ Text string }
 )
 
-func (Send) effect()        {}
-func (Changed) effect()     {}
-func (Found) effect()       {}
-func (SteppedDown) effect() {}
-func (Warn) effect()        {}
+func (Send) effect()          {}
+func (ViewChanged) effect()   {}
+func (MemberChanged) effect() {}
+func (SteppedDown) effect()   {}
+func (Warn) effect()          {}
 
 // peer is another member.
 type peer struct {
 	Member
-	since   time.Time           // when its state was found out, by whomever; Suspect: when that was told here
-	heard   time.Time           // when it was last heard itself, by whomever; what news of it is worth
-	accused map[string]struct{} // Suspect: who has found it so
-	timer   due.Timer[func()]   // Suspect: when it is dead; else when it is forgotten
+	stateSince time.Time           // when any member found out the state; Suspect: when this member learned of it
+	lastHeard  time.Time           // when any member last heard from it directly; gives the age of updates about it
+	accusers   map[string]struct{} // Suspect: the members that suspect it
+	timer      due.Timer[func()]   // Suspect: when it is declared dead; Dead, Left: when it is forgotten
 }
 
-// Core is one member. It belongs to one goroutine.
+// Core is the state of one member. It belongs to one goroutine.
 type Core struct {
-	set         Settings
-	self        Member
-	rng         *rand.Rand
-	now         time.Time
-	timers      due.Queue[func()]
-	peers       map[string]*peer
-	seeds       []string
-	round       []string // the members to be probed in turn, in an order drawn anew each time
-	probe       *probe   // that is under way
-	helps       map[uint64]*help
-	seq         uint64
-	slow        int // Lifeguard's local health: 0 is well, slowest the worst
-	queue       []*rumour
-	tokens      float64   // bytes of news that may go
-	filled      time.Time // when tokens was last filled up
-	view        View
-	moved       bool // the members that count, or what they serve, have changed in this step
-	sum         uint64
-	claim       *claim
-	behind      time.Duration // how long it stood still
-	behindUntil time.Time     // what comes until then may have waited for so long
-	unlike      int           // answers in a row from members that count others
-	leaving     bool
-	over        bool
-	counts      Counts
-	effects     []Effect
-
-	gossiping due.Timer[func()]
+	settings       Settings
+	self           Member
+	rng            *rand.Rand
+	now            time.Time
+	timers         due.Queue[func()]
+	peers          map[string]*peer
+	seeds          []string
+	probeOrder     []string // members still to be probed in this round, in random order
+	probe          *probe   // in progress; nil if there is none
+	indirectProbes map[uint64]*indirectProbe
+	seq            uint64
+	localHealth    int // Lifeguard's local health: 0 is healthy, maxLocalHealth is the worst
+	queue          []*queuedUpdate
+	tokens         float64   // bytes of updates that may be sent
+	tokensAt       time.Time // when tokens was last refilled
+	view           View
+	viewChanged    bool // the active members, or what they serve, have changed in this step
+	contentDigest  uint64
+	conflict       *nameConflict
+	stallDuration  time.Duration // how long this member did not run
+	stallUntil     time.Time     // messages that arrive until then may have waited that long
+	mismatches     int           // consecutive answers from members with other digests
+	leaving        bool
+	steppedDown    bool
+	counts         Counts
+	effects        []Effect
+
+	gossipTimer due.Timer[func()]
 }
 
-// probe is one that is under way.
+// probe is a probe in progress.
 type probe struct {
 	target   string
 	seq      uint64
 	answered bool
-	helpers  []string // those asked
-	nacks    int      // those that answered that they have had no answer
+	helpers  []string // members that were asked to probe the target
+	nacks    int      // helpers that reported that the target has not answered
 }
 
-// help is a probe that is made for another member.
-type help struct {
-	for_     string // its address
-	seq      uint64 // of its own
-	answered bool
+// indirectProbe is a probe made on behalf of another member.
+type indirectProbe struct {
+	requester string // its address
+	seq       uint64 // of the requester's probe
+	answered  bool
 }
 
-// claim is another process that bears the own name.
-type claim struct {
+// nameConflict is another process with the member's own name.
+type nameConflict struct {
 	member Member
 	seq    uint64
 }
 
-// slowest is the worst of the local health; all waits are so many times and one longer.
-const slowest = 8
+// maxLocalHealth is the worst local health. Waits are multiplied by the local health plus one.
+const maxLocalHealth = 8
 
-// New returns a member that knows nobody. start is its process's: above that of all processes
-// of the name before it, as far as that can be known; where it is not, the member finds out.
-func New(set Settings, self Member, seed uint64, now time.Time) (*Core, error) {
-	if err := set.Check(); err != nil {
+// New returns a member that knows no other. self.Incarnation.Start belongs to its process: it should be above that of
+// all earlier processes of the name, as far as it can be known. If it is not, the member finds out.
+func New(settings Settings, self Member, seed uint64, now time.Time) (*Core, error) {
+	if err := settings.Check(); err != nil {
 		return nil, err
 	}
-	if self.Name == "" || len(self.Name) > maxName || self.Addr == "" || len(self.Addr) > maxName || len(self.Zone) > maxName {
-		return nil, fmt.Errorf("view: a member %q at %q, want a name and an address of %d bytes at most", self.Name, self.Addr, maxName)
+	if self.Name == "" || len(self.Name) > maxNameBytes || self.Addr == "" || len(self.Addr) > maxNameBytes || len(self.Zone) > maxNameBytes {
+		return nil, fmt.Errorf("view: member %q at %q, want a name and an address of at most %d bytes", self.Name, self.Addr, maxNameBytes)
 	}
 	self.State = Alive
 	c := &Core{
-		set: set, self: self, rng: rand.New(rand.NewPCG(seed, 0x76696577)), now: now, filled: now,
-		peers: make(map[string]*peer), helps: make(map[uint64]*help), tokens: float64(set.BytesASecond),
+		settings: settings, self: self, rng: rand.New(rand.NewPCG(seed, 0x76696577)), now: now, tokensAt: now,
+		peers: make(map[string]*peer), indirectProbes: make(map[uint64]*indirectProbe), tokens: float64(settings.BytesASecond),
 	}
-	c.gossiping.Value = c.gossip
+	c.gossipTimer.Value = c.gossip
 	c.view = View{Number: 1, Members: []Member{self}, Digest: digest([]Member{self})}
-	c.sum = sum(c.view.Members)
-	c.after(c.jitter(set.Probe), c.probeNext)
-	c.after(c.jitter(set.Sync), c.syncNext)
-	c.after(c.jitter(set.Reach), c.reachNext)
+	c.contentDigest = contentDigest(c.view.Members)
+	c.schedule(c.jitter(settings.Probe), c.probeNext)
+	c.schedule(c.jitter(settings.Sync), c.syncNext)
+	c.schedule(c.jitter(settings.Reach), c.reachNext)
 	return c, nil
 }
 
-// Self is the member itself.
+// Self returns the member itself.
 func (c *Core) Self() Member { return c.self }
 
-// View is the members that count, as of the last step.
+// View returns the active members as of the last step.
 func (c *Core) View() View { return c.view }
 
-// Counts is what was seen so far.
+// Counts returns the counters.
 func (c *Core) Counts() Counts { return c.counts }
 
-// Slow is 0 where the member has no reason to think that it is slow itself, and 8 at most.
-func (c *Core) Slow() int { return c.slow }
+// LocalHealth returns 0 if the member has no reason to believe that it is slow itself, and at most 8.
+func (c *Core) LocalHealth() int { return c.localHealth }
 
-// Known returns all members that are known, those that are gone among them, by name.
+// Known returns all known members by name, including those that are gone.
 func (c *Core) Known() []Member {
 	list := []Member{c.self}
 	for _, p := range c.peers {
@@ -180,19 +180,19 @@
 	return list
 }
 
-// Due is when Wake is wanted next; zero where it is not.
+// Due returns when Wake is needed next, or zero if it is not.
 func (c *Core) Due() time.Time { return c.timers.Next() }
 
-// Step takes in an event at a time that never goes back.
+// Step processes an event. now must not go back between calls.
 func (c *Core) Step(now time.Time, e Event) []Effect {
 	c.effects = nil
-	if c.over {
+	if c.steppedDown {
 		return nil
 	}
-	// The timers wake it within Reach: after a longer gap it stood still itself, and what has waited
-	// meanwhile is older than it says.
-	if gap := now.Sub(c.now); gap > 2*c.set.Reach {
-		c.behind, c.behindUntil = gap, now.Add(c.set.Probe)
+	// The timers wake the member within Reach. After a longer gap the member itself did not run, and the messages
+	// that waited meanwhile are older than they say.
+	if gap := now.Sub(c.now); gap > 2*c.settings.Reach {
+		c.stallDuration, c.stallUntil = gap, now.Add(c.settings.Probe)
 	}
 	c.now = now
 	switch e := e.(type) {
@@ -208,23 +208,23 @@
 	case Describe:
 		if c.self.Generation != e.Generation || c.self.Epoch != e.Epoch {
 			c.self.Generation, c.self.Epoch = e.Generation, e.Epoch
-			c.speak()
+			c.announceSelf()
 		}
 	case Leave:
 		c.leaving, c.self.State = true, Left
-		c.tell(news{Member: c.self})
+		c.queueUpdate(update{Member: c.self})
 		c.gossip()
 	}
-	for t := c.timers.Pop(now); t != nil && !c.over; t = c.timers.Pop(now) {
+	for t := c.timers.Pop(now); t != nil && !c.steppedDown; t = c.timers.Pop(now) {
 		t.Value()
 	}
-	if c.moved && !c.over {
-		c.moved = false
-		members := sorted(c.self, c.peers)
-		c.sum = sum(members)
+	if c.viewChanged && !c.steppedDown {
+		c.viewChanged = false
+		members := activeMembers(c.self, c.peers)
+		c.contentDigest = contentDigest(members)
 		if d := digest(members); d != c.view.Digest {
 			c.view = View{Number: c.view.Number + 1, Digest: d, Members: members}
-			c.do(Changed{c.view})
+			c.emit(ViewChanged{c.view})
 		} else {
 			c.view.Members = members
 		}
@@ -232,68 +232,72 @@
 	return c.effects
 }
 
-func (c *Core) do(e Effect) { c.effects = append(c.effects, e) }
+func (c *Core) emit(e Effect) { c.effects = append(c.effects, e) }
 
-func (c *Core) warn(format string, args ...any) { c.do(Warn{fmt.Sprintf(format, args...)}) }
+func (c *Core) warn(format string, args ...any) { c.emit(Warn{fmt.Sprintf(format, args...)}) }
 
-func (c *Core) after(d time.Duration, f func()) {
+func (c *Core) schedule(d time.Duration, f func()) {
 	c.timers.Set(&due.Timer[func()]{Value: f}, c.now.Add(d))
 }
 
-// jitter draws a span from three quarters of d to five quarters.
+// jitter returns a random duration between three quarters and five quarters of d.
 func (c *Core) jitter(d time.Duration) time.Duration {
 	return d*3/4 + time.Duration(c.rng.Int64N(int64(d/2)+1))
 }
 
-// patient is a span made longer by how slow the member is itself.
-func (c *Core) patient(d time.Duration) time.Duration { return d * time.Duration(c.slow+1) }
+// scaleByHealth lengthens a wait by how slow the member itself is.
+func (c *Core) scaleByHealth(d time.Duration) time.Duration {
+	return d * time.Duration(c.localHealth+1)
+}
 
-// health books that something was, or was not, as it should be where the member is well itself.
-func (c *Core) health(by int) { c.slow = min(max(c.slow+by, 0), slowest) }
+// adjustHealth makes the local health worse by delta, or better if delta is negative.
+func (c *Core) adjustHealth(delta int) {
+	c.localHealth = min(max(c.localHealth+delta, 0), maxLocalHealth)
+}
 
-// size is the fleet's, as far as it is counted.
+// size returns the number of active members.
 func (c *Core) size() int { return len(c.view.Members) }
 
-// spread is the logarithm of the fleet's size, 1 at least.
-func (c *Core) spread() float64 { return max(math.Log10(float64(c.size()+1)), 1) }
+// logSize returns the decimal logarithm of the fleet's size, but at least 1.
+func (c *Core) logSize() float64 { return max(math.Log10(float64(c.size()+1)), 1) }
 
-// send sends a message with as much news as fits.
+// send sends a message with as many updates as fit.
 func (c *Core) send(to string, m message) {
 	m.Version, m.From, m.Start, m.Digest = Version, c.self.Name, c.self.Incarnation.Start, c.view.Digest
-	m.Sum = c.sum
-	whole := m.Kind == sync || m.Kind == syncBack
-	if !whole && m.Kind != refusal {
-		m.News = append(m.News, c.news(c.set.Packet-overhead, m.News)...)
+	m.ContentDigest = c.contentDigest
+	stream := m.Kind == sync || m.Kind == syncReply
+	if !stream && m.Kind != refusal {
+		m.Updates = append(m.Updates, c.takeUpdates(c.settings.Packet-messageOverhead, m.Updates)...)
 	}
 	b := m.encode()
 	c.counts.Sent++
 	c.counts.SentBytes += len(b)
-	c.do(Send{To: to, Data: b, Whole: whole})
+	c.emit(Send{To: to, Data: b, Stream: stream})
 }
 
-// overhead is what a message without news takes at most: two names and an address of maxName bytes, numbers.
-const overhead = 3*maxName + 64
+// messageOverhead is the maximum size of a message without updates: two names and an address of maxNameBytes, and
+// numbers.
+const messageOverhead = 3*maxNameBytes + 64
 
-// speak says anew what is true of the member itself.
-func (c *Core) speak() {
-	c.moved = true
-	c.tell(news{Member: c.self})
+// announceSelf queues an update about the member itself.
+func (c *Core) announceSelf() {
+	c.viewChanged = true
+	c.queueUpdate(update{Member: c.self})
 }
 
-// pick draws up to n members that count, by chance, but for some names. Those that are suspect
-// come last.
-func (c *Core) pick(n int, but ...string) []*peer {
-	var list, doubtful []*peer
+// pickPeers returns up to n active members other than those named: alive ones in random order, then suspect ones.
+func (c *Core) pickPeers(n int, except ...string) []*peer {
+	var alive, suspects []*peer
 	for _, m := range c.view.Members {
 		switch p := c.peers[m.Name]; {
-		case p == nil || slices.Contains(but, m.Name):
+		case p == nil || slices.Contains(except, m.Name):
 		case p.State == Alive:
-			list = append(list, p)
+			alive = append(alive, p)
 		case p.State == Suspect:
-			doubtful = append(doubtful, p)
+			suspects = append(suspects, p)
 		}
 	}
-	c.rng.Shuffle(len(list), func(i, j int) { list[i], list[j] = list[j], list[i] })
-	list = append(list, doubtful...)
-	return list[:min(n, len(list))]
+	c.rng.Shuffle(len(alive), func(i, j int) { alive[i], alive[j] = alive[j], alive[i] })
+	alive = append(alive, suspects...)
+	return alive[:min(n, len(alive))]
 }
--- a/internal/fleet/view/message.go
+++ b/internal/fleet/view/message.go
@@ -8,62 +8,62 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// Version of the messages. One that differs by 1 is understood: fields have numbers, new
-// ones are passed over by those that do not know them, and none changes its meaning.
+// Version is the version of the messages. One that differs by 1 is understood: fields are numbered, receivers skip
+// fields that they do not know, and no field changes its meaning.
 const Version = 1
 
-// kind is a message's.
+// kind is the kind of a message.
 type kind uint8
 
 const (
-	ping     kind = iota + 1 // answered by ack
-	ack                      // Seq is the ping's
-	pingFor                  // asks for a ping of About, whose answer is passed on as ack, or nack
-	nack                     // the helper lives, the probed one has not answered it
-	gossip                   // news alone
-	sync                     // everything; answered by syncBack
-	syncBack                 // everything
-	refusal                  // the version was not understood
+	ping      kind = iota + 1 // answered by ack
+	ack                       // Seq is the ping's
+	pingReq                   // asks for a ping of TargetAddr; the answer is passed on as ack, a missing one is reported as nack
+	nack                      // the helper is alive, but the target has not answered it
+	gossip                    // updates only
+	sync                      // the full state; answered by syncReply
+	syncReply                 // the full state
+	refusal                   // the version was not understood
 )
 
 // message is what members send each other: CBOR (RFC 8949) with numbered fields.
 type message struct {
-	Version int    `cbor:"0,keyasint"`
-	Kind    kind   `cbor:"1,keyasint"`
-	From    string `cbor:"2,keyasint"`           // name
-	Start   uint64 `cbor:"3,keyasint"`           // the sender's process
-	To      string `cbor:"4,keyasint,omitempty"` // name that the sender means; "" where it knows none
-	Seq     uint64 `cbor:"5,keyasint,omitempty"`
-	About   string `cbor:"6,keyasint,omitempty"` // pingFor: the address to be probed
-	AboutTo string `cbor:"7,keyasint,omitempty"` // and the name there
-	Digest  uint64 `cbor:"8,keyasint,omitempty"` // of the sender's view
-	News    []news `cbor:"9,keyasint,omitempty"`
-	Sum     uint64 `cbor:"10,keyasint,omitempty"` // of what the members of that view serve, and where
+	Version       int      `cbor:"0,keyasint"`
+	Kind          kind     `cbor:"1,keyasint"`
+	From          string   `cbor:"2,keyasint"`           // name of the sender
+	Start         uint64   `cbor:"3,keyasint"`           // of the sender's process
+	To            string   `cbor:"4,keyasint,omitempty"` // name of the intended receiver; "" if it is not known
+	Seq           uint64   `cbor:"5,keyasint,omitempty"`
+	TargetAddr    string   `cbor:"6,keyasint,omitempty"` // pingReq: the address to probe
+	TargetName    string   `cbor:"7,keyasint,omitempty"` // pingReq: the name of the member there
+	Digest        uint64   `cbor:"8,keyasint,omitempty"` // of the sender's view
+	Updates       []update `cbor:"9,keyasint,omitempty"`
+	ContentDigest uint64   `cbor:"10,keyasint,omitempty"` // of what the members of that view serve, and where
 }
 
-// news is what is said of a member.
-type news struct {
+// update is what is believed about a member.
+type update struct {
 	Member
-	By  string `cbor:"16,keyasint,omitempty"` // Suspect: who has found it so
-	Age uint64 `cbor:"17,keyasint,omitempty"` // ms since that was found out, or since the member was last heard
+	By  string `cbor:"16,keyasint,omitempty"` // Suspect: the member that suspects it
+	Age uint64 `cbor:"17,keyasint,omitempty"` // milliseconds since the state was found out, or since the member was last heard from
 }
 
 var (
 	errKind    = errors.New("unknown kind")
-	errVersion = errors.New("a version that is not understood")
+	errVersion = errors.New("unsupported version")
 )
 
-// mode is the one encoding of messages: the same bytes for the same message.
-var mode = func() cbor.EncMode {
+// encMode is the only encoding of messages. It gives the same bytes for the same message.
+var encMode = func() cbor.EncMode {
 	m, err := cbor.CoreDetEncOptions().EncMode()
 	if err != nil {
-		panic(err) // the options are the library's own
+		panic(err) // the options are predefined by the library
 	}
 	return m
 }()
 
-// strict bounds what is read: a datagram of a stranger must not take more room than it has.
-var strict = func() cbor.DecMode {
+// decMode limits what is decoded: a stranger's datagram must not take more memory than its size.
+var decMode = func() cbor.DecMode {
 	m, err := cbor.DecOptions{MaxNestedLevels: 8, MaxArrayElements: 1 << 13, MaxMapPairs: 64, IndefLength: cbor.IndefLengthForbidden}.DecMode()
 	if err != nil {
 		panic(err)
@@ -72,44 +72,44 @@
 }()
 
 func (m message) encode() []byte {
-	b, err := mode.Marshal(m)
+	b, err := encMode.Marshal(m)
 	if err != nil {
-		panic(err) // numbers and text
+		panic(err) // can't fail: only numbers and text
 	}
 	return b
 }
 
-// decode reads a message. It names what is wrong.
+// decode reads and validates a message. Its errors name what is wrong.
 func decode(b []byte) (message, error) {
 	var m message
-	if err := strict.Unmarshal(b, &m); err != nil {
+	if err := decMode.Unmarshal(b, &m); err != nil {
 		return message{}, fmt.Errorf("view: malformed message: %w", err)
 	}
 	if d := m.Version - Version; d < -1 || d > 1 {
 		return m, fmt.Errorf("view: %w: have %d, want %d to %d", errVersion, m.Version, Version-1, Version+1)
 	}
-	if m.From == "" || len(m.From) > maxName {
-		return m, fmt.Errorf("view: malformed message: a sender's name of %d bytes, want 1 to %d", len(m.From), maxName)
+	if m.From == "" || len(m.From) > maxNameBytes {
+		return m, fmt.Errorf("view: malformed message: sender's name of %d bytes, want 1 to %d", len(m.From), maxNameBytes)
 	}
 	if m.Kind < ping || m.Kind > refusal {
 		return m, fmt.Errorf("view: %w %d", errKind, m.Kind)
 	}
-	for i, n := range m.News {
-		if n.Name == "" || len(n.Name) > maxName || len(n.Addr) > maxName || len(n.Zone) > maxName || n.State > Left {
-			return m, fmt.Errorf("view: malformed message: news %d can't be used", i)
+	for i, u := range m.Updates {
+		if u.Name == "" || len(u.Name) > maxNameBytes || len(u.Addr) > maxNameBytes || len(u.Zone) > maxNameBytes || u.State > Left {
+			return m, fmt.Errorf("view: malformed message: update %d is invalid", i)
 		}
 	}
 	return m, nil
 }
 
-// maxName bounds names, zones and addresses.
-const maxName = 128
+// maxNameBytes limits the length of names, zones and addresses.
+const maxNameBytes = 128
 
-func (n news) age() time.Duration { return time.Duration(min(n.Age, 1<<40)) * time.Millisecond }
+func (u update) age() time.Duration { return time.Duration(min(u.Age, 1<<40)) * time.Millisecond }
 
-// size is what a piece of news takes in a message.
-func (n news) size() int {
-	b, err := mode.Marshal(n)
+// size returns the encoded size of an update.
+func (u update) size() int {
+	b, err := encMode.Marshal(u)
 	if err != nil {
 		panic(err)
 	}
--- a/internal/fleet/view/probe.go
+++ b/internal/fleet/view/probe.go
@@ -6,77 +6,78 @@
 	"time"
 )
 
-// probeNext ends a probe's period and begins the next.
+// probeNext ends the current probe period and begins the next.
 func (c *Core) probeNext() {
 	if p := c.probe; p != nil && !p.answered {
 		c.counts.Missed++
-		// Helpers that say nothing at all tell more of this member than of the probed one, but
-		// for those that are gone themselves: where most of the fleet is, that is no sign.
-		mute := len(p.helpers) - p.nacks
-		for _, h := range p.helpers {
-			if o := c.peers[h]; o == nil || o.State != Alive {
-				mute--
+		// Helpers that do not respond at all suggest that this member is slow, rather than that the target has
+		// failed. Helpers that are not alive themselves are left out: when most of the fleet is gone, their silence
+		// is no sign.
+		silent := len(p.helpers) - p.nacks
+		for _, name := range p.helpers {
+			if helper := c.peers[name]; helper == nil || helper.State != Alive {
+				silent--
 			}
 		}
-		if t := c.peers[p.target]; t == nil || t.State != Suspect { // else another has found the same before
-			c.health(1 + max(mute, 0))
+		if targetPeer := c.peers[p.target]; targetPeer == nil || targetPeer.State != Suspect { // otherwise another member has found the same before
+			c.adjustHealth(1 + max(silent, 0))
 		}
 		c.suspect(p.target, c.self.Name)
 	} else if p != nil {
-		c.health(-1)
+		c.adjustHealth(-1)
 	}
 	c.probe = nil
-	c.after(c.patient(c.jitter(c.set.Probe)), c.probeNext)
-	t := c.target()
-	if t == nil || c.leaving {
+	c.schedule(c.scaleByHealth(c.jitter(c.settings.Probe)), c.probeNext)
+	targetPeer := c.nextTarget()
+	if targetPeer == nil || c.leaving {
 		return
 	}
 	c.counts.Probes++
 	c.seq++
-	p := &probe{target: t.Name, seq: c.seq}
+	p := &probe{target: targetPeer.Name, seq: c.seq}
 	c.probe = p
-	m := message{Kind: ping, To: t.Name, Seq: p.seq}
-	if t.State == Suspect { // it hears first of all that it is suspected
-		m.News = append(m.News, c.newsOf(t))
+	m := message{Kind: ping, To: targetPeer.Name, Seq: p.seq}
+	if targetPeer.State == Suspect { // the target must learn first that it is suspected
+		m.Updates = append(m.Updates, c.updateAbout(targetPeer))
 	}
-	c.send(t.Addr, m)
-	c.after(c.patient(c.set.Answer), func() { c.ask(p) })
+	c.send(targetPeer.Addr, m)
+	c.schedule(c.scaleByHealth(c.settings.Answer), func() { c.requestIndirectProbes(p) })
 }
 
-// target returns the next member to be probed: each once before any comes again.
-func (c *Core) target() *peer {
+// nextTarget returns the next member to probe. Each is probed once before any is probed again.
+func (c *Core) nextTarget() *peer {
 	for range 2 {
-		for len(c.round) > 0 {
-			name := c.round[0]
-			c.round = c.round[1:]
-			if p := c.peers[name]; p != nil && p.Counted() {
+		for len(c.probeOrder) > 0 {
+			name := c.probeOrder[0]
+			c.probeOrder = c.probeOrder[1:]
+			if p := c.peers[name]; p != nil && p.Active() {
 				return p
 			}
 		}
 		for _, m := range c.view.Members {
 			if m.Name != c.self.Name {
-				c.round = append(c.round, m.Name)
+				c.probeOrder = append(c.probeOrder, m.Name)
 			}
 		}
-		c.rng.Shuffle(len(c.round), func(i, j int) { c.round[i], c.round[j] = c.round[j], c.round[i] })
+		c.rng.Shuffle(len(c.probeOrder), func(i, j int) { c.probeOrder[i], c.probeOrder[j] = c.probeOrder[j], c.probeOrder[i] })
 	}
 	return nil
 }
 
-// ask asks others to probe a member that has not answered.
-func (c *Core) ask(p *probe) {
-	t := c.peers[p.target]
-	if c.probe != p || p.answered || t == nil {
+// requestIndirectProbes asks others to probe a target that has not answered.
+func (c *Core) requestIndirectProbes(p *probe) {
+	targetPeer := c.peers[p.target]
+	if c.probe != p || p.answered || targetPeer == nil {
 		return
 	}
-	for _, h := range c.pick(c.set.Helpers, p.target) {
-		p.helpers = append(p.helpers, h.Name)
-		c.send(h.Addr, message{Kind: pingFor, To: h.Name, Seq: p.seq, About: t.Addr, AboutTo: t.Name})
+	for _, helper := range c.pickPeers(c.settings.Helpers, p.target) {
+		p.helpers = append(p.helpers, helper.Name)
+		c.send(helper.Addr, message{Kind: pingReq, To: helper.Name, Seq: p.seq, TargetAddr: targetPeer.Addr, TargetName: targetPeer.Name})
 	}
 }
 
-// answer answers a ping.
-func (c *Core) answer(from string, m message) {
+// answerPing replies to a ping.
+func (c *Core) answerPing(from string, m message) {
 	if m.To != "" && m.To != c.self.Name {
 		c.counts.Misdirected++
 		return
@@ -84,124 +85,124 @@
 	c.send(from, message{Kind: ack, To: m.From, Seq: m.Seq})
 }
 
-// helpOut probes a member for another.
-func (c *Core) helpOut(from string, m message) {
-	if len(c.helps) >= mostHelps {
+// probeFor probes a member on behalf of another.
+func (c *Core) probeFor(from string, m message) {
+	if len(c.indirectProbes) >= maxIndirectProbes {
 		return
 	}
 	c.counts.Helped++
 	c.seq++
-	seq, h := c.seq, &help{for_: from, seq: m.Seq}
-	c.helps[seq] = h
-	c.send(m.About, message{Kind: ping, To: m.AboutTo, Seq: seq})
-	c.after(c.set.Answer*4/5, func() {
-		if !h.answered {
-			c.send(from, message{Kind: nack, To: m.From, Seq: h.seq})
+	seq, probe := c.seq, &indirectProbe{requester: from, seq: m.Seq}
+	c.indirectProbes[seq] = probe
+	c.send(m.TargetAddr, message{Kind: ping, To: m.TargetName, Seq: seq})
+	c.schedule(c.settings.Answer*4/5, func() {
+		if !probe.answered {
+			c.send(from, message{Kind: nack, To: m.From, Seq: probe.seq})
 		}
 	})
-	c.after(c.set.Probe, func() { delete(c.helps, seq) })
+	c.schedule(c.settings.Probe, func() { delete(c.indirectProbes, seq) })
 }
 
-// mostHelps bounds the probes that are made for others at once.
-const mostHelps = 256
+// maxIndirectProbes limits the probes made for others at the same time.
+const maxIndirectProbes = 256
 
-// acked takes in the answer to a probe.
-func (c *Core) acked(m message) {
-	switch h := c.helps[m.Seq]; {
-	case c.claim != nil && c.claim.seq == m.Seq:
-		if m.From == c.self.Name && m.Start == c.claim.member.Incarnation.Start {
+// handleAck processes the answer to a probe.
+func (c *Core) handleAck(m message) {
+	switch indirect := c.indirectProbes[m.Seq]; {
+	case c.conflict != nil && c.conflict.seq == m.Seq:
+		if m.From == c.self.Name && m.Start == c.conflict.member.Incarnation.Start {
 			c.stepDown()
 		}
-	case h != nil:
-		if !h.answered {
-			h.answered = true
-			c.send(h.for_, message{Kind: ack, Seq: h.seq})
+	case indirect != nil:
+		if !indirect.answered {
+			indirect.answered = true
+			c.send(indirect.requester, message{Kind: ack, Seq: indirect.seq})
 		}
 	case c.probe != nil && c.probe.seq == m.Seq:
 		c.probe.answered = true
 		if p := c.peers[c.probe.target]; p != nil {
-			p.hear(c.now.Add(-c.lag()))
+			p.recordHeard(c.now.Add(-c.queueDelay()))
 		}
 	}
 }
 
-// suspect books that a member was found not to answer, by one that says so.
+// suspect records that the member by has found another one not to answer.
 func (c *Core) suspect(name, by string) {
 	p := c.peers[name]
-	if p == nil || !p.Counted() {
+	if p == nil || !p.Active() {
 		return
 	}
 	if p.State == Suspect {
-		if _, known := p.accused[by]; known || len(p.accused) > c.sharers() {
+		if _, known := p.accusers[by]; known || len(p.accusers) > c.expectedConfirmations() {
 			return
 		}
-		if _, own := p.accused[c.self.Name]; own && by != c.self.Name {
-			c.health(-1) // another has found the same: it was not the own slowness
+		if _, own := p.accusers[c.self.Name]; own && by != c.self.Name {
+			c.adjustHealth(-1) // another member has found the same, so the cause was not local slowness
 		}
-		p.accused[by] = struct{}{}
-		c.tell(news{Member: p.Member, By: by, Age: age(c.now, p.heard)})
-		c.timers.Set(&p.timer, p.since.Add(c.doubt(len(p.accused)-1)))
+		p.accusers[by] = struct{}{}
+		c.queueUpdate(update{Member: p.Member, By: by, Age: ageMillis(c.now, p.lastHeard)})
+		c.timers.Set(&p.timer, p.stateSince.Add(c.suspicionTimeout(len(p.accusers)-1)))
 		return
 	}
 	if by == c.self.Name {
 		c.counts.Suspected++
 	}
-	c.change(p, Suspect)
-	p.accused = map[string]struct{}{by: {}}
-	p.timer.Value = func() { c.change(p, Dead); c.tell(c.newsOf(p)) }
-	c.timers.Set(&p.timer, c.now.Add(c.doubt(0)))
-	n := c.newsOf(p)
-	n.By = by
-	c.tell(n)
+	c.setState(p, Suspect)
+	p.accusers = map[string]struct{}{by: {}}
+	p.timer.Value = func() { c.setState(p, Dead); c.queueUpdate(c.updateAbout(p)) }
+	c.timers.Set(&p.timer, c.now.Add(c.suspicionTimeout(0)))
+	u := c.updateAbout(p)
+	u.By = by
+	c.queueUpdate(u)
 }
 
-// sharers is how many others have to share a suspicion for it to last as short as any.
-func (c *Core) sharers() int { return max(min(3, c.size()-2), 0) }
+// expectedConfirmations returns how many other members must confirm a suspicion for its timeout to be the shortest.
+func (c *Core) expectedConfirmations() int { return max(min(3, c.size()-2), 0) }
 
-// doubt is how long a suspicion lasts that so many others share.
-func (c *Core) doubt(shared int) time.Duration {
-	least := c.set.Probe * time.Duration(c.set.Doubt)
-	least = time.Duration(float64(least) * c.spread())
-	k := c.sharers()
-	if k == 0 {
-		return least
-	}
-	most := least * time.Duration(c.set.DoubtMost)
-	part := math.Log(float64(shared)+1) / math.Log(float64(k)+1)
-	return max(most-time.Duration(part*float64(most-least)), least)
+// suspicionTimeout returns how long a suspicion lasts that the given number of other members confirm.
+func (c *Core) suspicionTimeout(confirmations int) time.Duration {
+	shortest := c.settings.Probe * time.Duration(c.settings.Doubt)
+	shortest = time.Duration(float64(shortest) * c.logSize())
+	expected := c.expectedConfirmations()
+	if expected == 0 {
+		return shortest
+	}
+	longest := shortest * time.Duration(c.settings.DoubtMost)
+	fraction := math.Log(float64(confirmations)+1) / math.Log(float64(expected)+1)
+	return max(longest-time.Duration(fraction*float64(longest-shortest)), shortest)
 }
 
-// reachNext tries a member that is held for dead, or a seed that nobody of the view has.
+// reachNext contacts a member that is believed dead, or a seed whose address no active member has.
 func (c *Core) reachNext() {
-	c.after(c.jitter(c.set.Reach), c.reachNext)
+	c.schedule(c.jitter(c.settings.Reach), c.reachNext)
 	if c.leaving {
 		return
 	}
-	var to []string
-	here := map[string]bool{c.self.Addr: true}
+	var targets []string
+	activeAddrs := map[string]bool{c.self.Addr: true}
 	for _, p := range c.peers {
 		if p.State == Dead {
-			to = append(to, p.Addr)
+			targets = append(targets, p.Addr)
 		}
-		if p.Counted() {
-			here[p.Addr] = true
+		if p.Active() {
+			activeAddrs[p.Addr] = true
 		}
 	}
-	for _, s := range c.seeds {
-		if !here[s] {
-			to = append(to, s)
+	for _, seed := range c.seeds {
+		if !activeAddrs[seed] {
+			targets = append(targets, seed)
 		}
 	}
-	if len(to) > 0 {
-		slices.Sort(to) // the map has no order, the seed's choice must have one
-		c.sendSync(to[c.rng.IntN(len(to))], "", sync)
+	if len(targets) > 0 {
+		slices.Sort(targets) // map order is random, but the choice must depend on the seed alone
+		c.sendSync(targets[c.rng.IntN(len(targets))], "", sync)
 	}
 }
 
-// syncNext exchanges everything with one other.
+// syncNext exchanges the full state with one other member.
 func (c *Core) syncNext() {
-	c.after(c.jitter(c.set.Sync), c.syncNext)
-	if p := c.pick(1); len(p) > 0 && !c.leaving {
+	c.schedule(c.jitter(c.settings.Sync), c.syncNext)
+	if p := c.pickPeers(1); len(p) > 0 && !c.leaving {
 		c.sendSync(p[0].Addr, p[0].Name, sync)
 	}
 }
--- a/internal/fleet/view/view.go
+++ b/internal/fleet/view/view.go
@@ -1,17 +1,15 @@
-// Package view is what one gatherer believes of the other gatherers of its fleet: who is
-// there, who is not, and what each serves. It does no I/O, reads no clock and starts no
-// goroutine: Step takes an event and returns effects, the same to the byte for a seed and
-// the same events.
+// Package view maintains what one gatherer believes about the other gatherers of its fleet: which of them are
+// there, which are not, and what each serves. It does no I/O, reads no clock and starts no goroutine: Step takes an
+// event and returns effects, which are byte-identical for the same seed and events.
 //
-// Failures are found as in SWIM (Das, Gupta, Motivala: "SWIM: Scalable Weakly-consistent
-// Infection-style Process Group Membership Protocol", 2002): each member probes one other
-// in each period, through some third ones where it does not answer, and says that it is
-// suspect before it says that it is dead, so that a member that lives can say otherwise.
-// The times follow Lifeguard (Dadgar, Phillips, Currey: "Lifeguard: Local Health Awareness
-// for More Accurate Failure Detection", 2018): a member that has reason to think that it is
-// slow itself waits longer, and a suspicion lasts the shorter the more members share it.
+// Failures are detected as in SWIM (Das, Gupta, Motivala: "SWIM: Scalable Weakly-consistent Infection-style Process
+// Group Membership Protocol", 2002): each member probes one other member per period, indirectly through some others
+// if it does not answer, and declares it suspect before it declares it dead, so that a live member can refute that.
+// The timeouts follow Lifeguard (Dadgar, Phillips, Currey: "Lifeguard: Local Health Awareness for More Accurate
+// Failure Detection", 2018): a member that has reason to believe that it is slow itself waits longer, and a
+// suspicion lasts shorter the more members confirm it.
 //
-// Nothing here is agreed. What a view may be used for, and what not, is in docs/fleet-view.md.
+// Members do not agree on a common view. What a view may be used for, and what not, is in docs/fleet-view.md.
 package view
 
 import (
@@ -23,15 +21,15 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// State is what is believed of a member.
+// State is what is believed about a member.
 type State uint8
 
-// The states, in the order in which news of one incarnation wins over other news of it.
+// The states. Of two updates about one incarnation, the one with the later state takes precedence.
 const (
 	Alive State = iota
 	Suspect
 	Dead
-	Left // it said so itself
+	Left // the member has announced it itself
 )
 
 func (s State) String() string {
@@ -43,19 +41,19 @@
 
 var stateNames = [...]string{"alive", "suspect", "dead", "left"}
 
-// Incarnation orders what is said of one name. Start is the process's own: a later process
-// of the name has a higher one. Seq counts how often that process has contradicted others.
+// Incarnation orders the updates about one name. Start belongs to a process: a later process of the name has a higher
+// one. Seq counts how often that process has refuted others.
 type Incarnation struct {
 	Start uint64 `cbor:"1,keyasint"`
 	Seq   uint64 `cbor:"2,keyasint,omitempty"`
 }
 
-// Compare is below 0 where a is older than b.
+// Compare returns a value below 0 if a is older than b, 0 if they are equal, and a value above 0 otherwise.
 func (a Incarnation) Compare(b Incarnation) int {
 	return cmp.Or(cmp.Compare(a.Start, b.Start), cmp.Compare(a.Seq, b.Seq))
 }
 
-// Member is one gatherer as another knows it.
+// Member is one gatherer as known by another.
 type Member struct {
 	Name        string      `cbor:"1,keyasint"`
 	Incarnation Incarnation `cbor:"2,keyasint"`
@@ -66,30 +64,30 @@
 	Epoch       uint64      `cbor:"7,keyasint,omitempty"` // of its layout
 }
 
-// Counted tells whether a member belongs to the view: one that is suspect does.
-func (m Member) Counted() bool { return m.State == Alive || m.State == Suspect }
+// Active reports whether the member belongs to the view. A suspect one does.
+func (m Member) Active() bool { return m.State == Alive || m.State == Suspect }
 
-// View is the members that count. Two gatherers with the same Digest count the same
-// processes; Number is the gatherer's own and grows with each change of it.
+// View is the active members. Two gatherers with the same Digest have the same active processes. Number is local to
+// the gatherer and grows with each change of its view.
 type View struct {
 	Number  uint64
 	Digest  uint64
-	Members []Member // by name; those that count, oneself among them
+	Members []Member // the active members by name, including the gatherer itself
 }
 
-// digest is the same for the same processes, in whatever states and with whatever they serve.
+// digest identifies the processes, independent of their states and of what they serve.
 func digest(members []Member) uint64 {
 	h := xxhash.New()
 	var b []byte
 	for _, m := range members {
 		b = fmt.Appendf(b[:0], "%s\x00%d\x00", m.Name, m.Incarnation.Start)
-		_, _ = h.Write(b) // it never fails
+		_, _ = h.Write(b) // never fails
 	}
 	return h.Sum64()
 }
 
-// sum differs where the members that count serve something else, or elsewhere.
-func sum(members []Member) uint64 {
+// contentDigest also differs if the active members serve something else, or at another address.
+func contentDigest(members []Member) uint64 {
 	h := xxhash.New()
 	var b []byte
 	for _, m := range members {
@@ -101,42 +99,41 @@
 
 func byName(a, b Member) int { return cmp.Compare(a.Name, b.Name) }
 
-// Settings are a fleet's; all members should have the same.
+// Settings configure the members of a fleet. All members should have the same.
 type Settings struct {
-	// Probe is how often a member probes another, and Answer how long it waits for the
-	// direct answer. Raising Probe makes failures known later, in proportion, and costs less:
-	// a member sends and gets two datagrams a period, in a fleet of any size. Raising Answer
-	// makes fewer indirect probes where the network is slow; it has to be well below Probe.
+	// Probe is how often a member probes another, and Answer how long it waits for the direct answer. Raising Probe
+	// delays the detection of failures in proportion, and costs less: a member sends and receives two datagrams per
+	// period, in a fleet of any size. Raising Answer causes fewer indirect probes on a slow network; it must be well
+	// below Probe.
 	Probe, Answer time.Duration
-	// Helpers is how many others are asked to probe a member that has not answered. More
-	// find more ways round a broken link, and cost two datagrams each.
+	// Helpers is how many others are asked to probe a member that has not answered. More helpers find more ways
+	// round a broken link, and cost two datagrams each.
 	Helpers int
-	// Doubt is how many periods, times the logarithm of the fleet's size, a suspicion lasts at
-	// least; DoubtMost is how many times as long one lasts that nobody shares. Raising them
-	// gives slow members longer to contradict, and makes failures known later.
+	// Doubt is the minimum duration of a suspicion, in periods times the logarithm of the fleet's size. DoubtMost is
+	// the factor by which a suspicion that nobody confirms lasts longer. Raising them gives slow members more time to
+	// refute, and delays the detection of failures.
 	Doubt, DoubtMost int
-	// Gossip is how often news is passed on, to Fanout others each time; each piece goes out
-	// Repeat times the logarithm of the fleet's size. Raising Repeat reaches more members
-	// where datagrams get lost, and costs as much more.
+	// Gossip is how often updates are passed on, to Fanout other members each time. Each update is sent Repeat times
+	// the logarithm of the fleet's size. Raising Repeat reaches more members despite lost datagrams, at
+	// proportional cost.
 	Gossip time.Duration
 	Fanout int
 	Repeat int
-	// Sync is how often everything is exchanged with one other where all that was heard agrees;
-	// where it does not, that is done at once. Reach is how often a member that is held for
-	// dead, or a seed, is tried: that is how two halves of a cut fleet find
-	// each other again, and how soon.
+	// Sync is how often the full state is exchanged with one other member while all received digests match; if they
+	// don't, it is exchanged without waiting for that. Reach is how often a member that is believed dead, or a seed,
+	// is contacted: that is how two halves of a partitioned fleet find each other again, and how soon.
 	Sync, Reach time.Duration
-	// Forget is how long a member that is gone is remembered. Rumours of it that are older
-	// than half of that are not believed, so none can bring it back.
+	// Forget is how long a member that is gone is remembered. Updates about it that are older than half of that are
+	// not believed, so none can bring it back.
 	Forget time.Duration
-	// BytesASecond bounds what news may take, for each member; what keeps probes alive goes
-	// beyond it. Packet bounds a datagram: one that is split is lost more often.
+	// BytesASecond limits the updates that each member sends; those that keep probes working are not limited.
+	// Packet limits the size of a datagram, because a fragmented one is lost more often.
 	BytesASecond, Packet int
-	// Most bounds the members that are known, those that are gone among them.
+	// Most limits the number of known members, including those that are gone.
 	Most int
 }
 
-// LAN is for gatherers in one region: links of some milliseconds, little loss.
+// LAN returns settings for gatherers in one region: links of some milliseconds, little loss.
 func LAN() Settings {
 	return Settings{
 		Probe: 200 * time.Millisecond, Answer: 80 * time.Millisecond, Helpers: 3, Doubt: 4, DoubtMost: 6,
@@ -145,7 +142,7 @@
 	}
 }
 
-// WAN is for links of a hundred milliseconds and some loss: all is found out later.
+// WAN returns settings for links of a hundred milliseconds and some loss: failures are detected later.
 func WAN() Settings {
 	s := LAN()
 	s.Probe, s.Answer, s.Gossip = time.Second, 400*time.Millisecond, 200*time.Millisecond
@@ -153,55 +150,55 @@
 	return s
 }
 
-// Check tells which of the settings can't be used, if any.
+// Check returns an error that describes the first invalid setting, if there is one.
 func (s Settings) Check() error {
 	for _, c := range []struct {
 		name string
 		bad  bool
 		want string
 	}{
-		{"Probe", s.Probe < time.Millisecond, "a millisecond at least"},
-		{"Answer", s.Answer <= 0 || 2*s.Answer > s.Probe, "above 0, and half of Probe at most: the helpers need the rest"},
+		{"Probe", s.Probe < time.Millisecond, "at least a millisecond"},
+		{"Answer", s.Answer <= 0 || 2*s.Answer > s.Probe, "above 0 and at most half of Probe: the helpers need the rest"},
 		{"Helpers", s.Helpers < 0 || s.Helpers > 16, "0 to 16"},
-		{"Doubt", s.Doubt < 1, "1 at least"},
-		{"DoubtMost", s.DoubtMost < 1, "1 at least"},
-		{"Gossip", s.Gossip < time.Millisecond, "a millisecond at least"},
-		{"Fanout", s.Fanout < 1, "1 at least"},
-		{"Repeat", s.Repeat < 1, "1 at least"},
-		{"Sync", s.Sync < s.Probe, "Probe at least"},
-		{"Reach", s.Reach < s.Probe, "Probe at least"},
-		{"Forget", s.Forget < 4*s.Sync, "four times Sync at least: rumours must have ended by half of it"},
-		{"BytesASecond", s.BytesASecond < 4096, "4096 at least"},
+		{"Doubt", s.Doubt < 1, "at least 1"},
+		{"DoubtMost", s.DoubtMost < 1, "at least 1"},
+		{"Gossip", s.Gossip < time.Millisecond, "at least a millisecond"},
+		{"Fanout", s.Fanout < 1, "at least 1"},
+		{"Repeat", s.Repeat < 1, "at least 1"},
+		{"Sync", s.Sync < s.Probe, "at least Probe"},
+		{"Reach", s.Reach < s.Probe, "at least Probe"},
+		{"Forget", s.Forget < 4*s.Sync, "at least four times Sync: gossip must have ended by half of it"},
+		{"BytesASecond", s.BytesASecond < 4096, "at least 4096"},
 		{"Packet", s.Packet < 512 || s.Packet > 1<<16-512, "512 to 65024"},
-		{"Most", s.Most < 1024, "1024 at least"},
+		{"Most", s.Most < 1024, "at least 1024"},
 	} {
 		if c.bad {
-			return fmt.Errorf("view: %s can't be used, want %s", c.name, c.want)
+			return fmt.Errorf("view: invalid %s, want %s", c.name, c.want)
 		}
 	}
 	return nil
 }
 
-// Counts are what a Core has seen, for its operators.
+// Counts are the counters of a Core, for operators.
 type Counts struct {
-	Sent, SentBytes     int // messages, all kinds
+	Sent, SentBytes     int // messages of all kinds
 	Received            int
-	Malformed, Refused  int // messages that can't be read; of versions that are not understood
-	Misdirected         int // probes that were meant for another process
+	Malformed, Refused  int // messages that can't be read; messages whose version this member or the receiver does not understand
+	Misdirected         int // probes meant for another process
 	Probes, Missed      int // probes begun; those that nobody answered
-	Helped              int // probes made for others
-	Suspected, Mistaken int // members that this one suspected first; suspicions of others that were contradicted
-	Contradicted        int // times that it had to say itself that it lives
-	Throttled           int // times that news had to wait for BytesASecond
-	Full                int // members not taken in since Most are known
-	Rumours             int // news that was too old to be believed
+	Helped              int // probes made for other members
+	Suspected, Mistaken int // members that this one suspected first; suspicions of others that were refuted
+	Contradicted        int // times that this member had to refute an update about itself
+	Throttled           int // times that updates had to wait because of BytesASecond
+	Full                int // members not added because Most are known
+	Rumours             int // updates that were too old to be believed
 }
 
-// sorted returns the members that count.
-func sorted(self Member, peers map[string]*peer) []Member {
+// activeMembers returns the active members by name.
+func activeMembers(self Member, peers map[string]*peer) []Member {
 	list := []Member{self}
 	for _, p := range peers {
-		if p.Counted() {
+		if p.Active() {
 			list = append(list, p.Member)
 		}
 	}
--- a/internal/fleet/view/view_test.go
+++ b/internal/fleet/view/view_test.go
@@ -11,139 +11,140 @@
 	"pgregory.net/rapid"
 )
 
-// settle waits for the fleet to settle, and fails where that takes longer than it may.
-func (w *world) settle(what string, most time.Duration) time.Duration {
-	w.t.Helper()
-	took := w.until(most, w.settled)
+// requireConverged waits for the fleet to converge, and fails if that takes longer than limit.
+func (sim *simulation) requireConverged(what string, limit time.Duration) time.Duration {
+	sim.t.Helper()
+	took := sim.runUntil(limit, sim.converged)
 	if took < 0 {
-		w.t.Errorf("%s: not settled after %v", what, most)
-		for _, n := range w.order[:min(3, len(w.order))] {
-			w.t.Logf("%s counts %d of %d", n.self.Name, len(n.View().Members), len(w.order))
+		sim.t.Errorf("%s: not converged after %v", what, limit)
+		for _, n := range sim.order[:min(3, len(sim.order))] {
+			sim.t.Logf("%s has %d of %d members", n.self.Name, len(n.View().Members), len(sim.order))
 		}
 	}
 	return took
 }
 
-func halves(a, b string) bool { return (a < "addr-g0012") != (b < "addr-g0012") }
+func splitInHalves(a, b string) bool { return (a < "addr-g0012") != (b < "addr-g0012") }
 
-// A longer run: go test -run SettlesAgain ./internal/fleet/view -view.seeds 100 -timeout 1h
+// For a longer run: go test -run ConvergesAfterFaults ./internal/fleet/view -view.seeds 100 -timeout 1h
 var (
 	viewSeeds = flag.Uint64("view.seeds", 5, "seeds of each fault")
 	viewFirst = flag.Uint64("view.first", 0, "the first seed")
 )
 
-// Each kind of fault, on 25 members and five seeds: the fleet settles again in time, and nobody is doubted who has
-// nothing to do with it.
-func TestTheFleetSettlesAgain(t *testing.T) {
+// After each kind of fault, on 25 members and five seeds, the fleet converges in time, and no member is suspected that has
+// nothing to do with the fault.
+func TestTheFleetConvergesAfterFaults(t *testing.T) {
 	const size = 25
 	for what, c := range map[string]struct {
-		fault func(*world) (doubted []string)
-		most  time.Duration
+		fault func(*simulation) (suspected []string)
+		limit time.Duration
 	}{
-		"a crash": {func(w *world) []string { w.kill(w.order[7]); return []string{name(7)} }, 3 * time.Second},
-		"a join":  {func(w *world) []string { w.begin("new", "addr-new", "addr-"+name(3)); return nil }, time.Second},
-		"a start anew at once": {func(w *world) []string {
-			w.begin(name(7), "addr-"+name(7), "addr-"+name(3))
+		"a crash": {func(sim *simulation) []string { sim.kill(sim.order[7]); return []string{name(7)} }, 3 * time.Second},
+		"a join":  {func(sim *simulation) []string { sim.startNode("new", "addr-new", "addr-"+name(3)); return nil }, time.Second},
+		"an immediate restart": {func(sim *simulation) []string {
+			sim.startNode(name(7), "addr-"+name(7), "addr-"+name(3))
 			return nil
 		}, time.Second},
-		"an end that was told": {func(w *world) []string {
-			n := w.order[7]
-			w.step(n, Leave{})
-			w.run(100 * ms)
-			w.kill(n)
+		"an announced leave": {func(sim *simulation) []string {
+			n := sim.order[7]
+			sim.step(n, Leave{})
+			sim.run(100 * ms)
+			sim.kill(n)
 			return []string{n.self.Name}
 		}, 3 * time.Second},
-		"a cut for a minute, healed": {func(w *world) []string {
-			w.cut = halves
-			w.settle("the halves", 20*time.Second)
-			w.run(40 * time.Second)
-			w.cut = func(string, string) bool { return false }
+		"a partition for a minute, healed": {func(sim *simulation) []string {
+			sim.partitioned = splitInHalves
+			sim.requireConverged("the halves", 20*time.Second)
+			sim.run(40 * time.Second)
+			sim.partitioned = func(string, string) bool { return false }
 			return nil
 		}, 5 * time.Second},
-		"a stop for 8 s": {func(w *world) []string {
-			n := w.order[7]
-			w.pause(n)
-			w.run(8 * time.Second)
-			w.resume(n)
+		"a pause for 8 s": {func(sim *simulation) []string {
+			n := sim.order[7]
+			sim.pause(n)
+			sim.run(8 * time.Second)
+			sim.resume(n)
 			return nil
 		}, 5 * time.Second},
-		"seven in ten killed at once": {func(w *world) (gone []string) {
+		"seven in ten killed at once": {func(sim *simulation) (gone []string) {
 			for range size * 7 / 10 {
-				gone = append(gone, w.order[0].self.Name)
-				w.kill(w.order[0])
+				gone = append(gone, sim.order[0].self.Name)
+				sim.kill(sim.order[0])
 			}
 			return gone
 		}, 10 * time.Second},
-		"all started anew within 5 s, with nothing": {func(w *world) []string {
+		"all restarted within 5 s, without state": {func(sim *simulation) []string {
 			for i := range size {
-				w.begin(name(i), "addr-"+name(i), "addr-"+name(0), "addr-"+name(1))
-				w.run(200 * ms)
+				sim.startNode(name(i), "addr-"+name(i), "addr-"+name(0), "addr-"+name(1))
+				sim.run(200 * ms)
 			}
 			return nil
 		}, 3 * time.Second},
-		"thirty that join by one seed, which dies": {func(w *world) []string {
-			seed := w.order[3]
+		"thirty that join by one seed, which dies": {func(sim *simulation) []string {
+			seed := sim.order[3]
 			for i := range 30 {
-				w.begin("new"+name(i), "addr-new"+name(i), seed.addr)
+				sim.startNode("new"+name(i), "addr-new"+name(i), seed.addr)
 			}
-			w.run(50 * ms)
-			w.kill(seed)
+			sim.run(50 * ms)
+			sim.kill(seed)
 			return []string{seed.self.Name}
 		}, 5 * time.Second},
-		"one that starts twelve times in a minute": {func(w *world) []string {
+		"one that starts twelve times in a minute": {func(sim *simulation) []string {
 			for range 12 {
-				w.begin(name(7), "addr-"+name(7), "addr-"+name(3))
-				w.run(5 * time.Second)
+				sim.startNode(name(7), "addr-"+name(7), "addr-"+name(3))
+				sim.run(5 * time.Second)
 			}
 			return nil
 		}, time.Second},
-		"a clock that jumps back before a start": {func(w *world) []string {
-			w.beginAs(Member{Name: name(7), Addr: "addr-" + name(7), Incarnation: Incarnation{Start: 5}}, "addr-"+name(3))
+		"a clock that jumps back before a start": {func(sim *simulation) []string {
+			sim.startNodeAs(Member{Name: name(7), Addr: "addr-" + name(7), Incarnation: Incarnation{Start: 5}}, "addr-"+name(3))
 			return nil
 		}, 5 * time.Second},
 	} {
 		t.Run(what, func(t *testing.T) {
 			t.Parallel()
-			var all []time.Duration
+			var durations []time.Duration
 			for seed := *viewFirst; seed < *viewFirst+*viewSeeds; seed++ {
-				w := fleet(t, seed, size, LAN())
-				about := c.fault(w)
-				all = append(all, w.settle(what, c.most))
-				if what == "a cut for a minute, healed" || what == "a stop for 8 s" || strings.Contains(what, "twelve") || strings.Contains(what, "all") {
-					continue // many are doubted for good reasons
+				sim := newConvergedFleet(t, seed, size, LAN())
+				expected := c.fault(sim)
+				durations = append(durations, sim.requireConverged(what, c.limit))
+				if what == "a partition for a minute, healed" || what == "a pause for 8 s" || strings.Contains(what, "twelve") || strings.Contains(what, "all") {
+					continue // many members are suspected with good reason
 				}
-				w.run(10 * time.Second)
-				if d := w.doubted(about...); len(d) > 0 {
-					t.Errorf("seed %d: doubted for nothing: %v", seed, d)
+				sim.run(10 * time.Second)
+				if d := sim.suspicions(expected...); len(d) > 0 {
+					t.Errorf("seed %d: suspected without reason: %v", seed, d)
 				}
 			}
-			slices.Sort(all)
-			t.Logf("%s: %d seeds, settled after %v (median), %v (worst)", what, len(all), all[len(all)/2], all[len(all)-1])
+			slices.Sort(durations)
+			t.Logf("%s: %d seeds, converged after %v (median), %v (worst)", what, len(durations), durations[len(durations)/2], durations[len(durations)-1])
 		})
 	}
 }
 
-// One way of a link, or one pair of members, may be cut: the others are the way round it, and nobody is lost.
-func TestALinkThatIsCutIsGoneRound(t *testing.T) {
-	for what, cut := range map[string]func(from, to string) bool{
+// One direction of a link, or the link of one pair of members, may be broken: probes go round it through the others, and no
+// member is lost.
+func TestABrokenLinkIsBypassed(t *testing.T) {
+	for what, broken := range map[string]func(from, to string) bool{
 		"one way of one link": func(from, to string) bool { return from == "addr-g0003" && to == "addr-g0004" },
 		"both ways of one link": func(from, to string) bool {
 			return from == "addr-g0003" && to == "addr-g0004" || from == "addr-g0004" && to == "addr-g0003"
 		},
-		"no way to one but from a few": func(from, to string) bool { return to == "addr-g0003" && from < "addr-g0002" },
+		"one member reachable only from a few": func(from, to string) bool { return to == "addr-g0003" && from < "addr-g0002" },
 	} {
 		for seed := range uint64(3) {
-			w := fleet(t, seed, 9, LAN())
+			sim := newConvergedFleet(t, seed, 9, LAN())
 			views := 0
-			for _, n := range w.order {
-				views += n.views
+			for _, n := range sim.order {
+				views += n.viewChanges
 			}
-			w.cut = cut
-			w.run(30 * time.Second)
-			for _, n := range w.order {
-				views -= n.views
+			sim.partitioned = broken
+			sim.run(30 * time.Second)
+			for _, n := range sim.order {
+				views -= n.viewChanges
 				if len(n.View().Members) != 9 {
-					t.Errorf("%s, seed %d: %s counts %d", what, seed, n.self.Name, len(n.View().Members))
+					t.Errorf("%s, seed %d: %s has %d members", what, seed, n.self.Name, len(n.View().Members))
 				}
 			}
 			if views != 0 {
@@ -153,91 +154,93 @@
 	}
 }
 
-// A member that others can hear and that hears nobody can't say that it lives: it is dropped, and comes back.
+// A member that others can hear but that hears nobody can't refute a suspicion: it is dropped, and comes back later.
 func TestAMemberThatHearsNobodyIsDroppedAndComesBack(t *testing.T) {
-	w := fleet(t, 1, 9, LAN())
-	w.cut = func(_, to string) bool { return to == "addr-g0003" }
-	if w.until(10*time.Second, func() bool { return len(w.order[0].View().Members) == 8 }) < 0 {
-		t.Error("it is still counted")
+	sim := newConvergedFleet(t, 1, 9, LAN())
+	sim.partitioned = func(_, to string) bool { return to == "addr-g0003" }
+	if sim.runUntil(10*time.Second, func() bool { return len(sim.order[0].View().Members) == 8 }) < 0 {
+		t.Error("it is still in the view")
 	}
-	w.cut = func(string, string) bool { return false }
-	w.settle("back", 5*time.Second)
+	sim.partitioned = func(string, string) bool { return false }
+	sim.requireConverged("back", 5*time.Second)
 }
 
-// Datagrams get lost: suspicions come up, and are contradicted before anybody is dropped. Where one in five is
-// lost some are dropped now and then; they come back.
-func TestLossDropsNobodyForLong(t *testing.T) {
+// Lost datagrams cause suspicions, which are refuted before a member is dropped. If one datagram in five is lost, some
+// members are dropped now and then; they come back.
+func TestPacketLossDropsNobodyForLong(t *testing.T) {
 	for _, loss := range []float64{0.01, 0.05, 0.2} {
-		w := fleet(t, 7, 25, LAN())
-		views := w.order[0].views
-		w.loss = loss
-		w.run(60 * time.Second)
+		sim := newConvergedFleet(t, 7, 25, LAN())
+		views := sim.order[0].viewChanges
+		sim.loss = loss
+		sim.run(60 * time.Second)
 		suspected := 0
-		for _, n := range w.order {
+		for _, n := range sim.order {
 			suspected += n.Counts().Suspected
 		}
-		t.Logf("loss %v: %d suspicions in a minute of 25 members, %d changes of one's view", loss, suspected, w.order[0].views-views)
-		if n := w.order[0]; n.views != views && loss < 0.2 {
-			t.Errorf("loss %v: the view changed %d times", loss, n.views-views)
+		t.Logf("loss %v: %d suspicions in a minute of 25 members, %d changes of one's view", loss, suspected, sim.order[0].viewChanges-views)
+		if n := sim.order[0]; n.viewChanges != views && loss < 0.2 {
+			t.Errorf("loss %v: the view changed %d times", loss, n.viewChanges-views)
 		}
-		w.settle("the loss goes on", 10*time.Second)
+		sim.requireConverged("the loss goes on", 10*time.Second)
 	}
 }
 
-// Two processes of one name, each at its own address: the newer wins, the older says so and ends.
-func TestTheNewerOfTwoProcessesOfANameWins(t *testing.T) {
+// Of two processes with one name, each at its own address, the newer one wins, and the older one warns and steps down.
+func TestTheNewerOfTwoProcessesWithOneNameWins(t *testing.T) {
 	for seed := range uint64(5) {
-		w := fleet(t, seed, 9, LAN())
-		older := w.order[4]
-		newer := w.begin(older.self.Name, "addr-elsewhere", "addr-"+name(0))
-		if w.until(5*time.Second, func() bool { return older.ended }) < 0 {
-			t.Fatalf("seed %d: the older one goes on", seed)
+		sim := newConvergedFleet(t, seed, 9, LAN())
+		older := sim.order[4]
+		newer := sim.startNode(older.self.Name, "addr-elsewhere", "addr-"+name(0))
+		if sim.runUntil(5*time.Second, func() bool { return older.steppedDown }) < 0 {
+			t.Fatalf("seed %d: the older process does not step down", seed)
 		}
-		if !slices.ContainsFunc(older.warned, func(s string) bool { return strings.Contains(s, "addr-elsewhere") }) {
-			t.Errorf("it says %q", older.warned)
+		if !slices.ContainsFunc(older.warnings, func(s string) bool { return strings.Contains(s, "addr-elsewhere") }) {
+			t.Errorf("its warnings are %q", older.warnings)
 		}
-		w.kill(older)
-		w.settle("the newer one counts", 3*time.Second)
-		if newer.ended {
-			t.Error("the newer one has ended too")
+		sim.kill(older)
+		sim.requireConverged("the newer process is a member", 3*time.Second)
+		if newer.steppedDown {
+			t.Error("the newer process has stepped down too")
 		}
 	}
-	// News of a newer process that is no more ends nobody.
-	w := fleet(t, 9, 9, LAN())
-	n := w.order[4]
-	w.step(n, Received{"addr-" + name(0), message{Version: Version, Kind: gossip, From: name(0), Start: 1001, News: []news{
+	// An update about a newer process that no longer exists makes nobody step down.
+	sim := newConvergedFleet(t, 9, 9, LAN())
+	n := sim.order[4]
+	sim.step(n, Received{"addr-" + name(0), message{Version: Version, Kind: gossip, From: name(0), Start: 1001, Updates: []update{
 		{Member: Member{Name: n.self.Name, Addr: "addr-nowhere", Incarnation: Incarnation{Start: 1 << 40}}}}}.encode()})
-	w.run(3 * time.Second)
-	if n.ended || n.Self().Incarnation.Start <= 1<<40 {
-		t.Errorf("ended %t, start %d", n.ended, n.Self().Incarnation.Start)
+	sim.run(3 * time.Second)
+	if n.steppedDown || n.Self().Incarnation.Start <= 1<<40 {
+		t.Errorf("stepped down %t, start %d", n.steppedDown, n.Self().Incarnation.Start)
 	}
 }
 
-// Who is dead for long is forgotten by all, and no old rumour has it back.
-func TestTheDeadAreForgotten(t *testing.T) {
-	set := LAN()
-	set.Forget, set.Sync = 20*time.Second, 5*time.Second
-	w := fleet(t, 3, 9, set)
-	w.kill(w.order[4])
-	w.settle("the crash", 3*time.Second)
-	old := w.order[0].newsOf(w.order[0].peers[name(4)])
-	w.run(15 * time.Second)
-	late := w.begin("late", "addr-late", "addr-"+name(0)) // it must not learn of it to hand it on
-	w.run(10 * time.Second)
-	for _, n := range w.order {
+// A member that has been dead for long is forgotten by all, and no old update brings it back.
+func TestDeadMembersAreForgotten(t *testing.T) {
+	settings := LAN()
+	settings.Forget, settings.Sync = 20*time.Second, 5*time.Second
+	sim := newConvergedFleet(t, 3, 9, settings)
+	sim.kill(sim.order[4])
+	sim.requireConverged("the crash", 3*time.Second)
+	old := sim.order[0].updateAbout(sim.order[0].peers[name(4)])
+	sim.run(15 * time.Second)
+	late := sim.startNode("late", "addr-late", "addr-"+name(0)) // it must not learn of the dead member and pass that on
+	sim.run(10 * time.Second)
+	for _, n := range sim.order {
 		if slices.ContainsFunc(n.Known(), func(m Member) bool { return m.Name == name(4) }) {
-			t.Errorf("%s knows it", n.self.Name)
+			t.Errorf("%s still knows it", n.self.Name)
 		}
 	}
-	old.State, old.Age = Alive, uint64(set.Forget/time.Millisecond)
-	w.step(late, Received{"addr-" + name(1), message{Version: Version, Kind: gossip, From: name(1), Start: 1002, News: []news{old}}.encode()})
-	if len(late.Known()) != len(w.order) || late.Counts().Rumours == 0 {
-		t.Errorf("a rumour has it back: %v", late.Known())
+	old.State, old.Age = Alive, uint64(settings.Forget/time.Millisecond)
+	sim.step(late, Received{"addr-" + name(1), message{Version: Version, Kind: gossip, From: name(1), Start: 1002, Updates: []update{old}}.encode()})
+	if len(late.Known()) != len(sim.order) || late.Counts().Rumours == 0 {
+		t.Errorf("an old update brought it back: %v", late.Known())
 	}
 }
 
-func TestMessages(t *testing.T) {
-	m := message{Version: Version, Kind: ping, From: "a", Start: 7, Seq: 9, News: []news{{Member: Member{Name: "b", Addr: "x:1", State: Suspect}, By: "c", Age: 5}}}
+// Messages survive encoding and decoding. Versions that differ by 1 are accepted; other versions and malformed messages
+// are rejected with an error that names what is wrong.
+func TestMessagesAreEncodedAndChecked(t *testing.T) {
+	m := message{Version: Version, Kind: ping, From: "a", Start: 7, Seq: 9, Updates: []update{{Member: Member{Name: "b", Addr: "x:1", State: Suspect}, By: "c", Age: 5}}}
 	if got, err := decode(m.encode()); err != nil || !reflect.DeepEqual(got, m) {
 		t.Errorf("have %+v, %v", got, err)
 	}
@@ -250,45 +253,45 @@
 		{func(m *message) { m.Version = Version + 2 }, "have 3, want 0 to 2"},
 		{func(m *message) { m.From = "" }, "name of 0 bytes"},
 		{func(m *message) { m.Kind = 99 }, "unknown kind 99"},
-		{func(m *message) { m.News[0].State = 9 }, "news 0"},
-		{func(m *message) { m.News[0].Name = "" }, "news 0"},
+		{func(m *message) { m.Updates[0].State = 9 }, "update 0"},
+		{func(m *message) { m.Updates[0].Name = "" }, "update 0"},
 	} {
 		m := m
-		m.News = slices.Clone(m.News)
+		m.Updates = slices.Clone(m.Updates)
 		c.change(&m)
 		if _, err := decode(m.encode()); c.want == "" && err != nil || c.want != "" && (err == nil || !strings.Contains(err.Error(), c.want)) {
 			t.Errorf("have %v, want %q", err, c.want)
 		}
 	}
-	w := fleet(t, 1, 2, LAN())
+	sim := newConvergedFleet(t, 1, 2, LAN())
 	odd := m
 	odd.Version = 40
-	w.step(w.order[0], Received{"addr-" + name(1), odd.encode()})
-	w.step(w.order[0], Received{"addr-" + name(1), []byte("noise")})
-	if n := w.order[0].Counts(); n.Refused != 1 || n.Malformed != 1 || len(w.order[0].warned) != 1 {
-		t.Errorf("have %+v, %q", n, w.order[0].warned)
+	sim.step(sim.order[0], Received{"addr-" + name(1), odd.encode()})
+	sim.step(sim.order[0], Received{"addr-" + name(1), []byte("noise")})
+	if n := sim.order[0].Counts(); n.Refused != 1 || n.Malformed != 1 || len(sim.order[0].warnings) != 1 {
+		t.Errorf("have %+v, %q", n, sim.order[0].warnings)
 	}
 }
 
-// The same seed and events give the same effects, to the byte; whatever comes, a member counts itself, its number only
-// grows, and what is known is bounded.
-func TestAnyEvents(t *testing.T) {
-	set := LAN()
+// The same seed and events give byte-identical effects. Whatever a member receives, it stays in its own view, the number of
+// its view only grows, and the number of members that it knows is limited.
+func TestRandomEventsKeepInvariants(t *testing.T) {
+	settings := LAN()
 	rapid.Check(t, func(t *rapid.T) {
 		seed := rapid.Uint64().Draw(t, "seed")
 		var cores [2]*Core
 		for i := range cores {
-			cores[i], _ = New(set, Member{Name: "me", Addr: "me:1", Incarnation: Incarnation{Start: 100}}, seed, began)
+			cores[i], _ = New(settings, Member{Name: "me", Addr: "me:1", Incarnation: Incarnation{Start: 100}}, seed, startTime)
 		}
-		now, number := began, uint64(0)
+		now, number := startTime, uint64(0)
 		for range rapid.IntRange(1, 60).Draw(t, "events") {
 			var e Event = Wake{}
 			switch rapid.IntRange(0, 4).Draw(t, "event") {
 			case 0:
 				m := message{Version: Version, Kind: kind(rapid.IntRange(1, 8).Draw(t, "kind")), From: rapid.SampledFrom([]string{"me", "a", "b", "c"}).Draw(t, "from"),
-					Start: uint64(rapid.IntRange(99, 101).Draw(t, "start")), Seq: uint64(rapid.IntRange(0, 9).Draw(t, "seq")), About: "c:1", AboutTo: "c"}
+					Start: uint64(rapid.IntRange(99, 101).Draw(t, "start")), Seq: uint64(rapid.IntRange(0, 9).Draw(t, "seq")), TargetAddr: "c:1", TargetName: "c"}
 				for range rapid.IntRange(0, 4).Draw(t, "news") {
-					m.News = append(m.News, news{Member: Member{Name: rapid.SampledFrom([]string{"me", "a", "b", "c"}).Draw(t, "name"), Addr: "x:1",
+					m.Updates = append(m.Updates, update{Member: Member{Name: rapid.SampledFrom([]string{"me", "a", "b", "c"}).Draw(t, "name"), Addr: "x:1",
 						State:       State(rapid.IntRange(0, 3).Draw(t, "state")),
 						Incarnation: Incarnation{uint64(rapid.IntRange(99, 101).Draw(t, "start")), uint64(rapid.IntRange(0, 3).Draw(t, "seq"))}}, By: "b"})
 				}
@@ -315,15 +318,15 @@
 }
 
 func FuzzDecode(f *testing.F) {
-	f.Add(message{Version: Version, Kind: sync, From: "a", News: []news{{Member: Member{Name: "b"}}}}.encode())
+	f.Add(message{Version: Version, Kind: sync, From: "a", Updates: []update{{Member: Member{Name: "b"}}}}.encode())
 	f.Fuzz(func(t *testing.T, b []byte) {
-		c, _ := New(LAN(), Member{Name: "me", Addr: "me:1", Incarnation: Incarnation{Start: 100}}, 1, began)
-		c.Step(began, Received{"x:1", b})
-		c.Step(began.Add(time.Minute), Wake{})
+		c, _ := New(LAN(), Member{Name: "me", Addr: "me:1", Incarnation: Incarnation{Start: 100}}, 1, startTime)
+		c.Step(startTime, Received{"x:1", b})
+		c.Step(startTime.Add(time.Minute), Wake{})
 	})
 }
 
-func TestSettingsAreChecked(t *testing.T) {
+func TestInvalidSettingsAreRejected(t *testing.T) {
 	for _, s := range []Settings{LAN(), WAN()} {
 		if err := s.Check(); err != nil {
 			t.Error(err)
@@ -336,17 +339,17 @@
 	}
 }
 
-// Guards taken out, by changing what is sent: in how many of twenty runs is it seen?
-func TestEachGuardIsNeeded(t *testing.T) {
-	change := func(f func(from string, n *news) (keep bool)) func(string, []byte) []byte {
+// Each safeguard is removed in turn by altering what is sent, which some of twenty runs must detect.
+func TestRemovedSafeguardsAreDetected(t *testing.T) {
+	change := func(f func(from string, u *update) (keep bool)) func(string, []byte) []byte {
 		return func(from string, b []byte) []byte {
 			m, err := decode(b)
 			if err != nil {
 				t.Fatal(err)
 			}
-			m.News = slices.DeleteFunc(m.News, func(n news) bool { return !f(from, &n) })
-			for i := range m.News {
-				f(from, &m.News[i])
+			m.Updates = slices.DeleteFunc(m.Updates, func(u update) bool { return !f(from, &u) })
+			for i := range m.Updates {
+				f(from, &m.Updates[i])
 			}
 			return m.encode()
 		}
@@ -354,78 +357,78 @@
 	for _, c := range []struct {
 		name   string
 		tamper func(string, []byte) []byte
-		wrong  func(*world) bool
+		wrong  func(*simulation) bool
 	}{
-		{"refutation", change(func(from string, n *news) bool { return from != "addr-"+n.Name || n.Incarnation.Seq == 0 }), func(w *world) bool {
-			n := w.order[7]
-			w.pause(n) // long enough to be suspected, not to be held for dead
-			w.run(600 * ms)
-			w.resume(n)
-			w.forgetDoubts()
-			w.run(10 * time.Second)
-			for _, o := range w.order {
+		{"refutation", change(func(from string, u *update) bool { return from != "addr-"+u.Name || u.Incarnation.Seq == 0 }), func(sim *simulation) bool {
+			n := sim.order[7]
+			sim.pause(n) // long enough to be suspected, not to be declared dead
+			sim.run(600 * ms)
+			sim.resume(n)
+			sim.resetSuspected()
+			sim.run(10 * time.Second)
+			for _, o := range sim.order {
 				if m, ok := o.member(n.self.Name); ok && m.State == Dead {
 					return true
 				}
 			}
 			return false
 		}},
-		{"forgetting", change(func(_ string, n *news) bool { n.Age = 0; return true }), func(w *world) bool {
-			return w.comesBack(5 * time.Second)
+		{"forgetting", change(func(_ string, u *update) bool { u.Age = 0; return true }), func(sim *simulation) bool {
+			return sim.deadMemberReturns(5 * time.Second)
 		}},
 	} {
-		for _, out := range []bool{false, true} {
+		for _, removed := range []bool{false, true} {
 			caught := 0
 			const runs = 20
 			for seed := range uint64(runs) {
-				set := LAN()
-				set.Sync, set.Forget = 2*time.Second, 8*time.Second
-				w := fleet(t, seed, 9, set)
-				if out {
-					w.tamper = c.tamper
+				settings := LAN()
+				settings.Sync, settings.Forget = 2*time.Second, 8*time.Second
+				sim := newConvergedFleet(t, seed, 9, settings)
+				if removed {
+					sim.tamper = c.tamper
 				}
-				if c.wrong(w) {
+				if c.wrong(sim) {
 					caught++
 				}
 			}
-			t.Logf("%s, taken out %t: seen in %d of %d runs", c.name, out, caught, runs)
-			if (caught > 0) != out {
-				t.Errorf("%s, taken out %t: seen in %d of %d runs", c.name, out, caught, runs)
+			t.Logf("%s, removed %t: detected in %d of %d runs", c.name, removed, caught, runs)
+			if (caught > 0) != removed {
+				t.Errorf("%s, removed %t: detected in %d of %d runs", c.name, removed, caught, runs)
 			}
 		}
 	}
 }
 
-// comesBack stops a member, kills another one so long after that, lets the first wake once the others have forgotten
-// both, and tells whether any other counts the dead one then.
-func (w *world) comesBack(after time.Duration) bool {
-	gone, asleep := w.order[7], w.order[3]
-	w.pause(asleep)
-	w.run(after)
-	w.kill(gone)
-	w.run(w.set.Forget * 3 / 2)
-	w.resume(asleep)
-	return w.until(5*time.Second, func() bool {
-		return slices.ContainsFunc(w.order, func(o *node) bool {
+// deadMemberReturns pauses a member, kills another one after the given time, resumes the first once the others have
+// forgotten both, and reports whether any other member then has the dead one in its view.
+func (sim *simulation) deadMemberReturns(after time.Duration) bool {
+	gone, asleep := sim.order[7], sim.order[3]
+	sim.pause(asleep)
+	sim.run(after)
+	sim.kill(gone)
+	sim.run(sim.settings.Forget * 3 / 2)
+	sim.resume(asleep)
+	return sim.runUntil(5*time.Second, func() bool {
+		return slices.ContainsFunc(sim.order, func(o *node) bool {
 			m, ok := o.member(gone.self.Name)
-			return o != asleep && ok && m.Counted()
+			return o != asleep && ok && m.Active()
 		})
 	}) >= 0
 }
 
-// What waited at a member that was stopped is as old as the stop: what it says of another as fresh must not bring that
-// one back. Seen in one of twenty runs before.
-func TestWhatWaitedDuringAStopIsOld(t *testing.T) {
+// Messages that waited at a paused member are as old as the pause: an update among them that seems fresh must not bring a
+// dead member back. Before that was taken into account, it happened in one of twenty runs.
+func TestMessagesQueuedDuringAPauseCountAsOld(t *testing.T) {
 	for seed := range uint64(20) {
-		set := LAN()
-		set.Sync, set.Forget = 2*time.Second, 8*time.Second
-		if fleet(t, seed, 9, set).comesBack(0) {
+		settings := LAN()
+		settings.Sync, settings.Forget = 2*time.Second, 8*time.Second
+		if newConvergedFleet(t, seed, 9, settings).deadMemberReturns(0) {
 			t.Errorf("seed %d: a dead member came back", seed)
 		}
 	}
 }
 
-// member is what a node knows of a name.
+// member returns the member that a node knows by a name.
 func (n *node) member(name string) (Member, bool) {
 	for _, m := range n.Known() {
 		if m.Name == name {
