--- a/internal/layout/custody/custody.go
+++ b/internal/layout/custody/custody.go
@@ -1,17 +1,17 @@
-// Package custody decides what each searcher is told to hold, to copy and to
-// forget while a layout changes. It has no I/O and no clock.
+// Package custody decides which segments each searcher holds, copies and drops while
+// a layout changes. It does no I/O and reads no clock.
 //
-// A searcher is not sent commands that could get lost: each time it is told the
-// whole of what is wanted of it, an Order, and answers with the whole of how far
-// it is, a Report. What got lost is made good by the next exchange, and so is a
-// searcher or a coordinator that was started again (level-triggered
-// reconciliation, as in control loops).
+// Searchers are not sent individual commands, which could get lost. Each exchange
+// carries the whole desired state of a searcher, an Order, and is answered with its
+// whole actual state, a Report. The next exchange thus makes up for lost messages and
+// for restarts of a searcher or of the coordinator (level-triggered reconciliation, as
+// in control loops).
 //
-// Orders are numbered within the coordinator's term, which is one higher at each
-// start. A searcher passes over what is not newer than the last order that it
-// took: one that was held up on its way must not make it forget a segment that it
-// has been filled with since. It obeys one log for ever: a coordinator with another,
-// begun at an older layout, would have it forget all that came later.
+// Orders are numbered within the coordinator's term, which increases by one at each
+// start. A searcher ignores an order that is not newer than the last one it accepted:
+// a delayed order must not make it drop a segment that it has been filled with since.
+// A searcher accepts orders of one log only: a coordinator with another log, started
+// from an older layout, would make it drop all segments that were added later.
 package custody
 
 import (
@@ -24,111 +24,114 @@
 	"eiderwinch/internal/layout/reshard"
 )
 
-// Order is all that is wanted of a searcher. Drops come before Fills.
+// Order is the whole desired state of a searcher. Drops are carried out before Fills.
 type Order struct {
-	Log    string             `json:"log"` // of the coordinator's log
-	Term   uint64             `json:"term"`
-	Number uint64             `json:"number"`
-	Rows   float64            `json:"rows_per_second"` // of each fill
-	Drops  []layout.SegmentID `json:"drops,omitempty"` // held without need, to be forgotten
-	Fills  []Fill             `json:"fills,omitempty"` // to be copied, then kept up; all others end
+	Log           string             `json:"log"` // identifies the coordinator's log
+	Term          uint64             `json:"term"`
+	Number        uint64             `json:"number"`
+	RowsPerSecond float64            `json:"rows_per_second"` // rate limit of each fill
+	Drops         []layout.SegmentID `json:"drops,omitempty"` // segments that it holds but need not hold any more
+	Fills         []Fill             `json:"fills,omitempty"` // to be copied, then kept up to date; all others are stopped
 }
 
-// After tells that an order is newer than one of the same log.
-func (o Order) After(term, number uint64) bool {
+// IsNewer reports whether the order is newer than the order of the same log with the
+// given term and number.
+func (o Order) IsNewer(term, number uint64) bool {
 	return o.Term > term || o.Term == term && o.Number > number
 }
 
-// Fill is one segment to be copied. What a searcher holds of the segment from
-// another job is cleared first: it may be of long ago.
+// Fill is one segment to be copied. Data of the segment that the searcher holds from
+// another job is deleted first, as it may be outdated.
 type Fill struct {
 	Job     reshard.JobID      `json:"job"`
 	Segment layout.SegmentID   `json:"segment"`
 	From    layout.Key         `json:"from,omitempty"`
 	To      layout.Key         `json:"to,omitempty"`
 	Sources []layout.SegmentID `json:"sources"`
-	Holders []string           `json:"holders"` // of the sources
+	Holders []string           `json:"holders"` // the holders of the sources
 }
 
-// Report is how far a searcher is with an order.
+// Report is the state of a searcher in response to an order.
 type Report struct {
 	Log    string             `json:"log"`
 	Term   uint64             `json:"term"`
-	Number uint64             `json:"number"`         // of the order that it answers
-	Held   []layout.SegmentID `json:"held,omitempty"` // whole or in part, once the order's drops were carried out
+	Number uint64             `json:"number"`         // of the last order that it accepted
+	Held   []layout.SegmentID `json:"held,omitempty"` // complete or partial segments, after the order's drops
 	Fills  []Progress         `json:"fills,omitempty"`
 }
 
-// Progress is how far one fill is.
+// Progress is the progress of one fill.
 type Progress struct {
 	Job      reshard.JobID    `json:"job"`
 	Segment  layout.SegmentID `json:"segment"`
 	Copied   bool             `json:"copied"`
-	BehindMS int64            `json:"behind_ms"` // how far it is behind its sources, once copied
+	BehindMS int64            `json:"behind_ms"` // replication lag behind the sources, once copied
 }
 
 // Limits bound a Ledger. The zero value of a field means its default.
 type Limits struct {
-	Misses int // exchanges in a row that fail until a searcher counts as down; 3
-	Held   int // segments of one searcher that are looked at; 65,536
+	MaxMisses int // consecutive failed exchanges after which a searcher counts as down; default 3
+	MaxHeld   int // segments in one report that are considered; default 65,536
 }
 
-// Counts are what a Ledger has done.
+// Counts are the counters of a Ledger.
 type Counts struct {
 	Orders, Reports int
-	Stale           int // reports of orders that are not the last
-	Fenced          int // reports of orders of another log or a later term
+	Stale           int // reports on an order that is not the latest
+	Fenced          int // reports on orders of another log or a later term
 	Misses          int
 	Downs, Ups      int
-	Drops           int // segments named to be forgotten, each time they were
-	Unseen          int // segments reported beyond Limits.Held
+	Drops           int // segments listed in drops, counted once per order
+	Unseen          int // segments in reports that exceed Limits.MaxHeld
 }
 
-// Ledger is what is wanted of each searcher, and who of them answers.
+// Ledger keeps the desired and the reported state of each searcher, and whether it
+// responds.
 type Ledger struct {
-	limits    Limits
-	log       string
-	term      uint64
-	rows      float64
-	published bool
-	searchers map[string]*searcher
-	counts    Counts
+	limits        Limits
+	log           string
+	term          uint64
+	rowsPerSecond float64
+	published     bool // a layout has been published
+	searchers     map[string]*searcher
+	counts        Counts
 }
 
 type searcher struct {
-	number   uint64                        // of the last order
-	assigned map[layout.SegmentID]struct{} // by the layout: held, being taken over, or held for older epochs
-	held     []layout.SegmentID            // as it reported last
-	fills    []Fill
-	leaving  map[layout.SegmentID]struct{}      // to be told of once they are not held
-	copied   map[layout.SegmentID]reshard.JobID // fills that it has reported to be copied
-	misses   int
-	down     bool
-	fresh    bool // something has changed since the last order
+	number       uint64                        // of the latest order
+	assigned     map[layout.SegmentID]struct{} // by the layout: held, being filled, or held for older epochs
+	held         []layout.SegmentID            // according to its latest report
+	fills        []Fill
+	awaitingDrop map[layout.SegmentID]struct{}      // a Dropped event follows once they are no longer held
+	copied       map[layout.SegmentID]reshard.JobID // fills that it has reported as copied
+	misses       int                                // consecutive failed exchanges
+	down         bool
+	orderDue     bool // something has changed since the latest order
 }
 
-// New returns a ledger for the searchers of a fleet, in a term of a log that no
-// ledger before has had.
-func New(log string, term uint64, searchers []string, rows float64, limits Limits) *Ledger {
-	limits.Misses, limits.Held = cmp.Or(limits.Misses, 3), cmp.Or(limits.Held, 1<<16)
-	l := &Ledger{limits: limits, log: log, term: term, rows: rows, searchers: make(map[string]*searcher)}
+// New returns a ledger for the searchers of a fleet. The term must not have been used
+// with the same log before.
+func New(log string, term uint64, searchers []string, rowsPerSecond float64, limits Limits) *Ledger {
+	limits.MaxMisses, limits.MaxHeld = cmp.Or(limits.MaxMisses, 3), cmp.Or(limits.MaxHeld, 1<<16)
+	l := &Ledger{limits: limits, log: log, term: term, rowsPerSecond: rowsPerSecond, searchers: make(map[string]*searcher)}
 	for _, id := range searchers {
-		l.searchers[id] = &searcher{leaving: make(map[layout.SegmentID]struct{}), copied: make(map[layout.SegmentID]reshard.JobID)}
+		l.searchers[id] = &searcher{awaitingDrop: make(map[layout.SegmentID]struct{}), copied: make(map[layout.SegmentID]reshard.JobID)}
 	}
 	return l
 }
 
-// Counts are what was done so far.
+// Counts returns the counters.
 func (l *Ledger) Counts() Counts { return l.counts }
 
-// Fenced tells that a searcher obeys a later term or another log: another
-// coordinator was started since, or this one's log is not the one. It must end.
+// Fenced reports whether a searcher has accepted an order of a later term or of another
+// log: another coordinator has been started since, or this coordinator has the wrong
+// log. This coordinator must then stop.
 func (l *Ledger) Fenced() bool { return l.counts.Fenced > 0 }
 
-// Rows is the speed of fills in rows a second.
-func (l *Ledger) Rows() float64 { return l.rows }
+// Rows returns the rate limit of fills in rows per second.
+func (l *Ledger) Rows() float64 { return l.rowsPerSecond }
 
-// Down are the searchers that do not answer, in order.
+// Down returns the searchers that do not respond, sorted.
 func (l *Ledger) Down() (out []string) {
 	for id, s := range l.searchers {
 		if s.down {
@@ -139,14 +142,15 @@
 	return out
 }
 
-// Fill wants a target to be filled. Of the same job again it changes nothing.
+// Fill adds a fill of a target. Repeating a fill of the same job keeps its
+// progress.
 func (l *Ledger) Fill(f reshard.Fill) {
 	s := l.searchers[f.Target.Searcher]
 	if s == nil {
-		return // not of the fleet: the coordinator does not choose such
+		return // not in the fleet: the coordinator does not choose such targets
 	}
 	want := Fill{f.Job, f.Target.Segment, f.Keys.From, f.Keys.To, f.Sources, f.From}
-	delete(s.leaving, want.Segment)
+	delete(s.awaitingDrop, want.Segment)
 	i := slices.IndexFunc(s.fills, func(o Fill) bool { return o.Segment == want.Segment })
 	if i < 0 {
 		s.fills = append(s.fills, want)
@@ -156,21 +160,21 @@
 		}
 		s.fills[i] = want
 	}
-	s.fresh = true
+	s.orderDue = true
 }
 
-// Stop ends the fills of a job.
+// Stop removes the fills of a job.
 func (l *Ledger) Stop(job reshard.JobID) {
 	for _, s := range l.searchers {
 		before := len(s.fills)
 		s.fills = slices.DeleteFunc(s.fills, func(f Fill) bool { return f.Job == job })
-		maps.DeleteFunc(s.copied, func(_ layout.SegmentID, by reshard.JobID) bool { return by == job })
-		s.fresh = s.fresh || len(s.fills) != before
+		maps.DeleteFunc(s.copied, func(_ layout.SegmentID, copiedBy reshard.JobID) bool { return copiedBy == job })
+		s.orderDue = s.orderDue || len(s.fills) != before
 	}
 }
 
-// Copying tells that rows are being copied somewhere. Where they only follow what
-// changes nothing is.
+// Copying reports whether any fill is still copying rows. Fills that have been copied
+// and only follow the changes of their sources do not count.
 func (l *Ledger) Copying() bool {
 	for _, s := range l.searchers {
 		if len(s.copied) < len(s.fills) {
@@ -180,20 +184,20 @@
 	return false
 }
 
-// Rate sets the speed of fills in rows a second.
-func (l *Ledger) Rate(rows float64) {
-	l.rows = rows
+// Rate sets the rate limit of fills in rows per second.
+func (l *Ledger) Rate(rowsPerSecond float64) {
+	l.rowsPerSecond = rowsPerSecond
 	for _, s := range l.searchers {
-		s.fresh = s.fresh || len(s.fills) > 0
+		s.orderDue = s.orderDue || len(s.fills) > 0
 	}
 }
 
-// Publish takes in the layout in force. What a searcher holds that it does not
-// assign is to be forgotten: that holds as well for what an earlier coordinator
-// did not get round to, or a searcher brought back from an old disk.
-func (l *Ledger) Publish(now *layout.Layout) {
+// Publish sets the layout in force. Segments that a searcher holds but that are not
+// assigned to it are dropped. This includes segments that an earlier coordinator had
+// not dropped yet, and those of a searcher that was restored from an old disk.
+func (l *Ledger) Publish(current *layout.Layout) {
 	assigned := make(map[string]map[layout.SegmentID]struct{}, len(l.searchers))
-	for s := range now.Segments() {
+	for s := range current.Segments() {
 		for _, list := range [...][]string{s.Holders, s.Next, s.Prev} {
 			for _, h := range list {
 				if assigned[h] == nil {
@@ -205,38 +209,38 @@
 	}
 	l.published = true
 	for id, s := range l.searchers {
-		s.fresh = s.fresh || len(s.assigned) > len(assigned[id])
+		s.orderDue = s.orderDue || len(s.assigned) > len(assigned[id])
 		s.assigned = assigned[id]
 	}
 }
 
-// needs tells that a searcher is to hold a segment.
+// needs reports whether the searcher has to hold a segment.
 func (s *searcher) needs(id layout.SegmentID) bool {
 	_, ok := s.assigned[id]
 	return ok || slices.ContainsFunc(s.fills, func(f Fill) bool { return f.Segment == id })
 }
 
-// Drop wants to be told when a searcher does not hold a segment any more. That it
-// is to forget it follows from the layout.
+// Drop requests a Dropped event for when a searcher no longer holds a segment. That the
+// searcher has to drop the segment follows from the layout.
 func (l *Ledger) Drop(t reshard.Target) {
 	if s := l.searchers[t.Searcher]; s != nil {
-		s.leaving[t.Segment] = struct{}{}
-		s.fresh = true
+		s.awaitingDrop[t.Segment] = struct{}{}
+		s.orderDue = true
 	}
 }
 
-// Fresh tells that a searcher has not been told yet what has changed.
-func (l *Ledger) Fresh(id string) bool { return l.searchers[id].fresh }
+// Fresh reports whether something has changed since the latest order to a searcher.
+func (l *Ledger) Fresh(id string) bool { return l.searchers[id].orderDue }
 
-// Order is the next order to a searcher of the fleet.
+// Order returns the next order to a searcher of the fleet.
 func (l *Ledger) Order(id string) Order {
 	s := l.searchers[id]
 	s.number++
-	s.fresh = false
+	s.orderDue = false
 	l.counts.Orders++
-	o := Order{Log: l.log, Term: l.term, Number: s.number, Rows: l.rows, Fills: slices.Clone(s.fills)}
+	o := Order{Log: l.log, Term: l.term, Number: s.number, RowsPerSecond: l.rowsPerSecond, Fills: slices.Clone(s.fills)}
 	for _, id := range s.held {
-		if l.published && !s.needs(id) { // before the first layout nothing is known to be without need
+		if l.published && !s.needs(id) { // before the first layout it is not known which segments are unneeded
 			o.Drops = append(o.Drops, id)
 			l.counts.Drops++
 		}
@@ -244,15 +248,15 @@
 	return o
 }
 
-// Took takes in a searcher's report, and returns what it tells the coordinator.
-// Only the report of the last order counts: an older one says nothing of what was
-// wanted since.
-func (l *Ledger) Took(who string, r Report) (events []reshard.Event) {
-	s := l.searchers[who]
+// Took records a searcher's report and returns the resulting events for the coordinator.
+// A report on an order other than the latest only shows that the searcher responds: it
+// says nothing about what has been ordered since.
+func (l *Ledger) Took(searcherID string, r Report) (events []reshard.Event) {
+	s := l.searchers[searcherID]
 	if s.down {
 		s.down = false
 		l.counts.Ups++
-		events = append(events, reshard.Up{Searcher: who})
+		events = append(events, reshard.Up{Searcher: searcherID})
 	}
 	s.misses = 0
 	if r.Log != l.log || r.Term > l.term {
@@ -264,37 +268,37 @@
 		return events
 	}
 	l.counts.Reports++
-	if n := len(r.Held) - l.limits.Held; n > 0 {
-		r.Held = r.Held[:l.limits.Held]
+	if n := len(r.Held) - l.limits.MaxHeld; n > 0 {
+		r.Held = r.Held[:l.limits.MaxHeld]
 		l.counts.Unseen += n
 	}
 	s.held = r.Held
-	for _, id := range slices.Sorted(maps.Keys(s.leaving)) {
+	for _, id := range slices.Sorted(maps.Keys(s.awaitingDrop)) {
 		if !slices.Contains(s.held, id) {
-			delete(s.leaving, id)
-			events = append(events, reshard.Dropped{Target: reshard.Target{Segment: id, Searcher: who}})
+			delete(s.awaitingDrop, id)
+			events = append(events, reshard.Dropped{Target: reshard.Target{Segment: id, Searcher: searcherID}})
 		}
 	}
-	s.fresh = s.fresh || slices.ContainsFunc(s.held, func(id layout.SegmentID) bool { return !s.needs(id) })
+	s.orderDue = s.orderDue || slices.ContainsFunc(s.held, func(id layout.SegmentID) bool { return !s.needs(id) })
 	for _, p := range r.Fills {
 		i := slices.IndexFunc(s.fills, func(f Fill) bool { return f.Job == p.Job && f.Segment == p.Segment })
 		if i < 0 || !p.Copied || p.BehindMS < 0 {
 			continue
 		}
 		s.copied[p.Segment] = p.Job
-		t := reshard.Target{Segment: p.Segment, Searcher: who}
+		t := reshard.Target{Segment: p.Segment, Searcher: searcherID}
 		events = append(events, reshard.Copied{Job: p.Job, Target: t},
 			reshard.Lag{Job: p.Job, Target: t, Behind: time.Duration(p.BehindMS) * time.Millisecond})
 	}
 	return events
 }
 
-// Missed books an exchange that failed, and returns what that tells the coordinator.
+// Missed records a failed exchange and returns the resulting events for the coordinator.
 func (l *Ledger) Missed(id string) []reshard.Event {
 	s := l.searchers[id]
 	l.counts.Misses++
 	s.misses++
-	if s.down || s.misses < l.limits.Misses {
+	if s.down || s.misses < l.limits.MaxMisses {
 		return nil
 	}
 	s.down = true
@@ -302,5 +306,5 @@
 	return []reshard.Event{reshard.Down{Searcher: id}}
 }
 
-// Searchers are those of the fleet, in order.
+// Searchers returns the searchers of the fleet, sorted.
 func (l *Ledger) Searchers() []string { return slices.Sorted(maps.Keys(l.searchers)) }
--- a/internal/layout/custody/custody_test.go
+++ b/internal/layout/custody/custody_test.go
@@ -15,19 +15,19 @@
 
 func TestMain(m *testing.M) { steady.Main(m) }
 
-// model is a searcher that obeys orders.
-type model struct {
+// fakeSearcher is a fake of a searcher: it carries out orders and reports.
+type fakeSearcher struct {
 	log          string
 	term, number uint64
-	held         map[layout.SegmentID]reshard.JobID // with the job that it was filled for; 0 from the beginning on
+	held         map[layout.SegmentID]reshard.JobID // with the job that filled it; 0 if held from the start
 	fills        []Fill
 }
 
-func (m *model) take(o Order) Report {
+func (m *fakeSearcher) take(o Order) Report {
 	if m.log == "" {
 		m.log = o.Log
 	}
-	if o.Log == m.log && o.After(m.term, m.number) {
+	if o.Log == m.log && o.IsNewer(m.term, m.number) {
 		m.term, m.number = o.Term, o.Number
 		for _, id := range o.Drops {
 			delete(m.held, id)
@@ -45,7 +45,7 @@
 	return r
 }
 
-func first(t rapid.TB) *layout.Layout {
+func firstLayout(t rapid.TB) *layout.Layout {
 	l, err := layout.First(
 		layout.Segment{ID: 0, Keys: layout.Range{To: "m"}, Holders: []string{"a", "b"}},
 		layout.Segment{ID: 1, Keys: layout.Range{From: "m"}, Holders: []string{"b", "c"}})
@@ -55,29 +55,31 @@
 	return l
 }
 
-// TestNothingNeededIsForgotten moves segments to and fro while orders and reports
-// get lost, come twice, come late or after a restart of the coordinator.
-func TestNothingNeededIsForgotten(t *testing.T) {
+// TestNeededSegmentsAreNotDropped moves segments between searchers while orders and
+// reports are lost, duplicated, delayed or arrive after a restart of the coordinator. A
+// holder must never drop a segment that it serves, and when all moves are over, former
+// holders must have dropped theirs.
+func TestNeededSegmentsAreNotDropped(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		now := first(t)
+		current := firstLayout(t)
 		names := []string{"a", "b", "c"}
-		models := make(map[string]*model)
+		searchers := make(map[string]*fakeSearcher)
 		for _, n := range names {
-			models[n] = &model{held: make(map[layout.SegmentID]reshard.JobID)}
+			searchers[n] = &fakeSearcher{held: make(map[layout.SegmentID]reshard.JobID)}
 		}
-		for s := range now.Serving() {
+		for s := range current.Serving() {
 			for _, h := range s.Holders {
-				models[h].held[s.ID] = 0
+				searchers[h].held[s.ID] = 0
 			}
 		}
 		term, job := uint64(1), reshard.JobID(0)
 		l := New("x", term, names, 100, Limits{})
-		l.Publish(now)
-		var late []Order // on their way, by whom below
-		var to []string
-		open := make(map[layout.SegmentID]layout.Change)
-		exchange := func(id string) { l.Took(id, models[id].take(l.Order(id))) }
-		settle := func() {
+		l.Publish(current)
+		var delayed []Order    // not delivered yet
+		var delayedTo []string // the searcher of each delayed order
+		pending := make(map[layout.SegmentID]layout.Change)
+		exchange := func(id string) { l.Took(id, searchers[id].take(l.Order(id))) }
+		exchangeAll := func() {
 			for range 3 {
 				for _, id := range names {
 					exchange(id)
@@ -86,16 +88,16 @@
 		}
 		t.Repeat(map[string]func(*rapid.T){
 			"prepare": func(t *rapid.T) {
-				s := rapid.SampledFrom(slices.Collect(now.Serving())).Draw(t, "segment")
+				s := rapid.SampledFrom(slices.Collect(current.Serving())).Draw(t, "segment")
 				i := rapid.IntRange(0, 2).Draw(t, "not to")
 				c := layout.Change{Kind: layout.Move, Segments: []layout.SegmentID{s.ID}, Holders: [][]string{{names[(i+1)%3], names[(i+2)%3]}}}
-				next, _, err := now.Prepare(c)
+				next, _, err := current.Prepare(c)
 				if err != nil {
 					t.Skip(err)
 				}
 				job++
-				now, open[s.ID] = next, c
-				l.Publish(now)
+				current, pending[s.ID] = next, c
+				l.Publish(current)
 				for _, h := range next.Segment(s.ID).Next {
 					if !slices.Contains(s.Holders, h) {
 						l.Fill(reshard.Fill{Job: job, Target: reshard.Target{Segment: s.ID, Searcher: h}, From: s.Holders})
@@ -103,63 +105,63 @@
 				}
 			},
 			"finish": func(t *rapid.T) {
-				for _, id := range slices.Sorted(maps.Keys(open)) {
-					c := open[id]
-					if settle(); rapid.Bool().Draw(t, "abort") {
-						now, _ = now.Abort(c, nil)
+				for _, id := range slices.Sorted(maps.Keys(pending)) {
+					c := pending[id]
+					if exchangeAll(); rapid.Bool().Draw(t, "abort") {
+						current, _ = current.Abort(c, nil)
 					} else {
-						now, _ = now.CutOver(c, nil)
-						now, _ = now.Retire(c)
+						current, _ = current.CutOver(c, nil)
+						current, _ = current.Retire(c)
 					}
 					for j := reshard.JobID(1); j <= job; j++ {
 						l.Stop(j)
 					}
-					l.Publish(now)
-					delete(open, id)
+					l.Publish(current)
+					delete(pending, id)
 				}
 			},
 			"exchange": func(t *rapid.T) { exchange(rapid.SampledFrom(names).Draw(t, "searcher")) },
 			"lost answer": func(t *rapid.T) {
 				id := rapid.SampledFrom(names).Draw(t, "searcher")
-				models[id].take(l.Order(id))
+				searchers[id].take(l.Order(id))
 				l.Missed(id)
 			},
 			"held up": func(t *rapid.T) {
 				id := rapid.SampledFrom(names).Draw(t, "searcher")
-				late, to = append(late, l.Order(id)), append(to, id)
+				delayed, delayedTo = append(delayed, l.Order(id)), append(delayedTo, id)
 				l.Missed(id)
 			},
 			"arrives late": func(t *rapid.T) {
-				if len(late) == 0 {
+				if len(delayed) == 0 {
 					t.Skip("none")
 				}
-				i := rapid.IntRange(0, len(late)-1).Draw(t, "order")
-				l.Took(to[i], models[to[i]].take(late[i]))
+				i := rapid.IntRange(0, len(delayed)-1).Draw(t, "order")
+				l.Took(delayedTo[i], searchers[delayedTo[i]].take(delayed[i]))
 			},
 			"coordinator restarts": func(t *rapid.T) {
-				if len(open) > 0 {
-					t.Skip("a change is open: its fills would be told again")
+				if len(pending) > 0 {
+					t.Skip("a change is pending: its fills would have to be added again")
 				}
 				term++
 				l = New("x", term, names, 100, Limits{})
-				l.Publish(now)
+				l.Publish(current)
 			},
 			"": func(t *rapid.T) {
-				for s := range now.Serving() {
+				for s := range current.Serving() {
 					for _, h := range s.Holders {
-						if _, ok := models[h].held[s.ID]; !ok {
-							t.Fatalf("%s does not hold %d in epoch %d", h, s.ID, now.Epoch())
+						if _, ok := searchers[h].held[s.ID]; !ok {
+							t.Fatalf("%s does not hold %d in epoch %d", h, s.ID, current.Epoch())
 						}
 					}
 				}
 			},
 		})
-		if len(open) == 0 {
-			settle()
-			for id, m := range models {
+		if len(pending) == 0 {
+			exchangeAll()
+			for id, m := range searchers {
 				for segment := range m.held {
-					if !slices.Contains(now.Segment(segment).Holders, id) {
-						t.Fatalf("%s still holds %d: %v", id, segment, now.Segment(segment).Holders)
+					if !slices.Contains(current.Segment(segment).Holders, id) {
+						t.Fatalf("%s still holds %d: %v", id, segment, current.Segment(segment).Holders)
 					}
 				}
 			}
@@ -167,13 +169,16 @@
 	})
 }
 
-func TestDownUpDroppedAndFenced(t *testing.T) {
+// Exchanges must produce the events that the coordinator relies on: Down after three
+// misses, Up at the next report, Dropped only from a report on the latest order. Reports
+// of a later term or of another log must fence the ledger.
+func TestEventsAndFencing(t *testing.T) {
 	l := New("x", 7, []string{"a", "b"}, 100, Limits{})
 	if o := l.Order("a"); len(o.Drops) > 0 {
-		t.Errorf("before a layout is known %v are dropped", o.Drops)
+		t.Errorf("dropped before a layout is known: %v", o.Drops)
 	}
 	l.Took("a", Report{Log: "x", Term: 7, Number: 1, Held: []layout.SegmentID{0, 9}})
-	l.Publish(first(t))
+	l.Publish(firstLayout(t))
 	l.Drop(reshard.Target{Segment: 9, Searcher: "a"})
 	o := l.Order("a")
 	if !slices.Equal(o.Drops, []layout.SegmentID{9}) {
@@ -181,31 +186,33 @@
 	}
 	for i, want := range []int{0, 0, 1, 0} {
 		if got := l.Missed("a"); len(got) != want {
-			t.Errorf("miss %d tells %v", i+1, got)
+			t.Errorf("miss %d returns %v", i+1, got)
 		}
 	}
 	if got := fmt.Sprint(l.Took("a", Report{Log: "x", Term: 7, Number: 1})); got != "[{a }]" || l.Counts().Stale != 1 {
-		t.Errorf("an old report tells %s, want Up alone", got)
+		t.Errorf("an old report returns %s, want Up only", got)
 	}
 	if got := fmt.Sprint(l.Took("a", Report{Log: "x", Term: 7, Number: 2, Held: []layout.SegmentID{0}})); got != "[{{9 a}}]" {
-		t.Errorf("the report tells %s, want Dropped", got)
+		t.Errorf("the report returns %s, want Dropped", got)
 	}
 	for name, r := range map[string]Report{"a later term": {Log: "x", Term: 8, Number: 1}, "another log": {Log: "y", Term: 7, Number: 1}} {
 		l := New("x", 7, []string{"b"}, 100, Limits{})
 		l.Order("b")
 		if l.Fenced() || len(l.Took("b", r)) > 0 || !l.Fenced() {
-			t.Errorf("%s must fence, and tell nothing else", name)
+			t.Errorf("%s must fence the ledger and return no events", name)
 		}
 	}
 }
 
-func TestCopyingEndsWithTheLastCopy(t *testing.T) {
+// A fill counts as copying until its own job has reported it as copied: a report of an
+// earlier job for the same segment must not end it.
+func TestCopyingEndsWhenAllFillsAreCopied(t *testing.T) {
 	l := New("x", 1, []string{"a"}, 100, Limits{})
-	l.Publish(first(t))
+	l.Publish(firstLayout(t))
 	target := reshard.Target{Segment: 5, Searcher: "a"}
 	l.Fill(reshard.Fill{Job: 3, Target: target})
 	if !l.Copying() {
-		t.Error("a fill has begun")
+		t.Error("a new fill does not count as copying")
 	}
 	r := Report{Log: "x", Term: 1, Number: l.Order("a").Number, Fills: []Progress{{Job: 2, Segment: 5, Copied: true}, {Job: 3, Segment: 5, Copied: true, BehindMS: 4}}}
 	if got := l.Took("a", r); len(got) != 2 || l.Copying() {
