--- a/internal/layout/change.go
+++ b/internal/layout/change.go
@@ -5,29 +5,29 @@
 	"slices"
 )
 
-// ChangeKind is a kind of change.
+// ChangeKind is the kind of a change to a layout.
 type ChangeKind uint8
 
-// The kinds of changes.
+// The kinds of changes to a layout.
 const (
-	Split ChangeKind = iota // one segment becomes two
-	Merge                   // two neighbours become one
-	Move                    // other searchers hold a segment
-	changeKinds
+	Split ChangeKind = iota // replaces one segment by two
+	Merge                   // replaces two adjacent segments by one
+	Move                    // moves a segment to other searchers
+	changeKindCount
 )
 
-var changeNames = [changeKinds]string{"split", "merge", "move"}
+var changeKindNames = [changeKindCount]string{"split", "merge", "move"}
 
 func (k ChangeKind) String() string {
-	if k < changeKinds {
-		return changeNames[k]
+	if k < changeKindCount {
+		return changeKindNames[k]
 	}
 	return fmt.Sprintf("ChangeKind(%d)", uint8(k))
 }
 
-// ParseChangeKind reads a kind's name.
+// ParseChangeKind parses the name of a kind of change.
 func ParseChangeKind(name string) (ChangeKind, error) {
-	for k, n := range changeNames {
+	for k, n := range changeKindNames {
 		if n == name {
 			return ChangeKind(k), nil
 		}
@@ -35,14 +35,14 @@
 	return 0, fmt.Errorf("change %q, want split, merge or move", name)
 }
 
-// Change is one change to a layout. It goes through Prepare, CutOver and
-// Retire, each of which makes an epoch; before CutOver, Abort takes it back.
+// Change is one change to a layout. It takes three steps, Prepare, CutOver and
+// Retire, each of which creates an epoch. Before CutOver, Abort cancels it.
 type Change struct {
 	Kind     ChangeKind
 	Segments []SegmentID // Split, Move: one. Merge: two, the one with the lower keys first
 	At       Key         // Split: the first key of the upper half
-	Share    float64     // Split: the part of the weight that falls to the lower half, between 0 and 1
-	Holders  [][]string  // Split: of the lower and the upper half. Merge, Move: one list
+	Share    float64     // Split: the fraction of the weight that the lower half gets, between 0 and 1
+	Holders  [][]string  // Split: two lists, for the lower and the upper half. Merge, Move: one list
 }
 
 func (c Change) String() string {
@@ -54,8 +54,8 @@
 	}
 }
 
-// check tells whether a change has the form that its kind wants.
-func (c Change) check() error {
+// validate returns an error if the fields of the change do not suit its kind.
+func (c Change) validate() error {
 	segments, lists := 1, 1
 	switch c.Kind {
 	case Split:
@@ -83,10 +83,10 @@
 	return nil
 }
 
-// Prepare makes the epoch in which the heirs of a change are being filled, and
-// returns their numbers; a Move has none. Nothing changes for queries.
+// Prepare creates the epoch in which the successor segments of a change are filled. It
+// returns their numbers; a Move has none. Queries are not affected yet.
 func (l *Layout) Prepare(c Change) (*Layout, []SegmentID, error) {
-	if err := c.check(); err != nil {
+	if err := c.validate(); err != nil {
 		return nil, nil, err
 	}
 	parents := make([]*Segment, len(c.Segments))
@@ -97,45 +97,45 @@
 			return nil, nil, fmt.Errorf("%v: segment %d: %w", c.Kind, id, ErrUnknown)
 		case s.State != Serving:
 			return nil, nil, fmt.Errorf("%v: segment %d is %v: %w", c.Kind, id, s.State, ErrConflict)
-		case len(s.Next) > 0 || len(s.Prev) > 0 || l.heirs(id) != nil:
+		case len(s.Next) > 0 || len(s.Prev) > 0 || l.successorsOf(id) != nil:
 			return nil, nil, fmt.Errorf("%v: segment %d: %w", c.Kind, id, ErrConflict)
 		}
 	}
 	e := l.Edit()
-	var heirs []SegmentID
-	heir := func(keys Range, holders []string) {
+	var successors []SegmentID
+	addSuccessor := func(keys Range, holders []string) {
 		s := e.add(keys, Preparing, holders)
 		s.Of = slices.Clone(c.Segments)
-		heirs = append(heirs, s.ID)
+		successors = append(successors, s.ID)
 	}
 	switch first := parents[0]; c.Kind {
 	case Split:
 		if !first.Keys.Holds(c.At) || c.At == first.Keys.From {
 			return nil, nil, fmt.Errorf("split: key %q does not divide %v", string(c.At), first.Keys)
 		}
-		heir(Range{first.Keys.From, c.At}, c.Holders[0])
-		heir(Range{c.At, first.Keys.To}, c.Holders[1])
+		addSuccessor(Range{first.Keys.From, c.At}, c.Holders[0])
+		addSuccessor(Range{c.At, first.Keys.To}, c.Holders[1])
 	case Merge:
 		second := parents[1]
 		if first.Keys.To == "" || first.Keys.To != second.Keys.From {
-			return nil, nil, fmt.Errorf("merge: segment %d %v does not come right before %d %v",
+			return nil, nil, fmt.Errorf("merge: segment %d %v is not directly followed by segment %d %v",
 				first.ID, first.Keys, second.ID, second.Keys)
 		}
-		heir(Range{first.Keys.From, second.Keys.To}, c.Holders[0])
+		addSuccessor(Range{first.Keys.From, second.Keys.To}, c.Holders[0])
 	case Move:
 		s := first.clone()
 		s.Next = slices.Sorted(slices.Values(c.Holders[0]))
 		if slices.Equal(s.Next, s.Holders) {
-			return nil, nil, fmt.Errorf("move: segment %d is held by %v already", s.ID, s.Holders)
+			return nil, nil, fmt.Errorf("move: segment %d is already held by %v", s.ID, s.Holders)
 		}
 		e.put(s)
 	}
 	next, err := e.Commit()
-	return next, heirs, err
+	return next, successors, err
 }
 
-// heirs are the segments that are being prepared in a segment's place.
-func (l *Layout) heirs(of SegmentID) (out []SegmentID) {
+// successorsOf returns the segments that are being prepared to replace a segment.
+func (l *Layout) successorsOf(of SegmentID) (out []SegmentID) {
 	for _, s := range l.segments {
 		if s.State == Preparing && slices.Contains(s.Of, of) {
 			out = append(out, s.ID)
@@ -144,10 +144,10 @@
 	return out
 }
 
-// CutOver makes the epoch in which the heirs serve. Those that had the keys
-// before go on answering queries of older epochs: the parents of a Split or
-// Merge are Retiring, the old holders of a Move are in Prev.
-func (l *Layout) CutOver(c Change, heirs []SegmentID) (*Layout, error) {
+// CutOver creates the epoch in which the successors serve. The former holders
+// continue to answer queries of older epochs: the parents of a Split or Merge become
+// Retiring, and the old holders of a Move are listed in Prev.
+func (l *Layout) CutOver(c Change, successors []SegmentID) (*Layout, error) {
 	e := l.Edit()
 	if c.Kind == Move {
 		s := l.Segment(c.Segments[0])
@@ -164,10 +164,10 @@
 		e.put(s)
 		return e.Commit()
 	}
-	for _, id := range heirs {
+	for _, id := range successors {
 		s := l.Segment(id)
 		if s == nil || s.State != Preparing {
-			return nil, fmt.Errorf("%v: heir %d is not prepared: %w", c.Kind, id, ErrUnknown)
+			return nil, fmt.Errorf("%v: successor %d is not prepared: %w", c.Kind, id, ErrUnknown)
 		}
 		s = s.clone()
 		s.State, s.Of = Serving, nil
@@ -176,29 +176,29 @@
 	for _, id := range c.Segments {
 		s := l.Segment(id)
 		if s == nil || s.State != Serving {
-			return nil, fmt.Errorf("%v: segment %d does not serve: %w", c.Kind, id, ErrUnknown)
+			return nil, fmt.Errorf("%v: segment %d is not serving: %w", c.Kind, id, ErrUnknown)
 		}
 		s = s.clone()
 		s.State = Retiring
 		e.put(s)
 		if c.Kind == Split {
-			e.inherit(id, Share{heirs[0], c.Share}, Share{heirs[1], 1 - c.Share})
+			e.addLineage(id, Successor{successors[0], c.Share}, Successor{successors[1], 1 - c.Share})
 		} else {
-			e.inherit(id, Share{heirs[0], 1})
+			e.addLineage(id, Successor{successors[0], 1})
 		}
 	}
 	return e.Commit()
 }
 
-// Retire makes the epoch in which nobody answers queries of before CutOver any
-// more. It is for when the last of them has ended.
+// Retire creates the epoch in which queries from before CutOver are no longer
+// answered. It is called when the last of these queries has ended.
 func (l *Layout) Retire(c Change) (*Layout, error) {
 	e := l.Edit()
 	for _, id := range c.Segments {
 		switch s := l.Segment(id); {
 		case s == nil && c.Kind == Move:
-			// One that only gained holders left nobody behind, so another change may
-			// have had the segment since.
+			// A move that only added holders leaves no previous holders, so another
+			// change may have replaced the segment since.
 		case s == nil:
 			return nil, fmt.Errorf("%v: segment %d: %w", c.Kind, id, ErrUnknown)
 		case c.Kind == Move:
@@ -208,15 +208,15 @@
 		case s.State != Retiring:
 			return nil, fmt.Errorf("%v: segment %d is %v, not retiring: %w", c.Kind, id, s.State, ErrConflict)
 		default:
-			e.drop(id)
+			e.remove(id)
 		}
 	}
 	return e.Commit()
 }
 
-// Abort makes the epoch in which a change that was not cut over has left
-// nothing behind but the numbers of its heirs, which are not used again.
-func (l *Layout) Abort(c Change, heirs []SegmentID) (*Layout, error) {
+// Abort creates the epoch in which a change that was not cut over is undone. The
+// numbers of its successors are not reused.
+func (l *Layout) Abort(c Change, successors []SegmentID) (*Layout, error) {
 	e := l.Edit()
 	if c.Kind == Move {
 		s := l.Segment(c.Segments[0])
@@ -228,12 +228,12 @@
 		e.put(s)
 		return e.Commit()
 	}
-	for _, id := range heirs {
+	for _, id := range successors {
 		s := l.Segment(id)
 		if s == nil || s.State != Preparing {
-			return nil, fmt.Errorf("%v: heir %d is past its cut-over: %w", c.Kind, id, ErrConflict)
+			return nil, fmt.Errorf("%v: successor %d is already cut over: %w", c.Kind, id, ErrConflict)
 		}
-		e.drop(id)
+		e.remove(id)
 	}
 	return e.Commit()
 }
--- a/internal/layout/check.go
+++ b/internal/layout/check.go
@@ -7,13 +7,13 @@
 	"slices"
 )
 
-// Fleet is the searchers that may hold segments.
+// Fleet describes the searchers that can hold segments.
 type Fleet struct {
-	Zones    map[string]string // data centre by searcher
-	Replicas int               // holders that each serving segment needs; at least 1
+	Zones    map[string]string // the data centre of each searcher
+	Replicas int               // the number of holders that each serving segment needs; at least 1
 }
 
-// zoneCount is how many data centres there are.
+// zoneCount returns the number of distinct data centres.
 func (f Fleet) zoneCount() int {
 	seen := make(map[string]struct{})
 	for _, z := range f.Zones {
@@ -22,49 +22,50 @@
 	return len(seen)
 }
 
-// mostFaults is how many faults Check lists; the rest is counted.
-const mostFaults = 20
+// maxFaults is the number of faults that Check lists; further ones are only counted.
+const maxFaults = 20
 
-// Check tells all that is wrong with a layout on a fleet, or nil: numbers,
-// lineage, and that each serving segment has its holders, in different data
-// centres as far as these go. That each key is served once holds for any Layout.
+// Check returns all faults of the layout on a fleet, joined, or nil. It checks the
+// segment numbers, the lineages, and that each segment that is not Retiring has enough
+// holders, in different data centres as far as there are enough of these. It need not
+// check that each key is in exactly one serving segment: this is true of every Layout.
 func (l *Layout) Check(f Fleet) error {
 	var faults []error
-	more := 0
-	fault := func(format string, args ...any) {
-		if len(faults) < mostFaults {
+	omitted := 0
+	addFault := func(format string, args ...any) {
+		if len(faults) < maxFaults {
 			faults = append(faults, fmt.Errorf(format, args...))
 		} else {
-			more++
+			omitted++
 		}
 	}
 	zones := min(max(f.Replicas, 1), max(f.zoneCount(), 1))
 	var seen []string
 	for _, s := range l.segments {
-		if s.ID >= l.next {
-			fault("segment %d: number not given out yet, the next is %d", s.ID, l.next)
+		if s.ID >= l.nextID {
+			addFault("segment %d: number is not assigned yet, the next is %d", s.ID, l.nextID)
 		}
-		for what, list := range [...][]string{s.Holders, s.Next, s.Prev} {
+		for listIndex, list := range [...][]string{s.Holders, s.Next, s.Prev} {
 			for i, h := range list {
 				_, known := f.Zones[h]
 				if i > 0 && list[i-1] == h {
-					fault("segment %d: searcher %q stands twice in %s", s.ID, h, listNames[what])
+					addFault("segment %d: searcher %q is listed twice in %s", s.ID, h, listNames[listIndex])
 				}
-				// Those that had it before may be gone by now.
-				if !known && what != prevList {
-					fault("segment %d: %w: %s holds searcher %q", s.ID, ErrUnknown, listNames[what], h)
+				// Previous holders may have left the fleet.
+				if !known && listIndex != prevList {
+					addFault("segment %d: %w: %s lists searcher %q", s.ID, ErrUnknown, listNames[listIndex], h)
 				}
 			}
 		}
 		if s.State == Retiring {
 			continue
 		}
-		for what, list := range [...][]string{s.Holders, s.Next} {
-			if what == nextList && len(list) == 0 {
+		for listIndex, list := range [...][]string{s.Holders, s.Next} {
+			if listIndex == nextList && len(list) == 0 {
 				continue
 			}
 			if len(list) < max(f.Replicas, 1) {
-				fault("segment %d (%v): %w: %d in %s, want %d", s.ID, s.State, ErrHolders, len(list), listNames[what], max(f.Replicas, 1))
+				addFault("segment %d (%v): %w: %d in %s, want %d", s.ID, s.State, ErrHolders, len(list), listNames[listIndex], max(f.Replicas, 1))
 				continue
 			}
 			seen = seen[:0]
@@ -74,29 +75,29 @@
 				}
 			}
 			if len(seen) < zones {
-				fault("segment %d (%v): %w: %d for %s, want %d", s.ID, s.State, ErrZones, len(seen), listNames[what], zones)
+				addFault("segment %d (%v): %w: %d for %s, want %d", s.ID, s.State, ErrZones, len(seen), listNames[listIndex], zones)
 			}
 		}
 	}
-	for _, n := range l.lines {
+	for _, lineage := range l.lineages {
 		sum := 0.0
-		for _, h := range n.Heirs {
-			sum += h.Weight
-			if !(h.Weight > 0) || l.Segment(h.To) == nil && l.Line(h.To) == nil {
-				fault("segment %d: %w: share %v to segment %d", n.From, ErrLineage, h.Weight, h.To)
+		for _, s := range lineage.Successors {
+			sum += s.Weight
+			if !(s.Weight > 0) || l.Segment(s.Segment) == nil && l.Lineage(s.Segment) == nil {
+				addFault("segment %d: %w: share %v to segment %d", lineage.From, ErrLineage, s.Weight, s.Segment)
 			}
 		}
-		if math.Abs(sum-1) > weightSlack {
-			fault("segment %d: %w: the shares add up to %v", n.From, ErrLineage, sum)
+		if math.Abs(sum-1) > weightTolerance {
+			addFault("segment %d: %w: the shares add up to %v", lineage.From, ErrLineage, sum)
 		}
 	}
-	if more > 0 {
-		faults = append(faults, fmt.Errorf("and %d faults more", more))
+	if omitted > 0 {
+		faults = append(faults, fmt.Errorf("and %d more faults", omitted))
 	}
 	return errors.Join(faults...)
 }
 
-// The lists of a Segment, as Check numbers them.
+// Indices into listNames of the lists of a Segment that Check treats specially.
 const (
 	nextList = 1
 	prevList = 2
@@ -104,25 +105,26 @@
 
 var listNames = [...]string{"holders", "next", "prev"}
 
-// Kind is a kind of difference.
-type Kind uint8
+// DifferenceKind is the kind of a difference between two epochs.
+type DifferenceKind uint8
 
-// The kinds of differences.
+// The kinds of differences between two epochs.
 const (
-	Added   Kind = iota // a new segment
-	Removed             // its number is in use no more
-	Moved               // its holders, next or previous ones, are others
-	Turned              // its state is another
-	Resized             // its keys are others; Edit never does that
+	Added          DifferenceKind = iota // the segment is new
+	Removed                              // the segment no longer exists
+	HoldersChanged                       // its holders, next holders or previous holders are different
+	StateChanged                         // its state is different
+	KeysChanged                          // its key range is different; the changes of this package never do that
 )
 
-func (k Kind) String() string {
+func (k DifferenceKind) String() string {
 	return [...]string{"added", "removed", "moved", "turned", "resized"}[k]
 }
 
-// Difference is one way in which two epochs differ. Old is nil for Added, New for Removed.
+// Difference is one difference between two epochs. Old is nil if Kind is Added, New is
+// nil if it is Removed.
 type Difference struct {
-	Kind     Kind
+	Kind     DifferenceKind
 	ID       SegmentID
 	Old, New *Segment
 }
@@ -133,9 +135,9 @@
 		return fmt.Sprintf("+ segment %d %v %v on %v", d.ID, d.New.State, d.New.Keys, d.New.Holders)
 	case Removed:
 		return fmt.Sprintf("- segment %d %v %v", d.ID, d.Old.State, d.Old.Keys)
-	case Turned:
+	case StateChanged:
 		return fmt.Sprintf("~ segment %d: %v, was %v", d.ID, d.New.State, d.Old.State)
-	case Resized:
+	case KeysChanged:
 		return fmt.Sprintf("~ segment %d: %v, was %v", d.ID, d.New.Keys, d.Old.Keys)
 	default:
 		return fmt.Sprintf("~ segment %d: holders %v next %v prev %v, was %v next %v prev %v",
@@ -143,8 +145,8 @@
 	}
 }
 
-// Diff lists in which ways new differs from old, by number. What the two share
-// is not looked into.
+// Diff returns the differences between old and new, ordered by segment number.
+// Segments that the two share are not compared in detail.
 func Diff(old, new *Layout) []Difference {
 	var out []Difference
 	i, j := 0, 0
@@ -163,13 +165,13 @@
 				continue
 			}
 			if a.Keys != b.Keys {
-				out = append(out, Difference{Resized, a.ID, a, b})
+				out = append(out, Difference{KeysChanged, a.ID, a, b})
 			}
 			if a.State != b.State {
-				out = append(out, Difference{Turned, a.ID, a, b})
+				out = append(out, Difference{StateChanged, a.ID, a, b})
 			}
 			if !slices.Equal(a.Holders, b.Holders) || !slices.Equal(a.Next, b.Next) || !slices.Equal(a.Prev, b.Prev) {
-				out = append(out, Difference{Moved, a.ID, a, b})
+				out = append(out, Difference{HoldersChanged, a.ID, a, b})
 			}
 		}
 	}
--- a/internal/layout/layout.go
+++ b/internal/layout/layout.go
@@ -1,14 +1,14 @@
-// Package layout says which segments a catalogue is split into, which keys each
-// covers and which searchers hold it, and how that changes while queries run.
+// Package layout describes how a catalogue is divided into segments: the key range
+// of each segment, the searchers that hold it, and how both change while queries run.
 //
-// A Layout is one epoch: it never changes. A change makes the next epoch out of
-// it, which shares with it all that stayed the same. Segments have numbers that
-// are never used again, so a query, an answer or a log line that names a segment
-// means the same keys for ever; what became of a number is kept as its lineage,
-// along which Translate carries a query's parts.
+// A Layout is one epoch and is immutable. A change creates the next epoch, which
+// shares all unchanged data with the previous one. Segment numbers are never reused,
+// so a segment number in a query, an answer or a log line always refers to the same
+// keys. When a segment is replaced, its lineage records its successors, and Translate
+// follows the lineage to map the parts of a query to current segments.
 //
-// The package does no I/O, reads no clock and starts no goroutine. A Layout may
-// be read from many goroutines at once.
+// The package does no I/O, reads no clock and starts no goroutines. A Layout is
+// safe for concurrent use.
 package layout
 
 import (
@@ -19,51 +19,51 @@
 	"slices"
 )
 
-// SegmentID is a segment's number. Numbers start at 0 and are never used again.
+// SegmentID is the number of a segment. Numbers start at 0 and are never reused.
 type SegmentID uint32
 
-// Epoch numbers the layouts, one after the other. The first is 1.
+// Epoch is the version number of a layout. Epochs are consecutive and start at 1.
 type Epoch uint64
 
-// Key is a key of the catalogue. Keys are ordered as strings are, by bytes.
+// Key is a key of the catalogue. Keys are ordered bytewise, like strings.
 type Key string
 
-// Range is the keys from From, included, to To, excluded. An empty From means
-// from the first key on, an empty To up to the last and with it.
+// Range is the half-open key range from From (inclusive) to To (exclusive). An empty
+// From means no lower bound, an empty To no upper bound.
 type Range struct{ From, To Key }
 
 // All is the range of all keys.
 var All = Range{}
 
-// Holds tells that a key lies in the range.
+// Holds reports whether the range contains key k.
 func (r Range) Holds(k Key) bool { return k >= r.From && (r.To == "" || k < r.To) }
 
-// Empty tells that no key lies in the range.
+// Empty reports whether the range contains no keys.
 func (r Range) Empty() bool { return r.To != "" && r.From >= r.To }
 
 func (r Range) String() string { return fmt.Sprintf("[%q, %q)", string(r.From), string(r.To)) }
 
-// State is what a segment is for.
+// State is the state of a segment.
 type State uint8
 
-// The states of a segment. Of each key exactly one Serving segment holds it.
+// The states of a segment. Each key is in exactly one Serving segment.
 const (
-	Preparing State = iota // being filled; queries do not name it yet
-	Serving                // queries of this epoch name it
-	Retiring               // only queries of older epochs name it
-	states
+	Preparing State = iota // being filled; not yet used by queries
+	Serving                // used by queries of this epoch
+	Retiring               // used by queries of older epochs only
+	stateCount
 )
 
-var stateNames = [states]string{"preparing", "serving", "retiring"}
+var stateNames = [stateCount]string{"preparing", "serving", "retiring"}
 
 func (s State) String() string {
-	if s < states {
+	if s < stateCount {
 		return stateNames[s]
 	}
 	return fmt.Sprintf("State(%d)", uint8(s))
 }
 
-// ParseState reads a state's name.
+// ParseState parses the name of a state.
 func ParseState(name string) (State, error) {
 	for s, n := range stateNames {
 		if n == name {
@@ -73,21 +73,21 @@
 	return 0, fmt.Errorf("state %q, want preparing, serving or retiring", name)
 }
 
-// Segment is one segment in one epoch. It is not changed once it is in a Layout.
+// Segment is one segment in one epoch. It must not be modified once it is in a Layout.
 type Segment struct {
 	ID    SegmentID
 	Keys  Range
 	State State
 
-	// Holders are the searchers that answer for it, sorted. Next are those that
-	// are being filled to take their place, and Prev those that had it before
-	// and still answer queries of older epochs.
+	// Holders are the searchers that serve the segment. Next are the searchers that
+	// are being filled to replace them. Prev are former holders that still answer
+	// queries of older epochs. All three are sorted.
 	Holders, Next, Prev []string
 
-	Of []SegmentID // Preparing: those whose keys it takes over
+	Of []SegmentID // if Preparing: the segments whose keys it takes over
 }
 
-// clone returns a copy that may be changed.
+// clone returns a shallow copy whose fields may be replaced.
 func (s *Segment) clone() *Segment {
 	c := *s
 	return &c
@@ -99,88 +99,92 @@
 		slices.Equal(s.Of, o.Of)
 }
 
-// Share is a segment and the part of another's weight that fell to it.
-type Share struct {
-	To     SegmentID
-	Weight float64 // above 0; those of one Line add up to 1
+// Successor is a segment that has taken over keys of another segment, with the
+// fraction of that segment's weight that it received.
+type Successor struct {
+	Segment SegmentID
+	Weight  float64 // above 0; the weights of one Lineage add up to 1
 }
 
-// Line is what became of a segment's number: its keys are served by others from
-// an epoch on.
-type Line struct {
-	From  SegmentID
-	Since Epoch
-	Heirs []Share
+// Lineage records the replacement of a segment: from epoch Since on, the keys of
+// segment From are served by its successors.
+type Lineage struct {
+	From       SegmentID
+	Since      Epoch
+	Successors []Successor
 }
 
-// Layout is one epoch. Its zero value is no layout; see First and Edit.
+// Layout is one epoch. The zero value is not a valid layout: First, Restore and
+// Edit create them.
 type Layout struct {
 	epoch    Epoch
-	next     SegmentID  // the number that the next new segment gets
+	nextID   SegmentID  // the number that the next new segment gets
 	segments []*Segment // by number
 	serving  []*Segment // by key
-	lines    []*Line    // by number
+	lineages []*Lineage // by number
 }
 
-// Reissue makes a new epoch of l, after the one that is in force: what l says
-// comes back under a number that no epoch had. Numbers of segments that only the
-// one in force has are not given out again; queries that name them are turned away.
+// Reissue returns a copy of l with the epoch that follows that of the layout in
+// force, so that an older layout comes back under an epoch not used before. Numbers
+// of segments that exist only in the layout in force are not assigned again; queries
+// that name these segments are rejected.
 func (l *Layout) Reissue(inForce *Layout) *Layout {
 	again := *l
-	again.epoch, again.next = inForce.epoch+1, max(l.next, inForce.next)
+	again.epoch, again.nextID = inForce.epoch+1, max(l.nextID, inForce.nextID)
 	return &again
 }
 
-// First makes the first epoch out of segments that serve. Their numbers may
-// have gaps.
+// First creates the first epoch from the given segments, which all become Serving. Their
+// numbers may have gaps.
 func First(segments ...Segment) (*Layout, error) {
 	l := &Layout{}
 	e := l.Edit()
 	for i := range segments {
 		s := segments[i]
 		s.State = Serving
-		e.next = max(e.next, s.ID+1)
+		e.nextID = max(e.nextID, s.ID+1)
 		e.put(&s)
 	}
 	return e.Commit()
 }
 
-// Epoch is the layout's number.
+// Epoch returns the epoch of the layout.
 func (l *Layout) Epoch() Epoch { return l.epoch }
 
-// NextID is the number that the next new segment will get.
-func (l *Layout) NextID() SegmentID { return l.next }
+// NextID returns the number that the next new segment will get.
+func (l *Layout) NextID() SegmentID { return l.nextID }
 
-// Len is how many segments there are, in all states.
+// Len returns the number of segments in all states.
 func (l *Layout) Len() int { return len(l.segments) }
 
-// Segments are all segments in the order of their numbers.
+// Segments returns all segments, ordered by number.
 func (l *Layout) Segments() iter.Seq[*Segment] { return slices.Values(l.segments) }
 
-// Serving are those that serve in the order of their keys.
+// Serving returns the serving segments, ordered by key.
 func (l *Layout) Serving() iter.Seq[*Segment] { return slices.Values(l.serving) }
 
-// Lines are the lineage in the order of the numbers that it begins at.
-func (l *Layout) Lines() iter.Seq[*Line] { return slices.Values(l.lines) }
+// Lineages returns the lineages of all replaced segments, ordered by the number of
+// the replaced segment.
+func (l *Layout) Lineages() iter.Seq[*Lineage] { return slices.Values(l.lineages) }
 
-// Segment returns a segment by its number, or nil.
+// Segment returns the segment with the given number, or nil if there is none.
 func (l *Layout) Segment(id SegmentID) *Segment {
-	if i, ok := find(l.segments, id); ok {
+	if i, ok := search(l.segments, id); ok {
 		return l.segments[i]
 	}
 	return nil
 }
 
-// Line returns what became of a number, or nil where it is in use or not known.
-func (l *Layout) Line(id SegmentID) *Line {
-	i, ok := slices.BinarySearchFunc(l.lines, id, func(n *Line, id SegmentID) int { return cmp.Compare(n.From, id) })
+// Lineage returns the lineage of a replaced segment, or nil if the number has none.
+func (l *Layout) Lineage(id SegmentID) *Lineage {
+	i, ok := slices.BinarySearchFunc(l.lineages, id, func(n *Lineage, id SegmentID) int { return cmp.Compare(n.From, id) })
 	if ok {
-		return l.lines[i]
+		return l.lineages[i]
 	}
 	return nil
 }
 
-// Find returns the serving segment that holds a key.
+// Find returns the serving segment that contains key k.
 func (l *Layout) Find(k Key) *Segment {
 	i, ok := slices.BinarySearchFunc(l.serving, k, func(s *Segment, k Key) int { return cmp.Compare(s.Keys.From, k) })
 	if !ok {
@@ -192,125 +196,130 @@
 	return l.serving[i]
 }
 
-// find looks for a number. Numbers are mostly without gaps, so the place that
-// the number itself names is tried first.
-func find(list []*Segment, id SegmentID) (int, bool) {
+// search looks up a segment number in a list that is sorted by number. The numbers
+// mostly have no gaps, so the index equal to the number is tried first.
+func search(list []*Segment, id SegmentID) (int, bool) {
 	if i := int(id); i < len(list) && list[i].ID == id {
 		return i, true
 	}
 	return slices.BinarySearchFunc(list, id, func(s *Segment, id SegmentID) int { return cmp.Compare(s.ID, id) })
 }
 
-// maxLines bounds the lineage. The oldest lines are forgotten first: clients
-// that name one are told that it no longer exists. A change a minute fills it in
-// six weeks, and it takes 6 MB.
-const maxLines = 1 << 16
+// maxLineages bounds the number of lineages kept. The oldest ones are removed first;
+// a client that names a segment whose lineage was removed gets an error that the
+// segment no longer exists. At one change per minute the bound is reached in six
+// weeks; the lineages then take 6 MB.
+const maxLineages = 1 << 16
 
-// Edit is a change in the making.
+// Edit collects modifications of a layout; Commit creates the next epoch from them.
 type Edit struct {
-	from *Layout
-	next SegmentID
-	puts map[SegmentID]*Segment // nil: dropped
-	line map[SegmentID]*Line
+	base     *Layout
+	nextID   SegmentID
+	segments map[SegmentID]*Segment // new and replaced segments; nil: removed
+	lineages map[SegmentID]*Lineage // new lineages
 }
 
-// Edit begins a change. The layout itself stays as it is.
+// Edit starts an edit of the layout. The layout itself is not modified.
 func (l *Layout) Edit() *Edit {
-	return &Edit{from: l, next: l.next, puts: make(map[SegmentID]*Segment), line: make(map[SegmentID]*Line)}
+	return &Edit{base: l, nextID: l.nextID, segments: make(map[SegmentID]*Segment), lineages: make(map[SegmentID]*Lineage)}
 }
 
+// put adds or replaces a segment and sorts its lists of searchers.
 func (e *Edit) put(s *Segment) {
 	for _, list := range []*[]string{&s.Holders, &s.Next, &s.Prev} {
 		if !slices.IsSorted(*list) {
 			*list = slices.Sorted(slices.Values(*list))
 		}
 	}
-	e.puts[s.ID] = s
+	e.segments[s.ID] = s
 }
 
-// add makes a new segment with a number of its own.
+// add creates a segment with the next free number.
 func (e *Edit) add(keys Range, state State, holders []string) *Segment {
-	s := &Segment{ID: e.next, Keys: keys, State: state, Holders: slices.Clone(holders)}
-	e.next++
+	s := &Segment{ID: e.nextID, Keys: keys, State: state, Holders: slices.Clone(holders)}
+	e.nextID++
 	e.put(s)
 	return s
 }
 
-func (e *Edit) drop(id SegmentID) { e.puts[id] = nil }
+// remove removes a segment.
+func (e *Edit) remove(id SegmentID) { e.segments[id] = nil }
 
-func (e *Edit) inherit(id SegmentID, heirs ...Share) {
-	e.line[id] = &Line{From: id, Since: e.from.epoch + 1, Heirs: heirs}
+// addLineage records the successors of a segment from the next epoch on.
+func (e *Edit) addLineage(id SegmentID, successors ...Successor) {
+	e.lineages[id] = &Lineage{From: id, Since: e.base.epoch + 1, Successors: successors}
 }
 
-// Commit makes the next epoch. It returns an error, and no layout, where the
-// change would leave a key without a serving segment or with two; see Check for
-// what does not depend on the layout alone.
+// Commit creates the next epoch. It fails if a key would be in no serving segment or
+// in two of them. Check verifies what also depends on the fleet.
 func (e *Edit) Commit() (*Layout, error) {
-	l := &Layout{epoch: e.from.epoch + 1, next: e.next}
-	l.segments = merge(e.from.segments, e.puts, func(s *Segment) SegmentID { return s.ID })
-	l.lines = merge(e.from.lines, e.line, func(n *Line) SegmentID { return n.From })
-	l.forget(len(l.lines) - maxLines)
-	if err := l.order(e.from); err != nil {
+	l := &Layout{epoch: e.base.epoch + 1, nextID: e.nextID}
+	l.segments = mergeByID(e.base.segments, e.segments, func(s *Segment) SegmentID { return s.ID })
+	l.lineages = mergeByID(e.base.lineages, e.lineages, func(n *Lineage) SegmentID { return n.From })
+	l.trimLineages(len(l.lineages) - maxLineages)
+	if err := l.orderServing(e.base); err != nil {
 		return nil, err
 	}
 	return l, nil
 }
 
-// forget drops the lines that are oldest. What leads to an heir is older than
-// the heir's own line, so none is left that leads nowhere. The list is not shared:
-// it can only be too long where Commit has just made it.
-func (l *Layout) forget(n int) {
+// trimLineages removes the n oldest lineages. A lineage that names a successor is
+// older than the successor's own lineage, so no remaining lineage refers to a removed
+// one. The list is not shared with another epoch: it can be too long only if Commit
+// has just created it.
+func (l *Layout) trimLineages(n int) {
 	for ; n > 0; n-- {
 		oldest := 0
-		for i, line := range l.lines {
-			if line.Since < l.lines[oldest].Since {
+		for i, lineage := range l.lineages {
+			if lineage.Since < l.lineages[oldest].Since {
 				oldest = i
 			}
 		}
-		l.lines = slices.Delete(l.lines, oldest, oldest+1)
+		l.lineages = slices.Delete(l.lineages, oldest, oldest+1)
 	}
 }
 
-// merge returns a list sorted by number with some elements put in, replaced or,
-// where they are nil, left out. The list itself stays as it is.
-func merge[T any](list []*T, puts map[SegmentID]*T, id func(*T) SegmentID) []*T {
-	if len(puts) == 0 {
+// mergeByID returns a copy of a list that is sorted by number, with the given updates
+// applied: an element is inserted, replaced or, if the update is nil, removed. The list
+// itself is not modified; without updates it is returned as it is.
+func mergeByID[T any](list []*T, updates map[SegmentID]*T, id func(*T) SegmentID) []*T {
+	if len(updates) == 0 {
 		return list
 	}
-	out := make([]*T, 0, len(list)+len(puts))
-	fresh := make([]SegmentID, 0, len(puts))
-	for n := range puts {
-		fresh = append(fresh, n)
+	out := make([]*T, 0, len(list)+len(updates))
+	ids := make([]SegmentID, 0, len(updates))
+	for n := range updates {
+		ids = append(ids, n)
 	}
-	slices.Sort(fresh)
-	for _, n := range fresh {
+	slices.Sort(ids)
+	for _, n := range ids {
 		i, found := slices.BinarySearchFunc(list, n, func(x *T, n SegmentID) int { return cmp.Compare(id(x), n) })
 		out = append(out, list[:i]...)
 		if list = list[i:]; found {
 			list = list[1:]
 		}
-		if x := puts[n]; x != nil {
+		if x := updates[n]; x != nil {
 			out = append(out, x)
 		}
 	}
 	return append(out, list...)
 }
 
-// The reasons for which a layout is not valid.
+// The errors for invalid layouts and changes.
 var (
 	ErrGap      = errors.New("keys that no serving segment holds")
 	ErrOverlap  = errors.New("keys that two serving segments hold")
-	ErrEmpty    = errors.New("a segment without keys")
+	ErrEmpty    = errors.New("empty key range")
 	ErrHolders  = errors.New("too few holders")
 	ErrZones    = errors.New("holders in too few data centres")
 	ErrUnknown  = errors.New("unknown segment or searcher")
 	ErrLineage  = errors.New("broken lineage")
-	ErrConflict = errors.New("another change holds the segment")
+	ErrConflict = errors.New("another change of the segment is in progress")
 )
 
-// order sorts the serving segments by key and checks that each key has exactly
-// one. Where the serving ones are those of old, its order is shared.
-func (l *Layout) order(old *Layout) error {
+// orderServing sorts the serving segments by key and checks that each key is in
+// exactly one. If they are the same as in the old layout, its slice is shared.
+func (l *Layout) orderServing(old *Layout) error {
 	serving := make([]*Segment, 0, len(old.serving)+2)
 	for _, s := range l.segments {
 		if s.Keys.Empty() {
--- a/internal/layout/layoutfile/layoutfile_test.go
+++ b/internal/layout/layoutfile/layoutfile_test.go
@@ -18,7 +18,7 @@
 
 func TestMain(m *testing.M) { steady.Main(m) }
 
-const good = `<?xml version="1.0"?>
+const validFile = `<?xml version="1.0"?>
 <layout xmlns="urn:eiderwinch:layout:1" epoch="7" next="6" replicas="2">
   <searcher id="a" zone="verona"/>
   <searcher id="b" zone="padova"/>
@@ -30,8 +30,8 @@
 </layout>
 `
 
-func TestAFileIsReadAsItStands(t *testing.T) {
-	l, f, err := Read("l.xml", strings.NewReader(good))
+func TestRead(t *testing.T) {
+	l, f, err := Read("l.xml", strings.NewReader(validFile))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -44,20 +44,22 @@
 		t.Errorf("have epoch %d, next %d, %+v", l.Epoch(), l.NextID(), s)
 	}
 	if parts, _, err := l.Translate([]layout.Part{{Segment: 1, Weight: 1}}); err != nil || len(parts) != 2 {
-		t.Errorf("its lineage: %v, %v", parts, err)
+		t.Errorf("translation along the lineage: %v, %v", parts, err)
 	}
 }
 
-func TestFaultsNameLineElementAndWhatIsWanted(t *testing.T) {
+// Each fault must be reported with its line, its element, what was found and what is
+// wanted.
+func TestReadReportsFaults(t *testing.T) {
 	for _, c := range []struct{ old, new, want string }{
 		{`epoch="7"`, `epoch="0"`, `l.xml:2: <layout>: found epoch="0", want a number from 1 on`},
 		{`epoch="7"`, ``, `l.xml:2: <layout>: found no attribute epoch`},
-		{`next="6"`, `next="5"`, `l.xml:1: <layout>: found segment 5: its number was not given out yet`},
+		{`next="6"`, `next="5"`, `l.xml:1: <layout>: found segment 5: number is not assigned yet`},
 		{`zone="verona"`, `zone=""`, `l.xml:3: <searcher>: found zone="", want a name`},
 		{`zone="verona"`, `zone="ve rona"`, `l.xml:3: <searcher>`},
 		{`<searcher id="b"`, `<searcher id="a"`, `l.xml:4: <searcher>: found searcher "a" twice`},
 		{`id="4"`, `id="four"`, `l.xml:7: <segment>: found id="four", want a number from 0 to 4294967295`},
-		{`id="4"`, `id="0"`, `l.xml:7: <segment>: found segment 0, which stands in line 6 too`},
+		{`id="4"`, `id="0"`, `l.xml:7: <segment>: found segment 0, already defined on line 6`},
 		{`id="4"`, `id="4" size="3"`, `l.xml:7: <segment>: found attribute size`},
 		{`id="4"`, `id="4" state="lost"`, `want preparing, serving or retiring`},
 		{`from="k"`, `from="m"`, `keys that no serving segment holds`},
@@ -69,10 +71,10 @@
 		{`urn:eiderwinch:layout:1`, `urn:other`, `l.xml:2: <layout>: found layout of "urn:other"`},
 		{`</layout>`, ``, `want well-formed XML`},
 		{`</layout>`, `</layout><layout xmlns="urn:eiderwinch:layout:1"/>`, `a second layout`},
-		{good, ``, `found nothing, want the element layout`},
+		{validFile, ``, `found nothing, want the element layout`},
 		{`<?xml version="1.0"?>`, `<!DOCTYPE layout [<!ENTITY a "b">]>`, `no entities are read`},
 	} {
-		text := strings.Replace(good, c.old, c.new, 1)
+		text := strings.Replace(validFile, c.old, c.new, 1)
 		_, _, err := Read("l.xml", strings.NewReader(text))
 		if err == nil || !strings.Contains(err.Error(), c.want) {
 			t.Errorf("%s for %.40s: have %v, want %s", c.new, c.old, err, c.want)
@@ -80,8 +82,9 @@
 	}
 }
 
-func TestAllFaultsAreToldInOneGo(t *testing.T) {
-	text := strings.NewReplacer(`epoch="7"`, `epoch="x"`, `zone="verona"`, ``, `id="5"`, `id="-5"`, `share="0.75"`, `share="7"`).Replace(good)
+// All faults of a file must be reported together, up to the limit; the rest is counted.
+func TestReadReportsAllFaultsAtOnce(t *testing.T) {
+	text := strings.NewReplacer(`epoch="7"`, `epoch="x"`, `zone="verona"`, ``, `id="5"`, `id="-5"`, `share="0.75"`, `share="7"`).Replace(validFile)
 	_, _, err := Read("l.xml", strings.NewReader(text))
 	for _, want := range []string{"l.xml:2:", "l.xml:3:", "l.xml:8:", "l.xml:9:"} {
 		if err == nil || !strings.Contains(err.Error(), want) {
@@ -92,15 +95,16 @@
 	if !errors.As(err, &f) || f.Line != 2 || f.Element != "layout" {
 		t.Errorf("have %+v", f)
 	}
-	many := strings.Replace(good, "</layout>", strings.Repeat("<odd/>\n", 200)+"</layout>", 1)
+	many := strings.Replace(validFile, "</layout>", strings.Repeat("<odd/>\n", 200)+"</layout>", 1)
 	_, _, err = Read("l.xml", strings.NewReader(many))
 	if n := strings.Count(err.Error(), "\n"); n != xmlform.MostFaults || !strings.Contains(err.Error(), "150 faults more") {
 		t.Errorf("%d lines: %.200v", n, err)
 	}
 }
 
-// The schema is made of the form: go run ./cmd/eiderwinch schema layout.
-func TestTheSchemaIsOfTheForm(t *testing.T) {
+// The schema is generated from the form, by go run ./cmd/eiderwinch schema layout, and
+// must be generated again when the form changes.
+func TestSchemaMatchesForm(t *testing.T) {
 	form := Form()
 	if err := form.Check(); err != nil {
 		t.Error(err)
@@ -111,28 +115,30 @@
 	}
 	var b bytes.Buffer
 	if err := form.Schema(&b); err != nil || b.String() != string(text) {
-		t.Errorf("deploy/layout.xsd is not what the form says: %v", err)
+		t.Errorf("deploy/layout.xsd does not match the form: %v", err)
 	}
 }
 
-// lines are a layout's lineage in a form that can be compared.
-func lines(l *layout.Layout) (out []layout.Line) {
-	for n := range l.Lines() {
+// lineages returns the lineages of a layout as values that can be compared.
+func lineages(l *layout.Layout) (out []layout.Lineage) {
+	for n := range l.Lineages() {
 		out = append(out, *n)
 	}
 	return out
 }
 
-func same(t interface{ Fatalf(string, ...any) }, l, again *layout.Layout) {
-	if d := layout.Diff(l, again); len(d) > 0 || l.Epoch() != again.Epoch() || l.NextID() != again.NextID() || !reflect.DeepEqual(lines(l), lines(again)) {
+// checkSame fails the test if two layouts differ.
+func checkSame(t interface{ Fatalf(string, ...any) }, l, again *layout.Layout) {
+	if d := layout.Diff(l, again); len(d) > 0 || l.Epoch() != again.Epoch() || l.NextID() != again.NextID() || !reflect.DeepEqual(lineages(l), lineages(again)) {
 		t.Fatalf("epoch %d became %d: %v", l.Epoch(), again.Epoch(), d)
 	}
 }
 
-// TestWhatIsWrittenIsReadAgain goes through random changes of a layout.
-func TestWhatIsWrittenIsReadAgain(t *testing.T) {
+// TestReadReturnsWhatWasWritten writes and reads a layout after random changes, with
+// keys that need escaping in XML.
+func TestReadReturnsWhatWasWritten(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		l, f, err := Read("l.xml", strings.NewReader(good))
+		l, f, err := Read("l.xml", strings.NewReader(validFile))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -141,12 +147,12 @@
 			at := layout.Key(rapid.StringMatching(`[ -~äß"<&]{1,4}`).Draw(t, "at"))
 			c := layout.Change{Kind: layout.Split, Segments: []layout.SegmentID{s.ID}, At: at, Share: rapid.Float64Range(0.001, 0.999).Draw(t, "share"),
 				Holders: [][]string{{"a", "b"}, {"a", "c"}}}
-			next, heirs, err := l.Prepare(c)
+			next, successors, err := l.Prepare(c)
 			if err != nil {
 				continue
 			}
 			if rapid.Bool().Draw(t, "cut over") {
-				if next, err = next.CutOver(c, heirs); err != nil {
+				if next, err = next.CutOver(c, successors); err != nil {
 					t.Fatal(err)
 				}
 			}
@@ -160,14 +166,16 @@
 		if err != nil {
 			t.Fatalf("%v in\n%s", err, b.String())
 		}
-		same(t, l, again)
+		checkSame(t, l, again)
 		if !reflect.DeepEqual(f, g) {
 			t.Fatalf("the fleet %+v became %+v", f, g)
 		}
 	})
 }
 
-func TestAKeyThatXMLCannotHoldIsNotWritten(t *testing.T) {
+// Write must reject a key that XML cannot represent, as Read would return another key
+// or fail.
+func TestWriteRejectsKeysThatXMLCannotRepresent(t *testing.T) {
 	for _, k := range []layout.Key{"\x00", "a\x1f", "\xff", "\uffff"} {
 		l, err := layout.First(layout.Segment{ID: 0, Keys: layout.Range{To: k}}, layout.Segment{ID: 1, Keys: layout.Range{From: k}})
 		if err != nil {
@@ -179,8 +187,10 @@
 	}
 }
 
+// FuzzRead checks that any file that Read accepts is the same after writing and reading
+// it again.
 func FuzzRead(f *testing.F) {
-	f.Add(good)
+	f.Add(validFile)
 	f.Add("<layout")
 	f.Add(`<layout xmlns="urn:eiderwinch:layout:1" epoch="1" next="1" replicas="1"><segment id="0"><holder searcher="a"/></segment></layout>`)
 	f.Fuzz(func(t *testing.T, text string) {
@@ -196,6 +206,6 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		same(t, l, again)
+		checkSame(t, l, again)
 	})
 }
--- a/internal/layout/layoutfile/read.go
+++ b/internal/layout/layoutfile/read.go
@@ -1,6 +1,6 @@
-// Package layoutfile reads and writes layouts as operators keep them: XML after
-// deploy/layout.xsd. All faults of a file are told in one go, each with its line,
-// its element, what was found and what is wanted. It does no I/O of its own.
+// Package layoutfile reads and writes layout files: XML according to
+// deploy/layout.xsd. Reading reports all faults of a file at once, each with its line,
+// its element, what was found and what is wanted. The package opens no files itself.
 package layoutfile
 
 import (
@@ -11,13 +11,13 @@
 	"eiderwinch/internal/layout"
 )
 
-// Namespace names the form of these files.
+// Namespace is the XML namespace of layout files.
 const Namespace = "urn:eiderwinch:layout:1"
 
-// mostReplicas bounds the replicas that a segment may be said to need.
-const mostReplicas = 1 << 16
+// maxReplicas bounds the replicas attribute of a layout.
+const maxReplicas = 1 << 16
 
-// Form returns the form of the files, of which deploy/layout.xsd is made.
+// Form returns the form of layout files, from which deploy/layout.xsd is generated.
 func Form() *xmlform.Form {
 	searcher := []xmlform.Attribute{{Name: "searcher", Kind: xmlform.Name, Required: true, Doc: "the searcher's id"}}
 	segment := xmlform.Attribute{Name: "segment", Kind: xmlform.Number, Required: true, Doc: "the segment's number"}
@@ -29,7 +29,7 @@
 			"layout": {Doc: "one epoch", Attributes: []xmlform.Attribute{
 				{Name: "epoch", Kind: xmlform.Count, Required: true, Doc: "the layout's number"},
 				{Name: "next", Kind: xmlform.Number, Required: true, Doc: "the number that the next new segment gets; numbers are never used again"},
-				{Name: "replicas", Kind: xmlform.Count, Required: true, Least: 1, Most: mostReplicas, Doc: "holders that each serving segment needs"},
+				{Name: "replicas", Kind: xmlform.Count, Required: true, Least: 1, Most: maxReplicas, Doc: "holders that each serving segment needs"},
 			}, Children: []xmlform.Child{{Name: "searcher"}, {Name: "segment", Least: 1}, {Name: "was"}}},
 			"searcher": {Doc: "a searcher of the fleet", Attributes: []xmlform.Attribute{
 				{Name: "id", Kind: xmlform.Name, Required: true, Doc: "its id in discovery"},
@@ -55,11 +55,11 @@
 	}
 }
 
-// Fault is one fault of a file.
+// Fault is one fault in a layout file.
 type Fault = xmlform.Fault
 
-// Read reads a file, whose name is for messages only. The error joins all its
-// faults, each a Fault.
+// Read reads a layout file from r. The file name is used in messages only. The error
+// joins all faults of the file, each a Fault.
 func Read(file string, r io.Reader) (*layout.Layout, layout.Fleet, error) {
 	faults := &xmlform.Faults{File: file}
 	root := Form().Read(r, faults)
@@ -68,39 +68,39 @@
 	}
 	fleet := layout.Fleet{Zones: make(map[string]string), Replicas: int(root.Number("replicas"))}
 	var segments []layout.Segment
-	var lines []layout.Line
-	segmentAt, wasAt := make(map[layout.SegmentID]int), make(map[layout.SegmentID]int)
-	twice := func(at map[layout.SegmentID]int, n *xmlform.Node, id layout.SegmentID) {
+	var lineages []layout.Lineage
+	segmentLines, lineageLines := make(map[layout.SegmentID]int), make(map[layout.SegmentID]int)
+	checkUnique := func(lineOf map[layout.SegmentID]int, n *xmlform.Node, id layout.SegmentID) {
 		if !n.Sound {
 			return
 		}
-		if line, ok := at[id]; ok {
-			faults.Add(n.Line, n.Name, fmt.Sprintf("segment %d, which stands in line %d too", id, line), "a number of its own")
+		if line, ok := lineOf[id]; ok {
+			faults.Add(n.Line, n.Name, fmt.Sprintf("segment %d, already defined on line %d", id, line), "a unique number")
 		}
-		at[id] = n.Line
+		lineOf[id] = n.Line
 	}
 	for _, n := range root.Children {
 		switch n.Name {
 		case "searcher":
 			id := n.Text("id")
-			if _, there := fleet.Zones[id]; there && n.Sound {
+			if _, exists := fleet.Zones[id]; exists && n.Sound {
 				faults.Add(n.Line, n.Name, fmt.Sprintf("searcher %q twice", id), "one")
 			}
 			fleet.Zones[id] = n.Text("zone")
 		case "segment":
-			s := segment(n)
-			twice(segmentAt, n, s.ID)
+			s := parseSegment(n)
+			checkUnique(segmentLines, n, s.ID)
 			segments = append(segments, s)
 		case "was":
-			l := line(n)
-			twice(wasAt, n, l.From)
-			lines = append(lines, l)
+			lineage := parseLineage(n)
+			checkUnique(lineageLines, n, lineage.From)
+			lineages = append(lineages, lineage)
 		}
 	}
 	if err := faults.Err(); err != nil {
 		return nil, layout.Fleet{}, err
 	}
-	l, err := layout.Restore(layout.Epoch(root.Number("epoch")), layout.SegmentID(root.Number("next")), segments, lines)
+	l, err := layout.Restore(layout.Epoch(root.Number("epoch")), layout.SegmentID(root.Number("next")), segments, lineages)
 	if err != nil {
 		faults.Add(1, "layout", err.Error(), "a layout in which each key has one serving segment")
 		return nil, layout.Fleet{}, faults.Err()
@@ -108,12 +108,12 @@
 	return l, fleet, nil
 }
 
-// segment is what an element says of a segment.
-func segment(n *xmlform.Node) layout.Segment {
+// parseSegment converts a segment element.
+func parseSegment(n *xmlform.Node) layout.Segment {
 	s := layout.Segment{
 		ID: layout.SegmentID(n.Number("id")), Keys: layout.Range{From: layout.Key(n.Text("from")), To: layout.Key(n.Text("to"))},
 	}
-	s.State, _ = layout.ParseState(n.Text("state")) // the form allows no others
+	s.State, _ = layout.ParseState(n.Text("state")) // the form allows no other values
 	for _, c := range n.Children {
 		switch c.Name {
 		case "holder":
@@ -129,11 +129,11 @@
 	return s
 }
 
-// line is what an element says of a segment that serves no more.
-func line(n *xmlform.Node) layout.Line {
-	l := layout.Line{From: layout.SegmentID(n.Number("segment")), Since: layout.Epoch(n.Number("since"))}
+// parseLineage converts a was element, the lineage of a replaced segment.
+func parseLineage(n *xmlform.Node) layout.Lineage {
+	lineage := layout.Lineage{From: layout.SegmentID(n.Number("segment")), Since: layout.Epoch(n.Number("since"))}
 	for _, c := range n.Children {
-		l.Heirs = append(l.Heirs, layout.Share{To: layout.SegmentID(c.Number("segment")), Weight: c.Float("share")})
+		lineage.Successors = append(lineage.Successors, layout.Successor{Segment: layout.SegmentID(c.Number("segment")), Weight: c.Float("share")})
 	}
-	return l
+	return lineage
 }
--- a/internal/layout/layoutfile/write.go
+++ b/internal/layout/layoutfile/write.go
@@ -12,7 +12,7 @@
 	"eiderwinch/internal/layout"
 )
 
-// The file as encoding/xml writes it.
+// The form of a layout file for encoding/xml.
 type (
 	fileXML struct {
 		XMLName   xml.Name      `xml:"urn:eiderwinch:layout:1 layout"`
@@ -21,49 +21,49 @@
 		Replicas  int           `xml:"replicas,attr"`
 		Searchers []searcherXML `xml:"searcher"`
 		Segments  []segmentXML  `xml:"segment"`
-		Was       []wasXML      `xml:"was"`
+		Lineages  []lineageXML  `xml:"was"`
 	}
 	searcherXML struct {
 		ID   string `xml:"id,attr"`
 		Zone string `xml:"zone,attr"`
 	}
 	segmentXML struct {
-		ID      uint32   `xml:"id,attr"`
-		From    string   `xml:"from,attr,omitempty"`
-		To      string   `xml:"to,attr,omitempty"`
-		State   string   `xml:"state,attr"`
-		Holders []refXML `xml:"holder"`
-		Next    []refXML `xml:"next"`
-		Prev    []refXML `xml:"prev"`
-		Of      []ofXML  `xml:"of"`
+		ID      uint32           `xml:"id,attr"`
+		From    string           `xml:"from,attr,omitempty"`
+		To      string           `xml:"to,attr,omitempty"`
+		State   string           `xml:"state,attr"`
+		Holders []searcherRefXML `xml:"holder"`
+		Next    []searcherRefXML `xml:"next"`
+		Prev    []searcherRefXML `xml:"prev"`
+		Of      []segmentRefXML  `xml:"of"`
 	}
-	refXML struct {
+	searcherRefXML struct {
 		Searcher string `xml:"searcher,attr"`
 	}
-	ofXML struct {
+	segmentRefXML struct {
 		Segment uint32 `xml:"segment,attr"`
 	}
-	wasXML struct {
-		Segment uint32    `xml:"segment,attr"`
-		Since   uint64    `xml:"since,attr"`
-		Heirs   []heirXML `xml:"heir"`
+	lineageXML struct {
+		Segment    uint32         `xml:"segment,attr"`
+		Since      uint64         `xml:"since,attr"`
+		Successors []successorXML `xml:"heir"`
 	}
-	heirXML struct {
+	successorXML struct {
 		Segment uint32 `xml:"segment,attr"`
 		Share   string `xml:"share,attr"`
 	}
 )
 
-// Write writes a layout and its fleet so that Read returns the same. The same
-// layout gives the same text.
+// Write writes a layout and its fleet in the form that Read accepts. The output
+// depends only on the layout and the fleet.
 func Write(w io.Writer, l *layout.Layout, f layout.Fleet) error {
 	out := fileXML{Epoch: uint64(l.Epoch()), Next: uint32(l.NextID()), Replicas: max(f.Replicas, 1)}
 	for _, id := range slices.Sorted(maps.Keys(f.Zones)) {
 		out.Searchers = append(out.Searchers, searcherXML{id, f.Zones[id]})
 	}
-	refs := func(list []string) (out []refXML) {
+	refs := func(list []string) (out []searcherRefXML) {
 		for _, s := range list {
-			out = append(out, refXML{s})
+			out = append(out, searcherRefXML{s})
 		}
 		return out
 	}
@@ -78,16 +78,16 @@
 			Holders: refs(s.Holders), Next: refs(s.Next), Prev: refs(s.Prev),
 		}
 		for _, id := range s.Of {
-			x.Of = append(x.Of, ofXML{uint32(id)})
+			x.Of = append(x.Of, segmentRefXML{uint32(id)})
 		}
 		out.Segments = append(out.Segments, x)
 	}
-	for n := range l.Lines() {
-		x := wasXML{Segment: uint32(n.From), Since: uint64(n.Since)}
-		for _, h := range n.Heirs {
-			x.Heirs = append(x.Heirs, heirXML{uint32(h.To), strconv.FormatFloat(h.Weight, 'g', -1, 64)})
+	for lineage := range l.Lineages() {
+		x := lineageXML{Segment: uint32(lineage.From), Since: uint64(lineage.Since)}
+		for _, successor := range lineage.Successors {
+			x.Successors = append(x.Successors, successorXML{uint32(successor.Segment), strconv.FormatFloat(successor.Weight, 'g', -1, 64)})
 		}
-		out.Was = append(out.Was, x)
+		out.Lineages = append(out.Lineages, x)
 	}
 	if _, err := io.WriteString(w, xml.Header); err != nil {
 		return err
@@ -101,8 +101,9 @@
 	return err
 }
 
-// writable tells that XML can hold a text as it is (XML 1.0, production 2).
-// Carriage returns could be held, but attributes are normalized.
+// writable reports whether an XML attribute can represent a string unchanged (XML 1.0,
+// production 2). Carriage returns are valid XML characters, but they are rejected too
+// since reading normalizes them in attributes.
 func writable(s string) bool {
 	for _, r := range s {
 		if r < 0x20 && r != '\t' && r != '\n' || r == utf8.RuneError || r == 0xFFFE || r == 0xFFFF {
--- a/internal/layout/restore.go
+++ b/internal/layout/restore.go
@@ -2,33 +2,33 @@
 
 import "fmt"
 
-// Restore makes an epoch from what a file or store holds of it, and checks what
-// Commit checks. The numbers of segments must be below next.
-func Restore(epoch Epoch, next SegmentID, segments []Segment, lines []Line) (*Layout, error) {
+// Restore creates a layout from its stored form, with the checks of Commit. The
+// numbers of the segments must be below nextID.
+func Restore(epoch Epoch, nextID SegmentID, segments []Segment, lineages []Lineage) (*Layout, error) {
 	if epoch == 0 {
 		return nil, fmt.Errorf("epoch 0, want 1 or more")
 	}
 	l := &Layout{epoch: epoch - 1}
 	e := l.Edit()
-	e.next = next
+	e.nextID = nextID
 	for i := range segments {
 		s := segments[i]
-		if s.ID >= next {
-			return nil, fmt.Errorf("segment %d: its number was not given out yet, the next is %d", s.ID, next)
+		if s.ID >= nextID {
+			return nil, fmt.Errorf("segment %d: number is not assigned yet, the next is %d", s.ID, nextID)
 		}
-		if e.puts[s.ID] != nil {
-			return nil, fmt.Errorf("segment %d stands there twice", s.ID)
+		if e.segments[s.ID] != nil {
+			return nil, fmt.Errorf("segment %d is listed twice", s.ID)
 		}
 		e.put(&s)
 	}
-	for _, n := range lines {
-		if e.line[n.From] != nil {
-			return nil, fmt.Errorf("what became of segment %d stands there twice", n.From)
+	for _, lineage := range lineages {
+		if e.lineages[lineage.From] != nil {
+			return nil, fmt.Errorf("lineage of segment %d is listed twice", lineage.From)
 		}
-		e.line[n.From] = &n
+		e.lineages[lineage.From] = &lineage
 	}
-	if len(lines) > maxLines {
-		return nil, fmt.Errorf("%d segments of before, at most %d", len(lines), maxLines)
+	if len(lineages) > maxLineages {
+		return nil, fmt.Errorf("%d lineages, want at most %d", len(lineages), maxLineages)
 	}
 	return e.Commit()
 }
--- a/internal/layout/translate.go
+++ b/internal/layout/translate.go
@@ -5,41 +5,41 @@
 	"fmt"
 )
 
-// Part is a part of a query: a segment and its share of the whole answer.
+// Part is a part of a query: a segment and its weight in the whole answer.
 type Part struct {
 	Segment SegmentID
 	Weight  float64
 }
 
-// weightSlack is how far weights may be off through rounding. A weight is a
-// product of few shares, each exact to 1e-16.
-const weightSlack = 1e-9
+// weightTolerance is the rounding error allowed in weights. A weight is a product of
+// a few fractions, each exact to 1e-16.
+const weightTolerance = 1e-9
 
-// The reasons for which a part can't be translated.
+// The errors for parts that cannot be translated.
 var (
-	ErrNoSegment = errors.New("no such segment")           // its number was never given out
-	ErrForgotten = errors.New("a segment that is no more") // its lineage is not kept any more, or it never served
-	ErrNotYet    = errors.New("a segment not in use yet")  // it is being prepared
-	errDeep      = errors.New("lineage that does not end") // can't be: heirs have higher numbers
+	ErrNoSegment      = errors.New("no such segment")          // its number was never assigned
+	ErrRemoved        = errors.New("segment no longer exists") // its lineage is no longer kept, or it never served
+	ErrPreparing      = errors.New("segment not in use yet")   // it is being prepared
+	errLineageTooDeep = errors.New("lineage too deep")         // cannot happen: successors have higher numbers
 )
 
-// maxDepth bounds the lines that are followed from one number.
-const maxDepth = maxLines
+// maxDepth bounds the number of lineages that are followed from one segment.
+const maxDepth = maxLineages
 
-// Translate returns the parts that ask, in this epoch, for what parts ask for.
-// Where all of them serve, that is parts itself, and nothing is allocated. A
-// segment that was split becomes its heirs, each with its share of the weight;
-// several that were merged become one part, with the sum of their weights. The
-// order is that of the parts, the first mention counting.
+// Translate maps the parts of a query from another epoch to serving segments of this
+// epoch. If all segments serve, it returns parts itself and does not allocate. A part
+// for a split segment becomes one part for each successor, with its fraction of the
+// weight; parts for merged segments become one part with the sum of their weights.
+// The result has the order of parts; a merged part takes the position of the first.
 func (l *Layout) Translate(parts []Part) (out []Part, changed bool, err error) {
-	same := 0
-	for same < len(parts) && l.serves(parts[same].Segment) {
-		same++
+	unchanged := 0
+	for unchanged < len(parts) && l.serves(parts[unchanged].Segment) {
+		unchanged++
 	}
-	if same == len(parts) {
+	if unchanged == len(parts) {
 		return parts, false, nil
 	}
-	t := translation{l: l, at: make(map[SegmentID]int)}
+	t := translation{l: l, index: make(map[SegmentID]int)}
 	for _, p := range parts {
 		if err := t.add(p.Segment, p.Weight, 0); err != nil {
 			return nil, false, fmt.Errorf("segment %d: %w", p.Segment, err)
@@ -49,40 +49,42 @@
 }
 
 func (l *Layout) serves(id SegmentID) bool {
-	i, ok := find(l.segments, id)
+	i, ok := search(l.segments, id)
 	return ok && l.segments[i].State == Serving
 }
 
+// translation is the state of one call of Translate.
 type translation struct {
 	l     *Layout
 	parts []Part
-	at    map[SegmentID]int
+	index map[SegmentID]int // in parts
 }
 
+// add adds a part for a segment, or for its successors if it does not serve.
 func (t *translation) add(id SegmentID, weight float64, depth int) error {
 	if t.l.serves(id) {
-		if i, ok := t.at[id]; ok {
+		if i, ok := t.index[id]; ok {
 			t.parts[i].Weight += weight
 		} else {
-			t.at[id] = len(t.parts)
+			t.index[id] = len(t.parts)
 			t.parts = append(t.parts, Part{id, weight})
 		}
 		return nil
 	}
-	line := t.l.Line(id)
+	lineage := t.l.Lineage(id)
 	switch {
 	case depth > maxDepth:
-		return errDeep
-	case line != nil:
+		return errLineageTooDeep
+	case lineage != nil:
 	case t.l.Segment(id) != nil:
-		return ErrNotYet
-	case id < t.l.next:
-		return ErrForgotten
+		return ErrPreparing
+	case id < t.l.nextID:
+		return ErrRemoved
 	default:
 		return ErrNoSegment
 	}
-	for _, h := range line.Heirs {
-		if err := t.add(h.To, weight*h.Weight, depth+1); err != nil {
+	for _, s := range lineage.Successors {
+		if err := t.add(s.Segment, weight*s.Weight, depth+1); err != nil {
 			return err
 		}
 	}
