--- a/internal/layout/coordinator/coordinator.go
+++ b/internal/layout/coordinator/coordinator.go
@@ -1,7 +1,7 @@
-// Package coordinator runs changes of the layout at real gatherers and searchers:
-// it puts the coordinator's state machine (reshard), its durable log (reshardlog,
-// migrate) and what searchers are told (custody) on sockets. One goroutine for
-// each peer talks to it; all that is decided, is decided in those packages.
+// Package coordinator runs changes of the layout at gatherers and searchers over
+// their admin sockets. It connects the coordinator's state machine (reshard), its
+// durable log (reshardlog, migrate) and the orders to searchers (custody) to the
+// network. One goroutine polls each peer; those packages make all decisions.
 package coordinator
 
 import (
@@ -25,25 +25,25 @@
 	"eiderwinch/internal/service"
 )
 
-// Peer is a gatherer or searcher, and where its admin socket is.
+// Peer is a gatherer or searcher, with the endpoint of its admin socket.
 type Peer struct{ Name, Endpoint string }
 
-// Options is how a coordinator is started.
+// Options configure a Coordinator.
 type Options struct {
-	Log       string         // the file of its log
-	First     *layout.Layout // where the log is new
+	Log       string         // file of the change log
+	First     *layout.Layout // base of a new log
 	Fleet     layout.Fleet
 	Limits    reshard.Limits
 	Gatherers []Peer
-	Searchers []Peer // each of the fleet
-	Measure   string // the safe class whose p99 says how queries fare; empty: none does
+	Searchers []Peer // must name each searcher of the fleet
+	Measure   string // safe class whose p99 controls the copy rate; empty: none
 
-	Poll    time.Duration // a peer is asked so often; 200 ms where it is 0
-	Timeout time.Duration // and has so long to answer; 2 s where it is 0
+	Poll    time.Duration // interval between polls of a peer; 0 means 200 ms
+	Timeout time.Duration // of a request to a peer; 0 means 2 s
 
 	Wrap      func(http.RoundTripper) http.RoundTripper // may be nil; for tests
-	Published func(*layout.Layout)                      // told of each epoch before any peer is; may be nil
-	Ended     func(reshard.Ended)                       // told of each change that is over; may be nil
+	Published func(*layout.Layout)                      // called for each epoch before any peer is notified; may be nil
+	Ended     func(reshard.Ended)                       // called for each change that is over; may be nil
 	Logger    *slog.Logger
 }
 
@@ -52,29 +52,29 @@
 	defaultTimeout = 2 * time.Second
 )
 
-// Coordinator is a running one.
+// Coordinator is a running coordinator. Use Start to create one.
 type Coordinator struct {
-	began  time.Time
-	opts   Options
-	driver *migrate.Driver
-	peers  sync.WaitGroup
-	stop   context.CancelFunc
+	startedAt time.Time
+	options   Options
+	driver    *migrate.Driver
+	peers     sync.WaitGroup
+	stop      context.CancelFunc
 
-	mu        sync.Mutex // of all below
-	fenced    bool
-	term      uint64
-	layout    *layout.Layout
-	text      []byte // of layout, as gatherers are told it
-	ledger    *custody.Ledger
-	meter     *reshard.Meter
-	gatherers map[string]layout.Epoch // those that answered last time, with their epochs
-	seen      map[string]int64        // the last second of each whose service was taken in
-	copied    map[int64]bool          // seconds in which rows were copied
-	kicks     map[string]chan struct{}
+	mu             sync.Mutex // guards the fields below
+	fenced         bool
+	term           uint64
+	layout         *layout.Layout
+	layoutXML      []byte // layout, as sent to gatherers
+	ledger         *custody.Ledger
+	meter          *reshard.Meter
+	gathererEpochs map[string]layout.Epoch // epochs of the gatherers that answered their last poll
+	lastSecond     map[string]int64        // by gatherer: last second whose service record was processed
+	copySeconds    map[int64]bool          // seconds, as Unix time, in which rows were copied
+	wakeups        map[string]chan struct{}
 }
 
-// Start starts a coordinator, which runs until ctx ends or its log can't be
-// written.
+// Start starts a coordinator, which runs until ctx ends, its log cannot be written,
+// or searchers no longer obey it (ErrFenced).
 func Start(ctx context.Context, o Options) (*Coordinator, error) {
 	if o.Poll <= 0 {
 		o.Poll = defaultPoll
@@ -82,20 +82,20 @@
 	if o.Timeout <= 0 {
 		o.Timeout = defaultTimeout
 	}
-	if err := o.check(); err != nil {
+	if err := o.validate(); err != nil {
 		return nil, err
 	}
 	c := &Coordinator{
-		opts: o, began: time.Now(), meter: reshard.NewMeter(),
-		gatherers: make(map[string]layout.Epoch), kicks: make(map[string]chan struct{}),
-		seen: make(map[string]int64), copied: make(map[int64]bool),
+		options: o, startedAt: time.Now(), meter: reshard.NewMeter(),
+		gathererEpochs: make(map[string]layout.Epoch), wakeups: make(map[string]chan struct{}),
+		lastSecond: make(map[string]int64), copySeconds: make(map[int64]bool),
 	}
 	for _, p := range slices.Concat(o.Gatherers, o.Searchers) {
-		c.kicks[p.Name] = make(chan struct{}, 1)
+		c.wakeups[p.Name] = make(chan struct{}, 1)
 	}
 	ctx, c.stop = context.WithCancel(ctx)
 	d, err := migrate.Start(ctx, migrate.Options{
-		Path: o.Log, First: o.First, Fleet: o.Fleet, Limits: o.Limits, Ended: c.ended, Logger: o.Logger,
+		Path: o.Log, First: o.First, Fleet: o.Fleet, Limits: o.Limits, OnEnded: c.jobEnded, Logger: o.Logger,
 	}, c)
 	if err != nil {
 		c.stop()
@@ -103,21 +103,21 @@
 	}
 	c.driver = d
 	for _, p := range o.Gatherers {
-		c.talk(ctx, p, c.gatherer)
+		c.pollPeer(ctx, p, c.exchangeWithGatherer)
 	}
 	for _, p := range o.Searchers {
-		c.talk(ctx, p, c.searcher)
+		c.pollPeer(ctx, p, c.exchangeWithSearcher)
 	}
 	return c, nil
 }
 
-// check tells what is wrong with the peers.
-func (o Options) check() error {
+// validate checks that the peers match the fleet.
+func (o Options) validate() error {
 	var errs []error
 	seen := make(map[string]bool)
 	for _, p := range slices.Concat(o.Gatherers, o.Searchers) {
 		if seen[p.Name] {
-			errs = append(errs, fmt.Errorf("coordinator: %q is named twice", p.Name))
+			errs = append(errs, fmt.Errorf("coordinator: found peer %q twice, want unique names", p.Name))
 		}
 		seen[p.Name] = true
 	}
@@ -134,7 +134,8 @@
 	return errors.Join(errs...)
 }
 
-// Wait waits for its end and returns why it ended; nil if ctx did.
+// Wait waits until the coordinator has ended and returns the reason; nil if its
+// context ended.
 func (c *Coordinator) Wait() error {
 	err := c.driver.Wait()
 	c.stop()
@@ -145,17 +146,18 @@
 	return err
 }
 
-// talk asks a peer every now and then, and at once where there is news for it.
-func (c *Coordinator) talk(ctx context.Context, p Peer, exchange func(context.Context, Peer, *admin.Client)) {
-	client := admin.NewClient(p.Endpoint, c.opts.Timeout, c.opts.Wrap)
+// pollPeer starts a goroutine that calls exchange at each poll interval, and at once
+// after wake.
+func (c *Coordinator) pollPeer(ctx context.Context, p Peer, exchange func(context.Context, Peer, *admin.Client)) {
+	client := admin.NewClient(p.Endpoint, c.options.Timeout, c.options.Wrap)
 	c.mu.Lock()
-	kick := c.kicks[p.Name]
+	wakeup := c.wakeups[p.Name]
 	c.mu.Unlock()
 	c.peers.Add(1)
 	go func() {
 		defer c.peers.Done()
 		defer client.Close()
-		t := time.NewTicker(c.opts.Poll)
+		t := time.NewTicker(c.options.Poll)
 		defer t.Stop()
 		for {
 			exchange(ctx, p, client)
@@ -163,65 +165,67 @@
 			case <-ctx.Done():
 				return
 			case <-t.C:
-			case <-kick:
+			case <-wakeup:
 			}
 		}
 	}()
 }
 
-// kick lets a peer be asked at once. c.mu is held.
-func (c *Coordinator) kick(name string) {
+// wake requests an immediate poll of a peer. c.mu must be held.
+func (c *Coordinator) wake(name string) {
 	select {
-	case c.kicks[name] <- struct{}{}:
-	default: // it is to be asked already
+	case c.wakeups[name] <- struct{}{}:
+	default: // already requested
 	}
 }
 
-// kickFresh lets those searchers be asked that are to be told something.
-func (c *Coordinator) kickFresh() {
+// wakeSearchersWithNewOrders requests an immediate poll of each searcher whose order
+// has changed. c.mu must be held.
+func (c *Coordinator) wakeSearchersWithNewOrders() {
 	for _, id := range c.ledger.Searchers() {
 		if c.ledger.Fresh(id) {
-			c.kick(id)
+			c.wake(id)
 		}
 	}
 }
 
-// gatherer asks a gatherer what it knows, and tells it the epoch in force.
-func (c *Coordinator) gatherer(ctx context.Context, p Peer, client *admin.Client) {
+// exchangeWithGatherer fetches a gatherer's state, and sends it the layout in force
+// if it has an older epoch.
+func (c *Coordinator) exchangeWithGatherer(ctx context.Context, p Peer, client *admin.Client) {
 	var s admin.GathererState
 	c.mu.Lock()
-	after := c.seen[p.Name]
+	after := c.lastSecond[p.Name]
 	c.mu.Unlock()
 	if err := client.Do(ctx, http.MethodGet, fmt.Sprintf("/v1/state?after=%d", after), nil, &s); err != nil {
 		c.mu.Lock()
-		delete(c.gatherers, p.Name)
+		delete(c.gathererEpochs, p.Name)
 		c.mu.Unlock()
 		return
 	}
 	c.mu.Lock()
 	behind := s.Epoch < c.layout.Epoch()
-	text, epoch := c.text, c.layout.Epoch()
-	c.gatherers[p.Name] = s.Epoch
-	events := c.fared(p.Name, s.Service)
+	text, epoch := c.layoutXML, c.layout.Epoch()
+	c.gathererEpochs[p.Name] = s.Epoch
+	events := c.addServiceWindows(p.Name, s.Service)
 	c.mu.Unlock()
-	for _, e := range append(events, reshard.Heard{Gatherer: p.Name, Epoch: s.Epoch, Oldest: s.Oldest}) {
-		c.driver.Tell(e)
+	for _, e := range append(events, reshard.GathererReport{Gatherer: p.Name, Epoch: s.Epoch, Oldest: s.Oldest}) {
+		c.driver.Notify(e)
 	}
 	if !behind {
 		return
 	}
 	if err := client.Do(ctx, http.MethodPut, "/v1/layout", text, &s); err != nil {
-		c.opts.Logger.Warn("a gatherer did not take an epoch", "gatherer", p.Name, "epoch", epoch, "err", err)
+		c.options.Logger.Warn("sending the layout to a gatherer failed", "gatherer", p.Name, "epoch", epoch, "err", err)
 		return
 	}
 	c.mu.Lock()
-	c.gatherers[p.Name] = s.Epoch
-	c.kick(p.Name) // to hear at once what it is bound to now
+	c.gathererEpochs[p.Name] = s.Epoch
+	c.wake(p.Name) // to learn at once which epochs its open queries are bound to
 	c.mu.Unlock()
 }
 
-// searcher gives a searcher its order.
-func (c *Coordinator) searcher(ctx context.Context, p Peer, client *admin.Client) {
+// exchangeWithSearcher sends a searcher its order and processes the report.
+func (c *Coordinator) exchangeWithSearcher(ctx context.Context, p Peer, client *admin.Client) {
 	c.mu.Lock()
 	order := c.ledger.Order(p.Name)
 	c.mu.Unlock()
@@ -237,7 +241,7 @@
 	} else {
 		events = c.ledger.Took(p.Name, r)
 	}
-	c.mark()
+	c.recordCopying()
 	fenced := c.ledger.Fenced()
 	c.mu.Unlock()
 	if fenced {
@@ -247,33 +251,35 @@
 	for _, e := range events {
 		switch e := e.(type) {
 		case reshard.Down:
-			c.opts.Logger.Warn("a searcher does not answer", "searcher", p.Name, "err", err)
+			c.options.Logger.Warn("searcher does not answer", "searcher", p.Name, "err", err)
 		case reshard.Up:
-			c.opts.Logger.Info("a searcher answers again", "searcher", e.Searcher)
+			c.options.Logger.Info("searcher answers again", "searcher", e.Searcher)
 		}
-		c.driver.Tell(e)
+		c.driver.Notify(e)
 	}
 }
 
-// mark books that rows are being copied in this second. c.mu is held.
-func (c *Coordinator) mark() {
+// recordCopying adds the current second to copySeconds if rows are being copied.
+// c.mu must be held.
+func (c *Coordinator) recordCopying() {
 	if !c.ledger.Copying() {
 		return
 	}
-	now := c.began.Unix() + int64(time.Since(c.began)/time.Second) // as service.Recorder counts: a step of the clock moves nothing
-	c.copied[now] = true
-	maps.DeleteFunc(c.copied, func(second int64, _ bool) bool { return second < now-service.Kept })
+	now := c.startedAt.Unix() + int64(time.Since(c.startedAt)/time.Second) // numbered as in service.Recorder, which clock steps do not affect
+	c.copySeconds[now] = true
+	maps.DeleteFunc(c.copySeconds, func(second int64, _ bool) bool { return second < now-service.Kept })
 }
 
-// fared takes in how queries fared at a gatherer. c.mu is held.
-func (c *Coordinator) fared(gatherer string, windows []service.Window) (events []reshard.Event) {
+// addServiceWindows passes a gatherer's service records to the meter, and returns
+// the resulting events. c.mu must be held.
+func (c *Coordinator) addServiceWindows(gatherer string, windows []service.Window) (events []reshard.Event) {
 	for _, w := range windows {
-		c.seen[gatherer] = max(c.seen[gatherer], w.Second)
+		c.lastSecond[gatherer] = max(c.lastSecond[gatherer], w.Second)
 		for _, class := range w.Classes {
-			if class.Name != c.opts.Measure {
+			if class.Name != c.options.Measure {
 				continue
 			}
-			if p, ok := c.meter.Add(c.copied[w.Second], class); ok {
+			if p, ok := c.meter.Add(c.copySeconds[w.Second], class); ok {
 				events = append(events, p)
 			}
 		}
@@ -281,86 +287,86 @@
 	return events
 }
 
-// ErrFenced is why a coordinator ends that searchers do not obey any more.
+// ErrFenced is why a coordinator ends after searchers have stopped obeying it.
 var ErrFenced = errors.New("searchers obey a coordinator of a later term or another log: another was started since, or this log is an older copy or a new one")
 
-// fence ends the coordinator.
+// fence ends the coordinator after a searcher has reported a later term or another log.
 func (c *Coordinator) fence(searcher string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if !c.fenced {
 		c.fenced = true
-		c.opts.Logger.Error("this coordinator ends", "searcher", searcher, "err", ErrFenced)
+		c.options.Logger.Error("coordinator ends: a searcher does not obey it", "searcher", searcher, "err", ErrFenced)
 	}
 	c.stop()
 }
 
-// Begin implements migrate.Peers.
-func (c *Coordinator) Begin(log string, term uint64) {
+// StartTerm implements migrate.Peers.
+func (c *Coordinator) StartTerm(log string, term uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.term = term
-	c.ledger = custody.New(log, term, slices.Sorted(maps.Keys(c.opts.Fleet.Zones)), c.opts.Limits.RateMost, custody.Limits{})
+	c.ledger = custody.New(log, term, slices.Sorted(maps.Keys(c.options.Fleet.Zones)), c.options.Limits.RateMost, custody.Limits{})
 }
 
 // Publish implements migrate.Peers.
 func (c *Coordinator) Publish(l *layout.Layout) {
-	if c.opts.Published != nil {
-		c.opts.Published(l)
+	if c.options.Published != nil {
+		c.options.Published(l)
 	}
 	var text bytes.Buffer
-	err := layoutfile.Write(&text, l, c.opts.Fleet)
+	err := layoutfile.Write(&text, l, c.options.Fleet)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if err != nil { // a key that XML can't hold: the log, which is written first, would have refused it
-		c.opts.Logger.Error("an epoch can't be told", "epoch", l.Epoch(), "err", err)
+	if err != nil { // a key that XML cannot represent: the log, which is written first, refuses it
+		c.options.Logger.Error("layout cannot be encoded", "epoch", l.Epoch(), "err", err)
 		return
 	}
-	c.layout, c.text = l, text.Bytes()
+	c.layout, c.layoutXML = l, text.Bytes()
 	c.ledger.Publish(l)
-	c.kickFresh()
-	for _, p := range c.opts.Gatherers {
-		c.kick(p.Name)
+	c.wakeSearchersWithNewOrders()
+	for _, p := range c.options.Gatherers {
+		c.wake(p.Name)
 	}
 }
 
 // Fill implements migrate.Peers.
 func (c *Coordinator) Fill(f reshard.Fill) {
-	c.want(func(l *custody.Ledger) {
+	c.updateLedger(func(l *custody.Ledger) {
 		l.Rate(f.Rate)
 		l.Fill(f)
-		c.mark()
+		c.recordCopying()
 	})
 }
 
-// want changes what is wanted of searchers, and lets those be asked at once that it
-// is news for.
-func (c *Coordinator) want(change func(*custody.Ledger)) {
+// updateLedger changes the orders to searchers, and requests an immediate poll of
+// those whose order has changed.
+func (c *Coordinator) updateLedger(change func(*custody.Ledger)) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	change(c.ledger)
-	c.kickFresh()
+	c.wakeSearchersWithNewOrders()
 }
 
 // Stop implements migrate.Peers.
 func (c *Coordinator) Stop(job reshard.JobID) {
-	c.want(func(l *custody.Ledger) { l.Stop(job) })
+	c.updateLedger(func(l *custody.Ledger) { l.Stop(job) })
 }
 
-// Rate implements migrate.Peers.
-func (c *Coordinator) Rate(rows float64) {
-	c.want(func(l *custody.Ledger) { l.Rate(rows) })
+// SetRate implements migrate.Peers.
+func (c *Coordinator) SetRate(rows float64) {
+	c.updateLedger(func(l *custody.Ledger) { l.Rate(rows) })
 }
 
-// Drop implements migrate.Peers. That a searcher is to forget what the layout in
-// force does not assign to it, the ledger knows by itself.
+// Drop implements migrate.Peers. The ledger derives from the layout in force which
+// segments a searcher must drop; this call requests an event once it has.
 func (c *Coordinator) Drop(t reshard.Target) {
-	c.want(func(l *custody.Ledger) { l.Drop(t) })
+	c.updateLedger(func(l *custody.Ledger) { l.Drop(t) })
 }
 
-func (c *Coordinator) ended(e reshard.Ended) {
-	c.opts.Logger.Info("change over", "change", e.Job, "phase", e.Phase.String(), "reason", e.Reason)
-	if c.opts.Ended != nil {
-		c.opts.Ended(e)
+func (c *Coordinator) jobEnded(e reshard.Ended) {
+	c.options.Logger.Info("layout change is over", "change", e.Job, "phase", e.Phase.String(), "reason", e.Reason)
+	if c.options.Ended != nil {
+		c.options.Ended(e)
 	}
 }
--- a/internal/layout/coordinator/serve.go
+++ b/internal/layout/coordinator/serve.go
@@ -14,10 +14,11 @@
 	"eiderwinch/internal/layout/reshard"
 )
 
-// Handler answers on the coordinator's admin socket.
+// Handler returns the handler of the coordinator's admin socket. Where two types are
+// named, the first is the request's body and the second the answer's.
 //
 //	GET  /v1/status               admin.Status
-//	GET  /v1/layout               the layout in force, as a file
+//	GET  /v1/layout               the layout in force, as a layout file
 //	POST /v1/changes              admin.Submission; []admin.Taken
 //	POST /v1/changes/{job}/abort  admin.Abortion
 func (c *Coordinator) Handler() http.Handler {
@@ -31,32 +32,32 @@
 	})
 	m.HandleFunc("GET /v1/layout", func(w http.ResponseWriter, _ *http.Request) {
 		c.mu.Lock()
-		text := c.text
+		text := c.layoutXML
 		c.mu.Unlock()
 		w.Header().Set("Content-Type", "application/xml")
-		_, _ = w.Write(text) // where it fails, whoever asked has left
+		_, _ = w.Write(text) // an error means that the client has disconnected
 	})
-	m.HandleFunc("POST /v1/changes", c.submit)
-	m.HandleFunc("POST /v1/changes/{job}/abort", c.abort)
+	m.HandleFunc("POST /v1/changes", c.handleSubmit)
+	m.HandleFunc("POST /v1/changes/{job}/abort", c.handleAbort)
 	return m
 }
 
-// Submit asks for a change, and returns its number or why it was refused.
+// Submit requests a change, and returns its job or why it was refused.
 func (c *Coordinator) Submit(change layout.Change) (reshard.JobID, error) {
 	return c.driver.Submit(change)
 }
 
-// Abort asks for a change to be undone.
+// Abort requests that a job be undone.
 func (c *Coordinator) Abort(id reshard.JobID, reason string) error { return c.driver.Abort(id, reason) }
 
-// Status is how things stand.
+// Status returns the state of the layout, the jobs and the peers.
 func (c *Coordinator) Status() (s admin.Status, err error) {
-	err = c.driver.Look(func(m *reshard.Coordinator) {
+	err = c.driver.Inspect(func(m *reshard.Coordinator) {
 		s.Epoch, s.Segments, s.Counts = m.Layout().Epoch(), m.Layout().Len(), m.Counts()
 		s.Jobs = []admin.Job{}
 		for _, j := range m.Jobs() {
 			s.Jobs = append(s.Jobs, admin.Job{
-				Job: j.Job, Phase: j.Phase.String(), Over: j.Phase.Over(), Heirs: j.Heirs, Copied: j.Copied, Of: j.Of,
+				Job: j.Job, Phase: j.Phase.String(), Over: j.Phase.IsFinal(), Heirs: j.Successors, Copied: j.Copied, Of: j.Targets,
 				Reason: j.Reason, Change: admin.NewChange(j.Change, ""),
 			})
 		}
@@ -67,9 +68,9 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	s.Term, s.Rows, s.Custody = c.term, c.ledger.Rows(), c.ledger.Counts()
-	s.BaseMS = float64(c.meter.Base()) / float64(time.Millisecond)
-	for _, p := range c.opts.Gatherers {
-		epoch, up := c.gatherers[p.Name]
+	s.BaseMS = float64(c.meter.BaselineP99()) / float64(time.Millisecond)
+	for _, p := range c.options.Gatherers {
+		epoch, up := c.gathererEpochs[p.Name]
 		s.Gatherers = append(s.Gatherers, admin.PeerState{Name: p.Name, Epoch: epoch, Up: up})
 	}
 	down := c.ledger.Down()
@@ -79,12 +80,13 @@
 	return s, nil
 }
 
-// maxChanges bounds one submission; a coordinator holds no more than that by default.
-const maxChanges = 64
+// maxChangesPerSubmission bounds one submission. It is also the default limit of open
+// jobs (reshard.Limits.Queued).
+const maxChangesPerSubmission = 64
 
-var errEpoch = errors.New("the layout has changed since")
+var errEpochMismatch = errors.New("the layout has changed since")
 
-func (c *Coordinator) submit(w http.ResponseWriter, r *http.Request) {
+func (c *Coordinator) handleSubmit(w http.ResponseWriter, r *http.Request) {
 	var in admin.Submission
 	if !admin.Read(w, r, &in) {
 		return
@@ -98,15 +100,15 @@
 		}
 		list = append(list, change)
 	}
-	if len(list) == 0 || len(list) > maxChanges {
-		admin.Refuse(w, http.StatusBadRequest, fmt.Errorf("found %d changes, want 1 to %d", len(list), maxChanges))
+	if len(list) == 0 || len(list) > maxChangesPerSubmission {
+		admin.Refuse(w, http.StatusBadRequest, fmt.Errorf("found %d changes, want 1 to %d", len(list), maxChangesPerSubmission))
 		return
 	}
 	c.mu.Lock()
 	epoch := c.layout.Epoch()
 	c.mu.Unlock()
 	if in.Epoch != 0 && in.Epoch != epoch {
-		admin.Refuse(w, http.StatusConflict, fmt.Errorf("%w: the changes are for epoch %d, in force is %d", errEpoch, in.Epoch, epoch))
+		admin.Refuse(w, http.StatusConflict, fmt.Errorf("%w: the changes are for epoch %d, in force is %d", errEpochMismatch, in.Epoch, epoch))
 		return
 	}
 	var out []admin.Taken
@@ -125,7 +127,7 @@
 	admin.Answer(w, http.StatusOK, out)
 }
 
-func (c *Coordinator) abort(w http.ResponseWriter, r *http.Request) {
+func (c *Coordinator) handleAbort(w http.ResponseWriter, r *http.Request) {
 	id, err := strconv.ParseUint(r.PathValue("job"), 10, 64)
 	if err != nil {
 		admin.Refuse(w, http.StatusBadRequest, fmt.Errorf("found change %.40q, want a number", r.PathValue("job")))
@@ -138,7 +140,7 @@
 	switch err := c.Abort(reshard.JobID(id), in.Reason); {
 	case err == nil:
 		admin.Answer(w, http.StatusOK, struct{}{})
-	case errors.Is(err, reshard.ErrNoJob):
+	case errors.Is(err, reshard.ErrUnknownJob):
 		admin.Refuse(w, http.StatusNotFound, err)
 	case errors.Is(err, reshard.ErrTooLate):
 		admin.Refuse(w, http.StatusConflict, err)
--- a/internal/layout/migrate/driver.go
+++ b/internal/layout/migrate/driver.go
@@ -1,6 +1,6 @@
-// Package migrate runs a reshard.Coordinator: it feeds it events, writes its
-// records to disk before anything else is done, and carries out its effects
-// through Peers. All decisions are the coordinator's.
+// Package migrate runs a reshard.Coordinator: it passes events to it, writes its
+// records to disk before anything else, and executes its effects through Peers.
+// The coordinator makes all decisions.
 package migrate
 
 import (
@@ -17,55 +17,55 @@
 	"eiderwinch/internal/layout/reshardlog"
 )
 
-// Peers carries out effects at the gatherers and searchers. Its methods must not
+// Peers executes effects at the gatherers and searchers. Its methods must not
 // block; each may be called again with the same values.
 type Peers interface {
-	// Begin comes before all else.
-	Begin(log string, term uint64)
+	// StartTerm is called before all other methods.
+	StartTerm(log string, term uint64)
 	Publish(*layout.Layout)
 	Fill(reshard.Fill)
 	Stop(reshard.JobID)
-	Rate(rows float64)
+	SetRate(rows float64)
 	Drop(reshard.Target)
 }
 
-// Driver runs one coordinator. Start it with Start.
+// Driver runs one coordinator. Use Start to create one.
 type Driver struct {
-	peers  Peers
-	log    *reshardlog.Log
-	c      *reshard.Coordinator
-	fleet  layout.Fleet
-	events chan request
-	ended  func(reshard.Ended)
-	ctx    context.Context // until it is told to end
-	logger *slog.Logger
-	done   chan struct{}
-	err    error
+	peers       Peers
+	log         *reshardlog.Log
+	coordinator *reshard.Coordinator
+	fleet       layout.Fleet
+	events      chan request
+	onEnded     func(reshard.Ended)
+	ctx         context.Context // ends the driver
+	logger      *slog.Logger
+	done        chan struct{}
+	err         error
 }
 
 type request struct {
-	event  reshard.Event
-	look   func(*reshard.Coordinator)
-	result chan<- reshard.Result // nil: nobody waits
+	event   reshard.Event
+	inspect func(*reshard.Coordinator)
+	result  chan<- reshard.Result // nil: no caller waits for it
 }
 
 const (
-	tick   = 50 * time.Millisecond // how soon what only waits for time is seen
-	queued = 1024                  // events that wait; those that bring them are held up beyond
+	tickInterval   = 50 * time.Millisecond // bounds the delay of time-outs
+	eventQueueSize = 1024                  // callers block while this many events wait
 )
 
-// Options is how a Driver is started.
+// Options configure a Driver.
 type Options struct {
-	Path   string         // of the log
-	First  *layout.Layout // of a new log
-	Fleet  layout.Fleet
-	Limits reshard.Limits
-	Ended  func(reshard.Ended) // told of each job that is over; may be nil
-	Logger *slog.Logger        // nil: nothing is logged
+	Path    string         // file of the change log
+	First   *layout.Layout // base of a new log
+	Fleet   layout.Fleet
+	Limits  reshard.Limits
+	OnEnded func(reshard.Ended) // called for each job that is over; may be nil
+	Logger  *slog.Logger        // nil disables logging
 }
 
-// Start opens the log, goes on from where it ends, and runs until ctx ends or
-// the log can never be written. Wait returns why.
+// Start opens the log, restores the coordinator from it, and runs it until ctx ends
+// or a write to the log fails permanently. Wait returns the reason.
 func Start(ctx context.Context, o Options, p Peers) (*Driver, error) {
 	logger := cmp.Or(o.Logger, slog.New(slog.DiscardHandler))
 	var log *reshardlog.Log
@@ -79,22 +79,22 @@
 	base, fleet, records, err := log.Load()
 	if errors.Is(err, reshardlog.ErrEmpty) {
 		base, fleet = reshard.Base{Layout: o.First}, o.Fleet
-		err = durable.AtStart(logger, "new change log", func() error { return log.Begin(base, fleet) })
+		err = durable.AtStart(logger, "new change log", func() error { return log.SetBase(base, fleet) })
 	}
 	if err != nil {
 		return nil, errors.Join(err, log.Close())
 	}
 	if o.Fleet.Zones != nil {
-		fleet = o.Fleet // what the list of searchers says now
+		fleet = o.Fleet // the current fleet wins over the stored one
 	}
 	c, effects, err := reshard.Recover(time.Now(), base, fleet, o.Limits, records)
 	if err != nil {
 		return nil, errors.Join(fmt.Errorf("change log %s: %w", o.Path, err), log.Close())
 	}
-	d := &Driver{peers: p, log: log, c: c, fleet: fleet, events: make(chan request, queued), ended: o.Ended, ctx: ctx, logger: logger, done: make(chan struct{})}
-	p.Begin(log.ID(), log.Term())
+	d := &Driver{peers: p, log: log, coordinator: c, fleet: fleet, events: make(chan request, eventQueueSize), onEnded: o.OnEnded, ctx: ctx, logger: logger, done: make(chan struct{})}
+	p.StartTerm(log.ID(), log.Term())
 	for _, e := range effects {
-		d.carryOut(e)
+		d.execute(e)
 	}
 	go d.run(ctx)
 	return d, nil
@@ -102,7 +102,7 @@
 
 func (d *Driver) run(ctx context.Context) {
 	defer close(d.done)
-	t := time.NewTicker(tick)
+	t := time.NewTicker(tickInterval)
 	defer t.Stop()
 	for {
 		r := request{event: reshard.Tick{}}
@@ -113,14 +113,14 @@
 		case r = <-d.events:
 		case <-t.C:
 		}
-		if r.look != nil {
-			r.look(d.c)
+		if r.inspect != nil {
+			r.inspect(d.coordinator)
 			continue
 		}
 		result, err := d.step(r.event)
 		if err != nil {
-			// Nothing of this step was done, and nothing more is: what is not on
-			// disk must not happen. A new start goes on from the disk.
+			// No effect of a step may be executed before its records are on disk, so
+			// the driver ends. The next start continues from the disk.
 			d.err = errors.Join(err, d.log.Close())
 			return
 		}
@@ -130,18 +130,18 @@
 	}
 }
 
-// step takes in one event: first the disk, then the effects.
+// step processes one event: it writes the records, then executes the effects.
 func (d *Driver) step(e reshard.Event) (reshard.Result, error) {
-	result := d.c.Step(time.Now(), e)
+	result := d.coordinator.Step(time.Now(), e)
 	if err := d.write("records of layout changes", func() error { return d.log.Append(result.Records) }); err != nil {
 		return result, err
 	}
 	for _, x := range result.Effects {
-		d.carryOut(x)
+		d.execute(x)
 	}
-	if d.log.Full() {
-		if b, ok := d.c.Base(); ok {
-			if err := d.write("compacted change log", func() error { return d.log.Begin(b, d.fleet) }); err != nil {
+	if d.log.NeedsCompaction() {
+		if b, ok := d.coordinator.Base(); ok {
+			if err := d.write("compacted change log", func() error { return d.log.SetBase(b, d.fleet) }); err != nil {
 				return result, err
 			}
 		}
@@ -149,12 +149,13 @@
 	return result, nil
 }
 
-// write writes to the log, until that succeeds or the driver is told to end.
+// write retries a write to the log until it succeeds, fails permanently, or the
+// driver's context ends.
 func (d *Driver) write(what string, f func() error) error {
 	return durable.Retry(d.ctx, d.logger, what, f)
 }
 
-func (d *Driver) carryOut(e reshard.Effect) {
+func (d *Driver) execute(e reshard.Effect) {
 	switch e := e.(type) {
 	case reshard.Publish:
 		d.peers.Publish(e.Layout)
@@ -162,29 +163,29 @@
 		d.peers.Fill(e)
 	case reshard.Stop:
 		d.peers.Stop(e.Job)
-	case reshard.Rate:
-		d.peers.Rate(e.Rows)
+	case reshard.SetRate:
+		d.peers.SetRate(e.Rows)
 	case reshard.Drop:
 		d.peers.Drop(e.Target)
 	case reshard.Ended:
-		if d.ended != nil {
-			d.ended(e)
+		if d.onEnded != nil {
+			d.onEnded(e)
 		}
 	}
 }
 
-// Tell brings an event; it is dropped once the driver has ended.
-func (d *Driver) Tell(e reshard.Event) {
+// Notify queues an event. Once the driver has ended, events are discarded.
+func (d *Driver) Notify(e reshard.Event) {
 	select {
 	case d.events <- request{event: e}:
 	case <-d.done:
 	}
 }
 
-// ErrEnded is why nothing is taken on any more.
+// ErrEnded is returned for requests after the driver has ended.
 var ErrEnded = errors.New("the coordinator has ended")
 
-// Submit asks for a change, and returns its number or why it was refused.
+// Submit requests a change, and returns its job or why it was refused.
 func (d *Driver) Submit(c layout.Change) (reshard.JobID, error) {
 	r, err := d.ask(reshard.Submit{Change: c})
 	if err != nil {
@@ -193,7 +194,7 @@
 	return r.Job, r.Err
 }
 
-// Abort asks for a change to be undone.
+// Abort requests that a job be undone.
 func (d *Driver) Abort(id reshard.JobID, reason string) error {
 	r, err := d.ask(reshard.Abort{Job: id, Reason: reason})
 	if err != nil {
@@ -217,24 +218,26 @@
 	}
 }
 
-// Look lets f look at the coordinator, and returns once it has.
-func (d *Driver) Look(f func(*reshard.Coordinator)) error {
-	seen := make(chan struct{})
-	r := request{look: func(c *reshard.Coordinator) { f(c); close(seen) }}
+// Inspect calls f with the coordinator on the driver's goroutine, and returns after
+// f has.
+func (d *Driver) Inspect(f func(*reshard.Coordinator)) error {
+	finished := make(chan struct{})
+	r := request{inspect: func(c *reshard.Coordinator) { f(c); close(finished) }}
 	select {
 	case d.events <- r:
 	case <-d.done:
 		return ErrEnded
 	}
 	select {
-	case <-seen:
+	case <-finished:
 		return nil
 	case <-d.done:
 		return ErrEnded
 	}
 }
 
-// Wait waits for the end and returns why the driver ended; nil if ctx did.
+// Wait waits until the driver has ended and returns the reason; nil if its context
+// ended.
 func (d *Driver) Wait() error {
 	<-d.done
 	return d.err
--- a/internal/layout/reshard/meter.go
+++ b/internal/layout/reshard/meter.go
@@ -7,58 +7,59 @@
 	"eiderwinch/internal/service"
 )
 
-// Meter makes reports of pressure out of how queries fare. It compares batches
-// of answers while copies run with the batches before, while none ran. It has
-// no clock.
+// Meter derives Pressure events from query times. It compares the p99 of batches
+// of answers recorded while copies ran with that of earlier batches recorded
+// without copies. It has no clock.
 type Meter struct {
-	batches [2]*service.Sum // in the making: without copies, and with
-	quiet   []time.Duration // p99 of the last batches without copies
+	batches      [2]*service.Sum // being collected: without copies, with copies
+	baselineP99s []time.Duration // of the last batches without copies
 }
 
-// The size of batches: a p99 out of 300 answers is its third highest, whose
-// spread is some 10 to 15 percent at the spread of searches here; the median of
-// the last quiet ones steadies the other side. More would make the copies react
-// later than within a few seconds.
+// Batch sizes. The p99 of 300 answers is the third highest, which spreads by some
+// 10 to 15 percent for the spread of search times here. The baseline is smoothed
+// by taking the median of the last batches without copies. Larger batches would
+// delay the reaction of the copies beyond a few seconds.
 const (
-	batchLeast = 300
-	quietKept  = 9
-	quietLeast = 3
+	minBatchAnswers    = 300
+	maxBaselineBatches = 9
+	minBaselineBatches = 3
 )
 
-// NewMeter returns a meter that knows nothing yet.
+// NewMeter returns a meter without a baseline.
 func NewMeter() *Meter { return &Meter{batches: [2]*service.Sum{service.NewSum(), service.NewSum()}} }
 
-// Add takes in how a safe class fared in a second, and whether copies ran then.
-// It returns a report where there is one.
+// Add records one second of a safe class, and whether copies ran in that second.
+// It returns a Pressure event and true if one is due.
 func (m *Meter) Add(copying bool, c service.Class) (Pressure, bool) {
 	batch := m.batches[0]
 	if copying {
 		batch = m.batches[1]
 	}
 	batch.Add(c)
-	if batch.Answered() < batchLeast {
+	if batch.Answered() < minBatchAnswers {
 		return Pressure{}, false
 	}
 	p99 := batch.Quantile(0.99)
 	batch.Reset()
 	if !copying {
-		if m.quiet = append(m.quiet, p99); len(m.quiet) > quietKept {
-			m.quiet = m.quiet[1:]
+		if m.baselineP99s = append(m.baselineP99s, p99); len(m.baselineP99s) > maxBaselineBatches {
+			m.baselineP99s = m.baselineP99s[1:]
 		}
-		return Pressure{Ratio: 1}, true // so that the next copies begin at their full rate
+		return Pressure{Ratio: 1}, true // raises the rate, so that the next copies start at the full rate
 	}
-	base := m.Base()
-	if base <= 0 {
-		return Pressure{}, false // nothing to compare with: the rate stays
+	baseline := m.BaselineP99()
+	if baseline <= 0 {
+		return Pressure{}, false // no baseline to compare with: the rate stays
 	}
-	return Pressure{Ratio: float64(p99) / float64(base)}, true
+	return Pressure{Ratio: float64(p99) / float64(baseline)}, true
 }
 
-// Base is the p99 without copies; 0 while it is not known.
-func (m *Meter) Base() time.Duration {
-	if len(m.quiet) < quietLeast {
+// BaselineP99 returns the median p99 of the batches without copies, or 0 while
+// there are fewer than minBaselineBatches.
+func (m *Meter) BaselineP99() time.Duration {
+	if len(m.baselineP99s) < minBaselineBatches {
 		return 0
 	}
-	s := slices.Sorted(slices.Values(m.quiet))
+	s := slices.Sorted(slices.Values(m.baselineP99s))
 	return s[len(s)/2]
 }
--- a/internal/layout/reshard/meter_test.go
+++ b/internal/layout/reshard/meter_test.go
@@ -6,7 +6,7 @@
 	"eiderwinch/internal/service"
 )
 
-func TestPressureIsOverTheQuietP99(t *testing.T) {
+func TestPressureIsRelativeToBaselineP99(t *testing.T) {
 	m := NewMeter()
 	second := func(ms int64) service.Class {
 		return service.Class{Name: "search", Times: []service.Count{{Micros: 10_000, N: 97}, {Micros: ms * 1000, N: 3}}}
@@ -19,14 +19,14 @@
 			}
 		}
 	}
-	add(true, 90, 6) // there is nothing to compare with
+	add(true, 90, 6) // no baseline yet: no report
 	add(false, 40, 9)
-	if m.Base() == 0 || len(got) != 3 || got[0] != 1 {
-		t.Errorf("base %v, reports %v", m.Base(), got)
+	if m.BaselineP99() == 0 || len(got) != 3 || got[0] != 1 {
+		t.Errorf("base %v, reports %v", m.BaselineP99(), got)
 	}
 	got = nil
 	add(true, 60, 2)
-	add(false, 40, 1) // seconds of two gatherers may come one after the other
+	add(false, 40, 1) // seconds of two gatherers may be interleaved
 	add(true, 60, 1)
 	add(true, 40, 3)
 	if len(got) != 2 || got[0] < 1.45 || got[0] > 1.55 || got[1] < 0.95 || got[1] > 1.05 {
--- a/internal/layout/reshard/step.go
+++ b/internal/layout/reshard/step.go
@@ -9,19 +9,19 @@
 	"eiderwinch/internal/layout"
 )
 
-// step is one Step in the making.
+// step collects the result of one call of Coordinator.Step.
 type step struct {
-	c      *Coordinator
-	now    time.Time
-	result Result
+	coordinator *Coordinator
+	now         time.Time
+	result      Result
 }
 
-func (s *step) do(e Effect) { s.result.Effects = append(s.result.Effects, e) }
+func (s *step) emit(e Effect) { s.result.Effects = append(s.result.Effects, e) }
 
-// turn takes a job to a phase and records it.
-func (s *step) turn(j *job, to Phase) {
-	s.c.seq++
-	r := Record{Seq: s.c.seq, Job: j.id, Phase: to, Reason: j.reason}
+// enterPhase takes a job to a phase and records the transition.
+func (s *step) enterPhase(j *job, to Phase) {
+	s.coordinator.lastSeq++
+	r := Record{Seq: s.coordinator.lastSeq, Job: j.id, Phase: to, Reason: j.reason}
 	if to == Planned {
 		r.Change = j.change
 	}
@@ -29,38 +29,38 @@
 	s.result.Records = append(s.result.Records, r)
 }
 
-// submit takes a change on, or says why not. Whether it can be done is tried on
-// the layout as it would be if all that is under way were done, as far as that
-// can be told: a segment that another job holds is refused at once.
+// submit accepts a change or refuses it with the reason. A change of a segment that
+// another open job changes or creates is refused at once; everything else is
+// checked against the current layout, and again when the job starts.
 func (s *step) submit(change layout.Change) {
-	c := s.c
+	c := s.coordinator
 	c.counts.Submitted++
-	if err := c.admissible(change); err != nil {
+	if err := c.checkAdmissible(change); err != nil {
 		c.counts.Refused++
 		s.result.Err = err
 		return
 	}
-	c.last++
-	j := newJob(c.last, change)
+	c.lastJob++
+	j := newJob(c.lastJob, change)
 	c.jobs[j.id] = j
-	c.order = append(c.order, j.id)
+	c.jobOrder = append(c.jobOrder, j.id)
 	s.result.Job = j.id
-	s.turn(j, Planned)
+	s.enterPhase(j, Planned)
 }
 
 func newJob(id JobID, change layout.Change) *job {
-	return &job{id: id, change: change, copied: make(map[Target]bool), lag: make(map[Target]lag), dropped: make(map[Target]bool)}
+	return &job{id: id, change: change, copied: make(map[Target]bool), lags: make(map[Target]lagReport), dropped: make(map[Target]bool)}
 }
 
-func (c *Coordinator) admissible(change layout.Change) error {
+func (c *Coordinator) checkAdmissible(change layout.Change) error {
 	open := 0
 	for _, j := range c.jobs {
-		if j.phase.Over() {
+		if j.phase.IsFinal() {
 			continue
 		}
 		open++
 		for _, id := range change.Segments {
-			if slices.Contains(j.change.Segments, id) || slices.Contains(j.heirs, id) {
+			if slices.Contains(j.change.Segments, id) || slices.Contains(j.successors, id) {
 				return fmt.Errorf("%v: segment %d: %w: change %d, %v, is %v", change.Kind, id, layout.ErrConflict, j.id, j.change, j.phase)
 			}
 		}
@@ -68,24 +68,25 @@
 	if open >= c.limits.Queued {
 		return fmt.Errorf("%w: %d, at most %d", ErrBusy, open, c.limits.Queued)
 	}
-	return c.feasible(change)
+	return c.checkFeasible(change)
 }
 
-// feasible tells whether a change can be done on the layout as it is, and leaves
-// each segment its replicas.
-func (c *Coordinator) feasible(change layout.Change) error {
-	next, heirs, err := c.layout.Prepare(change)
+// checkFeasible returns an error if a change cannot be made on the current layout,
+// names a holder that is down, or would break a layout that passes its check now,
+// for example by leaving a segment too few replicas.
+func (c *Coordinator) checkFeasible(change layout.Change) error {
+	next, successors, err := c.layout.Prepare(change)
 	if err != nil {
 		return err
 	}
 	for _, list := range change.Holders {
 		for _, h := range list {
 			if c.down[h] {
-				return fmt.Errorf("%v: %w: %q", change.Kind, ErrGone, h)
+				return fmt.Errorf("%v: %w: %q", change.Kind, ErrHolderDown, h)
 			}
 		}
 	}
-	if next, err = next.CutOver(change, heirs); err != nil {
+	if next, err = next.CutOver(change, successors); err != nil {
 		return err
 	}
 	before, after := c.layout.Check(c.fleet), next.Check(c.fleet)
@@ -96,63 +97,64 @@
 }
 
 func (s *step) abort(e Abort) {
-	j := s.c.jobs[e.Job]
+	j := s.coordinator.jobs[e.Job]
 	switch {
 	case j == nil:
-		s.result.Err = fmt.Errorf("change %d: %w", e.Job, ErrNoJob)
+		s.result.Err = fmt.Errorf("change %d: %w", e.Job, ErrUnknownJob)
 	case j.phase == Undone:
-		return // it is what was wanted
+		return // already the requested state
 	case j.phase >= Cutting:
 		s.result.Err = fmt.Errorf("change %d is %v: %w", e.Job, j.phase, ErrTooLate)
 	default:
-		s.c.counts.Aborted++
+		s.coordinator.counts.Aborted++
 		s.undo(j, e.Reason)
 	}
 }
 
-// undo takes a job back that was not cut over.
+// undo undoes a job that was not cut over.
 func (s *step) undo(j *job, reason string) {
 	j.reason = reason
 	if j.phase != Planned {
-		next, err := s.c.layout.Abort(j.change, j.heirs)
-		if err != nil { // can't be: it was prepared, and not cut over
+		next, err := s.coordinator.layout.Abort(j.change, j.successors)
+		if err != nil { // impossible: the change was prepared, and not cut over
 			panic(fmt.Sprintf("reshard: undoing change %d: %v", j.id, err))
 		}
-		s.turn(j, Undone)
-		s.c.layout = next
-		s.do(Stop{j.id})
-		s.do(Publish{next})
+		s.enterPhase(j, Undone)
+		s.coordinator.layout = next
+		s.emit(Stop{j.id})
+		s.emit(Publish{next})
 		for _, t := range j.targets {
-			s.do(Drop{t})
+			s.emit(Drop{t})
 		}
 	} else {
-		s.turn(j, Undone)
+		s.enterPhase(j, Undone)
 	}
-	s.c.counts.Undone++
-	s.do(Ended{j.id, Undone, reason})
+	s.coordinator.counts.Undone++
+	s.emit(Ended{j.id, Undone, reason})
 }
 
-// advance takes every job as far as it can go, the one that came first before the others.
+// advance takes every job as far as possible, in order of acceptance.
 func (s *step) advance() {
-	for _, id := range slices.Clone(s.c.order) {
-		j := s.c.jobs[id]
-		for moved := true; moved && !j.phase.Over(); {
-			moved = s.move(j)
+	for _, id := range slices.Clone(s.coordinator.jobOrder) {
+		j := s.coordinator.jobs[id]
+		for advanced := true; advanced && !j.phase.IsFinal(); {
+			advanced = s.advanceJob(j)
 		}
 	}
-	s.c.forgetJobs()
+	s.coordinator.evictFinishedJobs()
 }
 
-// move takes a job one phase on if it is time, and tells whether it did.
-func (s *step) move(j *job) bool {
-	c := s.c
+// advanceJob takes a job to its next phase if the conditions hold, and reports
+// whether it did.
+func (s *step) advanceJob(j *job) bool {
+	c := s.coordinator
 	if j.phase < Cutting && j.phase > Planned {
-		if dead := c.dead(j); dead != "" {
+		if down := c.downTarget(j); down != "" {
 			c.counts.HolderDown++
-			s.undo(j, fmt.Sprintf("searcher %s, which was being filled, is down", dead))
+			s.undo(j, fmt.Sprintf("searcher %s, which was being filled, is down", down))
 			return true
 		}
-		if s.now.Sub(j.began) >= c.limits.FillMost {
+		if s.now.Sub(j.fillingSince) >= c.limits.FillMost {
 			c.counts.Late++
 			s.undo(j, fmt.Sprintf("not cut over within %v", c.limits.FillMost))
 			return true
@@ -160,43 +162,44 @@
 	}
 	switch j.phase {
 	case Planned:
-		return s.begin(j)
+		return s.startFilling(j)
 	case Filling:
 		if len(j.copied) < len(j.targets) {
 			return false
 		}
-		s.turn(j, Catching)
+		s.enterPhase(j, Catching)
 		return true
 	case Catching:
 		return s.cutOver(j)
 	case Cutting:
-		if !c.all(s.now, func(g gatherer) bool { return g.epoch >= j.cut }) {
+		if !c.allGatherers(s.now, func(g gathererState) bool { return g.epoch >= j.cutOverEpoch }) {
 			return false
 		}
-		s.turn(j, Draining)
+		s.enterPhase(j, Draining)
 		return true
 	case Draining:
-		if !c.all(s.now, func(g gatherer) bool { return g.oldest >= j.cut }) {
+		if !c.allGatherers(s.now, func(g gathererState) bool { return g.oldest >= j.cutOverEpoch }) {
 			return false
 		}
-		s.seal(j)
+		s.startSealing(j)
 		return true
 	default:
-		late := s.now.Sub(j.sealed) >= c.limits.SealMost
-		if len(j.dropped) < len(j.former) && !late {
+		timedOut := s.now.Sub(j.sealingSince) >= c.limits.SealMost
+		if len(j.dropped) < len(j.formerHolders) && !timedOut {
 			return false
 		}
-		c.counts.Unsealed += len(j.former) - len(j.dropped)
-		s.turn(j, Done)
+		c.counts.Unsealed += len(j.formerHolders) - len(j.dropped)
+		s.enterPhase(j, Done)
 		c.counts.Done++
-		s.do(Stop{j.id})
-		s.do(Ended{j.id, Done, ""})
+		s.emit(Stop{j.id})
+		s.emit(Ended{j.id, Done, ""})
 		return true
 	}
 }
 
-// dead returns a searcher that a job fills and that is down; empty if there is none.
-func (c *Coordinator) dead(j *job) string {
+// downTarget returns a searcher that a job fills and that is down, or an empty
+// string.
+func (c *Coordinator) downTarget(j *job) string {
 	for _, t := range j.targets {
 		if c.down[t.Searcher] {
 			return t.Searcher
@@ -205,80 +208,81 @@
 	return ""
 }
 
-// all tells that something is true of each gatherer that may have open queries.
-// One that was only just started cannot tell: those that it has not heard of yet
-// may have some.
-func (c *Coordinator) all(now time.Time, is func(gatherer) bool) bool {
-	if now.Before(c.settled) {
+// allGatherers reports whether a condition holds for each gatherer that may have
+// open queries. A coordinator that has just started always reports false: gatherers
+// that have not reported yet may have open queries.
+func (c *Coordinator) allGatherers(now time.Time, predicate func(gathererState) bool) bool {
+	if now.Before(c.gatherersKnownAt) {
 		return false
 	}
-	maps.DeleteFunc(c.gatherers, func(_ string, g gatherer) bool {
-		lost := now.Sub(g.at) >= c.limits.Gatherer
-		if lost {
+	maps.DeleteFunc(c.gatherers, func(_ string, g gathererState) bool {
+		expired := now.Sub(g.reportedAt) >= c.limits.Gatherer
+		if expired {
 			c.counts.GatherersLost++
 		}
-		return lost
+		return expired
 	})
 	for _, g := range c.gatherers {
-		if !is(g) {
+		if !predicate(g) {
 			return false
 		}
 	}
 	return true
 }
 
-// begin starts a job's copies, if the limits leave room.
-func (s *step) begin(j *job) bool {
-	c := s.c
-	if err := c.feasible(j.change); err != nil {
+// startFilling starts a job's copies if the limits allow it.
+func (s *step) startFilling(j *job) bool {
+	c := s.coordinator
+	if err := c.checkFeasible(j.change); err != nil {
 		s.undo(j, "no longer possible: "+err.Error())
 		return true
 	}
-	if !c.room(j) {
+	if !c.hasCapacity(j) {
 		return false
 	}
-	next, heirs, err := c.layout.Prepare(j.change)
-	if err != nil { // can't be: feasible has done the same
+	next, successors, err := c.layout.Prepare(j.change)
+	if err != nil { // impossible: checkFeasible has done the same
 		panic(fmt.Sprintf("reshard: preparing change %d: %v", j.id, err))
 	}
-	s.turn(j, Filling)
-	c.prepared(j, next, heirs, s.now)
+	s.enterPhase(j, Filling)
+	c.recordPrepared(j, next, successors, s.now)
 	c.counts.Started++
-	s.do(Publish{next})
-	s.fill(j)
+	s.emit(Publish{next})
+	s.emitFills(j)
 	return true
 }
 
-// prepared books that a job's heirs are in the layout.
-func (c *Coordinator) prepared(j *job, next *layout.Layout, heirs []layout.SegmentID, now time.Time) {
-	c.layout, j.heirs, j.began = next, heirs, now
-	j.from = c.sources(j)
+// recordPrepared records that a job's successors are in the layout, and which
+// searchers must be filled.
+func (c *Coordinator) recordPrepared(j *job, next *layout.Layout, successors []layout.SegmentID, now time.Time) {
+	c.layout, j.successors, j.fillingSince = next, successors, now
+	j.sourceHolders = c.sourceHolders(j)
 	if j.change.Kind == layout.Move {
 		s := next.Segment(j.change.Segments[0])
 		for _, h := range s.Next {
-			if !slices.Contains(s.Holders, h) { // those that stay have the rows
+			if !slices.Contains(s.Holders, h) { // the remaining holders already have the rows
 				j.targets = append(j.targets, Target{s.ID, h})
 			}
 		}
 		return
 	}
-	for _, id := range heirs {
+	for _, id := range successors {
 		for _, h := range next.Segment(id).Holders {
 			j.targets = append(j.targets, Target{id, h})
 		}
 	}
 }
 
-// fill starts, or starts again, the copies of a job.
-func (s *step) fill(j *job) {
+// emitFills starts or restarts the copies of a job.
+func (s *step) emitFills(j *job) {
 	for _, t := range j.targets {
-		keys := s.c.layout.Segment(t.Segment).Keys
-		s.do(Fill{j.id, t, keys, j.change.Segments, j.from, s.c.rate})
+		keys := s.coordinator.layout.Segment(t.Segment).Keys
+		s.emit(Fill{j.id, t, keys, j.change.Segments, j.sourceHolders, s.coordinator.copyRate})
 	}
 }
 
-// sources are the searchers that hold what a job copies.
-func (c *Coordinator) sources(j *job) (out []string) {
+// sourceHolders returns the searchers that hold the segments that a job copies.
+func (c *Coordinator) sourceHolders(j *job) (out []string) {
 	for _, id := range j.change.Segments {
 		if seg := c.layout.Segment(id); seg != nil {
 			for _, h := range seg.Holders {
@@ -291,9 +295,9 @@
 	return out
 }
 
-// touched are the searchers that a job copies from or to.
-func (c *Coordinator) touched(j *job) []string {
-	out := c.sources(j)
+// involvedSearchers returns the searchers that a job copies from or to.
+func (c *Coordinator) involvedSearchers(j *job) []string {
+	out := c.sourceHolders(j)
 	for _, list := range j.change.Holders {
 		for _, h := range list {
 			if !slices.Contains(out, h) {
@@ -304,12 +308,13 @@
 	return out
 }
 
-// room tells that a job's copies keep to the limits.
-func (c *Coordinator) room(j *job) bool {
+// hasCapacity reports whether a job can start copying within the limits for each
+// searcher and data centre.
+func (c *Coordinator) hasCapacity(j *job) bool {
 	searchers, zones := make(map[string]int), make(map[string]int)
-	add := func(j *job) {
+	count := func(j *job) {
 		seen := make(map[string]bool)
-		for _, h := range c.touched(j) {
+		for _, h := range c.involvedSearchers(j) {
 			searchers[h]++
 			seen[c.fleet.Zones[h]] = true
 		}
@@ -317,13 +322,13 @@
 			zones[z]++
 		}
 	}
-	for _, o := range c.jobs {
-		if o.phase == Filling || o.phase == Catching {
-			add(o)
+	for _, other := range c.jobs {
+		if other.phase == Filling || other.phase == Catching {
+			count(other)
 		}
 	}
-	add(j)
-	for _, h := range c.touched(j) {
+	count(j)
+	for _, h := range c.involvedSearchers(j) {
 		if searchers[h] > c.limits.PerSearcher || zones[c.fleet.Zones[h]] > c.limits.PerZone {
 			return false
 		}
@@ -331,49 +336,50 @@
 	return true
 }
 
-// cutOver makes the epoch in which the heirs serve, once each of them has said
-// lately that it is close enough.
+// cutOver creates the epoch in which the successors serve, once each target has
+// recently reported a lag within the limit.
 func (s *step) cutOver(j *job) bool {
-	c := s.c
+	c := s.coordinator
 	for _, t := range j.targets {
-		l, ok := j.lag[t]
-		if !ok || l.behind > c.limits.LagMost || s.now.Sub(l.at) > c.limits.LagFresh {
+		l, ok := j.lags[t]
+		if !ok || l.behind > c.limits.LagMost || s.now.Sub(l.receivedAt) > c.limits.LagFresh {
 			return false
 		}
 	}
-	next, err := c.layout.CutOver(j.change, j.heirs)
-	if err != nil { // can't be: it was prepared, and no other change holds its segments
+	next, err := c.layout.CutOver(j.change, j.successors)
+	if err != nil { // impossible: the change was prepared, and no other job changes its segments
 		panic(fmt.Sprintf("reshard: cutting over change %d: %v", j.id, err))
 	}
-	s.turn(j, Cutting)
-	c.layout, j.cut = next, next.Epoch()
+	s.enterPhase(j, Cutting)
+	c.layout, j.cutOverEpoch = next, next.Epoch()
 	c.counts.CutOver++
-	s.do(Publish{next})
+	s.emit(Publish{next})
 	return true
 }
 
-// seal lets the old holders forget what was moved away from them: no gatherer
-// that is heard of asks them any more. One that is cut off may still do so, with
-// an older epoch. Until each of them has said that it forgot, and so turns such
-// parts away unrun, the heirs go on following: a reservation made there in
-// between would be lost otherwise.
-func (s *step) seal(j *job) {
-	c := s.c
-	former := c.former(j)
+// startSealing tells the former holders to drop the segments that were moved away:
+// no reporting gatherer sends them parts any more. An isolated gatherer may still
+// do so with an older epoch. The successors therefore continue to apply changes
+// from the former holders until each has confirmed the drop, after which it rejects
+// such parts without running them: a reservation made there in the meantime would
+// be lost otherwise.
+func (s *step) startSealing(j *job) {
+	c := s.coordinator
+	formerHolders := c.formerHolders(j)
 	next, err := c.layout.Retire(j.change)
-	if err != nil { // can't be: it was cut over
+	if err != nil { // impossible: the change was cut over
 		panic(fmt.Sprintf("reshard: retiring change %d: %v", j.id, err))
 	}
-	s.turn(j, Sealing)
-	c.layout, j.former, j.sealed = next, former, s.now
-	s.do(Publish{next})
-	for _, t := range former {
-		s.do(Drop{t})
+	s.enterPhase(j, Sealing)
+	c.layout, j.formerHolders, j.sealingSince = next, formerHolders, s.now
+	s.emit(Publish{next})
+	for _, t := range formerHolders {
+		s.emit(Drop{t})
 	}
 }
 
-// former are those that held what a job has moved away.
-func (c *Coordinator) former(j *job) (out []Target) {
+// formerHolders returns the holders that a job takes segments away from.
+func (c *Coordinator) formerHolders(j *job) (out []Target) {
 	for _, id := range j.change.Segments {
 		seg := c.layout.Segment(id)
 		list := seg.Holders
@@ -387,148 +393,149 @@
 	return out
 }
 
-// forgetJobs drops the oldest jobs that are over beyond those that are kept.
-func (c *Coordinator) forgetJobs() {
-	over := 0
+// evictFinishedJobs removes the oldest finished jobs beyond Limits.Kept.
+func (c *Coordinator) evictFinishedJobs() {
+	finished := 0
 	for _, j := range c.jobs {
-		if j.phase.Over() {
-			over++
+		if j.phase.IsFinal() {
+			finished++
 		}
 	}
-	c.order = slices.DeleteFunc(c.order, func(id JobID) bool {
-		if over <= c.limits.Kept || !c.jobs[id].phase.Over() {
+	c.jobOrder = slices.DeleteFunc(c.jobOrder, func(id JobID) bool {
+		if finished <= c.limits.Kept || !c.jobs[id].phase.IsFinal() {
 			return false
 		}
-		over--
+		finished--
 		delete(c.jobs, id)
 		return true
 	})
 }
 
-// How the copies yield to queries: half as fast at each report of pressure, a
-// tenth of the most faster at each without, as TCP does (Chiu and Jain, 1989).
+// The copy rate is adjusted by additive increase and multiplicative decrease, as in
+// TCP (Chiu and Jain, 1989): it is halved by each report at or above slowDownRatio,
+// and raised by a tenth of the maximum by each report below.
 const (
-	pressureAt = 1.15 // p99 over what it is without copies; 1.25 must not be passed
-	slower     = 0.5
-	faster     = 0.1
+	slowDownRatio        = 1.15 // p99 with copies / p99 without; 1.25 must not be exceeded
+	rateDecreaseFactor   = 0.5
+	rateIncreaseFraction = 0.1
 )
 
-func (s *step) pressure(ratio float64) {
-	c := s.c
-	rate := c.rate
-	if ratio >= pressureAt {
-		rate *= slower
+func (s *step) adjustRate(ratio float64) {
+	c := s.coordinator
+	rate := c.copyRate
+	if ratio >= slowDownRatio {
+		rate *= rateDecreaseFactor
 		c.counts.Slowed++
 	} else {
-		rate += faster * c.limits.RateMost
+		rate += rateIncreaseFraction * c.limits.RateMost
 	}
 	rate = min(max(rate, c.limits.RateLeast), c.limits.RateMost)
-	if rate != c.rate {
-		c.rate = rate
-		s.do(Rate{rate})
+	if rate != c.copyRate {
+		c.copyRate = rate
+		s.emit(SetRate{rate})
 	}
 }
 
-// Base is where records begin: the layout as it was when nothing was under way.
+// Base is the point at which records begin: the layout at a time with no open job.
 type Base struct {
-	Layout *layout.Layout
-	Seq    uint64 // of the last record before
-	Job    JobID  // the last that was given out
+	Layout  *layout.Layout
+	Seq     uint64 // of the last record before the base
+	LastJob JobID  // the last that was assigned
 }
 
-// Base is where later records can begin, so that those so far need not be kept.
-// There is none while a job is under way.
+// Base returns a base for later records, so that the records before it can be
+// discarded. It returns false while a job is open.
 func (c *Coordinator) Base() (Base, bool) {
 	for _, j := range c.jobs {
-		if !j.phase.Over() {
+		if !j.phase.IsFinal() {
 			return Base{}, false
 		}
 	}
-	return Base{c.layout, c.seq, c.last}, true
+	return Base{c.layout, c.lastSeq, c.lastJob}, true
 }
 
-// Recover makes a coordinator from what one before has written: the base that
-// its records begin at, and these in order. It returns the effects of all jobs
-// that are not over, which may have been carried out before or not. Copies begin
-// anew; a job whose cut-over was written goes on from there.
+// Recover restores a coordinator from the base and records, in order, that an
+// earlier one has written. It returns the effects of all open jobs, which may or
+// may not have been executed before. Copies restart; a job whose cut-over was
+// written continues from there.
 func Recover(now time.Time, b Base, f layout.Fleet, limits Limits, records []Record) (*Coordinator, []Effect, error) {
 	c := New(now, b.Layout, f, limits)
-	c.seq, c.last = b.Seq, b.Job
+	c.lastSeq, c.lastJob = b.Seq, b.LastJob
 	for i, r := range records {
 		if err := c.replay(now, r); err != nil {
 			return nil, nil, fmt.Errorf("record %d (number %d): %w", i, r.Seq, err)
 		}
 	}
-	s := &step{c: c, now: now}
-	s.do(Publish{c.layout})
-	for _, id := range c.order {
+	s := &step{coordinator: c, now: now}
+	s.emit(Publish{c.layout})
+	for _, id := range c.jobOrder {
 		switch j := c.jobs[id]; j.phase {
 		case Filling, Catching, Cutting, Draining, Sealing:
-			// Followers of a job that is cut over are needed until it is done:
-			// reservations of older epochs must reach the heirs.
-			s.fill(j)
-			for _, t := range j.former {
-				s.do(Drop{t})
+			// After the cut-over the successors must still receive reservations made
+			// in older epochs, so copies run until the job is done.
+			s.emitFills(j)
+			for _, t := range j.formerHolders {
+				s.emit(Drop{t})
 			}
 		case Done, Undone:
-			s.do(Stop{id})
+			s.emit(Stop{id})
 		}
 	}
-	c.forgetJobs()
+	c.evictFinishedJobs()
 	return c, s.result.Effects, nil
 }
 
-// replay takes in one record.
+// replay applies one record.
 func (c *Coordinator) replay(now time.Time, r Record) error {
-	if r.Seq != c.seq+1 {
-		return fmt.Errorf("follows number %d", c.seq)
+	if r.Seq != c.lastSeq+1 {
+		return fmt.Errorf("out of sequence: follows number %d", c.lastSeq)
 	}
-	c.seq = r.Seq
+	c.lastSeq = r.Seq
 	j := c.jobs[r.Job]
 	if (j == nil) != (r.Phase == Planned) {
-		return fmt.Errorf("change %d turns %v: %w", r.Job, r.Phase, ErrNoJob)
+		return fmt.Errorf("change %d enters phase %v: %w", r.Job, r.Phase, ErrUnknownJob)
 	}
 	if j == nil {
 		j = newJob(r.Job, r.Change)
-		c.jobs[r.Job], c.last = j, max(c.last, r.Job)
-		c.order = append(c.order, r.Job)
+		c.jobs[r.Job], c.lastJob = j, max(c.lastJob, r.Job)
+		c.jobOrder = append(c.jobOrder, r.Job)
 		return nil
 	}
-	if !j.phase.leads(r.Phase) {
-		return fmt.Errorf("change %d turns %v, but is %v", r.Job, r.Phase, j.phase)
+	if !j.phase.canPrecede(r.Phase) {
+		return fmt.Errorf("change %d cannot enter phase %v: it is %v", r.Job, r.Phase, j.phase)
 	}
 	next, err := c.layout, error(nil)
 	switch r.Phase {
 	case Filling:
-		var heirs []layout.SegmentID
-		if next, heirs, err = c.layout.Prepare(j.change); err == nil {
-			c.prepared(j, next, heirs, now)
+		var successors []layout.SegmentID
+		if next, successors, err = c.layout.Prepare(j.change); err == nil {
+			c.recordPrepared(j, next, successors, now)
 		}
 	case Catching:
 		for _, t := range j.targets {
 			j.copied[t] = true
 		}
 	case Cutting:
-		if next, err = c.layout.CutOver(j.change, j.heirs); err == nil {
-			j.cut = next.Epoch()
+		if next, err = c.layout.CutOver(j.change, j.successors); err == nil {
+			j.cutOverEpoch = next.Epoch()
 		}
 	case Sealing:
-		j.former, j.sealed = c.former(j), now
+		j.formerHolders, j.sealingSince = c.formerHolders(j), now
 		next, err = c.layout.Retire(j.change)
 	case Undone:
 		if j.phase != Planned {
-			next, err = c.layout.Abort(j.change, j.heirs)
+			next, err = c.layout.Abort(j.change, j.successors)
 		}
 	}
 	if err != nil {
-		return fmt.Errorf("change %d turns %v: %w", r.Job, r.Phase, err)
+		return fmt.Errorf("change %d enters phase %v: %w", r.Job, r.Phase, err)
 	}
 	c.layout, j.phase, j.reason = next, r.Phase, r.Reason
 	return nil
 }
 
-// leads tells that a phase can come right after p.
-func (p Phase) leads(to Phase) bool {
+// canPrecede reports whether a phase can directly follow p.
+func (p Phase) canPrecede(to Phase) bool {
 	switch p {
 	case Planned:
 		return to == Filling || to == Undone
--- a/internal/layout/reshardlog/log.go
+++ b/internal/layout/reshardlog/log.go
@@ -1,16 +1,20 @@
-// Package reshardlog keeps a coordinator's records on disk, so that one that is
-// killed at any step goes on or undoes. It is a bbolt file: a commit is atomic
-// and on disk when Append returns.
+// Package reshardlog stores a coordinator's records on disk, so that after a kill
+// at any step its jobs continue or are undone. The log is a bbolt file: a commit
+// is atomic, and on disk when Append returns.
 //
-// Form, version 1. Bucket "meta" holds "version" (one byte, 1), "base" (the
-// layout and fleet that the records begin at, as internal/layout/layoutfile writes
-// them) and "at" (two numbers of 8 bytes, most significant first: the number of
-// the last record before the base, and of the last job given out) "term" (8
-// bytes: how often the log was opened) and "id" (8 random bytes). Bucket
-// "records" holds one record for each key, which is its number in 8 bytes, most
-// significant first; the value is JSON. Every value but "version" ends in 4 bytes
-// of CRC-32C (RFC 3720, appendix B.4) over key and value, since bbolt checks its
-// own pages but not what lies in them.
+// File format, version 1. Bucket "meta" holds:
+//   - "version": one byte, 1
+//   - "base": the layout and fleet that the records begin at, as
+//     internal/layout/layoutfile writes them
+//   - "at": two big-endian 8-byte numbers, the number of the last record before the
+//     base and that of the last job assigned
+//   - "term": 8 bytes, big-endian, the number of times that the log was opened
+//   - "id": 8 random bytes
+//
+// Bucket "records" holds the records. The key is the record's number, 8 bytes,
+// big-endian; the value is JSON. Every value but "version" ends in 4 bytes of
+// CRC-32C (RFC 3720, appendix B.4) over key and value, because bbolt checks its own
+// pages but not the values in them.
 package reshardlog
 
 import (
@@ -33,9 +37,9 @@
 )
 
 const (
-	version  = 1
-	lockWait = 2 * time.Second // another process holds the file: two coordinators must not write one log
-	maxSince = 4096            // records after the base; a change has six at the most, so some 700 changes
+	version    = 1
+	lockWait   = 2 * time.Second // wait for the file lock: two coordinators must not write one log
+	maxRecords = 4096            // most records after the base; a change has at most six, so this is about 700 changes
 )
 
 var (
@@ -43,43 +47,44 @@
 	bucketRecords = []byte("records")
 	keyVersion    = []byte("version")
 	keyBase       = []byte("base")
-	keyAt         = []byte("at")
+	keyPosition   = []byte("at")
 	keyTerm       = []byte("term")
 	keyID         = []byte("id")
 )
 
-// The faults of a file.
+// Errors of a log file.
 var (
 	ErrDamaged = sealed.ErrDamaged
-	ErrVersion = errors.New("the log is of another version")
-	ErrEmpty   = errors.New("the log holds no layout yet")
-	ErrLong    = fmt.Errorf("the log is full: nothing can be compacted while changes are under way (%w)", durable.ErrPermanent)
+	ErrVersion = errors.New("unsupported log version")
+	ErrEmpty   = errors.New("log holds no layout yet")
+	ErrFull    = fmt.Errorf("log is full and cannot be compacted while changes are under way (%w)", durable.ErrPermanent)
 )
 
-// Log is an open log. It is for one goroutine.
+// Log is an open log. It is not safe for concurrent use.
 type Log struct {
-	db    *bbolt.DB
-	id    string
-	term  uint64
-	last  uint64
-	since int // records after the base
+	db               *bbolt.DB
+	id               string
+	term             uint64
+	lastSeq          uint64
+	recordsSinceBase int // number of records after the base
 }
 
-// Open opens a log, or makes one. A new one is Empty until Begin.
+// Open opens or creates a log. Load of a new one returns ErrEmpty until SetBase.
 func Open(path string) (*Log, error) {
 	db, err := durable.OpenBolt(path, &bbolt.Options{Timeout: lockWait})
 	if err != nil {
 		return nil, fmt.Errorf("change log %s: %w", path, err)
 	}
 	l := &Log{db: db}
-	if err := db.Update(l.prepare); err != nil {
+	if err := db.Update(l.initialize); err != nil {
 		return nil, errors.Join(fmt.Errorf("change log %s: %w", path, err), db.Close())
 	}
 	return l, nil
 }
 
-// prepare makes the buckets, and checks the version of a file that has them.
-func (l *Log) prepare(tx *bbolt.Tx) error {
+// initialize creates the buckets, checks the version of an existing file, and
+// increments the term.
+func (l *Log) initialize(tx *bbolt.Tx) error {
 	meta, err := tx.CreateBucketIfNotExists(bucketMeta)
 	if err != nil {
 		return err
@@ -109,7 +114,7 @@
 	if v := meta.Get(keyTerm); v != nil {
 		text, err := sealed.Open(keyTerm, v)
 		if err != nil || len(text) != 8 {
-			return fmt.Errorf("%w: the term", ErrDamaged)
+			return fmt.Errorf("%w: malformed term", ErrDamaged)
 		}
 		l.term = binary.BigEndian.Uint64(text)
 	}
@@ -117,28 +122,29 @@
 	return meta.Put(keyTerm, sealed.Seal(keyTerm, binary.BigEndian.AppendUint64(nil, l.term)))
 }
 
-// ID tells this log from all others, which may have begun at other layouts.
+// ID returns a random identifier of the log. Logs with other identifiers may have
+// begun at other layouts.
 func (l *Log) ID() string { return l.id }
 
-// Term is one higher each time that the log is opened, from 1 on: what is told
-// to others under a term is older than all that is told under a later one.
+// Term returns the number of times that the log was opened, starting from 1.
+// Messages to other processes carry it: those of a later term are newer.
 func (l *Log) Term() uint64 { return l.term }
 
 // Close closes the file.
 func (l *Log) Close() error { return l.db.Close() }
 
-// Begin makes a base the beginning of the log. What stood there before is gone:
-// it is for a new log, and for compacting one when nothing is under way.
-func (l *Log) Begin(b reshard.Base, f layout.Fleet) error {
+// SetBase replaces the contents of the log by a base. It initializes a new log, and
+// compacts one while no job is open.
+func (l *Log) SetBase(b reshard.Base, f layout.Fleet) error {
 	var text bytes.Buffer
 	if err := layoutfile.Write(&text, b.Layout, f); err != nil {
 		return err
 	}
-	at := binary.BigEndian.AppendUint64(nil, b.Seq)
-	at = binary.BigEndian.AppendUint64(at, uint64(b.Job))
+	position := binary.BigEndian.AppendUint64(nil, b.Seq)
+	position = binary.BigEndian.AppendUint64(position, uint64(b.LastJob))
 	err := l.db.Update(func(tx *bbolt.Tx) error {
 		meta := tx.Bucket(bucketMeta)
-		if err := errors.Join(meta.Put(keyBase, sealed.Seal(keyBase, text.Bytes())), meta.Put(keyAt, sealed.Seal(keyAt, at))); err != nil {
+		if err := errors.Join(meta.Put(keyBase, sealed.Seal(keyBase, text.Bytes())), meta.Put(keyPosition, sealed.Seal(keyPosition, position))); err != nil {
 			return err
 		}
 		if err := tx.DeleteBucket(bucketRecords); err != nil {
@@ -150,20 +156,20 @@
 	if err != nil {
 		return fmt.Errorf("change log: %w", err)
 	}
-	l.last, l.since = b.Seq, 0
+	l.lastSeq, l.recordsSinceBase = b.Seq, 0
 	return nil
 }
 
-// Append writes records in one commit. They are on disk when it returns nil, and
-// none of them is otherwise.
+// Append writes records in one commit. If it returns nil all of them are on disk,
+// otherwise none is.
 func (l *Log) Append(records []reshard.Record) error {
 	if len(records) == 0 {
 		return nil
 	}
-	if l.since+len(records) > maxSince {
-		return fmt.Errorf("%w: %d records", ErrLong, l.since)
+	if l.recordsSinceBase+len(records) > maxRecords {
+		return fmt.Errorf("%w: %d records", ErrFull, l.recordsSinceBase)
 	}
-	next := l.last
+	next := l.lastSeq
 	err := l.db.Update(func(tx *bbolt.Tx) error {
 		bucket := tx.Bucket(bucketRecords)
 		for _, r := range records {
@@ -184,14 +190,15 @@
 	if err != nil {
 		return fmt.Errorf("change log: %w", err)
 	}
-	l.last, l.since = next, l.since+len(records)
+	l.lastSeq, l.recordsSinceBase = next, l.recordsSinceBase+len(records)
 	return nil
 }
 
-// Full tells that the log should be compacted as soon as nothing is under way.
-func (l *Log) Full() bool { return l.since > maxSince/2 }
+// NeedsCompaction reports whether the log should be compacted as soon as no job is
+// open.
+func (l *Log) NeedsCompaction() bool { return l.recordsSinceBase > maxRecords/2 }
 
-// Load reads all that the log holds. Nothing of a damaged one is returned.
+// Load reads the whole log. It returns nothing of a damaged one.
 func (l *Log) Load() (b reshard.Base, f layout.Fleet, records []reshard.Record, err error) {
 	err = l.db.View(func(tx *bbolt.Tx) error {
 		meta := tx.Bucket(bucketMeta)
@@ -202,11 +209,11 @@
 		if err != nil {
 			return err
 		}
-		at, err := sealed.Open(keyAt, meta.Get(keyAt))
-		if err != nil || len(at) != 16 {
-			return fmt.Errorf("%w: where the base stands", ErrDamaged)
+		position, err := sealed.Open(keyPosition, meta.Get(keyPosition))
+		if err != nil || len(position) != 16 {
+			return fmt.Errorf("%w: malformed position of the base", ErrDamaged)
 		}
-		b.Seq, b.Job = binary.BigEndian.Uint64(at), reshard.JobID(binary.BigEndian.Uint64(at[8:]))
+		b.Seq, b.LastJob = binary.BigEndian.Uint64(position), reshard.JobID(binary.BigEndian.Uint64(position[8:]))
 		if b.Layout, f, err = layoutfile.Read("base", bytes.NewReader(text)); err != nil {
 			return fmt.Errorf("%w: %w", ErrDamaged, err)
 		}
@@ -222,7 +229,7 @@
 				return fmt.Errorf("%w: record %d: %w", ErrDamaged, next, err)
 			}
 			if len(key) != 8 || binary.BigEndian.Uint64(key) != next || r.Seq != next {
-				return fmt.Errorf("%w: record %d stands where %d belongs", ErrDamaged, r.Seq, next)
+				return fmt.Errorf("%w: found record %d, want %d", ErrDamaged, r.Seq, next)
 			}
 			records = append(records, r)
 			return nil
@@ -231,6 +238,6 @@
 	if err != nil {
 		return reshard.Base{}, layout.Fleet{}, nil, fmt.Errorf("change log: %w", err)
 	}
-	l.last, l.since = b.Seq+uint64(len(records)), len(records)
+	l.lastSeq, l.recordsSinceBase = b.Seq+uint64(len(records)), len(records)
 	return b, f, records, nil
 }
--- a/internal/layout/reshardlog/log_test.go
+++ b/internal/layout/reshardlog/log_test.go
@@ -17,7 +17,7 @@
 
 var fleet = layout.Fleet{Replicas: 1, Zones: map[string]string{"a": "x", "b": "x", "c": "x"}}
 
-func begin(t *testing.T, path string) (*Log, *layout.Layout) {
+func openNew(t *testing.T, path string) (*Log, *layout.Layout) {
 	t.Helper()
 	first, err := layout.First(layout.Segment{ID: 0, Keys: layout.All, Holders: []string{"a"}})
 	if err != nil {
@@ -31,7 +31,7 @@
 	if _, _, _, err := l.Load(); !errors.Is(err, ErrEmpty) {
 		t.Errorf("a new log: %v", err)
 	}
-	if err := l.Begin(reshard.Base{Layout: first}, fleet); err != nil {
+	if err := l.SetBase(reshard.Base{Layout: first}, fleet); err != nil {
 		t.Fatal(err)
 	}
 	return l, first
@@ -39,32 +39,33 @@
 
 var change = layout.Change{Kind: layout.Split, Segments: []layout.SegmentID{0}, At: "k", Share: 0.25, Holders: [][]string{{"a"}, {"b"}}}
 
-// steps takes a change through all its steps.
-func steps() []reshard.Event {
+// splitEvents returns the events that take a split through all its phases.
+func splitEvents() []reshard.Event {
 	lower, upper := reshard.Target{Segment: 1, Searcher: "a"}, reshard.Target{Segment: 2, Searcher: "b"}
 	return []reshard.Event{
 		reshard.Submit{Change: change},
-		reshard.Heard{Gatherer: "g", Epoch: 1, Oldest: 1},
+		reshard.GathererReport{Gatherer: "g", Epoch: 1, Oldest: 1},
 		reshard.Copied{Job: 1, Target: lower}, reshard.Copied{Job: 1, Target: upper},
 		reshard.Lag{Job: 1, Target: lower}, reshard.Lag{Job: 1, Target: upper},
-		reshard.Heard{Gatherer: "g", Epoch: 3, Oldest: 1},
-		reshard.Heard{Gatherer: "g", Epoch: 4, Oldest: 4},
-		reshard.Dropped{Target: old},
+		reshard.GathererReport{Gatherer: "g", Epoch: 3, Oldest: 1},
+		reshard.GathererReport{Gatherer: "g", Epoch: 4, Oldest: 4},
+		reshard.Dropped{Target: formerHolder},
 	}
 }
 
-// old is who held the segment that is split.
-var old = reshard.Target{Segment: 0, Searcher: "a"}
+// formerHolder is the holder of the segment that is split.
+var formerHolder = reshard.Target{Segment: 0, Searcher: "a"}
 
-// TestACoordinatorKilledAtAnyStepGoesOn kills it after each event in turn, reads
-// the log from disk, and takes the change to its end from there.
-func TestACoordinatorKilledAtAnyStepGoesOn(t *testing.T) {
+// TestRecoveryFromDiskAfterEachEvent guards against records that are missing or
+// unusable after a kill. It closes the log after each event in turn, recovers from
+// disk, and completes the change from there.
+func TestRecoveryFromDiskAfterEachEvent(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
-	for kill := range len(steps()) {
+	for kill := range len(splitEvents()) {
 		path := filepath.Join(t.TempDir(), "changes.db")
-		l, first := begin(t, path)
+		l, first := openNew(t, path)
 		c := reshard.New(now.Add(-time.Hour), first, fleet, reshard.Limits{})
-		for i, e := range steps() {
+		for i, e := range splitEvents() {
 			if err := l.Append(c.Step(now, e).Records); err != nil {
 				t.Fatal(err)
 			}
@@ -91,45 +92,45 @@
 			if d := layout.Diff(before, c.Layout()); len(d) > 0 || c.Layout().Epoch() != before.Epoch() || len(effects) == 0 {
 				t.Errorf("killed after event %d: epoch %d was %d, %v", i, c.Layout().Epoch(), before.Epoch(), d)
 			}
-			// What was told to the one before is told again.
-			for _, e := range steps()[1 : i+1] {
+			// Peers report again what they reported before the kill.
+			for _, e := range splitEvents()[1 : i+1] {
 				if err := l.Append(c.Step(now, e).Records); err != nil {
 					t.Fatal(err)
 				}
 			}
 		}
-		// One that was started anew waits until it knows which gatherers there are.
+		// A recovered coordinator waits until it knows which gatherers exist.
 		later := now.Add(time.Minute)
-		for _, e := range []reshard.Event{reshard.Heard{Gatherer: "g", Epoch: 4, Oldest: 4}, reshard.Dropped{Target: old}} {
+		for _, e := range []reshard.Event{reshard.GathererReport{Gatherer: "g", Epoch: 4, Oldest: 4}, reshard.Dropped{Target: formerHolder}} {
 			if err := l.Append(c.Step(later, e).Records); err != nil {
 				t.Fatal(err)
 			}
 		}
 		if s := c.Jobs()[0]; s.Phase != reshard.Done || c.Layout().Len() != 2 {
-			t.Errorf("killed after event %d: the change ends as %v", kill, s.Phase)
+			t.Errorf("killed after event %d: the change ends in phase %v", kill, s.Phase)
 		}
 	}
 }
 
-func TestALogIsCompacted(t *testing.T) {
+func TestCompaction(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
 	path := filepath.Join(t.TempDir(), "changes.db")
-	l, first := begin(t, path)
+	l, first := openNew(t, path)
 	c := reshard.New(now.Add(-time.Hour), first, fleet, reshard.Limits{})
-	for i, e := range steps() {
+	for i, e := range splitEvents() {
 		if err := l.Append(c.Step(now, e).Records); err != nil {
 			t.Fatal(err)
 		}
-		if _, ok := c.Base(); ok != (i == len(steps())-1) {
+		if _, ok := c.Base(); ok != (i == len(splitEvents())-1) {
 			t.Errorf("after event %d: a base is %v", i, ok)
 		}
 	}
 	b, _ := c.Base()
-	if err := l.Begin(b, fleet); err != nil {
+	if err := l.SetBase(b, fleet); err != nil {
 		t.Fatal(err)
 	}
 	got, _, records, err := l.Load()
-	if err != nil || len(records) != 0 || got.Seq != b.Seq || got.Job != 1 || got.Layout.Epoch() != c.Layout().Epoch() {
+	if err != nil || len(records) != 0 || got.Seq != b.Seq || got.LastJob != 1 || got.Layout.Epoch() != c.Layout().Epoch() {
 		t.Errorf("have %+v, %d records, %v", got, len(records), err)
 	}
 	again, _, err := reshard.Recover(now, got, fleet, reshard.Limits{}, records)
@@ -145,32 +146,32 @@
 	}
 }
 
-func TestWhatIsDamagedIsNotUsed(t *testing.T) {
+func TestDamagedLogIsRejected(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
-	for name, spoil := range map[string]func(*bbolt.Tx) error{
+	for name, damage := range map[string]func(*bbolt.Tx) error{
 		"a flipped bit": func(tx *bbolt.Tx) error {
 			k, v := tx.Bucket(bucketRecords).Cursor().First()
 			v = bytes.Clone(v)
 			v[3] ^= 4
 			return tx.Bucket(bucketRecords).Put(bytes.Clone(k), v)
 		},
-		"a record short": func(tx *bbolt.Tx) error {
+		"a missing record": func(tx *bbolt.Tx) error {
 			k, _ := tx.Bucket(bucketRecords).Cursor().First()
 			return tx.Bucket(bucketRecords).Delete(bytes.Clone(k))
 		},
-		"a base cut off": func(tx *bbolt.Tx) error {
+		"a truncated base": func(tx *bbolt.Tx) error {
 			v := tx.Bucket(bucketMeta).Get(keyBase)
 			return tx.Bucket(bucketMeta).Put(keyBase, bytes.Clone(v[:len(v)/2]))
 		},
-		"no place": func(tx *bbolt.Tx) error { return tx.Bucket(bucketMeta).Delete(keyAt) },
+		"no position": func(tx *bbolt.Tx) error { return tx.Bucket(bucketMeta).Delete(keyPosition) },
 	} {
 		path := filepath.Join(t.TempDir(), "changes.db")
-		l, first := begin(t, path)
+		l, first := openNew(t, path)
 		c := reshard.New(now.Add(-time.Hour), first, fleet, reshard.Limits{})
 		if err := l.Append(c.Step(now, reshard.Submit{Change: change}).Records); err != nil {
 			t.Fatal(err)
 		}
-		if err := l.db.Update(spoil); err != nil {
+		if err := l.db.Update(damage); err != nil {
 			t.Fatal(err)
 		}
 		if _, _, records, err := l.Load(); !errors.Is(err, ErrDamaged) || records != nil {
@@ -179,14 +180,14 @@
 	}
 }
 
-func TestLogsThatCannotBeOpened(t *testing.T) {
+func TestInvalidAppendsAndFilesAreRejected(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "changes.db")
-	l, _ := begin(t, path)
+	l, _ := openNew(t, path)
 	if err := l.Append([]reshard.Record{{Seq: 2}}); err == nil {
-		t.Error("a record was left out and nobody minded")
+		t.Error("a gap in the record numbers was accepted")
 	}
-	if err := l.Append(make([]reshard.Record, maxSince+1)); !errors.Is(err, ErrLong) {
-		t.Errorf("too long: %v", err)
+	if err := l.Append(make([]reshard.Record, maxRecords+1)); !errors.Is(err, ErrFull) {
+		t.Errorf("more than maxRecords: %v", err)
 	}
 	if err := l.db.Update(func(tx *bbolt.Tx) error { return tx.Bucket(bucketMeta).Put(keyVersion, []byte{9}) }); err != nil {
 		t.Fatal(err)
@@ -199,6 +200,6 @@
 		t.Fatal(err)
 	}
 	if _, err := Open(path); err == nil {
-		t.Error("a file that is no log was opened")
+		t.Error("a file that is not a database was opened")
 	}
 }
