--- /dev/null
+++ b/internal/netio/clientconn.go
@@ -0,0 +1,610 @@
+package netio
+
+import (
+	"encoding/json"
+	"errors"
+	"fmt"
+	"net/http"
+	"strconv"
+	"strings"
+	"time"
+
+	"eiderwinch/internal/format/http1"
+	"eiderwinch/internal/gatherer"
+	"eiderwinch/internal/layout"
+	"eiderwinch/internal/limit"
+	"eiderwinch/internal/netio/eventloop"
+)
+
+const (
+	maxDiscarded     = 64 << 20                      // bytes discarded of a request that was answered before its end; bodies of 60 MB occur
+	maxPipelined     = http1.MaxHead + http1.MaxBody // bytes of requests that wait behind an unanswered one
+	maxUnreadAnswers = 1 << 20                       // bytes of answers that a client has not read
+	maxArrivals      = 32                            // arrival times kept of data that waits behind an unanswered request
+	flushTimeout     = 10 * time.Second              // for a client to read the last answer of its connection: 64 KiB at 6 KiB/s
+	healthPath       = "/_health"
+
+	epochHeader       = "x-layout-epoch"      // of requests and answers, if there is a layout
+	generationHeader  = "x-config-generation" // of answers, if the configuration can change
+	unknownEpochRetry = time.Second           // gatherers learn of an epoch within seconds of each other
+)
+
+// clientConn is the connection of a client. Its requests are answered one at a time.
+type clientConn struct {
+	node         *Node
+	conn         *eventloop.Conn
+	parser       http1.RequestParser
+	seat         limit.Seat[*clientConn]
+	received     uint64    // bytes given to the parser
+	arrivals     []arrival // of data that belongs to no request passed on yet
+	discarded    int       // bytes thrown away while ending
+	queryID      uint64    // the open query; 0 if there is none
+	busy         bool      // a request waits for its answer
+	lastRequest  bool      // the connection ends with the current request
+	inputIgnored bool      // no more input is accepted; the current request is still answered
+	ending       bool      // the connection is about to be closed
+}
+
+// arrival records when data of a client was received.
+type arrival struct {
+	endByte    uint64 // offset behind its last byte in the data received
+	receivedAt time.Time
+}
+
+func newClientConn(n *Node) *clientConn {
+	c := &clientConn{node: n}
+	c.seat.Owner = c
+	return c
+}
+
+// Opened implements eventloop.Handler.
+func (c *clientConn) Opened(conn *eventloop.Conn) {
+	node := c.node
+	c.conn = conn
+	node.stats.Clients++
+	node.clientTable.Enter(time.Now(), &c.seat)
+	if node.excessClients() > 0 {
+		node.evict(c)
+	}
+}
+
+// Closed implements eventloop.Handler.
+func (c *clientConn) Closed(reason error) {
+	c.releaseSeat()
+	c.ending = true
+	if c.queryID != 0 {
+		c.node.log.Debug("client left while its query was open", "query", c.queryID, "reason", reason)
+		c.node.core.Gone(time.Now(), c.queryID)
+		c.queryID = 0
+	}
+}
+
+// Traffic implements eventloop.Handler.
+func (c *clientConn) Traffic(data []byte) {
+	if c.ending {
+		// Closing at once would reset the connection, and the client could lose the error answer.
+		if c.discarded += len(data); c.discarded > maxDiscarded {
+			c.drop()
+		}
+		return
+	}
+	if c.inputIgnored {
+		return
+	}
+	c.recordArrival(time.Now(), len(data))
+	c.parser.Feed(data)
+	if c.busy && c.parser.Buffered() > maxPipelined {
+		// No client needs to send this far ahead. The open query is still answered.
+		c.inputIgnored, c.lastRequest, c.parser = true, true, http1.RequestParser{}
+	}
+	c.processRequests()
+}
+
+// recordArrival records when data was received. All data of an incomplete request that is next in turn counts as
+// received with its last bytes. Behind a request that waits for its answer, pieces beyond maxArrivals count as
+// received with the last piece that has an entry: the time of such a request may end early, never late.
+func (c *clientConn) recordArrival(now time.Time, bytes int) {
+	c.received += uint64(bytes)
+	if !c.busy {
+		c.arrivals = c.arrivals[:0]
+	}
+	if n := len(c.arrivals); n == maxArrivals {
+		c.arrivals[n-1].endByte = c.received
+		return
+	}
+	c.arrivals = append(c.arrivals, arrival{c.received, now})
+}
+
+// sinceArrival returns how long ago the last byte of the request was received that the parser has just returned. A
+// client counts its time from when it sent the request, even if that has waited here behind another one.
+func (c *clientConn) sinceArrival(now time.Time) time.Duration {
+	end := c.received - uint64(c.parser.Buffered())
+	for len(c.arrivals) > 0 && c.arrivals[0].endByte < end {
+		c.arrivals = c.arrivals[1:]
+	}
+	if len(c.arrivals) == 0 {
+		return 0
+	}
+	at := c.arrivals[0].receivedAt
+	if c.arrivals[0].endByte == end {
+		c.arrivals = c.arrivals[1:]
+	}
+	return now.Sub(at)
+}
+
+// Left implements gatherer.Client.
+func (c *clientConn) Left() bool { return c.ending || remoteClosed(c.conn.Fd()) }
+
+// processRequests serves the complete requests that were received.
+func (c *clientConn) processRequests() {
+	for !c.busy && !c.ending {
+		r, err := c.parser.Next()
+		if err != nil {
+			var e *http1.Error
+			status, reason := http.StatusBadRequest, err.Error()
+			if errors.As(err, &e) {
+				status, reason = e.Status, e.Reason
+			}
+			c.reject(status, reason, true)
+			return
+		}
+		if r == nil {
+			if c.parser.Continue() {
+				c.write(http1.AppendContinue(nil))
+			}
+			c.awaitRequest()
+			return
+		}
+		c.serve(r)
+	}
+}
+
+// awaitRequest updates the connection's stage when there is no complete request.
+func (c *clientConn) awaitRequest() {
+	stage := c.seat.Stage()
+	if c.parser.Idle() {
+		c.arrivals = nil // a connection that stays open must not keep the memory
+	}
+	switch {
+	case c.ending:
+	case stage == limit.Silent:
+		c.setStage(limit.First)
+	case stage == limit.Idle && !c.parser.Idle():
+		c.setStage(limit.Further)
+	case stage == limit.Further && c.parser.Idle(): // only blank lines were received
+		c.setStage(limit.Idle)
+	}
+}
+
+func (c *clientConn) setStage(to limit.Stage) { c.node.clientTable.Move(time.Now(), &c.seat, to) }
+
+// serve handles one request.
+func (c *clientConn) serve(r *http1.Request) {
+	c.busy, c.lastRequest = true, r.Close
+	if c.seat.Asked() > 0 {
+		c.node.stats.Reused++
+	}
+	c.setStage(limit.Busy)
+	path, _, _ := strings.Cut(r.Target, "?")
+	switch {
+	case path == healthPath && (r.Method == "GET" || r.Method == "HEAD"):
+		status := http.StatusOK
+		if c.node.draining {
+			status = http.StatusServiceUnavailable
+			c.lastRequest = c.lastRequest || c.seat.Asked() == 0 && !c.hasMoreInput() // clients of kept connections need the place: they can open no new connection
+		}
+		c.respond(status, nil)
+	case r.Method != "POST":
+		c.reject(http.StatusMethodNotAllowed, "queries are POSTed", false)
+	default:
+		c.submit(path, r)
+	}
+}
+
+// submit gives a query to the core.
+func (c *clientConn) submit(path string, r *http1.Request) {
+	ask, err := parseQuery(path, r)
+	if err == nil {
+		now := time.Now()
+		ask.Waited = c.sinceArrival(now)
+		ask.Expires = c.node.capExpiry(now, ask.Expires, ask.Waited)
+		var id uint64
+		id, err = c.node.core.Take(now, ask, c)
+		if id != 0 {
+			c.queryID = id
+			return
+		}
+	}
+	switch {
+	case err == nil: // refused; Reply has been called
+	case errors.Is(err, gatherer.ErrAhead):
+		fields := []http1.Field{{Name: "Content-Type", Value: "text/plain"}}
+		if m := c.node.cfg.Gatherer.Module; m.RetryAdvice {
+			fields = append(fields, retryAfter(min(unknownEpochRetry, m.MaxRetryAdvice)))
+		}
+		c.respond(http.StatusServiceUnavailable, []byte(err.Error()+"\n"), fields...)
+	case errors.Is(err, gatherer.ErrUnknownClass):
+		c.reject(http.StatusNotFound, err.Error(), false)
+	case errors.Is(err, gatherer.ErrDuplicate):
+		c.reject(http.StatusConflict, err.Error(), false)
+	default:
+		c.reject(http.StatusBadRequest, err.Error(), false)
+	}
+}
+
+// capExpiry shortens the time of a query that comes late in a drain, so that it is answered before the process may
+// be killed. waited is the part of that time that is already over.
+func (n *Node) capExpiry(now time.Time, expires, waited time.Duration) time.Duration {
+	if !n.draining || now.Before(n.drainUntil) {
+		return expires
+	}
+	left := max(n.answerDeadline().Sub(now), n.cfg.Gatherer.Tick) + waited
+	if expires == 0 {
+		return left
+	}
+	return min(expires, left)
+}
+
+// queryBody is the body of a query.
+type queryBody struct {
+	Tablets []struct {
+		Tablet   *int     `json:"tablet"`
+		Fraction *float64 `json:"fraction"`
+		Token    string   `json:"token"`
+	} `json:"tablets"`
+	Statement *string `json:"statement"`
+}
+
+// parseQuery reads a query from a request.
+func parseQuery(path string, r *http1.Request) (gatherer.Ask, error) {
+	ask := gatherer.Ask{
+		Trace:  r.Header.Get("x-trace-id"),
+		Class:  r.Header.Get("x-qos"),
+		Key:    r.Header.Get("idempotency-key"),
+		Repeat: r.Header.Get("x-second-try") == "1",
+		Tenant: r.Header.Sole("x-customer"),
+		About:  cookieKey(r.Header),
+	}
+	first, _, _ := strings.Cut(strings.TrimPrefix(path, "/"), "/")
+	if ask.Class == "" {
+		ask.Class = first
+	}
+	if first != ask.Class {
+		return ask, fmt.Errorf("%w: the path does not begin with the class %q", gatherer.ErrInvalid, ask.Class)
+	}
+	if !isValidName(ask.Trace) || ask.Key != "" && !isValidName(ask.Key) {
+		return ask, fmt.Errorf("%w: malformed trace id or idempotency key", gatherer.ErrInvalid)
+	}
+	if s := r.Header.Get("x-expires-in-ms"); s != "" {
+		ms, err := strconv.ParseUint(s, 10, 31)
+		if err != nil || ms == 0 {
+			return ask, fmt.Errorf("%w: X-Expires-In-Ms is %q", gatherer.ErrInvalid, s)
+		}
+		ask.Expires = time.Duration(ms) * time.Millisecond
+	}
+	if s := r.Header.Get(epochHeader); s != "" {
+		epoch, err := strconv.ParseUint(s, 10, 64)
+		if err != nil || epoch == 0 {
+			return ask, fmt.Errorf("%w: %s is %q, want a number from 1 on", gatherer.ErrInvalid, epochHeader, s)
+		}
+		ask.Epoch = layout.Epoch(epoch)
+	}
+	var b queryBody
+	if err := json.Unmarshal(r.Body, &b); err != nil {
+		return ask, fmt.Errorf("%w: %w", gatherer.ErrInvalid, err)
+	}
+	if b.Statement == nil {
+		return ask, fmt.Errorf("%w: statement is missing", gatherer.ErrInvalid)
+	}
+	ask.Text = *b.Statement
+	for i, t := range b.Tablets {
+		if t.Tablet == nil || t.Fraction == nil {
+			return ask, fmt.Errorf("%w: tablets[%d] lacks tablet or fraction", gatherer.ErrInvalid, i)
+		}
+		if i == 0 && ask.About == "" && isValidKey(t.Token) {
+			ask.About = t.Token // the token stands for the key and this part's shard
+		}
+		ask.Parts = append(ask.Parts, gatherer.AskPart{Shard: *t.Tablet, Weight: *t.Fraction})
+	}
+	return ask, nil
+}
+
+// keyCookie is the cookie with the key of a query, where queries have one: what the query is about.
+const keyCookie = "user"
+
+// cookieKey returns the key of a query from its cookies. It returns none if a value can't be a key, since a query
+// without a key is served all the same, or if two keys differ, since neither can be trusted.
+func cookieKey(h http1.Header) string {
+	key := ""
+	for _, f := range h {
+		if f.Name != "cookie" {
+			continue
+		}
+		for pair := range strings.SplitSeq(f.Value, ";") {
+			name, value, _ := strings.Cut(strings.TrimSpace(pair), "=")
+			switch {
+			case name != keyCookie:
+			case !isValidKey(value), key != "" && key != value:
+				return ""
+			default:
+				key = value
+			}
+		}
+	}
+	return key
+}
+
+// maxKeyLength bounds a key: clients send 16 hex digits.
+const maxKeyLength = 64
+
+// isValidKey reports whether s can be the key of a query.
+func isValidKey(s string) bool { return len(s) <= maxKeyLength && isValidName(s) }
+
+const maxNameLength = 128
+
+// isValidName reports whether s can be part of a frame to a searcher: it holds no blanks and none of the
+// characters that separate the frame's fields.
+func isValidName(s string) bool {
+	for i := range len(s) {
+		if s[i] <= ' ' || s[i] > '~' || s[i] == ',' || s[i] == '=' || s[i] == '+' {
+			return false
+		}
+	}
+	return s != "" && len(s) <= maxNameLength
+}
+
+type answerBody struct {
+	Full   bool    `json:"full"`
+	Pieces []piece `json:"pieces"`
+}
+
+type piece struct {
+	Tablet int    `json:"tablet"`
+	Cell   string `json:"cell"`
+}
+
+// Reply implements gatherer.Client.
+func (c *clientConn) Reply(r gatherer.Reply) {
+	c.queryID = 0
+	var fields []http1.Field
+	if r.Generation != 0 {
+		fields = append(fields, http1.Field{Name: generationHeader, Value: strconv.FormatUint(r.Generation, 10)})
+	}
+	switch {
+	case r.Verdict == gatherer.Answered:
+		b := answerBody{Full: r.Whole, Pieces: []piece{}}
+		for _, p := range r.Pieces {
+			b.Pieces = append(b.Pieces, piece{Tablet: p.Shard, Cell: p.Value})
+		}
+		text, err := json.Marshal(b)
+		if err != nil { // can't happen: it holds numbers and text only
+			c.reject(http.StatusInternalServerError, err.Error(), false)
+			return
+		}
+		fields = append(fields, http1.Field{Name: "Content-Type", Value: "application/json"})
+		if r.Epoch != 0 {
+			fields = append(fields, http1.Field{Name: epochHeader, Value: strconv.FormatUint(uint64(r.Epoch), 10)})
+		}
+		c.respond(http.StatusOK, text, fields...)
+	case r.Verdict == gatherer.Refused && r.RetryAfter > 0:
+		c.respond(http.StatusServiceUnavailable, nil, append(fields, retryAfter(r.RetryAfter))...)
+	case r.Verdict == gatherer.Refused:
+		c.respond(http.StatusServiceUnavailable, nil, fields...)
+	case r.Overdue:
+		c.respond(http.StatusGatewayTimeout, nil, fields...)
+	default:
+		c.respond(http.StatusBadGateway, nil, fields...)
+	}
+	c.processRequests()
+}
+
+// retryAfter returns the header that tells a client when to try again.
+func retryAfter(wait time.Duration) http1.Field {
+	return http1.Field{Name: "Retry-After", Value: strconv.FormatFloat(wait.Seconds(), 'f', 3, 64)}
+}
+
+// reject answers a request that is not a valid query. closes is set if nothing that follows it can be read.
+func (c *clientConn) reject(status int, reason string, closes bool) {
+	c.node.stats.Malformed++
+	c.lastRequest = c.lastRequest || closes
+	c.respond(status, []byte(reason+"\n"), http1.Field{Name: "Content-Type", Value: "text/plain"})
+}
+
+// hasMoreInput reports whether data was received behind the current request. If the connection ended with the
+// answer to this one, the next request, which may be complete, would get no answer.
+func (c *clientConn) hasMoreInput() bool { return !c.parser.Idle() || pendingBytes(c.conn.Fd()) > 0 }
+
+// endsWithAnswer reports whether the connection is to end with the answer that is about to be given, although the
+// client has not asked for that. The answer tells the client, so no request crosses the close.
+func (c *clientConn) endsWithAnswer(now time.Time) bool {
+	if c.node.draining { // the client could open no new connection: this one is kept for as long as there is time
+		return !now.Before(c.node.serveUntil) && (!now.Before(c.node.killAt) || !c.hasMoreInput())
+	}
+	return c.node.clientTable.Notice(&c.seat) && !c.hasMoreInput()
+}
+
+// respond writes an answer and closes the connection if it was the last one.
+func (c *clientConn) respond(status int, body []byte, fields ...http1.Field) {
+	closes := c.lastRequest
+	if !closes && c.endsWithAnswer(time.Now()) {
+		closes = true
+		if !c.node.draining {
+			c.node.stats.Noticed++
+		}
+	}
+	c.busy = false
+	c.setStage(limit.Busy) // so that an incomplete request counts as answered too
+	c.setStage(limit.Idle)
+	c.write(http1.AppendResponse(nil, status, body, closes, fields...))
+	switch {
+	case c.ending: // the write has failed
+	case c.conn.Buffered() > maxUnreadAnswers:
+		c.node.stats.Unread++
+		c.drop()
+	case closes:
+		c.closeGracefully()
+	}
+}
+
+func (c *clientConn) write(data []byte) {
+	if !c.ending {
+		_ = c.conn.Write(data) // if it fails, Closed has been called
+	}
+}
+
+// closeGracefully closes the connection in such a way that the client can still read its answer: a close while
+// received data is unread would reset the connection, and the answer could be lost.
+func (c *clientConn) closeGracefully() {
+	c.ending = true
+	if c.conn.Buffered() > 0 {
+		c.setStage(limit.Busy) // until the answer is written
+		c.node.flushing[c] = time.Now().Add(flushTimeout)
+		return
+	}
+	c.setStage(limit.Ending)
+	shutdownWrite(c.conn.Fd())
+}
+
+// drop closes the connection without waiting for anything.
+func (c *clientConn) drop() {
+	c.ending = true
+	c.releaseSeat()
+	c.conn.Close()
+}
+
+// releaseSeat removes the connection from the table of clients.
+func (c *clientConn) releaseSeat() {
+	c.node.clientTable.Leave(&c.seat)
+	delete(c.node.flushing, c)
+}
+
+// hasPendingData reports whether received data was not read yet or an answer is not fully written: to close the
+// connection would harm its client.
+func (c *clientConn) hasPendingData() bool {
+	return c.conn.Buffered() > 0 || pendingBytes(c.conn.Fd()) > 0
+}
+
+// usableDescriptors returns how many descriptors clients and searchers may take together. The rest is for
+// discovery, and for connections accepted in one round of the loop.
+func (n *Node) usableDescriptors() int { return (n.cfg.Sockets - reservedDescriptors) * 7 / 8 }
+
+// excessClients returns by how many clients exceed their bound, or what the connections to searchers leave them.
+func (n *Node) excessClients() int {
+	return max(n.clientTable.Held()-n.clientTable.Bounds().Hard, n.clientTable.Held()+n.pool.connCount+n.pool.dialing-n.usableDescriptors())
+}
+
+// maxTransientExcess is how many connections may be held beyond the bound until the loop's next round.
+const maxTransientExcess = 8
+
+// evict makes room for a connection that is being opened, so that descriptors are never used up. If all others are
+// in use, it closes the new one, unread.
+func (n *Node) evict(newest *clientConn) {
+	if _, rank := n.chooseVictim(&newest.seat); rank == limit.RankNewest || n.excessClients() > maxTransientExcess {
+		n.stats.Evicted[limit.RankNewest.String()]++
+		newest.closeNow()
+		return
+	}
+	n.exec(func() {
+		n.evictOthers(newest)
+	})
+}
+
+// evictOthers closes the connections that are least needed, but not the newest. It runs between two rounds of the
+// loop: if data were read between the check of a connection and its close, it would be lost.
+func (n *Node) evictOthers(newest *clientConn) {
+	for n.excessClients() > 0 {
+		seat, rank := n.chooseVictim(&newest.seat)
+		if rank == limit.RankNewest {
+			return // all others have come into use; while that lasts, each further connection is closed
+		}
+		n.stats.Evicted[rank.String()]++
+		if rank != limit.RankEnding && seat.Owner.hasPendingData() {
+			n.stats.Crossed++
+		}
+		seat.Owner.closeNow()
+	}
+}
+
+// chooseVictim returns the connection that is least needed, and its rank.
+func (n *Node) chooseVictim(newest *limit.Seat[*clientConn]) (*limit.Seat[*clientConn], limit.Rank) {
+	return n.clientTable.Victim(time.Now(), newest, func(s *limit.Seat[*clientConn]) bool {
+		unread := s.Owner.hasPendingData()
+		if unread {
+			n.stats.Spared++
+		}
+		return unread
+	})
+}
+
+// closeIfUnused closes a connection between requests whose client could not be told in an answer, and reports
+// whether it did: it does not if a request has come. Both directions are closed at once. A client repeats a
+// request that crosses the close and was not read. If only the sending side were shut down and the rest discarded,
+// a request could be read that nobody answers.
+func (c *clientConn) closeIfUnused() bool {
+	if c.hasPendingData() {
+		c.node.stats.Spared++
+		return false
+	}
+	c.closeNow()
+	return true
+}
+
+// closeNow closes the connection at once. Close of the connection itself waits for the loop's next round, which
+// may read first.
+func (c *clientConn) closeNow() {
+	c.ending = true
+	c.releaseSeat()
+	c.conn.CloseNow(nil)
+}
+
+// closeIdleClients closes the connections that are between requests, and reports whether none is left.
+func (n *Node) closeIdleClients() bool {
+	for _, stage := range [...]limit.Stage{limit.Silent, limit.Idle} {
+		for s := n.clientTable.Oldest(stage); s != nil; s = n.clientTable.Oldest(stage) {
+			if !s.Owner.closeIfUnused() {
+				return false // its request is read next
+			}
+		}
+	}
+	return true
+}
+
+// checkClients closes the connections whose time limit is over, and the longest idle ones if there are too many.
+func (n *Node) checkClients(now time.Time) {
+	n.closeOverdue(now)
+	for s := n.clientTable.Trim(now); s != nil && !n.draining && s.Owner.closeIfUnused(); s = n.clientTable.Trim(now) {
+		n.stats.Trimmed++
+	}
+	n.checkFlushing(now)
+}
+
+// closeOverdue closes the connections whose time limit is over.
+func (n *Node) closeOverdue(now time.Time) {
+	for s := n.clientTable.Overdue(now); s != nil; s = n.clientTable.Overdue(now) {
+		switch c := s.Owner; {
+		case s.Stage() == limit.Ending:
+			c.drop()
+		case c.parser.Idle():
+			if !c.closeIfUnused() {
+				return // its request is read next
+			}
+			n.stats.Silent++
+		default:
+			c.reject(http.StatusRequestTimeout, "the request was not complete in time", true)
+		}
+	}
+}
+
+// checkFlushing ends the connections whose last answer has been written, or takes too long.
+func (n *Node) checkFlushing(now time.Time) {
+	for c, until := range n.flushing {
+		switch {
+		case c.conn.Buffered() == 0:
+			delete(n.flushing, c)
+			c.closeGracefully()
+		case !now.Before(until):
+			n.stats.Unread++
+			c.drop()
+		}
+	}
+}
--- a/internal/netio/crowd_test.go
+++ b/internal/netio/crowd_test.go
@@ -19,7 +19,7 @@
 	return start(t, func(r *rig) {
 		b := limit.Defaults(r.cfg.Sockets)
 		b.Soft, b.Firm, b.Hard = soft, firm, hard
-		r.table = limit.New[*client](b)
+		r.clientTable = limit.New[*clientConn](b)
 		r.decide = nil
 	})
 }
@@ -105,7 +105,7 @@
 	r := start(t, func(r *rig) {
 		r.serveFor = time.Minute
 		r.cfg.Clients.Soft, r.cfg.Clients.Firm = 1, 1
-		r.table = limit.New[*client](r.cfg.Clients)
+		r.clientTable = limit.New[*clientConn](r.cfg.Clients)
 	})
 	a, b := testpeer.NewClient(t, r.Addr()), testpeer.NewClient(t, r.Addr())
 	b.Say(testpeer.Query("search", "t", time.Minute, 1))
@@ -144,13 +144,13 @@
 	}
 	heard(t, clients[0], health) // it came back
 	r.onLoop(func() {
-		r.checkClients(before.Add(r.table.Bounds().KeptFor))
+		r.checkClients(before.Add(r.clientTable.Bounds().KeptFor))
 		if r.stats.Trimmed != 0 {
 			t.Error("one was trimmed that had not been idle for long")
 		}
-		r.checkClients(time.Now().Add(r.table.Bounds().KeptFor))
-		if r.stats.Trimmed != 1 || r.table.Count(limit.Idle) != 2 {
-			t.Errorf("%d were trimmed, %d are idle", r.stats.Trimmed, r.table.Count(limit.Idle))
+		r.checkClients(time.Now().Add(r.clientTable.Bounds().KeptFor))
+		if r.stats.Trimmed != 1 || r.clientTable.Count(limit.Idle) != 2 {
+			t.Errorf("%d were trimmed, %d are idle", r.stats.Trimmed, r.clientTable.Count(limit.Idle))
 		}
 	})
 	if heard(t, clients[0], health) {
@@ -162,9 +162,9 @@
 // has come is never cut off, by whichever way connections between requests are closed.
 func TestWhatCrossesACloseIsNotRead(t *testing.T) {
 	for name, shut := range map[string]func(*rig){
-		"trimmed": func(r *rig) { r.checkClients(time.Now().Add(r.table.Bounds().KeptFor)) },
+		"trimmed": func(r *rig) { r.checkClients(time.Now().Add(r.clientTable.Bounds().KeptFor)) },
 		"drained": func(r *rig) { r.closeIdleClients() },
-		"silent":  func(r *rig) { r.checkClients(time.Now().Add(r.table.Bounds().Request)) },
+		"silent":  func(r *rig) { r.checkClients(time.Now().Add(r.clientTable.Bounds().Request)) },
 	} {
 		r := bounded(t, 1, 100, 100)
 		a := testpeer.NewClient(t, r.Addr())
@@ -173,11 +173,11 @@
 			heard(t, a, health)
 			stage = limit.Idle
 		}
-		r.until("the connection", func() bool { return r.table.Count(stage) == 1 })
+		r.until("the connection", func() bool { return r.clientTable.Count(stage) == 1 })
 		r.onLoop(func() {
-			c := r.table.Oldest(stage).Owner
+			c := r.clientTable.Oldest(stage).Owner
 			a.Say(health)
-			for end := time.Now().Add(testpeer.Patience); pending(c.conn.Fd()) == 0 && time.Now().Before(end); {
+			for end := time.Now().Add(testpeer.Patience); pendingBytes(c.conn.Fd()) == 0 && time.Now().Before(end); {
 			}
 			shut(r)
 			if r.stats.Spared != 1 || c.ending {
@@ -188,10 +188,10 @@
 			t.Errorf("%s: have %s", name, resp.Status)
 		}
 		b := testpeer.NewClient(t, r.Addr())
-		r.until("a new one", func() bool { return r.table.Count(limit.Silent) == 1 })
+		r.until("a new one", func() bool { return r.clientTable.Count(limit.Silent) == 1 })
 		r.onLoop(func() {
-			c := r.table.Oldest(limit.Silent).Owner
-			if !c.dismiss() { // nothing has come
+			c := r.clientTable.Oldest(limit.Silent).Owner
+			if !c.closeIfUnused() { // nothing has come
 				t.Errorf("%s: not closed", name)
 			}
 			c.Traffic([]byte(testpeer.Query("search", "x", time.Minute, 1)))
@@ -210,18 +210,18 @@
 	heard(t, a, health)
 	heard(t, b, health)
 	r.onLoop(func() {
-		oldest := r.table.Oldest(limit.Idle).Owner
+		oldest := r.clientTable.Oldest(limit.Idle).Owner
 		a.Say(health)
-		for end := time.Now().Add(testpeer.Patience); pending(oldest.conn.Fd()) == 0 && time.Now().Before(end); {
+		for end := time.Now().Add(testpeer.Patience); pendingBytes(oldest.conn.Fd()) == 0 && time.Now().Before(end); {
 		}
-		var more [2]limit.Seat[*client]
+		var more [2]limit.Seat[*clientConn]
 		for i := range more {
-			r.table.Enter(time.Now(), &more[i])
-			r.table.Move(time.Now(), &more[i], limit.Busy)
+			r.clientTable.Enter(time.Now(), &more[i])
+			r.clientTable.Move(time.Now(), &more[i], limit.Busy)
 		}
-		r.makeRoom(newClient(r.Node))
+		r.evictOthers(newClientConn(r.Node))
 		for i := range more {
-			r.table.Leave(&more[i])
+			r.clientTable.Leave(&more[i])
 		}
 		if r.stats.Spared != 1 || r.stats.Evicted["once_new"] != 1 || r.stats.Crossed != 0 {
 			t.Errorf("spared %d, evicted %v, crossed %d", r.stats.Spared, r.stats.Evicted, r.stats.Crossed)
@@ -240,12 +240,12 @@
 	a := testpeer.NewClient(t, r.Addr())
 	heard(t, a, health)
 	b := testpeer.NewClient(t, r.Addr())
-	r.until("both", func() bool { return r.table.Count(limit.Idle) == 1 && r.table.Count(limit.Silent) == 1 })
-	newest := newClient(r.Node)
+	r.until("both", func() bool { return r.clientTable.Count(limit.Idle) == 1 && r.clientTable.Count(limit.Silent) == 1 })
+	newest := newClientConn(r.Node)
 	r.onLoop(func() {
-		chosen := r.table.Oldest(limit.Idle).Owner
-		r.table.Enter(time.Now(), &newest.seat)
-		r.table.Move(time.Now(), &newest.seat, limit.Busy)
+		chosen := r.clientTable.Oldest(limit.Idle).Owner
+		r.clientTable.Enter(time.Now(), &newest.seat)
+		r.clientTable.Move(time.Now(), &newest.seat, limit.Busy)
 		r.evict(newest)
 		chosen.Traffic([]byte(testpeer.Query("search", "t", time.Minute, 1)))
 	})
@@ -254,7 +254,7 @@
 		t.Errorf("have %s", resp.Status)
 	}
 	b.Closed()
-	r.onLoop(func() { r.table.Leave(&newest.seat) })
+	r.onLoop(func() { r.clientTable.Leave(&newest.seat) })
 }
 
 // Where all others are in use, the new connection goes: at once, so that nothing on it is read.
@@ -272,8 +272,8 @@
 		t.Errorf("have %s", resp.Status)
 	}
 	r.onLoop(func() {
-		if r.stats.Evicted["newest"] != 1 || r.table.Held() != 1 {
-			t.Errorf("evicted %v, %d held", r.stats.Evicted, r.table.Held())
+		if r.stats.Evicted["newest"] != 1 || r.clientTable.Held() != 1 {
+			t.Errorf("evicted %v, %d held", r.stats.Evicted, r.clientTable.Held())
 		}
 	})
 }
@@ -295,18 +295,18 @@
 			first := r.part()
 			next := testpeer.Query("search", "u", time.Minute, 1)
 			r.onLoop(func() {
-				own := r.table.Oldest(limit.Busy).Owner
+				own := r.clientTable.Oldest(limit.Busy).Owner
 				if c.drain {
 					now := time.Now()
 					r.draining, r.drainUntil, r.serveUntil, r.killAt = true, now, now, now.Add(time.Minute)
 				}
 				if c.unread {
 					client.Say(next)
-					r.wait("it has come", func() bool { return pending(own.conn.Fd()) == len(next) })
+					r.wait("it has come", func() bool { return pendingBytes(own.conn.Fd()) == len(next) })
 				} else {
 					own.Traffic([]byte(next))
 				}
-				r.pool.peers["s"].links[0].Traffic(frameOf("at.0 served 1 -\nv"))
+				r.pool.searchers["s"].conns[0].Traffic(frameOf("at.0 served 1 -\nv"))
 				r.turnNow()
 			})
 			if resp, _ := client.Hear(); resp.Close {
@@ -332,8 +332,8 @@
 		c.Say(testpeer.Query("search", trace, time.Minute, 4))
 		parts := []testpeer.Part{r.part(), r.part(), r.part(), r.part()}
 		r.onLoop(func() {
-			own := r.table.Oldest(limit.Busy).Owner
-			own.last = true
+			own := r.clientTable.Oldest(limit.Busy).Owner
+			own.lastRequest = true
 			_ = setSendBuffer(own.conn.Fd(), 16<<10)
 		})
 		for _, p := range parts {
@@ -345,7 +345,7 @@
 	c := slow("t")
 	r.onLoop(func() {
 		r.checkClients(time.Now())
-		if len(r.flushing) != 1 || r.table.Count(limit.Busy) != 1 {
+		if len(r.flushing) != 1 || r.clientTable.Count(limit.Busy) != 1 {
 			t.Error("its place was given away before the answer had left")
 		}
 	})
@@ -356,9 +356,9 @@
 	c.Closed()
 	slow("u")
 	r.onLoop(func() {
-		r.checkClients(time.Now().Add(flushFor))
-		if len(r.flushing) != 0 || r.table.Held() != 0 || r.stats.Unread != 1 {
-			t.Errorf("%d are flushing, %d held, %d unread", len(r.flushing), r.table.Held(), r.stats.Unread)
+		r.checkClients(time.Now().Add(flushTimeout))
+		if len(r.flushing) != 0 || r.clientTable.Held() != 0 || r.stats.Unread != 1 {
+			t.Errorf("%d are flushing, %d held, %d unread", len(r.flushing), r.clientTable.Held(), r.stats.Unread)
 		}
 	})
 }
--- a/internal/netio/dial.go
+++ b/internal/netio/dial.go
@@ -9,48 +9,47 @@
 	"eiderwinch/internal/netio/eventloop"
 )
 
-// waitShare is the part of the shortest aim (1/3) that a call may wait for a connection: a
-// handshake takes far less, and a call that has waited in vain surely has not run, so that it
-// can still be answered in time elsewhere. A zone that is cut off says nothing: without this,
-// each gatherer would find out at each of its searchers by a query that is late.
-const waitShare = 3
+// connectWaitShare is the fraction of the shortest aim (1/3) that a call may wait for a connection. A handshake
+// takes far less, and a call that was given up while waiting has certainly not run, so it can still be answered in
+// time elsewhere. A partitioned zone does not refuse connections: without this limit, each gatherer would detect
+// the partition separately for each searcher in that zone, each time by a late query.
+const connectWaitShare = 3
 
-// connectWait is how long a call waits for a connection. Its dial goes on for ConnectTimeout.
+// connectWait returns how long a call waits for a connection. The dial itself goes on for up to ConnectTimeout.
 func (n *Node) connectWait() time.Duration {
 	wait := n.cfg.ConnectTimeout
 	for _, c := range n.cfg.Gatherer.Module.Classes {
-		wait = min(wait, c.Aim/waitShare)
+		wait = min(wait, c.Aim/connectWaitShare)
 	}
 	return wait
 }
 
-// dialer opens a connection.
-type dialer func(ctx context.Context, network, addr string) (net.Conn, error)
+// dialFunc opens a connection, as net.Dialer.DialContext does.
+type dialFunc func(ctx context.Context, network, addr string) (net.Conn, error)
 
-// dial opens a connection for h, whose Opened or failed is called on the loop.
-// net.Dialer does the waiting in a goroutine of its own.
+// dial opens a connection for h in a goroutine of its own. Either h.Opened or failed is then called on the loop.
 func (n *Node) dial(addr string, timeout time.Duration, h eventloop.Handler, failed func(error)) {
 	go func() {
 		ctx, cancel := context.WithTimeout(n.ctx, timeout)
 		defer cancel()
-		if err := n.reach(ctx, addr, h); err != nil {
+		if err := n.dialWithRetry(ctx, addr, h); err != nil {
 			n.exec(func() { failed(err) })
 		}
 	}()
 }
 
-// Waits between the tries of a dial that fails for a reason on this machine.
+// Waits between tries of a dial that fails for a local reason: the first, doubled each time up to the longest.
 const (
-	dialWait     = 2 * time.Millisecond
-	dialMostWait = 50 * time.Millisecond
+	dialRetryWait    = 2 * time.Millisecond
+	dialMaxRetryWait = 50 * time.Millisecond
 )
 
-// reach dials until the connection is up and the loop has it, ctx ends or the peer is at fault. What fails on
-// this machine, as for want of descriptors, buffers or ports, says nothing of the peer, and would fail in the
-// same way for any other.
-func (n *Node) reach(ctx context.Context, addr string, h eventloop.Handler) error {
-	for wait := dialWait; ; wait = min(2*wait, dialMostWait) {
-		c, err := n.dialer(ctx, "tcp", addr)
+// dialWithRetry dials until the connection is open and registered with the loop, ctx ends, or the dial fails for a
+// reason that is not local. A local failure, such as a lack of descriptors, buffers or ports, says nothing about
+// the remote side, and a dial to any other address would fail in the same way.
+func (n *Node) dialWithRetry(ctx context.Context, addr string, h eventloop.Handler) error {
+	for wait := dialRetryWait; ; wait = min(2*wait, dialMaxRetryWait) {
+		c, err := n.dialContext(ctx, "tcp", addr)
 		if err == nil {
 			err = n.loop.Enroll(c, h)
 		}
--- a/internal/netio/drain.go
+++ b/internal/netio/drain.go
@@ -7,24 +7,26 @@
 	"eiderwinch/internal/limit"
 )
 
-// longest is the longest deadline.
-func (c Config) longest() (longest time.Duration) {
+// longestDeadline returns the longest deadline of all classes.
+func (c Config) longestDeadline() (longest time.Duration) {
 	for _, class := range c.Gatherer.Module.Classes {
 		longest = max(longest, class.Deadline)
 	}
 	return longest
 }
 
-// killAfter is how long after SIGTERM the process surely lives.
-func (c Config) killAfter() time.Duration { return min(c.longest(), killMost) + killMore }
+// killAfter returns how long after SIGTERM the process is certain not to be killed.
+func (c Config) killAfter() time.Duration {
+	return min(c.longestDeadline(), maxCountedDeadline) + killDelay
+}
 
-// serveFor is how long after SIGTERM connections that clients have kept are served.
+// serveFor returns how long after SIGTERM kept client connections are served.
 func (c Config) serveFor() time.Duration {
-	return max(c.killAfter()-max(min(c.longest(), killReserve), 2*killMargin), drainAccept)
+	return max(c.killAfter()-max(min(c.longestDeadline(), answerReserve), 2*answerMargin), drainAcceptTime)
 }
 
-// Drain lets the node end once it has answered all it has taken. It may be
-// called from any goroutine once the node has started.
+// Drain makes the node end once it has answered all queries it has taken. It may be called from any goroutine once
+// the node has started.
 func (n *Node) Drain() {
 	n.exec(func() {
 		if !n.draining {
@@ -32,37 +34,38 @@
 			now := time.Now()
 			n.draining, n.drainUntil, n.serveUntil = true, now.Add(n.acceptFor), now.Add(n.serveFor)
 			n.killAt = now.Add(n.cfg.killAfter())
-			n.core.EndBy(n.answersBy())
+			n.core.EndBy(n.answerDeadline())
 		}
 	})
 }
 
-// answersBy is when all answers of a draining node must be out.
-func (n *Node) answersBy() time.Time { return n.killAt.Add(-killMargin) }
+// answerDeadline returns the time by which a draining node must have written all answers.
+func (n *Node) answerDeadline() time.Time { return n.killAt.Add(-answerMargin) }
 
-// drained tells that a draining node has nothing left to do.
+// drained reports whether a draining node has nothing left to do. It closes idle client connections and, once
+// their time is over, refuses incomplete requests.
 func (n *Node) drained(now time.Time) bool {
-	if !n.draining || now.Before(n.drainUntil) || now.Before(n.serveUntil) && n.table.Held() > 0 {
+	if !n.draining || now.Before(n.drainUntil) || now.Before(n.serveUntil) && n.clientTable.Held() > 0 {
 		return false
 	}
 	closed := n.closeIdleClients()
-	last := n.answersBy()
-	if until := n.serveUntil.Add(drainPartial); !now.Before(until) || !now.Before(last) {
-		n.refuseHalf()
+	last := n.answerDeadline()
+	if until := n.serveUntil.Add(partialRequestWait); !now.Before(until) || !now.Before(last) {
+		n.refusePartialRequests()
 	}
-	half := n.table.Count(limit.First)+n.table.Count(limit.Further) > 0
-	// A close over what a client has sent on would reset the connection and take its last answer along.
-	// Who has connected and was not accepted yet may have asked already.
-	unheard := (n.table.Count(limit.Ending) > 0 || readable(n.loop.ListenerFd())) && now.Before(last)
-	return closed && !half && !unheard && n.core.Open() == 0 && n.table.Count(limit.Busy) == 0
+	incomplete := n.clientTable.Count(limit.First)+n.clientTable.Count(limit.Further) > 0
+	// Closing a connection that holds unread bytes would reset it, and the client could lose its last answer. A
+	// client whose connection is not accepted yet may already have sent a query.
+	inputUnread := (n.clientTable.Count(limit.Ending) > 0 || readable(n.loop.ListenerFd())) && now.Before(last)
+	return closed && !incomplete && !inputUnread && n.core.Open() == 0 && n.clientTable.Count(limit.Busy) == 0
 }
 
-// refuseHalf refuses the requests that have begun and are not whole: their rest may come after the
-// end of the process, and would be a request that nobody answers.
-func (n *Node) refuseHalf() {
+// refusePartialRequests refuses the requests that are incomplete: their rest may arrive after the end of the
+// process, and nobody would answer them.
+func (n *Node) refusePartialRequests() {
 	for _, stage := range [...]limit.Stage{limit.First, limit.Further} {
-		for s := n.table.Oldest(stage); s != nil; s = n.table.Oldest(stage) {
-			s.Owner.last = true
+		for s := n.clientTable.Oldest(stage); s != nil; s = n.clientTable.Oldest(stage) {
+			s.Owner.lastRequest = true
 			s.Owner.respond(http.StatusServiceUnavailable, nil)
 		}
 	}
--- a/internal/netio/ending_test.go
+++ b/internal/netio/ending_test.go
@@ -30,11 +30,11 @@
 				heard(t, client, first)
 			}
 			client.Say("POST /search HTTP/1.1\r\nContent-Length: 10\r\n\r\n")
-			r.until("half a request", func() bool { return r.table.Count(limit.First)+r.table.Count(limit.Further) == 1 })
+			r.until("half a request", func() bool { return r.clientTable.Count(limit.First)+r.clientTable.Count(limit.Further) == 1 })
 			r.Drain()
 			r.onLoop(func() { // all its time is over but what is left for answers
 				r.serveUntil = time.Now()
-				r.killAt = time.Now().Add(killMargin)
+				r.killAt = time.Now().Add(answerMargin)
 				r.drained(time.Now())
 			})
 			client.Say("0123456789")
@@ -50,7 +50,7 @@
 func TestADrainWaitsForClientsToReadTheirLastAnswer(t *testing.T) {
 	r := start(t, nil)
 	client := testpeer.NewClient(t, r.Addr()).Say("nonsense\r\n\r\n")
-	r.until("the answer", func() bool { return r.table.Count(limit.Ending) == 1 })
+	r.until("the answer", func() bool { return r.clientTable.Count(limit.Ending) == 1 })
 	r.Drain()
 	r.onLoop(func() {
 		client.Say("more of it")
@@ -102,7 +102,7 @@
 // A request is taken once it is written to a connection that the machine has accepted, also where the loop has not.
 func TestADrainServesWhoWasNotAcceptedYet(t *testing.T) {
 	r := start(t, nil)
-	r.until("the own connection is over", func() bool { return r.table.Held() == 0 })
+	r.until("the own connection is over", func() bool { return r.clientTable.Held() == 0 })
 	var client *testpeer.Client
 	r.onLoop(func() {
 		now := time.Now()
@@ -204,7 +204,7 @@
 	client.ReadAhead(16 << 10)
 	client.Say(testpeer.Query("search", "t", time.Minute, 4))
 	parts := []testpeer.Part{r.part(), r.part(), r.part(), r.part()}
-	r.onLoop(func() { _ = setSendBuffer(r.table.Oldest(limit.Busy).Owner.conn.Fd(), 16<<10) })
+	r.onLoop(func() { _ = setSendBuffer(r.clientTable.Oldest(limit.Busy).Owner.conn.Fd(), 16<<10) })
 	r.Drain()
 	r.onLoop(func() { r.serveUntil, r.killAt = time.Now(), time.Now() })
 	value := strings.Repeat("v", 60_000)
@@ -228,10 +228,10 @@
 	r := start(t, nil)
 	client := testpeer.NewClient(t, r.Addr())
 	heard(t, client, "GET /_health HTTP/1.1\r\n\r\n")
-	r.until("it rests", func() bool { return r.table.Count(limit.Idle) == 1 })
-	r.onLoop(func() { r.table.Oldest(limit.Idle).Owner.end() })
+	r.until("it rests", func() bool { return r.clientTable.Count(limit.Idle) == 1 })
+	r.onLoop(func() { r.clientTable.Oldest(limit.Idle).Owner.closeGracefully() })
 	client.Say(testpeer.Query("search", "t", time.Minute, 1))
-	r.until("it is read", func() bool { return r.table.Oldest(limit.Ending).Owner.discarded > 0 })
+	r.until("it is read", func() bool { return r.clientTable.Oldest(limit.Ending).Owner.discarded > 0 })
 	r.onLoop(func() {
 		if r.stats.Taken != 0 {
 			t.Error("it is taken")
--- a/internal/netio/gone_test.go
+++ b/internal/netio/gone_test.go
@@ -88,22 +88,22 @@
 				client.Say(testpeer.Query("search", "t", time.Minute, 1))
 				r.part()
 			} else {
-				r.until("the connection", func() bool { return r.table.Count(limit.Silent) == 1 })
+				r.until("the connection", func() bool { return r.clientTable.Count(limit.Silent) == 1 })
 			}
 			r.onLoop(func() {
 				stage := limit.Silent
 				if c.further {
 					stage = limit.Busy
 				}
-				own := r.table.Oldest(stage).Owner
+				own := r.clientTable.Oldest(stage).Owner
 				if !c.further {
 					own.Traffic([]byte(testpeer.Query("search", "t", time.Minute, 1)))
 				}
 				client.Say(c.before)
 				c.leave(client)
-				r.wait("the end has come", func() bool { return peerClosed(own.conn.Fd()) })
+				r.wait("the end has come", func() bool { return remoteClosed(own.conn.Fd()) })
 				if c.further {
-					r.pool.peers["s"].links[0].Traffic(frameOf("at.0 broke 0 -\n"))
+					r.pool.searchers["s"].conns[0].Traffic(frameOf("at.0 broke 0 -\n"))
 				}
 				r.turnNow()
 			})
@@ -150,11 +150,11 @@
 			client.Say(testpeer.Query("search", "first", time.Minute, 1))
 			first := r.part()
 			client.Say(testpeer.Query("search", "behind", time.Minute, 1))
-			r.until("it has come", func() bool { return r.table.Oldest(limit.Busy).Owner.parser.Buffered() > 0 })
+			r.until("it has come", func() bool { return r.clientTable.Oldest(limit.Busy).Owner.parser.Buffered() > 0 })
 			r.onLoop(func() {
-				for i := range r.table.Oldest(limit.Busy).Owner.marks {
-					m := &r.table.Oldest(limit.Busy).Owner.marks[i]
-					m.at = m.at.Add(-c.waited)
+				for i := range r.clientTable.Oldest(limit.Busy).Owner.arrivals {
+					m := &r.clientTable.Oldest(limit.Busy).Owner.arrivals[i]
+					m.receivedAt = m.receivedAt.Add(-c.waited)
 				}
 			})
 			first.Answer("served", 1, "v")
@@ -180,21 +180,21 @@
 func TestMarksOfWhatHasComeAreBounded(t *testing.T) {
 	r := start(t, nil)
 	client := testpeer.NewClient(t, r.Addr())
-	r.until("the connection", func() bool { return r.table.Count(limit.Silent) == 1 })
+	r.until("the connection", func() bool { return r.clientTable.Count(limit.Silent) == 1 })
 	r.onLoop(func() {
-		own := r.table.Oldest(limit.Silent).Owner
+		own := r.clientTable.Oldest(limit.Silent).Owner
 		feed := func(trace string) {
 			for _, b := range []byte(testpeer.Query("search", trace, time.Minute, 1)) {
-				for i := range own.marks {
-					own.marks[i].at = own.marks[i].at.Add(-time.Second)
+				for i := range own.arrivals {
+					own.arrivals[i].receivedAt = own.arrivals[i].receivedAt.Add(-time.Second)
 				}
 				own.Traffic([]byte{b})
 			}
 		}
 		feed("slow")
 		feed("behind")
-		if len(own.marks) > maxMarks || own.marks[len(own.marks)-1].end != own.fed {
-			t.Errorf("%d marks, the last for %d bytes of %d", len(own.marks), own.marks[len(own.marks)-1].end, own.fed)
+		if len(own.arrivals) > maxArrivals || own.arrivals[len(own.arrivals)-1].endByte != own.received {
+			t.Errorf("%d marks, the last for %d bytes of %d", len(own.arrivals), own.arrivals[len(own.arrivals)-1].endByte, own.received)
 		}
 	})
 	for {
@@ -236,7 +236,7 @@
 			r.ask("reserve", "t", time.Minute, 1)
 			first := r.part()
 			// What is answered may find the connection open still: it is closed to new calls.
-			r.onLoop(func() { r.pool.peers["s"].links[0].shut = true })
+			r.onLoop(func() { r.pool.searchers["s"].conns[0].retired = true })
 			c.end(first)
 			r.outcome()
 			if !c.want {
@@ -272,10 +272,10 @@
 	client := r.ask("report", "t", time.Minute, 1)
 	r.part()
 	r.onLoop(func() {
-		own := r.table.Oldest(limit.Busy).Owner
+		own := r.clientTable.Oldest(limit.Busy).Owner
 		client.Close()
-		r.wait("the end has come", func() bool { return peerClosed(own.conn.Fd()) })
-		r.pool.peers["s"].links[0].Traffic(frameOf("at.0 served 1 -\nv"))
+		r.wait("the end has come", func() bool { return remoteClosed(own.conn.Fd()) })
+		r.pool.searchers["s"].conns[0].Traffic(frameOf("at.0 served 1 -\nv"))
 		r.turnNow()
 		r.turnNow()
 	})
--- a/internal/netio/netio_test.go
+++ b/internal/netio/netio_test.go
@@ -110,7 +110,7 @@
 
 // hang scripts connections that never come up.
 func hang(r *rig) {
-	r.dialer = func(ctx context.Context, _, _ string) (net.Conn, error) {
+	r.dialContext = func(ctx context.Context, _, _ string) (net.Conn, error) {
 		<-ctx.Done()
 		return nil, ctx.Err()
 	}
@@ -118,8 +118,8 @@
 
 // beforeDial has each dial to an address do something first; where that returns an error, the dial ends with it.
 func (r *rig) beforeDial(to string, first func(context.Context) error) {
-	real := r.dialer
-	r.dialer = func(ctx context.Context, network, addr string) (net.Conn, error) {
+	real := r.dialContext
+	r.dialContext = func(ctx context.Context, network, addr string) (net.Conn, error) {
 		if addr == to {
 			if err := first(ctx); err != nil {
 				return nil, err
@@ -250,7 +250,7 @@
 		}, eiderwinch.Reset},
 		"report of noise": {nil, func(r *rig) { r.part().Write("at.0 served 1 x y =\xff\nv") }, eiderwinch.OK},
 		"refused": {func(r *rig) {
-			r.dialer = func(context.Context, string, string) (net.Conn, error) { return nil, errors.New("refused") }
+			r.dialContext = func(context.Context, string, string) (net.Conn, error) { return nil, errors.New("refused") }
 		}, func(*rig) {}, eiderwinch.NoConnection},
 		"never up": {func(r *rig) { hang(r); r.cfg.ConnectTimeout = time.Millisecond }, func(*rig) {}, eiderwinch.NoConnection},
 	} {
@@ -302,8 +302,8 @@
 	old.Answer("served", 1, "v")
 	c.Hear()
 	r.exec(func() {
-		l := r.pool.peers["s"].links[0]
-		l.idle = l.idle.Add(-r.pool.longestIdle())
+		c := r.pool.searchers["s"].conns[0]
+		c.idleSince = c.idleSince.Add(-r.pool.maxIdle())
 	})
 	c.Say(testpeer.Query("search", "u", time.Minute, 1))
 	if p := r.part(); p.Conn == old.Conn {
@@ -318,14 +318,14 @@
 	r.part()
 	done := make(chan int, 1)
 	r.exec(func() {
-		l := r.pool.peers["s"].links[0]
-		_ = setSendBuffer(l.conn.Fd(), 1)
-		for l.conn.Buffered() == 0 { // the searcher of this test does not read so fast
-			l.write([]byte("\x00\x01\x00\x01c" + strings.Repeat("x", 1<<16)))
+		c := r.pool.searchers["s"].conns[0]
+		_ = setSendBuffer(c.conn.Fd(), 1)
+		for c.conn.Buffered() == 0 { // the searcher of this test does not read so fast
+			c.write([]byte("\x00\x01\x00\x01c" + strings.Repeat("x", 1<<16)))
 		}
-		l.out[0].end = l.given // as if the part's frame were behind these
-		done <- l.conn.Buffered()
-		l.close()
+		c.inFlight[0].endByte = c.written // as if the part's frame were behind these
+		done <- c.conn.Buffered()
+		c.close()
 	})
 	if testpeer.Get(t, done, "the buffer") == 0 {
 		t.Fatal("nothing is buffered")
@@ -629,7 +629,7 @@
 		t.Errorf("half a request: %s", resp.Status)
 	}
 	silent.Closed()
-	if took := time.Since(began); took < r.table.Bounds().Request/2 {
+	if took := time.Since(began); took < r.clientTable.Bounds().Request/2 {
 		t.Errorf("given up after %v", took)
 	}
 	if resp, _ := kept.Say("GET /_health HTTP/1.1\r\n\r\n").Hear(); resp.StatusCode != 200 {
@@ -675,7 +675,7 @@
 		r.serveFor = time.Minute
 		r.cfg.Gatherer.Module.Classes[0].Deadline = time.Millisecond // longest is the others' minute, counted as 3 s
 	})
-	if got := r.cfg.killAfter(); got != killMost+killMore {
+	if got := r.cfg.killAfter(); got != maxCountedDeadline+killDelay {
 		t.Errorf("killed after %v", got)
 	}
 	c := testpeer.NewClient(t, r.Addr()).Say("GET /_health HTTP/1.1\r\n\r\n")
@@ -799,7 +799,7 @@
 	r := start(t, nil)
 	c := r.ask("search", "t", time.Minute, 1)
 	p := r.part()
-	c.Say(strings.Repeat("x", 4*maxAhead))
+	c.Say(strings.Repeat("x", 4*maxPipelined))
 	p.Answer("served", 1, "v")
 	if resp, body := c.Hear(); resp.StatusCode != 200 || !resp.Close {
 		t.Errorf("have %s %s", resp.Status, body)
@@ -810,7 +810,7 @@
 	r := start(t, func(r *rig) {
 		b := limit.Defaults(r.cfg.Sockets)
 		b.Soft, b.Firm, b.Hard = 100, 100, 8
-		r.table = limit.New[*client](b)
+		r.clientTable = limit.New[*clientConn](b)
 	})
 	health := func(c *testpeer.Client) {
 		t.Helper()
--- a/internal/netio/node.go
+++ b/internal/netio/node.go
@@ -1,7 +1,6 @@
-// Package netio puts the gatherer's core on real sockets: clients and
-// discovery over HTTP/1.1, searchers over frames. One event loop owns the
-// listener, all connections and the core; nothing on it blocks, and there are
-// no locks.
+// Package netio runs the gatherer's core on sockets: it serves clients and follows discovery over HTTP/1.1, and
+// calls searchers over framed connections. One event loop owns the listener, all connections and the core. Nothing
+// on the loop blocks, so no locks are needed.
 package netio
 
 import (
@@ -25,101 +24,101 @@
 	"eiderwinch/internal/stats"
 )
 
-// Config is what a Node is told.
+// Config holds the settings of a Node.
 type Config struct {
 	Listen         string
 	Discovery      string
 	Known          catalog.Update
-	Memory         int64 // bytes that the process may take; 0: the least that a list needs is taken for its bound
-	Sockets        int   // descriptors that the process may hold
-	Multiplex      int   // parts on one connection
+	Memory         int64 // memory limit of the process in bytes; 0 gives member lists the lowest size limit
+	Sockets        int   // file descriptors that the process may hold
+	Multiplex      int   // most parts on one connection to a searcher
 	ConnectTimeout time.Duration
-	ConnIdle       time.Duration // searchers close connections idle for so long
-	DrainGrace     time.Duration // after the news that a searcher leaves, until which it may be sent something
-	AnswerSlack    time.Duration // a final answer may be so late
-	Clients        limit.Bounds  // of client connections; zero means limit.Defaults for Sockets
-	ReportEvery    time.Duration // the counters are logged so often, to housekeeping's grain; 0 means on request only
+	ConnIdle       time.Duration // searchers close connections that have been idle for this long
+	DrainGrace     time.Duration // how long a searcher may still be sent attempts after the update that it is draining
+	AnswerSlack    time.Duration // how late a final answer may be
+	Clients        limit.Bounds  // bounds on client connections; the zero value selects limit.Defaults for Sockets
+	ReportEvery    time.Duration // interval at which the counters are logged, rounded up to housekeepingInterval; 0: on request only
 	Gatherer       gatherer.Settings
-	NoShareUntil   time.Time // nothing of the fleet's limits may be used until then; zero: the own part from the start
+	NoShareUntil   time.Time // no slots of the fleet's limits are used until then; zero: the gatherer's share is used from the start
 }
 
-// Times that are ours.
+// Durations that are not configurable.
 const (
-	housekeeping = 250 * time.Millisecond // how often idle things are looked at
-	drainAccept  = 600 * time.Millisecond // new connections come for 0.4 s after SIGTERM
-	drainPartial = time.Second            // how much longer a half-sent request is waited for
-	bootTimeout  = 5 * time.Second        // for the listener to be opened
-	bootWait     = 10 * time.Millisecond  // before the second try; twice as long before each further one, up to
-	bootMostWait = 500 * time.Millisecond
-
-	// The kill comes no sooner after SIGTERM than the longest deadline, counted
-	// as killMost where it is longer, plus killMore. Until killReserve before it
-	// kept connections are served: their clients use them as long as they are
-	// open, and a gatherer that would take them instead may be down as well.
-	killMost    = 3 * time.Second
-	killMore    = 700 * time.Millisecond
-	killReserve = time.Second            // most answers take a small part of it; the longest deadline, if that is shorter, but room for some
-	killMargin  = 200 * time.Millisecond // the answers must be out so long before the kill
+	housekeepingInterval = 250 * time.Millisecond // how often idle connections, client time limits and doubted members are checked
+	drainAcceptTime      = 600 * time.Millisecond // new connections keep arriving for 0.4 s after SIGTERM
+	partialRequestWait   = time.Second            // how much longer a draining node waits for the rest of incomplete requests
+	bootTimeout          = 5 * time.Second        // for opening the listener
+	bootRetryWait        = 10 * time.Millisecond  // before the second try; doubled for each further try, up to bootMaxRetryWait
+	bootMaxRetryWait     = 500 * time.Millisecond
+
+	// After SIGTERM the process is killed no sooner than after the longest deadline, counted as at most
+	// maxCountedDeadline, plus killDelay. Kept connections are served until answerReserve before that: their
+	// clients use them for as long as they are open, and the gatherer that would serve these clients instead may
+	// be down as well.
+	maxCountedDeadline = 3 * time.Second
+	killDelay          = 700 * time.Millisecond
+	answerReserve      = time.Second            // most answers take a small part of it; the longest deadline if that is shorter, but at least twice answerMargin
+	answerMargin       = 200 * time.Millisecond // all answers must be written this long before the kill
 )
 
-// spare is how many descriptors are left to the runtime, the poller, the
-// listener and the standard streams.
-const spare = 32
+// reservedDescriptors is the number of file descriptors reserved for the runtime, the poller, the listener and the
+// standard streams.
+const reservedDescriptors = 32
 
 // Node is one gatherer on sockets. Its fields belong to the event loop.
 type Node struct {
-	cfg   Config
-	log   *slog.Logger
-	stats *stats.Counters
-	core  *gatherer.Core
-	pool  *pool
-	watch *watch
-	next  *watch // on its way to take the place of watch; nil if none is
-
-	roster follow.Roster // the searchers that were told to leave
-
-	rounds   int       // how often the loop has come to what is due
-	held     time.Time // since when that waits for news that is to be read; zero while it does not
-	heldFrom int       // the round in which it began to
-
-	dialer dialer          // of searchers and discovery
-	ctx    context.Context // of all dials
-	stop   context.CancelFunc
-	loop   *eventloop.Loop // nil until Run has opened it
-	timer  *time.Timer
-	armed  time.Time
-	kept   time.Time // last housekeeping
-	told   time.Time // when the counters were last logged unasked
-	table  *limit.Table[*client]
-
-	flushing map[*client]time.Time // ending ones whose answer has not left, and until when it may
-
-	halfOpenAfter time.Duration // see pool.patience
-	acceptFor     time.Duration // how long new connections may come once it drains
-	serveFor      time.Duration // how long kept ones are served then
+	cfg       Config
+	log       *slog.Logger
+	stats     *stats.Counters
+	core      *gatherer.Core
+	pool      *pool
+	watch     *watch
+	nextWatch *watch // replaces watch once it has received a list; nil if discovery's address is not changing
+
+	roster follow.Roster // searchers that were reported as leaving
+
+	wakeups          int       // calls of runDue
+	deferredSince    time.Time // since when due work has waited for unread updates; zero if it does not wait
+	deferredAtWakeup int       // value of wakeups when that wait began
+
+	dialContext      dialFunc        // dials searchers and discovery
+	ctx              context.Context // of all dials
+	cancel           context.CancelFunc
+	loop             *eventloop.Loop // nil until Run has opened it
+	timer            *time.Timer     // runs runDue
+	timerAt          time.Time       // when timer fires; zero if it is not armed
+	lastHousekeeping time.Time
+	lastReport       time.Time // when the counters were last logged on schedule
+	clientTable      *limit.Table[*clientConn]
+
+	flushing map[*clientConn]time.Time // closing connections whose last answer is not fully written, with the time limit for that
+
+	halfOpenAfter time.Duration // see pool.silenceTimeout
+	acceptFor     time.Duration // how long new connections are accepted in a drain
+	serveFor      time.Duration // how long kept connections are served in a drain
 	draining      bool
-	drainUntil    time.Time // the end of acceptFor
-	serveUntil    time.Time // the end of serveFor
+	drainUntil    time.Time // end of acceptFor
+	serveUntil    time.Time // end of serveFor
 	killAt        time.Time // the process may be killed from then on
-	closing       bool      // the loop is about to end
+	stopping      bool      // the loop is about to end
 
-	started chan struct{} // closed once queries are taken
+	started chan struct{} // closed once queries are accepted
 }
 
-// New returns a Node that is to be started with Run.
+// New returns a Node, to be started with Run.
 func New(cfg Config, d gatherer.Decider, counters *stats.Counters, log *slog.Logger) *Node {
 	if cfg.Clients == (limit.Bounds{}) {
-		cfg.Clients = limit.Defaults(cfg.Sockets - spare)
+		cfg.Clients = limit.Defaults(cfg.Sockets - reservedDescriptors)
 	}
 	n := &Node{
 		cfg: cfg, log: log, stats: counters,
-		table:    limit.New[*client](cfg.Clients),
-		flushing: make(map[*client]time.Time),
-		started:  make(chan struct{}), acceptFor: drainAccept, halfOpenAfter: cfg.ConnectTimeout,
-		dialer: new(net.Dialer).DialContext,
+		clientTable: limit.New[*clientConn](cfg.Clients),
+		flushing:    make(map[*clientConn]time.Time),
+		started:     make(chan struct{}), acceptFor: drainAcceptTime, halfOpenAfter: cfg.ConnectTimeout,
+		dialContext: new(net.Dialer).DialContext,
 	}
 	n.serveFor = cfg.serveFor()
-	n.ctx, n.stop = context.WithCancel(context.Background())
+	n.ctx, n.cancel = context.WithCancel(context.Background())
 	n.pool = newPool(n)
 	n.watch = newWatch(n, cfg.Discovery, cfg.Known.Revision)
 	now := time.Now()
@@ -130,15 +129,15 @@
 	return n
 }
 
-// Run serves until the node has drained. Where it returns an error, it has ended untold.
+// Run serves until the node has drained. It returns an error if the node stopped serving for any other reason.
 func (n *Node) Run() error {
-	defer n.stop()
+	defer n.cancel()
 	loop, err := n.openLoop()
 	if err == nil {
 		n.loop = loop
 		n.boot()
 		err = n.loop.Run()
-		n.countSystem()
+		n.copyLoopCounters()
 	}
 	if err != nil {
 		n.log.Error("not serving any more", "listen", n.cfg.Listen, "err", err)
@@ -148,30 +147,30 @@
 	return nil
 }
 
-// openLoop opens the listener. What fails at first is tried again: the process before may still hold the
+// openLoop opens the listener. It retries failures that may be temporary: the previous process may still hold the
 // address, and the system may be short of descriptors for a moment.
 func (n *Node) openLoop() (*eventloop.Loop, error) {
 	options := eventloop.Options{
-		Accepted: func() eventloop.Handler { return newClient(n) }, After: n.arm, Log: n.log, Seed: n.cfg.Gatherer.Module.Seed,
+		Accepted: func() eventloop.Handler { return newClientConn(n) }, After: n.armTimer, Log: n.log, Seed: n.cfg.Gatherer.Module.Seed,
 	}
-	for wait, end := bootWait, time.Now().Add(bootTimeout); ; wait = min(2*wait, bootMostWait) {
+	for wait, end := bootRetryWait, time.Now().Add(bootTimeout); ; wait = min(2*wait, bootMaxRetryWait) {
 		loop, err := eventloop.Open(n.cfg.Listen, options)
 		if err == nil || !eventloop.Transient(err) && !errors.Is(err, unix.EADDRINUSE) || time.Now().Add(wait).After(end) {
 			return loop, err
 		}
-		n.log.Warn("the listener can't be opened yet", "listen", n.cfg.Listen, "err", err)
+		n.log.Warn("listener could not be opened; retrying", "listen", n.cfg.Listen, "err", err)
 		time.Sleep(wait)
 	}
 }
 
-// Started is closed once queries are taken; Addr is known from then on.
+// Started returns a channel that is closed once queries are accepted. Addr may be called from then on.
 func (n *Node) Started() <-chan struct{} { return n.started }
 
-// Addr is the address listened on.
+// Addr returns the address that the node listens on.
 func (n *Node) Addr() string { return n.loop.Addr() }
 
-// Adopt takes up an epoch of the layout for the queries that come from now on.
-// It may be called from any goroutine.
+// Adopt puts an epoch of the layout in force for queries that arrive from now on. It may be called from any
+// goroutine.
 func (n *Node) Adopt(l *layout.Layout) {
 	n.exec(func() {
 		if n.core.Adopt(l) {
@@ -180,39 +179,37 @@
 	})
 }
 
-// State is what a node tells of itself.
+// State describes a running node.
 type State struct {
 	Epoch      layout.Epoch     // that new queries are bound to
-	Oldest     layout.Epoch     // that an open query is bound to
-	Generation uint64           // of the settings that new queries are taken under; 0 if they can't change
-	Service    []service.Window // seconds that are over, where they are recorded
+	Oldest     layout.Epoch     // oldest epoch that an open query is bound to
+	Generation uint64           // of the configuration that new queries are taken under; 0 if it can't change
+	Service    []service.Window // completed seconds, if service is recorded
 	Draining   bool
 }
 
-// Searcher is one as the node knows it.
+// Searcher is a searcher as the node knows it.
 type Searcher struct {
 	ID, Addr string
 	Ready    bool
 }
 
-// Searchers returns those that discovery has listed; ok is false where the node
-// has not started or has ended. It may be called from any goroutine and waits for
-// the loop.
+// Searchers returns the searchers in the member list. ok is false if the node has not started or has ended. It may
+// be called from any goroutine and waits for the loop.
 func (n *Node) Searchers(ctx context.Context) (list []Searcher, ok bool) {
-	return wait(ctx, n, func() (list []Searcher) {
-		for id, p := range n.pool.peers {
+	return runOnLoop(ctx, n, func() (list []Searcher) {
+		for id, s := range n.pool.searchers {
 			if n.core.Listed(id) {
-				list = append(list, Searcher{id, p.addr, n.core.Ready(id)})
+				list = append(list, Searcher{id, s.addr, n.core.Ready(id)})
 			}
 		}
 		return list
 	})
 }
 
-// State returns what the node tells of itself, with the seconds after one; ok is
-// as for Searchers.
+// State returns the state of the node, with the recorded seconds after the given one; ok is as for Searchers.
 func (n *Node) State(ctx context.Context, after int64) (s State, ok bool) {
-	return wait(ctx, n, func() State {
+	return runOnLoop(ctx, n, func() State {
 		s := State{Epoch: n.core.Epoch(), Oldest: n.core.OldestEpoch(), Generation: n.core.Generation(), Draining: n.draining}
 		if r := n.cfg.Gatherer.Service; r != nil {
 			s.Service = r.Since(time.Now(), after)
@@ -221,15 +218,15 @@
 	})
 }
 
-// Generations returns those of the settings that open queries were taken under, and
-// that in force; ok is as for Searchers. It goes through all open queries.
+// Generations returns the configuration generations that open queries were taken under, and the one in force; ok
+// is as for Searchers. It goes through all open queries.
 func (n *Node) Generations(ctx context.Context) (list []uint64, ok bool) {
-	return wait(ctx, n, n.core.Generations)
+	return runOnLoop(ctx, n, n.core.Generations)
 }
 
-// wait runs f on the event loop and waits for what it returns; ok is false where the
-// node has not started or has ended, or ctx ends first.
-func wait[T any](ctx context.Context, n *Node, f func() T) (v T, ok bool) {
+// runOnLoop runs f on the event loop and waits for its result. ok is false if the node has not started or has
+// ended, or if ctx ends first.
+func runOnLoop[T any](ctx context.Context, n *Node, f func() T) (v T, ok bool) {
 	select {
 	case <-n.started:
 	default:
@@ -248,31 +245,30 @@
 	return v, false
 }
 
-// Live is what of a Config can change while the node runs.
+// Live holds the settings that can change while the node runs.
 type Live struct {
 	Core           *gatherer.Live
 	Multiplex      int
 	ConnectTimeout time.Duration
 	ConnIdle       time.Duration
 	Discovery      string
-	Layout         *layout.Layout // taken up where it is newer than the one at hand; nil: that stays
+	Layout         *layout.Layout // adopted if it is newer than the one in force; nil keeps the one in force
 }
 
-// ErrNotServing is why a node can't be changed.
+// ErrNotServing reports that a node can't be changed because it has not started or has ended.
 var ErrNotServing = errors.New("the gatherer does not serve yet, or has ended")
 
-// Apply puts other settings in force, all at once between two events: what comes
-// before it sees the old ones, what comes after it the new ones. It waits for the
-// loop. It may be called from any goroutine.
+// Apply puts other settings in force, all at once between two events: events before it see the old settings,
+// events after it the new ones. It waits for the loop and may be called from any goroutine.
 func (n *Node) Apply(ctx context.Context, l Live) error {
-	_, ok := wait(ctx, n, func() struct{} {
+	_, ok := runOnLoop(ctx, n, func() struct{} {
 		n.core.Apply(l.Core)
 		n.cfg.Multiplex, n.cfg.ConnectTimeout, n.cfg.ConnIdle = l.Multiplex, l.ConnectTimeout, l.ConnIdle
 		n.halfOpenAfter = l.ConnectTimeout
 		if l.Layout != nil && l.Layout.Epoch() > n.core.Epoch() {
 			n.core.Adopt(l.Layout)
 		}
-		n.follow(l.Discovery)
+		n.followDiscovery(l.Discovery)
 		return struct{}{}
 	})
 	switch {
@@ -284,12 +280,12 @@
 	return ErrNotServing
 }
 
-// Reload follows discovery at the address that a new configuration names. What
-// is open is not touched. It may be called from any goroutine.
+// Reload follows discovery at the address that a new configuration names. Open connections are not affected. It
+// may be called from any goroutine.
 func (n *Node) Reload(discovery string) {
 	n.exec(func() {
 		n.stats.Reloads++
-		n.follow(discovery)
+		n.followDiscovery(discovery)
 	})
 }
 
@@ -300,8 +296,8 @@
 	})
 }
 
-// Share tells how many slots of the fleet's limits may be used until then, see package share.
-// It may be called from any goroutine.
+// Share sets how many slots of the fleet's limits may be used until the given time, see package share. It may be
+// called from any goroutine.
 func (n *Node) Share(slots int, until time.Time) {
 	n.exec(func() {
 		n.core.Share(time.Now(), slots, until)
@@ -316,94 +312,94 @@
 }
 
 func (n *Node) report() {
-	n.countSystem()
+	n.copyLoopCounters()
 	n.log.Info("counters", "counters", n.stats)
 }
 
-// countSystem takes over what the loop has counted.
-func (n *Node) countSystem() {
+// copyLoopCounters copies the event loop's counters to those of the node.
+func (n *Node) copyLoopCounters() {
 	c := n.loop.Counters()
 	n.stats.SystemFails, n.stats.WakeFails = c.Fails, c.WakeFails
 	n.stats.PollRetries, n.stats.Stalls = c.Retries, c.Stalls
 }
 
-// exec runs f on the event loop.
+// exec runs f on the event loop, without waiting for it. It does nothing if the node has not started or has ended.
 func (n *Node) exec(f func()) {
 	select {
 	case <-n.started:
 	default:
 		return
 	}
-	_ = n.loop.Execute(func() { // it fails only where the loop has ended
+	_ = n.loop.Execute(func() { // it fails only if the loop has ended
 		f()
-		n.arm()
+		n.armTimer()
 	})
 }
 
-// boot starts all that needs the loop, before it runs.
+// boot starts everything that needs the loop. It is called before the loop runs.
 func (n *Node) boot() {
 	now := time.Now()
-	n.apply(now, eiderwinch.Stale, n.cfg.Discovery, n.cfg.Known)
-	n.pool.timers.Set(&timer{Value: n.core.Believe}, now.Add(n.cfg.DrainGrace)) // an agent answers at once; one that is silent learns nothing
+	n.applyUpdate(now, eiderwinch.Stale, n.cfg.Discovery, n.cfg.Known)
+	n.pool.timers.Set(&timer{Value: n.core.Believe}, now.Add(n.cfg.DrainGrace)) // an agent answers at once; one that stays silent has no update to wait for
 	n.core.Run(now)
-	n.timer = time.AfterFunc(time.Hour, func() { n.exec(n.wake) })
+	n.timer = time.AfterFunc(time.Hour, func() { n.exec(n.runDue) })
 	close(n.started)
 	n.watch.run(now)
-	m := n.cfg.Gatherer.Module
-	n.log.Info("serving", "addr", n.Addr(), "searchers", len(n.cfg.Known.Members), "gatherers", m.Brokers,
+	module := n.cfg.Gatherer.Module
+	n.log.Info("serving", "addr", n.Addr(), "searchers", len(n.cfg.Known.Members), "gatherers", module.Brokers,
 		"sockets", n.cfg.Sockets, "multiplex", n.cfg.Multiplex, "connect_timeout", n.cfg.ConnectTimeout,
-		"conn_idle", n.cfg.ConnIdle, "max_open", n.cfg.Gatherer.MaxOpen, "cells", m.Cells, "shards", m.Shards,
-		"batch", m.Batch, "call_cost", m.CallCost)
+		"conn_idle", n.cfg.ConnIdle, "max_open", n.cfg.Gatherer.MaxOpen, "cells", module.Cells, "shards", module.Shards,
+		"batch", module.Batch, "call_cost", module.CallCost)
 }
 
-// wake does all that is due.
-func (n *Node) wake() {
-	n.armed = time.Time{}
-	n.rounds++
+// runDue does everything that is due.
+func (n *Node) runDue() {
+	n.timerAt = time.Time{}
+	n.wakeups++
 	now := time.Now()
 	for _, w := range n.watches() {
-		if !now.Before(w.follow.Due()) {
+		if !now.Before(w.follower.Due()) {
 			w.run(now)
 		}
 	}
-	n.pool.expire(now)
-	if !n.behind(now) { // else the loop reads first, and comes back here at once
+	n.pool.runTimers(now)
+	if !n.deferForUpdates(now) { // otherwise the loop reads first, and runDue is called again at once
 		n.core.Run(now)
 	}
-	if now.Sub(n.kept) >= housekeeping {
-		n.kept = now
-		n.pool.closeIdle(now)
-		n.review(now)
+	if now.Sub(n.lastHousekeeping) >= housekeepingInterval {
+		n.lastHousekeeping = now
+		n.pool.closeIdleConns(now)
+		n.reviewDoubted(now)
 		n.checkClients(now)
-		if every := n.cfg.ReportEvery; every > 0 && now.Sub(n.told) >= every {
-			n.told = now
+		if every := n.cfg.ReportEvery; every > 0 && now.Sub(n.lastReport) >= every {
+			n.lastReport = now
 			n.report()
 		}
 	}
 	if n.drained(now) {
-		n.closing = true
+		n.stopping = true
 		n.loop.Stop()
 	}
 }
 
-// arm sets the timer for what is due next.
-func (n *Node) arm() {
-	if n.timer == nil || n.closing {
+// armTimer sets the timer to the time when the next work is due.
+func (n *Node) armTimer() {
+	if n.timer == nil || n.stopping {
 		return
 	}
-	due := n.kept.Add(housekeeping)
-	for _, t := range []time.Time{n.core.Due(), n.pool.due()} {
+	due := n.lastHousekeeping.Add(housekeepingInterval)
+	for _, t := range []time.Time{n.core.Due(), n.pool.nextDue()} {
 		if !t.IsZero() && t.Before(due) {
 			due = t
 		}
 	}
 	for _, w := range n.watches() {
-		if t := w.follow.Due(); t.Before(due) {
+		if t := w.follower.Due(); t.Before(due) {
 			due = t
 		}
 	}
-	if n.armed.IsZero() || due.Before(n.armed) {
-		n.armed = due
+	if n.timerAt.IsZero() || due.Before(n.timerAt) {
+		n.timerAt = due
 		n.timer.Reset(max(time.Until(due), 0))
 	}
 }
--- a/internal/netio/pool.go
+++ b/internal/netio/pool.go
@@ -10,347 +10,348 @@
 )
 
 const (
-	idleMargin    = 2 * time.Second // idle connections are closed so long before the searcher does
-	halfOpenTimes = 8               // a connection is taken for half-open when nothing comes for so many usual times of calls
-	halfOpenLearn = 0.05            // weight of one call in their usual time
-	maxAbandoned  = 256             // given-up parts without an answer; then a connection is not used again
+	idleMargin       = 2 * time.Second // idle connections are closed this long before the searcher would close them
+	halfOpenMultiple = 8               // a connection counts as half-open after this multiple of the typical latency without data
+	latencyWeight    = 0.05            // weight of one call in the typical latency
+	maxAbandoned     = 256             // abandoned parts without an answer; a connection that has this many takes no more calls
 )
 
 // pool holds the connections to the searchers. It implements gatherer.Searchers.
 type pool struct {
-	n       *Node
-	peers   map[string]*peer
-	flights map[*gatherer.Attempt]*link // where attempts were written
-	links   int                         // all connections, those being dialed included
-	dialing int                         // those being dialed, or given up and not heard of since
-	short   []*peer                     // those whose calls wait for descriptors, the one that has waited for longest first
-	timers  due.Queue[func(now time.Time)]
-	usual   time.Duration // of calls that were answered; 0 while none was
+	node                *Node
+	searchers           map[string]*searcher
+	connByAttempt       map[*gatherer.Attempt]*searcherConn // the connection of each attempt in flight
+	connCount           int                                 // all connections, including those being dialed
+	dialing             int                                 // connections being dialed, also those past their time limit until the dial has returned
+	awaitingDescriptors []*searcher                         // searchers whose calls wait for descriptors, the longest waiting first
+	timers              due.Queue[func(now time.Time)]
+	typicalLatency      time.Duration // smoothed latency of answered attempts; 0 until the first answer
 }
 
-// timer is one of the pool's; it does what is due.
+// timer is a timer of the pool. Its value is run when it is due.
 type timer = due.Timer[func(now time.Time)]
 
 func newPool(n *Node) *pool {
-	return &pool{n: n, peers: make(map[string]*peer), flights: make(map[*gatherer.Attempt]*link)}
+	return &pool{node: n, searchers: make(map[string]*searcher), connByAttempt: make(map[*gatherer.Attempt]*searcherConn)}
 }
 
-// peer is one searcher.
-type peer struct {
-	id, addr string
-	started  time.Time // its last start, as told; zero means long ago
-	links    []*link
-	queue    []*waiting // calls that wait for a connection
-	short    bool       // it is among pool.short
+// searcher is the pool's state of one searcher.
+type searcher struct {
+	id, addr            string
+	started             time.Time // last reported start of its process; zero: long ago
+	conns               []*searcherConn
+	queue               []*pendingCall // calls that wait for a connection
+	awaitingDescriptors bool           // whether it is in pool.awaitingDescriptors
 }
 
-// waiting is a call that waits for a connection.
-type waiting struct {
+// pendingCall is a call that waits for a connection.
+type pendingCall struct {
 	attempts []*gatherer.Attempt
-	timer    timer // when it is given up
+	timer    timer // when the call is given up
 }
 
-// locate books a searcher's address, and when its process started. Connections to another address
-// are not used for new calls. Those that were up before the start led to a process that is gone: they
-// are closed, though its machine may have gone without a word, and what is out on them may have run.
-func (p *pool) locate(now time.Time, id, addr string, started time.Time) {
-	at := p.peers[id]
-	if at == nil {
-		at = &peer{id: id}
-		p.peers[id] = at
+// updateSearcher records a searcher's address and when its process started. Connections to a previous address are
+// not used for new calls. Connections that were opened before the start led to a process that is gone, and are
+// closed: the machine of that process may have failed without closing them. Parts in flight on them may have run.
+func (p *pool) updateSearcher(now time.Time, id, addr string, started time.Time) {
+	s := p.searchers[id]
+	if s == nil {
+		s = &searcher{id: id}
+		p.searchers[id] = s
 	}
-	moved := addr != "" && addr != at.addr
+	moved := addr != "" && addr != s.addr
 	if moved {
-		at.addr = addr
+		s.addr = addr
 	}
-	fresh := !started.IsZero() && !started.Equal(at.started) // the roster lets no older one through; Unix times may go back
-	if fresh {
-		at.started = started
+	restarted := !started.IsZero() && !started.Equal(s.started) // the roster passes on no older start; Unix times may go back
+	if restarted {
+		s.started = started
 	}
-	for _, l := range at.links {
+	for _, c := range s.conns {
 		switch {
-		case fresh && l.conn != nil && l.upSince(now).Before(started):
-			p.n.stats.Outlived++
-			l.close()
+		case restarted && c.conn != nil && c.openedAtWallClock(now).Before(started):
+			p.node.stats.Outlived++
+			c.close()
 		case moved:
-			l.shut = l.shut || l.addr != addr
+			c.retired = c.retired || c.addr != addr
 		}
 	}
 }
 
-// relocated has calls go on that waited for a connection to where a searcher was before.
-func (p *pool) relocated(now time.Time, id string) {
-	if at := p.peers[id]; at != nil && len(at.queue) > 0 {
-		p.resume(now, at)
+// resumeMoved sends calls that waited for a connection to a searcher's previous address.
+func (p *pool) resumeMoved(now time.Time, id string) {
+	if s := p.searchers[id]; s != nil && len(s.queue) > 0 {
+		p.resumeQueued(now, s)
 	}
 }
 
 // Call implements gatherer.Searchers.
 func (p *pool) Call(now time.Time, attempts []*gatherer.Attempt) {
-	at := p.peers[attempts[0].Searcher]
-	if at == nil || at.addr == "" {
+	s := p.searchers[attempts[0].Searcher]
+	if s == nil || s.addr == "" {
 		for _, a := range attempts {
-			p.n.core.Unsent(now, a)
+			p.node.core.Unsent(now, a)
 		}
 		return
 	}
-	w := &waiting{attempts: attempts}
-	w.timer.Value = func(now time.Time) { at.giveUp(p, now, w) }
-	p.timers.Set(&w.timer, now.Add(p.n.connectWait()))
-	at.queue = append(at.queue, w)
-	p.pump(time.Now(), at) // the turn may have taken its time
+	call := &pendingCall{attempts: attempts}
+	call.timer.Value = func(now time.Time) { s.failCall(p, now, call) }
+	p.timers.Set(&call.timer, now.Add(p.node.connectWait()))
+	s.queue = append(s.queue, call)
+	p.sendQueued(time.Now(), s) // the turn may have taken its time
 }
 
-// pump writes the calls that wait for a connection, as far as there are any,
-// and dials for the rest.
-func (p *pool) pump(now time.Time, at *peer) {
-	for len(at.queue) > 0 {
-		w := at.queue[0]
-		var still []*gatherer.Attempt
-		for _, a := range w.attempts {
-			// A call may have waited past its searcher's drain grace, or its end.
-			if p.n.core.MaySend(now, a) {
-				still = append(still, a)
+// sendQueued sends queued calls on the connections that have room for them, and opens connections for the rest.
+func (p *pool) sendQueued(now time.Time, s *searcher) {
+	for len(s.queue) > 0 {
+		call := s.queue[0]
+		var sendable []*gatherer.Attempt
+		for _, a := range call.attempts {
+			// A call may have waited past its searcher's drain grace, or past its own end.
+			if p.node.core.MaySend(now, a) {
+				sendable = append(sendable, a)
 			} else {
-				p.n.core.Unsent(now, a)
+				p.node.core.Unsent(now, a)
 			}
 		}
-		w.attempts = still
-		if len(still) > 0 {
-			l := at.pick(now, still, p.n.cfg.Multiplex, p.longestIdle())
-			if l == nil {
+		call.attempts = sendable
+		if len(sendable) > 0 {
+			c := s.pickConn(now, sendable, p.node.cfg.Multiplex, p.maxIdle())
+			if c == nil {
 				break
 			}
-			at.drop(p, w)
-			l.send(still)
+			s.dequeue(p, call)
+			c.sendCall(sendable)
 			continue
 		}
-		at.drop(p, w)
+		s.dequeue(p, call)
 	}
-	p.dial(now, at)
+	p.dial(now, s)
 }
 
-// resume pumps for calls that have waited, unless there is news to be read first.
-func (p *pool) resume(now time.Time, at *peer) {
-	if len(at.queue) > 0 && p.n.behind(now) {
-		again := &timer{Value: func(now time.Time) { p.resume(now, at) }}
-		p.timers.Set(again, now.Add(time.Millisecond)) // the loop's next round is over by then
+// resumeQueued sends queued calls, unless an update from discovery has to be read first; it then tries again.
+func (p *pool) resumeQueued(now time.Time, s *searcher) {
+	if len(s.queue) > 0 && p.node.deferForUpdates(now) {
+		retry := &timer{Value: func(now time.Time) { p.resumeQueued(now, s) }}
+		p.timers.Set(retry, now.Add(time.Millisecond)) // the loop's next round is over by then
 		return
 	}
-	p.pump(now, at)
+	p.sendQueued(now, s)
 }
 
-// leave ends what has not left for a searcher that is told to be leaving: calls that wait for a
-// connection, and frames of which the connection's buffer still holds the first byte. Those have
-// surely not run; what else is out on such a connection may have.
-func (p *pool) leave(now time.Time, id string) {
-	at := p.peers[id]
-	if at == nil {
+// cancelUnsent ends what has not been sent yet to a searcher that is leaving: calls that wait for a connection,
+// and frames whose first byte is still in a connection's buffer. These have certainly not run; other parts in
+// flight on such a connection may have.
+func (p *pool) cancelUnsent(now time.Time, id string) {
+	s := p.searchers[id]
+	if s == nil {
 		return
 	}
-	p.pump(now, at)
-	for _, l := range at.links {
-		if l.conn == nil {
+	p.sendQueued(now, s)
+	for _, c := range s.conns {
+		if c.conn == nil {
 			continue
 		}
-		left := l.given - uint64(l.conn.Buffered())
-		if slices.ContainsFunc(l.out, func(f flight) bool { return f.begin >= left }) {
-			p.n.stats.HeldBack++
-			l.conn.Mute() // the loop could write once more before it closes
-			l.close()
+		flushed := c.written - uint64(c.conn.Buffered())
+		if slices.ContainsFunc(c.inFlight, func(f sentAttempt) bool { return f.firstByte >= flushed }) {
+			p.node.stats.HeldBack++
+			c.conn.Mute() // the loop could write once more before it closes the connection
+			c.close()
 		}
 	}
 }
 
-// pick returns a connection with room for a call. One that still may bring an
-// answer to an earlier attempt of a part has none: the frames bear the part's
-// id only, so that answer would be taken for the new attempt's. Nor has one on
-// which half a frame lies, or one that its searcher may be closing as idle or has
-// ended: what crosses that is a reset, which may have run.
-func (at *peer) pick(now time.Time, attempts []*gatherer.Attempt, multiplex int, idle time.Duration) *link {
-	for _, l := range at.links {
-		if len(l.out) > 0 {
-			l.quiet(now, l.out[0].sent)
+// pickConn returns a connection with room for a call, or nil. It passes over connections that may still bring an
+// answer to an earlier attempt of a part: frames carry only the part id, so that answer would be taken for the new
+// attempt's. It also passes over connections that have received half a frame, and those that the searcher may be
+// closing as idle or has ended: a frame that crosses the close is answered by a reset, and the part may have run.
+func (s *searcher) pickConn(now time.Time, attempts []*gatherer.Attempt, multiplex int, maxIdle time.Duration) *searcherConn {
+	for _, c := range s.conns {
+		if len(c.inFlight) > 0 {
+			c.checkHalfOpen(now, c.inFlight[0].sent)
 		}
-		if l.conn == nil || l.shut || l.halfOpen || l.frame.Set() || now.Sub(l.idle) >= idle && len(l.out) == 0 || len(l.out)+len(l.blocked) > 0 && len(l.out)+len(l.blocked)+len(attempts) > multiplex ||
-			len(l.abandoned) >= maxAbandoned || l.conn.Buffered() > 0 {
+		if c.conn == nil || c.retired || c.halfOpen || c.frameTimer.Set() ||
+			now.Sub(c.idleSince) >= maxIdle && len(c.inFlight) == 0 ||
+			len(c.inFlight)+len(c.unreadCancels) > 0 && len(c.inFlight)+len(c.unreadCancels)+len(attempts) > multiplex ||
+			len(c.abandoned) >= maxAbandoned || c.conn.Buffered() > 0 {
 			continue
 		}
-		awaited := func(a *gatherer.Attempt) bool { return l.abandoned[a.PartID()] }
+		awaited := func(a *gatherer.Attempt) bool { return c.abandoned[a.PartID()] }
 		if slices.ContainsFunc(attempts, awaited) {
 			continue
 		}
-		if peerClosed(l.conn.Fd()) {
-			l.pool.n.stats.EndUnread++ // the loop reads it next
+		if remoteClosed(c.conn.Fd()) {
+			c.pool.node.stats.EndUnread++ // the loop reads the end next
 			continue
 		}
-		return l
+		return c
 	}
 	return nil
 }
 
-// dial opens connections for the calls that wait, as far as descriptors allow. Each takes two
-// from when it comes up until the loop has taken it over, which may be busy meanwhile, so each
-// that is being dialed counts as two.
-func (p *pool) dial(now time.Time, at *peer) {
+// dial opens connections for queued calls, as far as descriptors allow. A connection takes two descriptors from
+// the time it is up until the loop has taken it over, and the loop may be busy in between, so each connection
+// being dialed counts as two.
+func (p *pool) dial(now time.Time, s *searcher) {
 	room := 0
-	for _, l := range at.links {
-		if l.conn == nil && !l.shut {
-			room += p.n.cfg.Multiplex
+	for _, c := range s.conns {
+		if c.conn == nil && !c.retired {
+			room += p.node.cfg.Multiplex
 		}
 	}
-	want := 0
-	for _, w := range at.queue {
-		want += min(len(w.attempts), p.n.cfg.Multiplex) // a call travels whole: what is beyond that waits unread
+	wanted := 0
+	for _, call := range s.queue {
+		wanted += min(len(call.attempts), p.node.cfg.Multiplex) // a call is sent whole: parts beyond the limit wait unread on its connection
 	}
-	for ; want > room; room += p.n.cfg.Multiplex {
-		if p.links+p.dialing+2 > p.most() {
-			if !at.short {
-				at.short = true
-				p.short = append(p.short, at)
+	for ; wanted > room; room += p.node.cfg.Multiplex {
+		if p.connCount+p.dialing+2 > p.descriptorLimit() {
+			if !s.awaitingDescriptors {
+				s.awaitingDescriptors = true
+				p.awaitingDescriptors = append(p.awaitingDescriptors, s)
 			}
-			if p.links+2 > p.most() { // else those that are being dialed take less once they are up
-				p.dropIdlest()
+			if p.connCount+2 > p.descriptorLimit() { // otherwise the connections being dialed free descriptors once they are up
+				p.closeLongestIdle()
 			}
 			return
 		}
-		l := &link{
-			pool: p, peer: at, addr: at.addr, abandoned: make(map[string]bool), blocked: make(map[string]bool),
+		c := &searcherConn{
+			pool: p, searcher: s, addr: s.addr, abandoned: make(map[string]bool), unreadCancels: make(map[string]bool),
 		}
-		l.dialed.Value = func(time.Time) { l.shut = true } // its dialer gives up by itself
-		l.frame.Value = func(time.Time) { l.spoil("frame that does not end", l.parser.Buffered()) }
-		p.timers.Set(&l.dialed, now.Add(p.n.cfg.ConnectTimeout))
-		if slices.ContainsFunc(at.links, func(l *link) bool { return l.conn != nil && !l.shut }) {
-			p.n.stats.Beside++
+		c.dialTimer.Value = func(time.Time) { c.retired = true } // the dial itself has the same time limit
+		c.frameTimer.Value = func(time.Time) { c.closeMalformed("incomplete frame from searcher", c.parser.Buffered()) }
+		p.timers.Set(&c.dialTimer, now.Add(p.node.cfg.ConnectTimeout))
+		if slices.ContainsFunc(s.conns, func(c *searcherConn) bool { return c.conn != nil && !c.retired }) {
+			p.node.stats.Beside++
 		}
-		at.links = append(at.links, l)
-		p.links++
+		s.conns = append(s.conns, c)
+		p.connCount++
 		p.dialing++
-		p.n.dial(at.addr, p.n.cfg.ConnectTimeout, l, l.failed)
+		p.node.dial(s.addr, p.node.cfg.ConnectTimeout, c, c.dialFailed)
 	}
 }
 
-// most is how many descriptors connections to searchers may take, those that are being dialed twice: half, as
-// far as clients leave them, and a quarter in any case. A gatherer calls hundreds of searchers, and one without
-// a connection has to be opened for each call.
-func (p *pool) most() int {
-	all := p.n.cfg.Sockets - spare
-	return max(all/4, min(all/2, p.n.usable()-p.n.table.Held()))
+// descriptorLimit returns how many descriptors connections to searchers may take, where those being dialed count
+// twice. It is half of the available ones, as far as clients leave that, and a quarter in any case: a gatherer
+// calls hundreds of searchers, and has to open a connection for each call to a searcher that has none.
+func (p *pool) descriptorLimit() int {
+	usable := p.node.cfg.Sockets - reservedDescriptors
+	return max(usable/4, min(usable/2, p.node.usableDescriptors()-p.node.clientTable.Held()))
 }
 
-// freed has calls go on that wait for descriptors, when there may be some, or a connection that can be closed for them.
-func (p *pool) freed(now time.Time) {
-	for range len(p.short) {
-		at := p.short[0]
-		p.short, at.short = p.short[1:], false
-		p.resume(now, at)
-		if at.short { // nor is there room for those behind it: it stays before them
-			p.short = slices.Insert(p.short[:len(p.short)-1], 0, at)
+// descriptorsFreed sends calls that wait for descriptors. It is called when there may be free descriptors, or a
+// connection that can be closed to free them.
+func (p *pool) descriptorsFreed(now time.Time) {
+	for range len(p.awaitingDescriptors) {
+		s := p.awaitingDescriptors[0]
+		p.awaitingDescriptors, s.awaitingDescriptors = p.awaitingDescriptors[1:], false
+		p.resumeQueued(now, s)
+		if s.awaitingDescriptors { // there is no room for those behind it either: it stays in front of them
+			p.awaitingDescriptors = slices.Insert(p.awaitingDescriptors[:len(p.awaitingDescriptors)-1], 0, s)
 			return
 		}
 	}
 }
 
-// dropIdlest closes the connection that has been idle for longest. That is
-// done later in the loop; the calls wait for it, see freed.
-func (p *pool) dropIdlest() {
-	var idlest *link
-	for _, at := range p.peers {
-		for _, l := range at.links {
-			if l.conn != nil && !l.shut && len(l.out) == 0 && (idlest == nil || l.idle.Before(idlest.idle)) {
-				idlest = l
+// closeLongestIdle closes the connection that has been idle for longest. The close happens later on the loop; the
+// calls wait for it, see descriptorsFreed.
+func (p *pool) closeLongestIdle() {
+	var longestIdle *searcherConn
+	for _, s := range p.searchers {
+		for _, c := range s.conns {
+			if c.conn != nil && !c.retired && len(c.inFlight) == 0 && (longestIdle == nil || c.idleSince.Before(longestIdle.idleSince)) {
+				longestIdle = c
 			}
 		}
 	}
-	if idlest != nil {
-		idlest.close()
+	if longestIdle != nil {
+		longestIdle.close()
 	}
 }
 
 // Abandon implements gatherer.Searchers.
 func (p *pool) Abandon(a *gatherer.Attempt) {
-	l := p.flights[a]
-	if l == nil {
-		return // it waits for a connection, and is dropped there
+	c := p.connByAttempt[a]
+	if c == nil {
+		return // it is still queued, and is dropped from the queue
 	}
-	id, full := a.PartID(), l.full() || l.conn.Buffered() > 0
-	l.quiet(time.Now(), l.land(a))
-	if full && a.MayGoAgain() {
-		l.pool.n.stats.GivenUp++
-		l.close()
+	id, blocked := a.PartID(), c.full() || c.conn.Buffered() > 0
+	c.checkHalfOpen(time.Now(), c.removeAttempt(a))
+	if blocked && a.MayGoAgain() {
+		c.pool.node.stats.GivenUp++
+		c.close()
 		return
 	}
-	if full {
-		l.blocked[id] = true
+	if blocked {
+		c.unreadCancels[id] = true
 	}
-	l.abandoned[id] = true
-	l.write(frame.AppendCancel(nil, id))
+	c.abandoned[id] = true
+	c.write(frame.AppendCancel(nil, id))
 }
 
-// patience is how long a connection may bring nothing while something is out on it.
-func (p *pool) patience() time.Duration {
-	if p.usual == 0 {
-		return p.n.halfOpenAfter
+// silenceTimeout returns how long a connection may receive nothing while an attempt is in flight on it.
+func (p *pool) silenceTimeout() time.Duration {
+	if p.typicalLatency == 0 {
+		return p.node.halfOpenAfter
 	}
-	return min(p.n.halfOpenAfter, max(halfOpenTimes*p.usual, halfOpenTimes*p.n.cfg.Gatherer.Tick))
+	return min(p.node.halfOpenAfter, max(halfOpenMultiple*p.typicalLatency, halfOpenMultiple*p.node.cfg.Gatherer.Tick))
 }
 
-// CloseIdle implements gatherer.Searchers. It closes those that may be cut off, see
-// quiet. The aggregator judges connections by calls that took too long at any
-// searcher; what is known here is each connection's own. Where calls are few, nearly
-// all come on an idle one: to open that again before each costs a large fleet's
-// searchers a handshake for every call.
+// CloseIdle implements gatherer.Searchers. It closes only the idle connections that may be cut off, see
+// checkHalfOpen. The aggregator calls for it because of slow calls to any searcher, whereas the pool knows the
+// state of each connection. Where calls are few, nearly all of them use an idle connection: reopening it before
+// each call would cost the searchers of a large fleet a handshake for every call.
 func (p *pool) CloseIdle(searcher string) {
-	if at := p.peers[searcher]; at != nil {
-		for _, l := range at.links {
-			if l.conn != nil && len(l.out) == 0 && l.halfOpen {
-				l.close()
+	if s := p.searchers[searcher]; s != nil {
+		for _, c := range s.conns {
+			if c.conn != nil && len(c.inFlight) == 0 && c.halfOpen {
+				c.close()
 			}
 		}
 	}
 }
 
-// due is when expire is wanted next; zero if nothing is due.
-func (p *pool) due() time.Time { return p.timers.Next() }
+// nextDue returns when runTimers is to be called next; zero if no timer is set.
+func (p *pool) nextDue() time.Time { return p.timers.Next() }
 
-// expire gives up what has waited too long.
-func (p *pool) expire(now time.Time) {
+// runTimers runs the timers that are due.
+func (p *pool) runTimers(now time.Time) {
 	for t := p.timers.Pop(now); t != nil; t = p.timers.Pop(now) {
 		t.Value(now)
 	}
 }
 
-// drop takes a call out of the queue.
-func (at *peer) drop(p *pool, w *waiting) {
-	p.timers.Stop(&w.timer)
-	at.queue = slices.DeleteFunc(at.queue, func(x *waiting) bool { return x == w })
+// dequeue removes a call from the queue.
+func (s *searcher) dequeue(p *pool, call *pendingCall) {
+	p.timers.Stop(&call.timer)
+	s.queue = slices.DeleteFunc(s.queue, func(x *pendingCall) bool { return x == call })
 }
 
-// giveUp ends a call that waited in vain: it surely has not run.
-func (at *peer) giveUp(p *pool, now time.Time, w *waiting) {
-	at.drop(p, w)
-	for _, a := range w.attempts {
-		p.n.core.Unsent(now, a)
+// failCall ends a queued call that gets no connection. It has certainly not run.
+func (s *searcher) failCall(p *pool, now time.Time, call *pendingCall) {
+	s.dequeue(p, call)
+	for _, a := range call.attempts {
+		p.node.core.Unsent(now, a)
 	}
 }
 
-// longestIdle is how long a connection may be idle and yet be used.
-func (p *pool) longestIdle() time.Duration {
-	return max(p.n.cfg.ConnIdle-idleMargin, p.n.cfg.ConnIdle/2)
+// maxIdle returns how long a connection may be idle and still be used.
+func (p *pool) maxIdle() time.Duration {
+	return max(p.node.cfg.ConnIdle-idleMargin, p.node.cfg.ConnIdle/2)
 }
 
-// closeIdle closes the connections that are idle, before the searchers do.
-func (p *pool) closeIdle(now time.Time) {
-	longest := p.longestIdle()
-	for id, at := range p.peers {
-		for _, l := range at.links {
-			if l.conn != nil && len(l.out) == 0 && (l.shut || now.Sub(l.idle) >= longest) {
-				p.n.stats.IdleClosed++
-				l.close()
+// closeIdleConns closes idle connections before their searchers do, and removes unlisted searchers that have no
+// connections and no calls.
+func (p *pool) closeIdleConns(now time.Time) {
+	longest := p.maxIdle()
+	for id, s := range p.searchers {
+		for _, c := range s.conns {
+			if c.conn != nil && len(c.inFlight) == 0 && (c.retired || now.Sub(c.idleSince) >= longest) {
+				p.node.stats.IdleClosed++
+				c.close()
 			}
 		}
-		if len(at.links) == 0 && len(at.queue) == 0 && !p.n.core.Listed(id) {
-			delete(p.peers, id)
+		if len(s.conns) == 0 && len(s.queue) == 0 && !p.node.core.Listed(id) {
+			delete(p.searchers, id)
 		}
 	}
 }
--- a/internal/netio/process_test.go
+++ b/internal/netio/process_test.go
@@ -28,7 +28,7 @@
 				old.Answer("served", 1, "v")
 				r.outcome()
 			}
-			r.until("a later start", func() bool { return time.Now().UnixMilli() > r.pool.peers["s"].links[0].up.UnixMilli() })
+			r.until("a later start", func() bool { return time.Now().UnixMilli() > r.pool.searchers["s"].conns[0].openedAt.UnixMilli() })
 			w.Send(testpeer.List(42, false, testpeer.Member("s", r.s.Addr, "Ready", time.Now().UnixMilli())))
 			r.listed()
 			if out {
@@ -86,9 +86,9 @@
 	r.outcome()
 	r.onLoop(func() {
 		old.Conn.Close()
-		l := r.pool.peers["s"].links[0]
-		r.wait("the end has come", func() bool { return peerClosed(l.conn.Fd()) })
-		r.table.Oldest(limit.Idle).Owner.Traffic([]byte(testpeer.Query("search", "t2", time.Minute, 1)))
+		c := r.pool.searchers["s"].conns[0]
+		r.wait("the end has come", func() bool { return remoteClosed(c.conn.Fd()) })
+		r.clientTable.Oldest(limit.Idle).Owner.Traffic([]byte(testpeer.Query("search", "t2", time.Minute, 1)))
 		r.turnNow()
 	})
 	p := r.part()
@@ -113,8 +113,8 @@
 		}
 	}
 	r.onLoop(func() {
-		if r.pool.links != 1 {
-			t.Errorf("%d connections for a call", r.pool.links)
+		if r.pool.connCount != 1 {
+			t.Errorf("%d connections for a call", r.pool.connCount)
 		}
 	})
 	r.ask("search", "u", time.Minute, 1)
@@ -214,7 +214,7 @@
 	}
 	p.Answer("served", 1, "late")
 	r.until("the answer is read", func() bool {
-		return r.pool.peers["s"].links[0].last == "" && len(r.pool.peers["s"].links[0].blocked) == 0
+		return r.pool.searchers["s"].conns[0].lastAnswered == "" && len(r.pool.searchers["s"].conns[0].unreadCancels) == 0
 	})
 	r.ask("search", "v", time.Minute, 1)
 	if r.part().Conn != p.Conn {
@@ -228,9 +228,9 @@
 	const searchers, queries, descriptors = 40, 12, 40 // 12 clients and 20 for searchers are within seven eighths
 	up := make(chan bool)
 	r := start(t, func(r *rig) {
-		r.cfg.Sockets = spare + descriptors
-		real := r.dialer
-		r.dialer = func(ctx context.Context, network, addr string) (net.Conn, error) {
+		r.cfg.Sockets = reservedDescriptors + descriptors
+		real := r.dialContext
+		r.dialContext = func(ctx context.Context, network, addr string) (net.Conn, error) {
 			if addr == r.d.Addr {
 				return real(ctx, network, addr)
 			}
@@ -256,7 +256,7 @@
 	}
 	r.until("all are asked", func() bool { return r.stats.Sent == queries })
 	r.onLoop(func() {
-		if n, held := r.pool.links, r.table.Held(); n < 5 || 2*n > descriptors/2 || 2*n+held > descriptors*7/8 {
+		if n, held := r.pool.connCount, r.clientTable.Held(); n < 5 || 2*n > descriptors/2 || 2*n+held > descriptors*7/8 {
 			t.Errorf("%d connections are being opened, which may hold %d descriptors of %d, beside %d clients", n, 2*n, descriptors, held)
 		}
 	})
@@ -269,7 +269,7 @@
 func TestACallThatWaitsForDescriptorsIsSent(t *testing.T) {
 	const searchers, descriptors = 24, 40 // 20 for searchers
 	r := start(t, func(r *rig) {
-		r.cfg.Sockets = spare + descriptors
+		r.cfg.Sockets = reservedDescriptors + descriptors
 		for i := range searchers {
 			r.cfg.Known.Members = append(r.cfg.Known.Members, catalog.Member{ID: fmt.Sprint("s", i), HostPort: r.s.Addr, Phase: catalog.Ready})
 		}
@@ -303,26 +303,26 @@
 // case, half of them where clients leave it, and what they have clients do not get.
 func TestClientsAndSearchersShareTheDescriptors(t *testing.T) {
 	r := start(t, func(r *rig) {
-		r.cfg.Sockets = spare + 400
-		r.table = limit.New[*client](limit.Defaults(400))
+		r.cfg.Sockets = reservedDescriptors + 400
+		r.clientTable = limit.New[*clientConn](limit.Defaults(400))
 	})
-	r.until("the own connection is over", func() bool { return r.table.Held() == 0 })
+	r.until("the own connection is over", func() bool { return r.clientTable.Held() == 0 })
 	for _, c := range []struct{ held, links, most, excess int }{
 		{0, 0, 200, -250}, {100, 0, 200, -150}, {200, 100, 150, -50}, {250, 100, 100, 0}, {251, 100, 100, 1}, {150, 200, 200, 0}, {151, 200, 199, 1},
 	} {
 		r.onLoop(func() {
-			held := make([]limit.Seat[*client], c.held)
+			held := make([]limit.Seat[*clientConn], c.held)
 			for i := range held {
-				r.table.Enter(time.Now(), &held[i])
+				r.clientTable.Enter(time.Now(), &held[i])
 			}
-			r.pool.links = c.links
-			if most, excess := r.pool.most(), r.excess(); most != c.most || excess != c.excess {
+			r.pool.connCount = c.links
+			if most, excess := r.pool.descriptorLimit(), r.excessClients(); most != c.most || excess != c.excess {
 				t.Errorf("%d clients and %d connections to searchers: at most %d of these, %d clients too many; want %d and %d",
 					c.held, c.links, most, excess, c.most, c.excess)
 			}
-			r.pool.links = 0
+			r.pool.connCount = 0
 			for i := range held {
-				r.table.Leave(&held[i])
+				r.clientTable.Leave(&held[i])
 			}
 		})
 	}
@@ -371,11 +371,11 @@
 			client := r.ask("search", "t", time.Minute, 1)
 			p := r.part()
 			r.onLoop(func() {
-				fd := r.pool.peers["s"].links[0].conn.Fd()
+				fd := r.pool.searchers["s"].conns[0].conn.Fd()
 				p.Answer("served", 1, "v")
-				r.wait("the answer has come", func() bool { return pending(fd) > 0 })
+				r.wait("the answer has come", func() bool { return pendingBytes(fd) > 0 })
 				end(p.Conn)
-				r.wait("the end has come", func() bool { return peerClosed(fd) })
+				r.wait("the end has come", func() bool { return remoteClosed(fd) })
 			})
 			if resp, body := client.Hear(); resp.StatusCode != 200 || r.outcome().Status != eiderwinch.OK {
 				t.Errorf("have %s %s", resp.Status, body)
--- /dev/null
+++ b/internal/netio/searcherconn.go
@@ -0,0 +1,308 @@
+package netio
+
+import (
+	"errors"
+	"fmt"
+	"log/slog"
+	"slices"
+	"time"
+
+	"eiderwinch"
+	"eiderwinch/internal/format/frame"
+	"eiderwinch/internal/gatherer"
+	"eiderwinch/internal/netio/eventloop"
+)
+
+// searcherConn is one connection to a searcher.
+type searcherConn struct {
+	pool          *pool
+	searcher      *searcher
+	addr          string
+	conn          *eventloop.Conn // nil while it is being dialed
+	dialTimer     timer           // set while it is being dialed: the time limit of that
+	retired       bool            // not to be used for new calls
+	malformed     bool            // it carried invalid data and is being closed
+	parser        frame.Parser
+	inFlight      []sentAttempt
+	openedAt      time.Time
+	unreadCancels map[string]bool // abandoned parts whose cancel frame waits unread at the searcher
+	abandoned     map[string]bool // ids of abandoned parts that may still be answered
+	written       uint64          // bytes written to the connection, including its buffer
+	idleSince     time.Time       // when the last attempt in flight ended
+	lastReceived  time.Time       // when data was last received
+	frameTimer    timer           // set while a frame is incomplete: the time limit for its rest
+	lastAnswered  string          // id of the part that was answered last
+	halfOpen      bool            // it may be cut off, see checkHalfOpen
+}
+
+// sentAttempt is an attempt that is in flight on a connection.
+type sentAttempt struct {
+	partID    string
+	attempt   *gatherer.Attempt
+	sent      time.Time
+	firstByte uint64 // offset of its frame in the bytes written to the connection
+	endByte   uint64 // offset behind its frame: it was sent once this many bytes have left the buffer
+}
+
+// openedAtWallClock returns when the connection was opened, by the wall clock as it reads now.
+func (c *searcherConn) openedAtWallClock(now time.Time) time.Time {
+	return now.Round(0).Add(-now.Sub(c.openedAt))
+}
+
+// full reports whether a connection carries as many parts as it may. What is written on it then waits unread, as
+// it does where the system accepts no more data. That includes cancel frames: until an answer has come, a part is
+// cancelled only by closing the connection.
+func (c *searcherConn) full() bool {
+	return len(c.inFlight)+len(c.unreadCancels) >= c.pool.node.cfg.Multiplex
+}
+
+// clearUnreadCancels is called when an answer has come. If the connection has room again, the searcher has read
+// everything that was written, including the cancel frames.
+func (c *searcherConn) clearUnreadCancels() {
+	if !c.full() {
+		clear(c.unreadCancels)
+	}
+}
+
+// checkHalfOpen marks a connection as half-open if it has received nothing for far longer than calls take, while
+// an attempt was in flight on it: it may be cut off. TCP does not report that, and an attempt sent on it would
+// hang until its query ends. The connection takes no new calls until it receives something again. The next call
+// opens another connection, which a searcher that is cut off does not accept: that call has then certainly not run
+// and can go elsewhere.
+func (c *searcherConn) checkHalfOpen(now, sent time.Time) {
+	since := c.lastReceived
+	if since.Before(sent) {
+		since = sent
+	}
+	if !c.halfOpen && now.Sub(since) >= c.pool.silenceTimeout() {
+		c.halfOpen = true
+		c.pool.node.stats.HalfOpen++
+	}
+}
+
+// Opened implements eventloop.Handler.
+func (c *searcherConn) Opened(conn *eventloop.Conn) {
+	now := time.Now()
+	c.conn, c.idleSince, c.openedAt = conn, now, now
+	c.pool.dialing--
+	c.pool.timers.Stop(&c.dialTimer)
+	c.pool.node.stats.Dialed++
+	if c.retired {
+		c.close()
+		return
+	}
+	c.pool.resumeQueued(now, c.searcher)
+	c.pool.descriptorsFreed(now)
+}
+
+// dialFailed is called when the connection could not be opened.
+func (c *searcherConn) dialFailed(err error) {
+	p, now := c.pool, time.Now()
+	p.node.log.Debug("could not connect to searcher", "searcher", c.searcher.id, "addr", c.addr, "calls", len(c.searcher.queue), "err", err)
+	p.node.stats.DialFails++
+	p.dialing--
+	c.remove()
+	defer p.descriptorsFreed(now)
+	for _, other := range c.searcher.conns {
+		if !other.retired {
+			return // the calls can still go there
+		}
+	}
+	for len(c.searcher.queue) > 0 {
+		c.searcher.failCall(p, now, c.searcher.queue[0])
+	}
+}
+
+// remove removes the connection from the pool.
+func (c *searcherConn) remove() {
+	c.retired = true
+	c.pool.timers.Stop(&c.dialTimer)
+	c.pool.timers.Stop(&c.frameTimer)
+	c.pool.connCount--
+	c.searcher.conns = slices.DeleteFunc(c.searcher.conns, func(x *searcherConn) bool { return x == c })
+}
+
+// sendCall writes a call as one frame.
+func (c *searcherConn) sendCall(attempts []*gatherer.Attempt) {
+	now := time.Now() // parts carry the time that is left to their clients at this moment
+	parts := make([]frame.Part, len(attempts))
+	for i, a := range attempts {
+		parts[i] = frame.Part{ID: a.PartID(), Shard: a.Shard, Text: a.Text, List: frame.List{
+			Wait: a.Deadline.Sub(now), Key: a.Key, From: a.From, Whole: a.Whole,
+		}}
+	}
+	frameBytes := frame.AppendCall(nil, parts)
+	for i, a := range attempts {
+		c.inFlight = append(c.inFlight, sentAttempt{
+			partID: parts[i].ID, attempt: a, sent: now, firstByte: c.written, endByte: c.written + uint64(len(frameBytes)),
+		})
+		c.pool.connByAttempt[a] = c
+	}
+	if node := c.pool.node; c.write(frameBytes) && node.log.Enabled(node.ctx, slog.LevelDebug) {
+		for i, a := range attempts {
+			node.log.Debug("part sent", "part", parts[i].ID, "searcher", c.searcher.id, "waited", now.Sub(a.Decided()),
+				"buffered", c.conn.Buffered(), "last_news", now.Sub(node.watch.lastUpdate))
+		}
+	}
+}
+
+// write writes a frame to the connection. If that fails, Closed has been called before write returns, and none of
+// the frame counts as written.
+func (c *searcherConn) write(frameBytes []byte) bool {
+	err := c.conn.Write(frameBytes)
+	if err == nil {
+		c.written += uint64(len(frameBytes))
+	}
+	return err == nil
+}
+
+// removeAttempt removes an attempt from the connection and returns when it was sent.
+func (c *searcherConn) removeAttempt(a *gatherer.Attempt) (sent time.Time) {
+	delete(c.pool.connByAttempt, a)
+	index := slices.IndexFunc(c.inFlight, func(f sentAttempt) bool { return f.attempt == a })
+	sent = c.inFlight[index].sent
+	c.inFlight = slices.Delete(c.inFlight, index, index+1)
+	if len(c.inFlight) == 0 {
+		c.idleSince = time.Now()
+	}
+	return sent
+}
+
+// close closes the connection; Closed is called later, on the loop.
+func (c *searcherConn) close() {
+	c.retired = true
+	c.conn.Close()
+}
+
+// Traffic implements eventloop.Handler.
+func (c *searcherConn) Traffic(data []byte) {
+	if c.malformed {
+		return // it is being closed
+	}
+	now := time.Now()
+	c.lastReceived, c.halfOpen = now, false
+	c.parser.Feed(data)
+	for {
+		f, ok, err := c.parser.Next()
+		if err == nil && ok {
+			c.pool.timers.Stop(&c.frameTimer)
+			err = c.handleFrame(now, f)
+		}
+		if err != nil {
+			c.closeMalformed("malformed frame from searcher", err)
+			return
+		}
+		if !ok {
+			break
+		}
+	}
+	if c.parser.Buffered() > 0 && !c.frameTimer.Set() {
+		c.pool.timers.Set(&c.frameTimer, now.Add(c.pool.node.cfg.ConnectTimeout))
+	}
+	c.pool.resumeQueued(now, c.searcher)
+	if len(c.inFlight) == 0 {
+		c.pool.descriptorsFreed(now) // the connection can be closed for another searcher's calls
+	}
+}
+
+// closeMalformed closes a connection that carried a frame that is invalid, unsolicited or incomplete for too long:
+// the attempts in flight on it would only wait for their time-out. They end as those of a broken connection. Parts
+// that were answered on it before stay answered.
+func (c *searcherConn) closeMalformed(what string, detail any) {
+	if c.malformed {
+		return
+	}
+	c.pool.node.stats.Spoilt++
+	c.pool.node.log.Warn(what, "searcher", c.searcher.id, "parts", len(c.inFlight), "detail", detail)
+	c.malformed = true
+	c.pool.timers.Stop(&c.frameTimer)
+	c.close()
+}
+
+// handleFrame handles one frame.
+func (c *searcherConn) handleFrame(now time.Time, f frame.Frame) error {
+	switch f.Letter {
+	case frame.Answer:
+	case frame.Error:
+		return fmt.Errorf("%w: %.80q", errFrameRejected, f.Rest)
+	default:
+		return c.unsolicited(f.Letter)
+	}
+	answer, err := frame.ParseAnswer(f.Rest)
+	if err != nil {
+		return err
+	}
+	index := slices.IndexFunc(c.inFlight, func(f sentAttempt) bool { return f.partID == answer.ID })
+	if delete(c.unreadCancels, answer.ID); index < 0 {
+		c.clearUnreadCancels()
+		if c.abandoned[answer.ID] || answer.ID == c.lastAnswered {
+			delete(c.abandoned, answer.ID) // nobody waits for this answer any more, or it is a duplicate
+			return nil
+		}
+		return c.unsolicited(f.Letter)
+	}
+	a := c.inFlight[index].attempt
+	if took := now.Sub(c.removeAttempt(a)); c.pool.typicalLatency == 0 {
+		c.pool.typicalLatency = took
+	} else {
+		c.pool.typicalLatency += time.Duration(latencyWeight * float64(took-c.pool.typicalLatency))
+	}
+	c.clearUnreadCancels()
+	c.lastAnswered = answer.ID
+	switch {
+	case answer.Report.Given:
+		c.pool.node.stats.Reports++
+		a.Load = &eiderwinch.Load{Waiting: answer.Report.Waiting}
+	case answer.Report.Spoilt:
+		c.pool.node.stats.ReportsBad++
+	}
+	c.pool.node.core.Result(now, a, statusByEnd[answer.End], answer.Score, answer.Value)
+	return nil
+}
+
+// unsolicited handles a frame that nothing has asked for. While an attempt is in flight, the frame stands in place
+// of its answer and is an error; otherwise it is surplus data behind an answer and is ignored.
+func (c *searcherConn) unsolicited(letter byte) error {
+	if len(c.inFlight) > 0 {
+		return fmt.Errorf("%w: letter %q", errUnsolicited, letter)
+	}
+	return nil
+}
+
+var (
+	errFrameRejected = errors.New("searcher rejected a frame")
+	errUnsolicited   = errors.New("unsolicited frame")
+)
+
+var statusByEnd = map[frame.End]eiderwinch.Status{
+	frame.Served: eiderwinch.OK, frame.Broke: eiderwinch.Failed, frame.Skipped: eiderwinch.Full,
+}
+
+// Closed implements eventloop.Handler. Data still in the connection's buffer was not sent and is dropped.
+func (c *searcherConn) Closed(reason error) {
+	now := time.Now()
+	if len(c.inFlight) > 0 {
+		c.pool.node.log.Debug("connection to a searcher closed with parts in flight", "searcher", c.searcher.id, "parts", len(c.inFlight),
+			"buffered", c.conn.Buffered(), "reason", reason)
+	}
+	flushed := c.written - uint64(c.conn.Buffered())
+	unanswered := c.inFlight
+	if !c.retired {
+		c.pool.node.stats.Left++
+		if len(unanswered) > 0 {
+			c.pool.node.stats.LeftOut++
+		}
+	}
+	c.inFlight = nil
+	c.remove()
+	for _, f := range unanswered {
+		delete(c.pool.connByAttempt, f.attempt)
+		if f.endByte <= flushed {
+			c.pool.node.core.Broken(now, f.attempt)
+		} else {
+			c.pool.node.core.Unsent(now, f.attempt)
+		}
+	}
+	c.pool.resumeQueued(now, c.searcher)
+	c.pool.descriptorsFreed(now)
+}
--- a/internal/netio/socket.go
+++ b/internal/netio/socket.go
@@ -6,13 +6,13 @@
 	"golang.org/x/sys/unix"
 )
 
-// lookTries bounds the tries of a look at a socket that is interrupted.
-const lookTries = 100
+// maxSyscallTries bounds the tries of a system call that is interrupted or fails for lack of memory.
+const maxSyscallTries = 100
 
-// pending is how many bytes have come on a connection that were not read yet; 0
-// where the system does not tell.
-func pending(fd int) int {
-	for range lookTries {
+// pendingBytes returns the number of bytes that were received on a connection and not read yet; 0 if the system
+// call fails.
+func pendingBytes(fd int) int {
+	for range maxSyscallTries {
 		n, err := unix.IoctlGetInt(fd, unix.TIOCINQ)
 		if err == nil {
 			return n
@@ -24,19 +24,19 @@
 	return 0
 }
 
-// peerClosed tells that the peer has ended a connection, also where that lies behind bytes that were
-// not read yet; false where the system does not tell.
-func peerClosed(fd int) bool {
-	return poll(fd, unix.POLLRDHUP)&(unix.POLLRDHUP|unix.POLLHUP|unix.POLLERR) != 0
+// remoteClosed reports whether the remote side has ended a connection, even if bytes that were not read yet
+// precede the end. It returns false if the system call fails.
+func remoteClosed(fd int) bool {
+	return pollEvents(fd, unix.POLLRDHUP)&(unix.POLLRDHUP|unix.POLLHUP|unix.POLLERR) != 0
 }
 
-// readable tells that something has come on a descriptor: on a listener a connection.
-func readable(fd int) bool { return poll(fd, unix.POLLIN)&unix.POLLIN != 0 }
+// readable reports whether a descriptor has data to read or, for a listener, a connection to accept.
+func readable(fd int) bool { return pollEvents(fd, unix.POLLIN)&unix.POLLIN != 0 }
 
-// poll tells, without waiting, which of some events there are on a descriptor.
-func poll(fd int, events int16) int16 {
+// pollEvents returns which of the given events are pending on a descriptor, without waiting.
+func pollEvents(fd int, events int16) int16 {
 	p := []unix.PollFd{{Fd: int32(fd), Events: events}}
-	for range lookTries {
+	for range maxSyscallTries {
 		n, err := unix.Poll(p, 0)
 		switch {
 		case err == nil && n == 0:
@@ -50,5 +50,5 @@
 	return 0
 }
 
-// shutWrite ends the way out of a connection; the peer can still be read.
-func shutWrite(fd int) { _ = syscall.Shutdown(fd, syscall.SHUT_WR) }
+// shutdownWrite shuts down the sending side of a connection; data from the remote side can still be read.
+func shutdownWrite(fd int) { _ = syscall.Shutdown(fd, syscall.SHUT_WR) }
--- /dev/null
+++ b/internal/netio/updates.go
@@ -0,0 +1,92 @@
+package netio
+
+import (
+	"time"
+
+	"eiderwinch"
+	"eiderwinch/internal/format/catalog"
+	"eiderwinch/internal/gatherer"
+)
+
+// watches returns the watch in use and, if there is one, the watch that is to replace it.
+func (n *Node) watches() []*watch {
+	if n.nextWatch == nil {
+		return []*watch{n.watch}
+	}
+	return []*watch{n.watch, n.nextWatch}
+}
+
+// Due work waits for unread updates for at most deferGraceShare of the drain grace (1/5), and no longer than a
+// final answer may be late. Whatever was received before the first of minDeferWakeups rounds of the loop is read
+// within these; only discovery that sends without end takes longer.
+const (
+	deferGraceShare = 5
+	minDeferWakeups = 3
+)
+
+// deferForUpdates reports whether due work has to wait because data from discovery was received and not read. The
+// data may have waited behind traffic of clients or for the processor, and may report that a searcher is leaving.
+// An attempt sent before it is read might be sent after the drain grace.
+func (n *Node) deferForUpdates(now time.Time) bool {
+	for _, w := range n.watches() {
+		for _, s := range w.subscriptions {
+			if s.conn == nil || pendingBytes(s.conn.Fd()) == 0 {
+				continue
+			}
+			if n.deferredSince.IsZero() {
+				n.deferredSince, n.deferredAtWakeup = now, n.wakeups
+				n.stats.NewsFirst++
+			}
+			return n.wakeups-n.deferredAtWakeup < minDeferWakeups || now.Sub(n.deferredSince) < min(n.cfg.DrainGrace/deferGraceShare, n.cfg.AnswerSlack)
+		}
+	}
+	n.deferredSince = time.Time{}
+	return false
+}
+
+// applyUpdate passes an update from a discovery address on to the core and the pool.
+func (n *Node) applyUpdate(now time.Time, kind eiderwinch.ListKind, source string, u catalog.Update) {
+	n.stats.Twice += u.Twice
+	members := n.roster.Take(now, source, u)
+	n.stats.Doubted = n.roster.Doubted
+	n.forwardMembers(now, kind, members)
+	for _, m := range members {
+		if m.Phase != catalog.Ready {
+			n.log.Debug("searcher is leaving", "searcher", m.ID, "phase", m.Phase, "revision", u.Revision, "discovery", source)
+			n.pool.cancelUnsent(now, m.ID)
+		}
+	}
+	if u.Complete { // searchers that a whole list leaves out have left as well
+		for id := range n.pool.searchers {
+			if !n.core.Ready(id) {
+				n.pool.cancelUnsent(now, id)
+			}
+		}
+	}
+}
+
+// reviewDoubted readmits searchers that were reported ready again by a list that might have been an old one, once
+// it can no longer be old.
+func (n *Node) reviewDoubted(now time.Time) {
+	if back := n.roster.Review(n.watch.lastUpdate); len(back) > 0 {
+		n.forwardMembers(now, eiderwinch.Changes, back)
+	}
+}
+
+// forwardMembers passes members on to the core and the pool.
+func (n *Node) forwardMembers(now time.Time, kind eiderwinch.ListKind, members []catalog.Member) {
+	states := map[catalog.Phase]eiderwinch.State{
+		catalog.Ready: eiderwinch.Ready, catalog.Terminating: eiderwinch.Draining, catalog.Gone: eiderwinch.Removed,
+	}
+	var list []gatherer.Member
+	for _, m := range members {
+		list = append(list, gatherer.Member{
+			ID: m.ID, Zone: m.Locality, Cell: m.Cell, State: states[m.Phase], Started: m.Started(),
+		})
+		n.pool.updateSearcher(now, m.ID, m.HostPort, m.Started())
+	}
+	n.core.List(now, kind, list)
+	for _, m := range members {
+		n.pool.resumeMoved(now, m.ID)
+	}
+}
--- a/internal/netio/watch.go
+++ b/internal/netio/watch.go
@@ -14,275 +14,275 @@
 )
 
 const (
-	listPath  = "/catalog/members"
-	watchPath = listPath + "?watch=1&from="
-	watchDial = time.Second
+	listPath         = "/catalog/members"
+	watchPath        = listPath + "?watch=1&from="
+	watchDialTimeout = time.Second
 
-	// objectShare is the part of the memory limit (1/16) that one list may take, within
-	// leastObject, which holds 1,024 searchers with long names, and mostObject.
-	objectShare = 16
-	leastObject = 1 << 20
-	mostObject  = 16 << 20
+	// objectMemoryShare is the fraction of the memory limit (1/16) that one member list may take, within
+	// minObjectLimit, which holds 1,024 searchers with long names, and maxObjectLimit.
+	objectMemoryShare = 16
+	minObjectLimit    = 1 << 20
+	maxObjectLimit    = 16 << 20
 )
 
 var (
-	errWatch  = errors.New("discovery has ended the watch")
-	errNoList = errors.New("the answer holds no list")
+	errWatchEnded = errors.New("discovery ended the watch")
+	errNoList     = errors.New("answer of discovery holds no member list")
 )
 
-// watch follows discovery's list of searchers at one address. Package follow says when it
-// asks, and which of the asks counts; each has a connection of its own, a tap.
+// watch follows discovery's member list at one address. Package follow decides when to ask and which of the
+// requests counts; each request is a subscription with a connection of its own.
 type watch struct {
-	n        *Node
-	addr     string
-	follow   *follow.Follower
-	taps     map[follow.Ask]*tap
-	fresh    bool      // this address has told nothing yet: the whole list is asked for first
-	revision int64     // of the last list or change
-	fails    int       // asks that have failed since the last news
-	last     string    // why the last one did; told once
-	news     time.Time // when something came last
+	node           *Node
+	addr           string
+	follower       *follow.Follower
+	subscriptions  map[follow.Ask]*subscription
+	needsWholeList bool      // nothing was received from this address yet: the whole list is requested first
+	revision       int64     // of the last list or change received
+	failures       int       // failed requests since the last update
+	lastFailure    string    // reason of the last failure; a reason that repeats is logged once
+	lastUpdate     time.Time // when an update, or the empty line in its place, was last received
 }
 
-// tap is one ask of a watch.
-type tap struct {
-	w       *watch
-	id      follow.Ask
-	conn    *eventloop.Conn // nil while it is being dialed
-	over    bool            // nothing of it counts any more
-	fresh   bool            // the whole list is being read
-	list    *catalog.Update // fresh: the list
-	parser  http1.ResponseParser
-	objects catalog.Objects
-	headed  bool // the answer's head has come
-	came    bool // something has come since
-	whole   bool // news has
-	spent   bool // the whole list was all that can come on this connection
+// subscription is one request of a watch to discovery.
+type subscription struct {
+	watch          *watch
+	id             follow.Ask
+	conn           *eventloop.Conn // nil while it is being dialed
+	ended          bool            // whatever it still receives is ignored
+	needsWholeList bool            // the whole list has not been received in full yet
+	wholeList      *catalog.Update // set once parsed, while needsWholeList
+	parser         http1.ResponseParser
+	objects        catalog.Objects
+	headReceived   bool // the head of the answer was received
+	bodyReceived   bool // data of changes was received since the last call of recordUpdate
+	updateReceived bool // an update was received since then
+	endsAfterList  bool // nothing can follow the whole list on this connection
 }
 
-// newWatch returns a watch of the list after a revision.
+// newWatch returns a watch for changes after a revision of the list.
 func newWatch(n *Node, addr string, revision int64) *watch {
 	m, now := n.cfg.Gatherer.Module, time.Now()
 	return &watch{
-		n: n, addr: addr, revision: revision, taps: make(map[follow.Ask]*tap), news: now,
-		follow: follow.New(follow.Settings{
+		node: n, addr: addr, revision: revision, subscriptions: make(map[follow.Ask]*subscription), lastUpdate: now,
+		follower: follow.New(follow.Settings{
 			Pushed: !m.AskForList, Grace: n.cfg.DrainGrace, Within: m.AskWithin, Clients: m.Brokers, Seed: m.Seed,
 		}, now),
 	}
 }
 
-// run asks and gives up asks as it is time.
+// run starts and gives up requests when that is due.
 func (w *watch) run(now time.Time) {
-	id, drop := w.follow.Run(now)
+	id, drop := w.follower.Run(now)
 	w.drop(drop)
 	if id == 0 {
 		return
 	}
-	t := &tap{w: w, id: id, fresh: w.fresh}
-	w.taps[id] = t
-	w.n.stats.Watches++
-	w.n.dial(w.addr, watchDial, t, t.Closed)
+	s := &subscription{watch: w, id: id, needsWholeList: w.needsWholeList}
+	w.subscriptions[id] = s
+	w.node.stats.Watches++
+	w.node.dial(w.addr, watchDialTimeout, s, s.Closed)
 }
 
-// objectMost bounds what one list may take.
-func (n *Node) objectMost() int {
-	return int(min(max(n.cfg.Memory/objectShare, leastObject), mostObject))
+// objectLimit returns how many bytes one member list may take.
+func (n *Node) objectLimit() int {
+	return int(min(max(n.cfg.Memory/objectMemoryShare, minObjectLimit), maxObjectLimit))
 }
 
-// drop gives up asks.
+// drop gives up requests.
 func (w *watch) drop(ids []follow.Ask) {
 	for _, id := range ids {
-		if t := w.taps[id]; t != nil {
-			t.end()
-			w.failed("nothing came in time")
+		if s := w.subscriptions[id]; s != nil {
+			s.end()
+			w.recordFailure("no data received in time")
 		}
 	}
 }
 
-// end takes a tap off its watch; its connection is closed later, on the loop.
-func (t *tap) end() {
-	t.over = true
-	delete(t.w.taps, t.id)
-	if t.conn != nil {
-		t.conn.Close()
+// end removes a subscription from its watch. Its connection is closed later, on the loop.
+func (s *subscription) end() {
+	s.ended = true
+	delete(s.watch.subscriptions, s.id)
+	if s.conn != nil {
+		s.conn.Close()
 	}
 }
 
-// failed books an ask that has failed. Why is logged once, until it is another reason or
-// news has come: discovery may be away for long, and is asked some times a second.
-func (w *watch) failed(reason string) {
-	w.fails++
-	w.n.stats.WatchFails++
-	if reason != w.last {
-		w.last = reason
-		w.n.log.Warn("discovery gave no news", "discovery", w.addr, "reason", reason, "revision", w.revision, "last_news", time.Since(w.news))
+// recordFailure counts a request that has failed. The reason is logged once, until it changes or an update is
+// received: discovery may be unreachable for long and is asked several times a second.
+func (w *watch) recordFailure(reason string) {
+	w.failures++
+	w.node.stats.WatchFails++
+	if reason != w.lastFailure {
+		w.lastFailure = reason
+		w.node.log.Warn("request to discovery failed", "discovery", w.addr, "reason", reason, "revision", w.revision, "last_news", time.Since(w.lastUpdate))
 	}
 }
 
 // Opened implements eventloop.Handler.
-func (t *tap) Opened(c *eventloop.Conn) {
-	t.conn = c
-	if t.over {
-		c.Close()
+func (s *subscription) Opened(conn *eventloop.Conn) {
+	s.conn = conn
+	if s.ended {
+		conn.Close()
 		return
 	}
-	t.ask()
+	s.request()
 }
 
-// ask asks for the whole list where this address has told nothing yet, else for the changes.
-func (t *tap) ask() {
-	t.parser, t.objects = http1.ResponseParser{}, catalog.Objects{Most: t.w.n.objectMost()}
+// request asks for the whole list if nothing was received from this address yet, otherwise for changes.
+func (s *subscription) request() {
+	s.parser, s.objects = http1.ResponseParser{}, catalog.Objects{Most: s.watch.node.objectLimit()}
 	target := listPath
-	if !t.fresh {
-		target = watchPath + strconv.FormatInt(t.w.revision, 10)
+	if !s.needsWholeList {
+		target = watchPath + strconv.FormatInt(s.watch.revision, 10)
 	}
-	_ = t.conn.Write(http1.AppendRequest(nil, "GET", target, t.w.addr))
+	_ = s.conn.Write(http1.AppendRequest(nil, "GET", target, s.watch.addr))
 }
 
 // Traffic implements eventloop.Handler.
-func (t *tap) Traffic(b []byte) {
-	if t.over {
+func (s *subscription) Traffic(data []byte) {
+	if s.ended {
 		return
 	}
 	now := time.Now()
-	r, err := t.parser.Feed(b, func(b []byte) error { return t.body(now, b) })
+	r, err := s.parser.Feed(data, func(data []byte) error { return s.readBody(now, data) })
 	switch {
-	case t.over: // what came has had another take its place
+	case s.ended: // another one has taken its place because of this data
 		return
 	case err == nil && r != nil && r.Status != 200:
-		err = fmt.Errorf("%w: status %d, want 200", errWatch, r.Status)
-	case err == nil && t.fresh && (t.parser.Done() || t.parser.Endless() && t.list != nil): // an object is whole without an end behind it
-		err = t.listed(now)
-	case err == nil && t.parser.Done():
-		err = errWatch
+		err = fmt.Errorf("%w: status %d, want 200", errWatchEnded, r.Status)
+	case err == nil && s.needsWholeList && (s.parser.Done() || s.parser.Endless() && s.wholeList != nil): // an object is complete even if no end of the body follows
+		err = s.acceptWholeList(now)
+	case err == nil && s.parser.Done():
+		err = errWatchEnded
 	}
 	switch {
 	case err != nil:
-		t.fail(err)
-	case t.whole, t.came && !t.objects.Inside(): // an object that does not end is no sign of life
-		t.whole, t.came = false, false
-		t.w.brought(now, t)
-		if t.spent {
-			t.w.follow.Lost(t.id, now)
-			t.end()
+		s.fail(err)
+	case s.updateReceived, s.bodyReceived && !s.objects.Inside(): // an object that does not end does not show that discovery is alive
+		s.updateReceived, s.bodyReceived = false, false
+		s.watch.recordUpdate(now, s)
+		if s.endsAfterList {
+			s.watch.follower.Lost(s.id, now)
+			s.end()
 		}
-	case r != nil && !t.headed:
-		t.headed = true
-		t.w.follow.Heard(t.id, now)
+	case r != nil && !s.headReceived:
+		s.headReceived = true
+		s.watch.follower.Heard(s.id, now)
 	}
 }
 
-// body takes in a piece of an answer's body.
-func (t *tap) body(now time.Time, b []byte) error {
-	t.came = t.came || !t.fresh
-	return t.objects.Feed(b, func(text []byte) error {
+// readBody handles a piece of an answer's body.
+func (s *subscription) readBody(now time.Time, data []byte) error {
+	s.bodyReceived = s.bodyReceived || !s.needsWholeList
+	return s.objects.Feed(data, func(text []byte) error {
 		u, err := catalog.Parse(text)
 		if err != nil {
-			// It is not served half; but what it says of searchers that leave only makes careful.
-			t.w.n.stats.ListsBad++
-			t.w.n.apply(now, eiderwinch.Changes, t.w.addr, u.Leaving())
+			// The list is not used in part, except for its leaving searchers: taking these
+			// out of service errs on the safe side.
+			s.watch.node.stats.ListsBad++
+			s.watch.node.applyUpdate(now, eiderwinch.Changes, s.watch.addr, u.Leaving())
 			return err
 		}
-		if t.fresh {
-			t.list = &u
+		if s.needsWholeList {
+			s.wholeList = &u
 			return nil
 		}
 		kind := eiderwinch.Changes
 		if u.Complete {
 			kind = eiderwinch.Whole
 		}
-		t.whole, t.w.revision = true, u.Revision
-		t.w.n.apply(now, kind, t.w.addr, u)
+		s.updateReceived, s.watch.revision = true, u.Revision
+		s.watch.node.applyUpdate(now, kind, s.watch.addr, u)
 		return nil
 	})
 }
 
-// listed takes in the whole list, and goes on with the changes to it.
-func (t *tap) listed(now time.Time) error {
-	if t.list == nil {
+// acceptWholeList applies the whole list, and requests the changes to it.
+func (s *subscription) acceptWholeList(now time.Time) error {
+	if s.wholeList == nil {
 		return errNoList
 	}
-	w, u := t.w, *t.list
-	w.fresh, w.revision = false, u.Revision
-	w.n.succeed(w)
-	w.n.apply(now, eiderwinch.Whole, w.addr, u)
-	t.fresh, t.headed, t.whole, t.spent = false, false, true, t.parser.Endless()
-	if !t.spent {
-		t.ask()
+	w, u := s.watch, *s.wholeList
+	w.needsWholeList, w.revision = false, u.Revision
+	w.node.promoteWatch(w)
+	w.node.applyUpdate(now, eiderwinch.Whole, w.addr, u)
+	s.needsWholeList, s.headReceived, s.updateReceived, s.endsAfterList = false, false, true, s.parser.Endless()
+	if !s.endsAfterList {
+		s.request()
 	}
 	return nil
 }
 
-// brought books that a tap has brought news, or the empty line that says there is none.
-func (w *watch) brought(now time.Time, t *tap) {
-	for _, id := range w.follow.Brought(t.id, now) {
-		if other := w.taps[id]; other != nil {
+// recordUpdate records that a subscription has received an update, or the empty line that says there is none.
+func (w *watch) recordUpdate(now time.Time, s *subscription) {
+	for _, id := range w.follower.Brought(s.id, now) {
+		if other := w.subscriptions[id]; other != nil {
 			other.end()
 		}
 	}
-	if w.last != "" {
-		w.n.log.Info("discovery gives news again", "discovery", w.addr, "away", now.Sub(w.news), "fails", w.fails, "revision", w.revision)
+	if w.lastFailure != "" {
+		w.node.log.Info("discovery responds again", "discovery", w.addr, "away", now.Sub(w.lastUpdate), "fails", w.failures, "revision", w.revision)
 	}
-	w.fails, w.last, w.news = 0, "", now
-	w.n.core.Believe(now)
+	w.failures, w.lastFailure, w.lastUpdate = 0, "", now
+	w.node.core.Believe(now)
 }
 
-// fail ends an ask for what it has brought.
-func (t *tap) fail(err error) {
-	if t.over {
+// fail ends a subscription for an error.
+func (s *subscription) fail(err error) {
+	if s.ended {
 		return
 	}
-	t.w.follow.Lost(t.id, time.Now())
-	t.end()
-	t.w.failed(err.Error())
+	s.watch.follower.Lost(s.id, time.Now())
+	s.end()
+	s.watch.recordFailure(err.Error())
 }
 
-// Closed implements eventloop.Handler; it is told dials that failed as well.
-func (t *tap) Closed(err error) {
+// Closed implements eventloop.Handler. It is also called for dials that fail.
+func (s *subscription) Closed(err error) {
 	if err == nil {
-		err = errWatch
+		err = errWatchEnded
 	}
-	t.conn = nil
-	t.fail(err)
+	s.conn = nil
+	s.fail(err)
 }
 
-// retire ends a watch whose place another has taken.
-func (w *watch) retire() {
-	for _, t := range w.taps {
-		t.end()
+// close ends a watch that another one has replaced.
+func (w *watch) close() {
+	for _, s := range w.subscriptions {
+		s.end()
 	}
 }
 
-// follow turns to discovery at another address, as a new configuration names
-// it. The watch in use goes on until the new one has brought a list, so that no
-// news is missed. Revisions of two addresses need not compare, not even 0: what
-// is asked from there holds changes only. So the whole list is asked for first.
-func (n *Node) follow(addr string) {
+// followDiscovery switches to discovery at another address. The watch in use goes on until the new one has
+// received a list, so that no update is missed. Revisions of two addresses can't be compared, not even revision 0,
+// and the answer to a revision holds changes only. So the whole list is requested first.
+func (n *Node) followDiscovery(addr string) {
 	wanted := n.watch
-	if n.next != nil {
-		wanted = n.next
+	if n.nextWatch != nil {
+		wanted = n.nextWatch
 	}
 	if wanted.addr == addr {
 		return
 	}
-	if n.next != nil {
-		n.next.retire()
-		n.next = nil
+	if n.nextWatch != nil {
+		n.nextWatch.close()
+		n.nextWatch = nil
 	}
-	if addr == n.watch.addr { // back again before the other has brought a list
+	if addr == n.watch.addr { // back at the address in use before the other one has sent a list
 		return
 	}
-	n.log.Info("discovery moves", "from", wanted.addr, "to", addr)
-	n.next = newWatch(n, addr, 0)
-	n.next.fresh = true
-	n.next.run(time.Now())
+	n.log.Info("discovery address is changing", "from", wanted.addr, "to", addr)
+	n.nextWatch = newWatch(n, addr, 0)
+	n.nextWatch.needsWholeList = true
+	n.nextWatch.run(time.Now())
 }
 
-// succeed puts a watch that has brought its first list in the place of the one before.
-func (n *Node) succeed(w *watch) {
-	if w == n.next {
-		n.log.Info("discovery moved", "to", w.addr, "revision", w.revision, "before", n.watch.revision)
-		n.watch.retire()
-		n.watch, n.next = w, nil
+// promoteWatch replaces the watch in use by the next one, which has received its first list.
+func (n *Node) promoteWatch(w *watch) {
+	if w == n.nextWatch {
+		n.log.Info("discovery address changed", "to", w.addr, "revision", w.revision, "before", n.watch.revision)
+		n.watch.close()
+		n.watch, n.nextWatch = w, nil
 	}
 }
--- a/internal/netio/watch_test.go
+++ b/internal/netio/watch_test.go
@@ -56,9 +56,9 @@
 		"no phase":          {list(good + `,{"id":"x","host_port":"h:1"}`), "unknown phase", 1},
 		"no host_port":      {list(good + `,{"id":"x","phase":"Ready"}`), `host_port of \"x\" is missing, want address:port`, 1},
 		"no id":             {list(good + `,{"phase":"Ready"}`), "id is missing", 1},
-		"beyond the bound":  {func(w *testpeer.Watch) { w.Send("{" + strings.Repeat(" ", leastObject+1)) }, "too long", 0},
+		"beyond the bound":  {func(w *testpeer.Watch) { w.Send("{" + strings.Repeat(" ", minObjectLimit+1)) }, "too long", 0},
 		"truncated":         {func(w *testpeer.Watch) { w.Send(`{"revision":43,"complete":true,"members":[` + good); w.Conn.Close() }, "EOF", 0},
-		"an end":            {func(w *testpeer.Watch) { _, _ = io.WriteString(w.Conn, "0\r\n\r\n") }, errWatch.Error(), 0},
+		"an end":            {func(w *testpeer.Watch) { _, _ = io.WriteString(w.Conn, "0\r\n\r\n") }, errWatchEnded.Error(), 0},
 		"no chunk":          {func(w *testpeer.Watch) { _, _ = io.WriteString(w.Conn, "zz\r\n") }, "malformed chunk size", 0},
 		"a drain among odd": {list(`{"id":"other","phase":"Terminating"},{"id":"x","phase":"Odd"}`), "unknown phase", 1},
 	} {
@@ -94,7 +94,7 @@
 			if got := <-bad; got != 3*c.bad {
 				t.Errorf("%d lists counted as bad, want %d", got, 3*c.bad)
 			}
-			if n := out.count("discovery gave no news"); n != 1 || out.count(c.want) == 0 {
+			if n := out.count("request to discovery failed"); n != 1 || out.count(c.want) == 0 {
 				t.Errorf("logged %d times: %s", n, out.buf.String())
 			}
 		})
@@ -106,8 +106,8 @@
 	for name, c := range map[string]struct{ head, body, want string }{
 		"a status":                {"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n", "", "status 503, want 200"},
 		"no HTTP":                 {"SSH-2.0\r\n\r\n", "", "malformed status line"},
-		"an object without end":   {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n", "1\r\n{\r\n", "nothing came in time"},
-		"a head and nothing else": {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n", "", "nothing came in time"},
+		"an object without end":   {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n", "1\r\n{\r\n", "no data received in time"},
+		"a head and nothing else": {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n", "", "no data received in time"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -142,7 +142,7 @@
 			})
 			first, again := testpeer.Get(t, asked, "an ask"), testpeer.Get(t, asked, "another")
 			most := 500 * time.Millisecond
-			if c.want == "nothing came in time" {
+			if c.want == "no data received in time" {
 				most = 3 * time.Second
 			}
 			if took := again.Sub(first); took > most {
@@ -190,7 +190,7 @@
 				<-stood
 				if !c.waiting { // the query is decided before the loop reads on
 					_, _ = r.core.Take(time.Now(), gatherer.Ask{Trace: "t", Class: "search", Parts: []gatherer.AskPart{{Weight: 1}}}, noClient{})
-					r.wake()
+					r.runDue()
 				}
 			})
 			watch.Send(testpeer.List(43, false, testpeer.Member("s", r.s.Addr, "Terminating", 0)))
@@ -285,18 +285,18 @@
 			r := start(t, func(r *rig) { r.cfg.DrainGrace = grace })
 			watch := testpeer.Get(t, r.d.Watches, "a watch")
 			watch.Send("")
-			r.until("the watch is read", func() bool { return len(r.watch.taps) == 1 && !r.behind(time.Now()) })
+			r.until("the watch is read", func() bool { return len(r.watch.subscriptions) == 1 && !r.deferForUpdates(time.Now()) })
 			r.onLoop(func() {
 				watch.Send("")
 				now := time.Now()
-				r.wait("news has come", func() bool { return r.behind(now) })
+				r.wait("news has come", func() bool { return r.deferForUpdates(now) })
 				held := func(rounds int, after time.Duration) bool {
-					r.rounds = r.heldFrom + rounds
-					return r.behind(now.Add(after))
+					r.wakeups = r.deferredAtWakeup + rounds
+					return r.deferForUpdates(now.Add(after))
 				}
-				if !held(heldRounds-1, time.Hour) || !held(heldRounds, most-1) || held(heldRounds, most) {
-					t.Errorf("held by %v, %v and %v, want until round %d and for %v", held(heldRounds-1, time.Hour), held(heldRounds, most-1),
-						held(heldRounds, most), heldRounds, most)
+				if !held(minDeferWakeups-1, time.Hour) || !held(minDeferWakeups, most-1) || held(minDeferWakeups, most) {
+					t.Errorf("held by %v, %v and %v, want until round %d and for %v", held(minDeferWakeups-1, time.Hour), held(minDeferWakeups, most-1),
+						held(minDeferWakeups, most), minDeferWakeups, most)
 				}
 			})
 		})
@@ -324,15 +324,15 @@
 			r.ask("search", "t", time.Minute, 1)
 			r.part()
 			r.onLoop(func() {
-				l := r.pool.peers["s"].links[0]
-				_ = setSendBuffer(l.conn.Fd(), 1)
-				for l.conn.Buffered() == 0 { // the searcher of this test does not read so fast
-					l.write([]byte("\x00\x01\x00\x01c" + strings.Repeat("x", 1<<16)))
+				c := r.pool.searchers["s"].conns[0]
+				_ = setSendBuffer(c.conn.Fd(), 1)
+				for c.conn.Buffered() == 0 { // the searcher of this test does not read so fast
+					c.write([]byte("\x00\x01\x00\x01c" + strings.Repeat("x", 1<<16)))
 				}
-				l.out[0].begin = l.given // as if the part's frame were behind these
-				l.out[0].end = l.given + 1
+				c.inFlight[0].firstByte = c.written // as if the part's frame were behind these
+				c.inFlight[0].endByte = c.written + 1
 				w.Send(list(r))
-				r.wait("the list has come", func() bool { return r.behind(time.Now()) })
+				r.wait("the list has come", func() bool { return r.deferForUpdates(time.Now()) })
 			})
 			if got := r.outcome(); got.Status != eiderwinch.NoConnection {
 				t.Errorf("have %v", got.Status)
@@ -391,7 +391,7 @@
 	r, moved := start(t, nil), testpeer.NewDiscovery(t)
 	old := testpeer.Get(t, r.d.Watches, "a watch")
 	r.Reload(moved.Addr)
-	r.until("the old watch is silent", func() bool { return r.watch.follow.Due().Sub(time.Now()) < time.Second })
+	r.until("the old watch is silent", func() bool { return r.watch.follower.Due().Sub(time.Now()) < time.Second })
 	old.Send(testpeer.List(42, false, testpeer.Member("s", r.s.Addr, "Terminating", 0)))
 	if got := r.listed(); got.Replicas[0].State != eiderwinch.Draining {
 		t.Errorf("the old one's news is %+v", got)
