--- a/internal/netio/clientconn.go
+++ b/internal/netio/clientconn.go
@@ -191,7 +191,8 @@
 		status := http.StatusOK
 		if c.node.draining {
 			status = http.StatusServiceUnavailable
-			c.lastRequest = c.lastRequest || c.seat.Asked() == 0 && !c.hasMoreInput() // clients of kept connections need the place: they can open no new connection
+			// Clients of kept connections need the place, because they can open no new connection.
+			c.lastRequest = c.lastRequest || c.seat.Asked() == 0 && !c.hasMoreInput()
 		}
 		c.respond(status, nil)
 	case r.Method != "POST":
--- /dev/null
+++ b/internal/netio/clientconn_test.go
@@ -0,0 +1,364 @@
+package netio
+
+import (
+	"errors"
+	"io"
+	"strings"
+	"syscall"
+	"testing"
+	"time"
+
+	"eiderwinch/internal/limit"
+	"eiderwinch/internal/trial/testpeer"
+)
+
+const healthRequest = "GET /_health HTTP/1.1\r\n\r\n"
+
+// startBounded starts a node with the given bounds on client connections.
+func startBounded(t *testing.T, soft, firm, hard int) *harness {
+	return startHarness(t, func(h *harness) {
+		b := limit.Defaults(h.cfg.Sockets)
+		b.Soft, b.Firm, b.Hard = soft, firm, hard
+		h.clientTable = limit.New[*clientConn](b)
+		h.decide = nil
+	})
+}
+
+// onLoop runs f on the event loop and waits for it.
+func (h *harness) onLoop(f func()) {
+	h.t.Helper()
+	done := make(chan struct{})
+	h.exec(func() { f(); close(done) })
+	testpeer.Get(h.t, done, "the loop")
+}
+
+// waitUntil waits until f, which runs on the event loop, returns true.
+func (h *harness) waitUntil(what string, f func() bool) {
+	h.t.Helper()
+	for end := time.Now().Add(testpeer.Patience); ; {
+		done := false
+		h.onLoop(func() { done = f() })
+		if done {
+			return
+		}
+		if time.Now().After(end) {
+			h.t.Fatalf("timed out waiting: %s", what)
+		}
+	}
+}
+
+// exchange sends a request, and reports whether its answer closes the connection.
+func exchange(t *testing.T, c *testpeer.Client, request string) (closes bool) {
+	t.Helper()
+	resp, _ := c.Say(request).Hear()
+	if resp.StatusCode != 200 {
+		t.Errorf("have %s", resp.Status)
+	}
+	if resp.Close {
+		c.Closed()
+	}
+	return resp.Close
+}
+
+// Clients that send one request and keep the connection must not hold the places that others need. Their answers
+// tell them to close, so no close crosses a request.
+func TestClientsThatAskOnceAndStayAreToldToClose(t *testing.T) {
+	h := startBounded(t, 4, 8, 100)
+	returning := testpeer.NewClient(t, h.Addr())
+	exchange(t, returning, healthRequest)
+	exchange(t, returning, healthRequest)
+	stayed := 0
+	for range 50 {
+		if !exchange(t, testpeer.NewClient(t, h.Addr()), healthRequest) {
+			stayed++
+		}
+	}
+	if stayed != 3 {
+		t.Errorf("%d stayed beside the returning client, want 3", stayed)
+	}
+	if exchange(t, returning, healthRequest) {
+		t.Error("the returning client was told to close")
+	}
+	h.onLoop(func() {
+		if h.stats.Noticed != 47 || h.stats.Crossed+len(h.stats.Evicted) > 0 {
+			t.Errorf("noticed %d, crossed %d, evicted %v", h.stats.Noticed, h.stats.Crossed, h.stats.Evicted)
+		}
+	})
+}
+
+// From the firm bound on, clients that have sent several requests are told to close as well.
+func TestFromTheFirmBoundAllClientsAreToldToClose(t *testing.T) {
+	h := startBounded(t, 2, 2, 100)
+	a, b, c := testpeer.NewClient(t, h.Addr()), testpeer.NewClient(t, h.Addr()), testpeer.NewClient(t, h.Addr())
+	c.Say(testpeer.Query("search", "t", time.Minute, 1)) // waits for its answer, so two may be idle beside it
+	p := h.nextPart()
+	exchange(t, a, healthRequest)
+	exchange(t, b, healthRequest)
+	p.Answer("served", 1, "v")
+	if resp, body := c.Hear(); !resp.Close || !strings.Contains(body, `"v"`) {
+		t.Errorf("have %s %s, close %v", resp.Status, body, resp.Close)
+	}
+}
+
+// During a drain clients can't open new connections, so none is told to close.
+func TestADrainTellsNoClientToClose(t *testing.T) {
+	h := startHarness(t, func(h *harness) {
+		h.serveFor = time.Minute
+		h.cfg.Clients.Soft, h.cfg.Clients.Firm = 1, 1
+		h.clientTable = limit.New[*clientConn](h.cfg.Clients)
+	})
+	a, b := testpeer.NewClient(t, h.Addr()), testpeer.NewClient(t, h.Addr())
+	b.Say(testpeer.Query("search", "t", time.Minute, 1))
+	p := h.nextPart()
+	exchange(t, a, healthRequest)
+	h.Drain()
+	h.onLoop(func() {})
+	p.Answer("served", 1, "v")
+	if resp, _ := b.Hear(); resp.StatusCode != 200 || resp.Close {
+		t.Errorf("have %s, close %v", resp.Status, resp.Close)
+	}
+	// But a client that only asks for health gives up its place.
+	resp, _ := testpeer.NewClient(t, h.Addr()).Say(healthRequest).Hear()
+	if resp.StatusCode != 503 || !resp.Close {
+		t.Errorf("health: %s, close %v", resp.Status, resp.Close)
+	}
+	h.onLoop(func() { h.serveUntil = time.Now() })
+	a.Closed()
+	b.Closed()
+}
+
+// Long idle connections are closed only if there are many of them, the longest idle first.
+func TestIdleConnectionsAreClosedWhereThereAreMany(t *testing.T) {
+	h := startBounded(t, 3, 100, 100)
+	before := time.Now() // none has been idle since then or earlier
+	clients := make([]*testpeer.Client, 3)
+	for i := range clients {
+		clients[i] = testpeer.NewClient(t, h.Addr())
+		clients[i].Say(testpeer.Query("search", string(rune('a'+i)), time.Minute, 1))
+	}
+	for range clients {
+		h.nextPart().Answer("served", 1, "v")
+	}
+	for _, c := range clients {
+		c.Hear()
+	}
+	exchange(t, clients[0], healthRequest) // this client sends a second request
+	h.onLoop(func() {
+		h.checkClients(before.Add(h.clientTable.Bounds().KeptFor))
+		if h.stats.Trimmed != 0 {
+			t.Error("a connection was closed that had not been idle for long")
+		}
+		h.checkClients(time.Now().Add(h.clientTable.Bounds().KeptFor))
+		if h.stats.Trimmed != 1 || h.clientTable.Count(limit.Idle) != 2 {
+			t.Errorf("%d were closed, %d are idle", h.stats.Trimmed, h.clientTable.Count(limit.Idle))
+		}
+	})
+	if exchange(t, clients[0], healthRequest) {
+		t.Error("the client with two requests was chosen")
+	}
+}
+
+// A request that crosses an unannounced close is not read, and its client sends it again. A request that was
+// received is never cut off, in whichever way connections between requests are closed.
+func TestARequestThatCrossesACloseIsNotRead(t *testing.T) {
+	for name, shut := range map[string]func(*harness){
+		"trimmed": func(h *harness) { h.checkClients(time.Now().Add(h.clientTable.Bounds().KeptFor)) },
+		"drained": func(h *harness) { h.closeIdleClients() },
+		"silent":  func(h *harness) { h.checkClients(time.Now().Add(h.clientTable.Bounds().Request)) },
+	} {
+		h := startBounded(t, 1, 100, 100)
+		a := testpeer.NewClient(t, h.Addr())
+		stage := limit.Silent
+		if name != "silent" {
+			exchange(t, a, healthRequest)
+			stage = limit.Idle
+		}
+		h.waitUntil("the connection is accepted", func() bool { return h.clientTable.Count(stage) == 1 })
+		h.onLoop(func() {
+			c := h.clientTable.Oldest(stage).Owner
+			a.Say(healthRequest)
+			for end := time.Now().Add(testpeer.Patience); pendingBytes(c.conn.Fd()) == 0 && time.Now().Before(end); {
+			}
+			shut(h)
+			if h.stats.Spared != 1 || c.ending {
+				t.Errorf("%s: spared %d, ending %v", name, h.stats.Spared, c.ending)
+			}
+		})
+		if resp, _ := a.Hear(); resp.StatusCode != 200 {
+			t.Errorf("%s: have %s", name, resp.Status)
+		}
+		b := testpeer.NewClient(t, h.Addr())
+		h.waitUntil("the new connection is accepted", func() bool { return h.clientTable.Count(limit.Silent) == 1 })
+		h.onLoop(func() {
+			c := h.clientTable.Oldest(limit.Silent).Owner
+			if !c.closeIfUnused() { // nothing was received
+				t.Errorf("%s: not closed", name)
+			}
+			c.Traffic([]byte(testpeer.Query("search", "x", time.Minute, 1)))
+			if h.stats.Taken != 0 {
+				t.Errorf("%s: a request was taken after the close", name)
+			}
+		})
+		b.Closed()
+	}
+}
+
+// A connection with received data that was not read yet keeps its place.
+func TestAReceivedRequestIsNotCutOff(t *testing.T) {
+	h := startBounded(t, 100, 100, 3)
+	a, b := testpeer.NewClient(t, h.Addr()), testpeer.NewClient(t, h.Addr())
+	exchange(t, a, healthRequest)
+	exchange(t, b, healthRequest)
+	h.onLoop(func() {
+		oldest := h.clientTable.Oldest(limit.Idle).Owner
+		a.Say(healthRequest)
+		for end := time.Now().Add(testpeer.Patience); pendingBytes(oldest.conn.Fd()) == 0 && time.Now().Before(end); {
+		}
+		var more [2]limit.Seat[*clientConn]
+		for i := range more {
+			h.clientTable.Enter(time.Now(), &more[i])
+			h.clientTable.Move(time.Now(), &more[i], limit.Busy)
+		}
+		h.evictOthers(newClientConn(h.Node))
+		for i := range more {
+			h.clientTable.Leave(&more[i])
+		}
+		if h.stats.Spared != 1 || h.stats.Evicted["once_new"] != 1 || h.stats.Crossed != 0 {
+			t.Errorf("spared %d, evicted %v, crossed %d", h.stats.Spared, h.stats.Evicted, h.stats.Crossed)
+		}
+	})
+	if resp, _ := a.Hear(); resp.StatusCode != 200 {
+		t.Errorf("have %s", resp.Status)
+	}
+	b.Closed()
+}
+
+// A request may be read after its connection was chosen for eviction and before it is closed. It is served, and
+// another connection is evicted.
+func TestAConnectionChosenForEvictionMayComeIntoUse(t *testing.T) {
+	h := startBounded(t, 100, 100, 2)
+	a := testpeer.NewClient(t, h.Addr())
+	exchange(t, a, healthRequest)
+	b := testpeer.NewClient(t, h.Addr())
+	h.waitUntil("both", func() bool { return h.clientTable.Count(limit.Idle) == 1 && h.clientTable.Count(limit.Silent) == 1 })
+	newest := newClientConn(h.Node)
+	h.onLoop(func() {
+		chosen := h.clientTable.Oldest(limit.Idle).Owner
+		h.clientTable.Enter(time.Now(), &newest.seat)
+		h.clientTable.Move(time.Now(), &newest.seat, limit.Busy)
+		h.evict(newest)
+		chosen.Traffic([]byte(testpeer.Query("search", "t", time.Minute, 1)))
+	})
+	h.nextPart().Answer("served", 1, "v")
+	if resp, _ := a.Hear(); resp.StatusCode != 200 {
+		t.Errorf("have %s", resp.Status)
+	}
+	b.Closed()
+	h.onLoop(func() { h.clientTable.Leave(&newest.seat) })
+}
+
+// If all other connections are in use, the new one is closed at once, so that nothing on it is read.
+func TestANewConnectionWithoutRoomIsNotRead(t *testing.T) {
+	h := startBounded(t, 100, 100, 1)
+	a := testpeer.NewClient(t, h.Addr()).Say(testpeer.Query("search", "t", time.Minute, 1))
+	p := h.nextPart()
+	var b *testpeer.Client
+	h.onLoop(func() { b = testpeer.NewClient(t, h.Addr()).Say(healthRequest) })
+	if b, err := io.ReadAll(b); len(b) > 0 || !errors.Is(err, syscall.ECONNRESET) {
+		t.Errorf("have %q, %v: it was read", b, err)
+	}
+	p.Answer("served", 1, "v")
+	if resp, _ := a.Hear(); resp.StatusCode != 200 {
+		t.Errorf("have %s", resp.Status)
+	}
+	h.onLoop(func() {
+		if h.stats.Evicted["newest"] != 1 || h.clientTable.Held() != 1 {
+			t.Errorf("evicted %v, %d held", h.stats.Evicted, h.clientTable.Held())
+		}
+	})
+}
+
+// A request received behind the current one is answered although its connection is to end, because many are idle
+// or at the end of a drain.
+func TestARequestBehindTheLastAnswerIsServed(t *testing.T) {
+	for name, c := range map[string]struct{ drain, unread bool }{
+		"many idle ones, read": {false, false}, "many idle ones, unread": {false, true},
+		"a drain, read": {true, false}, "a drain, unread": {true, true},
+	} {
+		t.Run(name, func(t *testing.T) {
+			t.Parallel()
+			h := startBounded(t, 1, 1, 100)
+			if !c.drain {
+				exchange(t, testpeer.NewClient(t, h.Addr()), healthRequest)
+			}
+			client := testpeer.NewClient(t, h.Addr()).Say(testpeer.Query("search", "t", time.Minute, 1))
+			first := h.nextPart()
+			next := testpeer.Query("search", "u", time.Minute, 1)
+			h.onLoop(func() {
+				owner := h.clientTable.Oldest(limit.Busy).Owner
+				if c.drain {
+					now := time.Now()
+					h.draining, h.drainUntil, h.serveUntil, h.killAt = true, now, now, now.Add(time.Minute)
+				}
+				if c.unread {
+					client.Say(next)
+					h.spinUntil("the request is received", func() bool { return pendingBytes(owner.conn.Fd()) == len(next) })
+				} else {
+					owner.Traffic([]byte(next))
+				}
+				h.pool.searchers["s"].conns[0].Traffic(encodeFrame("at.0 served 1 -\nv"))
+				h.runTurn()
+			})
+			if resp, _ := client.Hear(); resp.Close {
+				t.Error("the connection ends in spite of it")
+			}
+			first.Conn.Close()
+			h.nextPart().Answer("served", 1, "w")
+			if resp, body := client.Hear(); resp.StatusCode != 200 || !strings.Contains(body, `"w"`) || !resp.Close {
+				t.Errorf("have %s %s, close %v", resp.Status, body, resp.Close)
+			}
+		})
+	}
+}
+
+// An answer that ends a connection reaches a client that reads slowly. A client that never reads does not hold its
+// place forever.
+func TestALastAnswerIsReadSlowlyOrGivenUp(t *testing.T) {
+	h := startHarness(t, nil)
+	value := strings.Repeat("v", 60_000)
+	slow := func(trace string) *testpeer.Client {
+		c := testpeer.NewClient(t, h.Addr())
+		c.ReadAhead(16 << 10)
+		c.Say(testpeer.Query("search", trace, time.Minute, 4))
+		parts := []testpeer.Part{h.nextPart(), h.nextPart(), h.nextPart(), h.nextPart()}
+		h.onLoop(func() {
+			owner := h.clientTable.Oldest(limit.Busy).Owner
+			owner.lastRequest = true
+			_ = setSendBuffer(owner.conn.Fd(), 16<<10)
+		})
+		for _, p := range parts {
+			p.Answer("served", 1, value)
+		}
+		h.waitUntil("an answer is in the buffer", func() bool { return len(h.flushing) == 1 })
+		return c
+	}
+	c := slow("t")
+	h.onLoop(func() {
+		h.checkClients(time.Now())
+		if len(h.flushing) != 1 || h.clientTable.Count(limit.Busy) != 1 {
+			t.Error("its place was given away before the answer was sent")
+		}
+	})
+	resp, body := c.Hear()
+	if resp.StatusCode != 200 || strings.Count(body, value) != 4 {
+		t.Errorf("have %s and %d bytes", resp.Status, len(body))
+	}
+	c.Closed()
+	slow("u")
+	h.onLoop(func() {
+		h.checkClients(time.Now().Add(flushTimeout))
+		if len(h.flushing) != 0 || h.clientTable.Held() != 0 || h.stats.Unread != 1 {
+			t.Errorf("%d are flushing, %d held, %d unread", len(h.flushing), h.clientTable.Held(), h.stats.Unread)
+		}
+	})
+}
--- a/internal/netio/node.go
+++ b/internal/netio/node.go
@@ -57,8 +57,10 @@
 	// be down as well.
 	maxCountedDeadline = 3 * time.Second
 	killDelay          = 700 * time.Millisecond
-	answerReserve      = time.Second            // most answers take a small part of it; the longest deadline if that is shorter, but at least twice answerMargin
-	answerMargin       = 200 * time.Millisecond // all answers must be written this long before the kill
+	// answerReserve is capped at the longest deadline, but is at least twice answerMargin. Most answers take a small
+	// part of it.
+	answerReserve = time.Second
+	answerMargin  = 200 * time.Millisecond // all answers must be written this long before the kill
 )
 
 // reservedDescriptors is the number of file descriptors reserved for the runtime, the poller, the listener and the
@@ -340,7 +342,8 @@
 func (n *Node) boot() {
 	now := time.Now()
 	n.applyUpdate(now, eiderwinch.Stale, n.cfg.Discovery, n.cfg.Known)
-	n.pool.timers.Set(&timer{Value: n.core.Believe}, now.Add(n.cfg.DrainGrace)) // an agent answers at once; one that stays silent has no update to wait for
+	// An agent answers at once, so one that stays silent until then has no update to wait for.
+	n.pool.timers.Set(&timer{Value: n.core.Believe}, now.Add(n.cfg.DrainGrace))
 	n.core.Run(now)
 	n.timer = time.AfterFunc(time.Hour, func() { n.exec(n.runDue) })
 	close(n.started)
--- a/internal/netio/pool.go
+++ b/internal/netio/pool.go
@@ -201,7 +201,8 @@
 	}
 	wanted := 0
 	for _, call := range s.queue {
-		wanted += min(len(call.attempts), p.node.cfg.Multiplex) // a call is sent whole: parts beyond the limit wait unread on its connection
+		// A call is sent whole: parts beyond the limit wait unread on its connection.
+		wanted += min(len(call.attempts), p.node.cfg.Multiplex)
 	}
 	for ; wanted > room; room += p.node.cfg.Multiplex {
 		if p.connCount+p.dialing+2 > p.descriptorLimit() {
--- a/internal/netio/watch.go
+++ b/internal/netio/watch.go
@@ -151,7 +151,7 @@
 		return
 	case err == nil && r != nil && r.Status != 200:
 		err = fmt.Errorf("%w: status %d, want 200", errWatchEnded, r.Status)
-	case err == nil && s.needsWholeList && (s.parser.Done() || s.parser.Endless() && s.wholeList != nil): // an object is complete even if no end of the body follows
+	case err == nil && s.needsWholeList && (s.parser.Done() || s.parser.Endless() && s.wholeList != nil): // complete, whether or not the body ends
 		err = s.acceptWholeList(now)
 	case err == nil && s.parser.Done():
 		err = errWatchEnded
@@ -159,7 +159,7 @@
 	switch {
 	case err != nil:
 		s.fail(err)
-	case s.updateReceived, s.bodyReceived && !s.objects.Inside(): // an object that does not end does not show that discovery is alive
+	case s.updateReceived, s.bodyReceived && !s.objects.Inside(): // an incomplete object is no sign of life
 		s.updateReceived, s.bodyReceived = false, false
 		s.watch.recordUpdate(now, s)
 		if s.endsAfterList {
--- a/internal/netio/watch_test.go
+++ b/internal/netio/watch_test.go
@@ -20,27 +20,27 @@
 	"eiderwinch/internal/trial/testpeer"
 )
 
-// logs keeps what is logged.
-type logs struct {
+// logBuffer keeps what is logged.
+type logBuffer struct {
 	mu  sync.Mutex
 	buf bytes.Buffer
 }
 
-func (l *logs) Write(b []byte) (int, error) {
+func (l *logBuffer) Write(b []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.buf.Write(b)
 }
 
-func (l *logs) count(part string) int {
+func (l *logBuffer) count(part string) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return strings.Count(l.buf.String(), part)
 }
 
-// What discovery sends that can't be used is told once with what was found and wanted, is counted, is never served
-// half and loses no drain; the watch is opened anew within the grace, however often.
-func TestWhatDiscoverySendsThatCannotBeUsed(t *testing.T) {
+// Invalid data from discovery is logged once with what was found and wanted, is counted, is never used in part and
+// loses no drain. The watch is reopened within the grace, however often that happens.
+func TestInvalidDataFromDiscovery(t *testing.T) {
 	const good = `{"id":"new","host_port":"127.0.0.1:1","phase":"Ready"}`
 	list := func(members string) func(*testpeer.Watch) {
 		return func(w *testpeer.Watch) { w.Send(`{"revision":43,"complete":true,"members":[` + members + `]}`) }
@@ -50,59 +50,59 @@
 		want string // in the log
 		bad  int    // lists counted
 	}{
-		"wrong JSON":        {func(w *testpeer.Watch) { w.Send(`{"revision":}`) }, "invalid character", 1},
-		"no object":         {func(w *testpeer.Watch) { w.Send(`odd`) }, "want white space or an object", 0},
-		"an unknown phase":  {list(good + `,{"id":"x","host_port":"h:1","phase":"Odd"}`), `unknown phase \"Odd\" of \"x\", want Ready, Terminating or Gone`, 1},
-		"no phase":          {list(good + `,{"id":"x","host_port":"h:1"}`), "unknown phase", 1},
-		"no host_port":      {list(good + `,{"id":"x","phase":"Ready"}`), `host_port of \"x\" is missing, want address:port`, 1},
-		"no id":             {list(good + `,{"phase":"Ready"}`), "id is missing", 1},
-		"beyond the bound":  {func(w *testpeer.Watch) { w.Send("{" + strings.Repeat(" ", minObjectLimit+1)) }, "too long", 0},
-		"truncated":         {func(w *testpeer.Watch) { w.Send(`{"revision":43,"complete":true,"members":[` + good); w.Conn.Close() }, "EOF", 0},
-		"an end":            {func(w *testpeer.Watch) { _, _ = io.WriteString(w.Conn, "0\r\n\r\n") }, errWatchEnded.Error(), 0},
-		"no chunk":          {func(w *testpeer.Watch) { _, _ = io.WriteString(w.Conn, "zz\r\n") }, "malformed chunk size", 0},
-		"a drain among odd": {list(`{"id":"other","phase":"Terminating"},{"id":"x","phase":"Odd"}`), "unknown phase", 1},
+		"wrong JSON":                    {func(w *testpeer.Watch) { w.Send(`{"revision":}`) }, "invalid character", 1},
+		"no object":                     {func(w *testpeer.Watch) { w.Send(`odd`) }, "want white space or an object", 0},
+		"an unknown phase":              {list(good + `,{"id":"x","host_port":"h:1","phase":"Odd"}`), `unknown phase \"Odd\" of \"x\", want Ready, Terminating or Gone`, 1},
+		"no phase":                      {list(good + `,{"id":"x","host_port":"h:1"}`), "unknown phase", 1},
+		"no host_port":                  {list(good + `,{"id":"x","phase":"Ready"}`), `host_port of \"x\" is missing, want address:port`, 1},
+		"no id":                         {list(good + `,{"phase":"Ready"}`), "id is missing", 1},
+		"beyond the bound":              {func(w *testpeer.Watch) { w.Send("{" + strings.Repeat(" ", minObjectLimit+1)) }, "too long", 0},
+		"truncated":                     {func(w *testpeer.Watch) { w.Send(`{"revision":43,"complete":true,"members":[` + good); w.Conn.Close() }, "EOF", 0},
+		"an end":                        {func(w *testpeer.Watch) { _, _ = io.WriteString(w.Conn, "0\r\n\r\n") }, errWatchEnded.Error(), 0},
+		"no chunk":                      {func(w *testpeer.Watch) { _, _ = io.WriteString(w.Conn, "zz\r\n") }, "malformed chunk size", 0},
+		"a drain among invalid members": {list(`{"id":"other","phase":"Terminating"},{"id":"x","phase":"Odd"}`), "unknown phase", 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			out := new(logs)
-			r := start(t, func(r *rig) {
-				r.log = slog.New(slog.NewTextHandler(out, nil))
-				r.cfg.Known.Members = append(r.cfg.Known.Members, catalog.Member{ID: "other", HostPort: "127.0.0.1:1", Phase: catalog.Ready})
+			log := new(logBuffer)
+			h := startHarness(t, func(h *harness) {
+				h.log = slog.New(slog.NewTextHandler(log, nil))
+				h.cfg.Known.Members = append(h.cfg.Known.Members, catalog.Member{ID: "other", HostPort: "127.0.0.1:1", Phase: catalog.Ready})
 			})
-			w := testpeer.Get(t, r.d.Watches, "a watch")
-			w.Send(testpeer.List(42, false, testpeer.Member("s", r.s.Addr, "Terminating", 0)))
-			r.listed()
+			w := testpeer.Get(t, h.discovery.Watches, "a watch")
+			w.Send(testpeer.List(42, false, testpeer.Member("s", h.searcher.Addr, "Terminating", 0)))
+			h.nextListChange()
 			for range 3 {
 				sent := time.Now()
 				c.send(w)
-				if w = testpeer.Get(t, r.d.Watches, "another watch"); w.From != "42" || time.Since(sent) > r.cfg.DrainGrace {
-					t.Errorf("opened anew from %s after %v", w.From, time.Since(sent))
+				if w = testpeer.Get(t, h.discovery.Watches, "another watch"); w.From != "42" || time.Since(sent) > h.cfg.DrainGrace {
+					t.Errorf("reopened from %s after %v", w.From, time.Since(sent))
 				}
 			}
 			ready, listed, bad := make(chan bool, 1), make(chan bool, 1), make(chan int, 1)
-			r.exec(func() {
-				ready <- r.core.Ready("s") || name == "a drain among odd" && r.core.Ready("other")
-				listed <- r.core.Listed("new")
-				bad <- r.stats.ListsBad
+			h.exec(func() {
+				ready <- h.core.Ready("s") || name == "a drain among invalid members" && h.core.Ready("other")
+				listed <- h.core.Listed("new")
+				bad <- h.stats.ListsBad
 			})
 			if <-ready {
-				t.Error("a drain is lost")
+				t.Error("a drain was lost")
 			}
 			if <-listed {
-				t.Error("half a list is served")
+				t.Error("part of a list was used")
 			}
 			if got := <-bad; got != 3*c.bad {
-				t.Errorf("%d lists counted as bad, want %d", got, 3*c.bad)
+				t.Errorf("%d lists counted as invalid, want %d", got, 3*c.bad)
 			}
-			if n := out.count("request to discovery failed"); n != 1 || out.count(c.want) == 0 {
-				t.Errorf("logged %d times: %s", n, out.buf.String())
+			if n := log.count("request to discovery failed"); n != 1 || log.count(c.want) == 0 {
+				t.Errorf("logged %d times: %s", n, log.buf.String())
 			}
 		})
 	}
 }
 
-// An answer other than 200, and an object that never ends, bring no news either.
-func TestAnswersOfDiscoveryThatAreNoList(t *testing.T) {
+// An answer with another status than 200, and an object that never ends, bring no update either.
+func TestAnswersOfDiscoveryWithoutAList(t *testing.T) {
 	for name, c := range map[string]struct{ head, body, want string }{
 		"a status":                {"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n", "", "status 503, want 200"},
 		"no HTTP":                 {"SSH-2.0\r\n\r\n", "", "malformed status line"},
@@ -135,81 +135,82 @@
 					}()
 				}
 			}()
-			out := new(logs)
-			start(t, func(r *rig) {
-				r.log = slog.New(slog.NewTextHandler(out, nil))
-				r.watch = newWatch(r.Node, l.Addr().String(), 41)
+			log := new(logBuffer)
+			startHarness(t, func(h *harness) {
+				h.log = slog.New(slog.NewTextHandler(log, nil))
+				h.watch = newWatch(h.Node, l.Addr().String(), 41)
 			})
-			first, again := testpeer.Get(t, asked, "an ask"), testpeer.Get(t, asked, "another")
+			first, again := testpeer.Get(t, asked, "a request"), testpeer.Get(t, asked, "another")
 			most := 500 * time.Millisecond
 			if c.want == "no data received in time" {
 				most = 3 * time.Second
 			}
 			if took := again.Sub(first); took > most {
-				t.Errorf("asked again after %v", took)
+				t.Errorf("the next request came after %v", took)
 			}
-			testpeer.Until(t, "logged: "+c.want, func() bool { return out.count(c.want) > 0 })
+			testpeer.Until(t, "logged: "+c.want, func() bool { return log.count(c.want) > 0 })
 		})
 	}
 }
 
-type noClient struct{}
+// discardClient is a client that ignores its answers.
+type discardClient struct{}
 
-func (noClient) Reply(gatherer.Reply) {}
-func (noClient) Left() bool           { return false }
+func (discardClient) Reply(gatherer.Reply) {}
+func (discardClient) Left() bool           { return false }
 
-// News that has come and was not read goes before what is to be sent: the loop may have stood still for longer than
-// the grace, and the task that would send may be before the news in its round.
-func TestNewsThatHasComeIsReadBeforeAnythingIsSent(t *testing.T) {
+// Updates that were received and not read are handled before anything is sent. The loop may have been blocked for
+// longer than the grace, and the task that would send may precede the update in its round.
+func TestReceivedUpdatesAreReadBeforeAnythingIsSent(t *testing.T) {
 	for name, c := range map[string]struct{ waiting bool }{"a call that waited for its connection": {true}, "a turn": {false}} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			up := make(chan bool)
-			r := start(t, func(r *rig) {
-				sendAll(r)
-				r.beforeDial(r.s.Addr, func(context.Context) error {
+			h := startHarness(t, func(h *harness) {
+				sendOnce(h)
+				h.beforeDial(h.searcher.Addr, func(context.Context) error {
 					if c.waiting {
 						<-up
 					}
 					return nil
 				})
 			})
-			watch := testpeer.Get(t, r.d.Watches, "a watch")
-			watch.Send(testpeer.List(42, false, testpeer.Member("s", r.s.Addr, "Ready", 0)))
-			r.listed()
+			watch := testpeer.Get(t, h.discovery.Watches, "a watch")
+			watch.Send(testpeer.List(42, false, testpeer.Member("s", h.searcher.Addr, "Ready", 0)))
+			h.nextListChange()
 			if c.waiting {
-				r.ask("search", "t", time.Minute, 1)
+				h.sendQuery("search", "t", time.Minute, 1)
 				time.Sleep(50 * time.Millisecond) // the call waits
 			} else { // a connection is open
-				r.ask("search", "t0", time.Minute, 1)
-				r.part().Answer("served", 1, "v")
-				r.outcome()
+				h.sendQuery("search", "t0", time.Minute, 1)
+				h.nextPart().Answer("served", 1, "v")
+				h.nextOutcome()
 			}
-			stood := make(chan bool)
-			r.exec(func() {
-				<-stood
+			resume := make(chan bool)
+			h.exec(func() {
+				<-resume
 				if !c.waiting { // the query is decided before the loop reads on
-					_, _ = r.core.Take(time.Now(), gatherer.Ask{Trace: "t", Class: "search", Parts: []gatherer.AskPart{{Weight: 1}}}, noClient{})
-					r.runDue()
+					_, _ = h.core.Take(time.Now(), gatherer.Ask{Trace: "t", Class: "search", Parts: []gatherer.AskPart{{Weight: 1}}}, discardClient{})
+					h.runDue()
 				}
 			})
-			watch.Send(testpeer.List(43, false, testpeer.Member("s", r.s.Addr, "Terminating", 0)))
+			watch.Send(testpeer.List(43, false, testpeer.Member("s", h.searcher.Addr, "Terminating", 0)))
 			close(up)
-			time.Sleep(100 * time.Millisecond) // all of it has come
-			close(stood)
-			r.listed()
-			if got := r.outcome(); got.Status != eiderwinch.NoConnection && got.Status != eiderwinch.NotSent {
+			time.Sleep(100 * time.Millisecond) // all of it is received
+			close(resume)
+			h.nextListChange()
+			if got := h.nextOutcome(); got.Status != eiderwinch.NoConnection && got.Status != eiderwinch.NotSent {
 				t.Errorf("have %v", got.Status)
 			}
-			if len(r.s.Parts) > 0 {
+			if len(h.searcher.Parts) > 0 {
 				t.Error("the part was sent")
 			}
 		})
 	}
 }
 
-// An answer of discovery may have no length: its list is whole when its last brace has come, and the end behind
-// it may be a reset, which says nothing. Without that a reload would never move.
+// An answer of discovery may have no length. Its list is complete with its last brace, and the connection may then
+// end with a reset, which means nothing. If the list were not accepted then, a reload would never take effect.
 func TestAWholeListWithoutALength(t *testing.T) {
 	asked := make(chan string, 100)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -217,7 +218,7 @@
 		t.Fatal(err)
 	}
 	defer l.Close()
-	r := start(t, nil)
+	h := startHarness(t, nil)
 	go func() {
 		for {
 			conn, err := l.Accept()
@@ -231,7 +232,7 @@
 				asked <- target
 				fmt.Fprint(conn, "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n")
 				if target == listPath {
-					fmt.Fprint(conn, testpeer.List(7, true, testpeer.Member("s", r.s.Addr, "Ready", 0)))
+					fmt.Fprint(conn, testpeer.List(7, true, testpeer.Member("s", h.searcher.Addr, "Ready", 0)))
 					_ = conn.(*net.TCPConn).SetLinger(0)
 					conn.Close()
 					return
@@ -240,9 +241,9 @@
 			}()
 		}
 	}()
-	testpeer.Get(t, r.d.Watches, "a watch")
-	r.Reload(l.Addr().String())
-	if got := r.listed(); got.Kind != eiderwinch.Whole || len(got.Replicas) != 1 {
+	testpeer.Get(t, h.discovery.Watches, "a watch")
+	h.Reload(l.Addr().String())
+	if got := h.nextListChange(); got.Kind != eiderwinch.Whole || len(got.Replicas) != 1 {
 		t.Errorf("have %+v", got)
 	}
 	for _, want := range []string{listPath, watchPath + "7"} {
@@ -252,153 +253,155 @@
 	}
 }
 
-// Who is left out of a whole list is gone, also where it still answers; what waits for a connection there is kept back.
-func TestWhoIsLeftOutOfAWholeListIsSentNothing(t *testing.T) {
+// A searcher that a whole list leaves out is gone, even if it still answers. Calls that wait for a connection to
+// it are not sent.
+func TestASearcherLeftOutOfAWholeListIsSentNothing(t *testing.T) {
 	up, dialed := make(chan bool), make(chan bool, 10)
-	r := start(t, func(r *rig) {
-		again(r)
-		r.holdDials(dialed, up)
+	h := startHarness(t, func(h *harness) {
+		retryOnce(h)
+		h.holdDials(dialed, up)
 	})
-	w := testpeer.Get(t, r.d.Watches, "a watch")
-	r.ask("search", "t", time.Minute, 1)
+	w := testpeer.Get(t, h.discovery.Watches, "a watch")
+	h.sendQuery("search", "t", time.Minute, 1)
 	testpeer.Get(t, dialed, "a dial")
 	w.Send(testpeer.List(42, true, testpeer.Member("other", "127.0.0.1:1", "Ready", 0)))
-	r.listed()
+	h.nextListChange()
 	close(up)
-	if got := r.outcome(); got.Status != eiderwinch.NoConnection {
+	if got := h.nextOutcome(); got.Status != eiderwinch.NoConnection {
 		t.Errorf("have %v", got.Status)
 	}
-	r.ask("search", "u", time.Minute, 1)
-	if got := r.outcome(); got.Status != eiderwinch.NotSent || len(r.s.Parts) > 0 {
-		t.Errorf("have %v, %d parts sent", got.Status, len(r.s.Parts))
+	h.sendQuery("search", "u", time.Minute, 1)
+	if got := h.nextOutcome(); got.Status != eiderwinch.NotSent || len(h.searcher.Parts) > 0 {
+		t.Errorf("have %v, %d parts sent", got.Status, len(h.searcher.Parts))
 	}
 }
 
-// What is due waits for news, but final answers must not: however long a grace the settings name, news that comes without
-// end holds them up for no longer than they may be late.
-func TestNewsWithoutEndHoldsUpNoAnswers(t *testing.T) {
+// Due work waits for updates, but final answers must not. However long a grace the settings name, updates without
+// end delay answers for no longer than they may be late.
+func TestEndlessUpdatesDelayNoAnswers(t *testing.T) {
 	for grace, most := range map[time.Duration]time.Duration{
 		50 * time.Millisecond: 10 * time.Millisecond, 500 * time.Millisecond: 20 * time.Millisecond, 2 * time.Second: 20 * time.Millisecond,
 	} {
 		t.Run(grace.String(), func(t *testing.T) {
 			t.Parallel()
-			r := start(t, func(r *rig) { r.cfg.DrainGrace = grace })
-			watch := testpeer.Get(t, r.d.Watches, "a watch")
+			h := startHarness(t, func(h *harness) { h.cfg.DrainGrace = grace })
+			watch := testpeer.Get(t, h.discovery.Watches, "a watch")
 			watch.Send("")
-			r.until("the watch is read", func() bool { return len(r.watch.subscriptions) == 1 && !r.deferForUpdates(time.Now()) })
-			r.onLoop(func() {
+			h.waitUntil("the watch is read", func() bool { return len(h.watch.subscriptions) == 1 && !h.deferForUpdates(time.Now()) })
+			h.onLoop(func() {
 				watch.Send("")
 				now := time.Now()
-				r.wait("news has come", func() bool { return r.deferForUpdates(now) })
-				held := func(rounds int, after time.Duration) bool {
-					r.wakeups = r.deferredAtWakeup + rounds
-					return r.deferForUpdates(now.Add(after))
+				h.spinUntil("an update is received", func() bool { return h.deferForUpdates(now) })
+				deferred := func(rounds int, after time.Duration) bool {
+					h.wakeups = h.deferredAtWakeup + rounds
+					return h.deferForUpdates(now.Add(after))
 				}
-				if !held(minDeferWakeups-1, time.Hour) || !held(minDeferWakeups, most-1) || held(minDeferWakeups, most) {
-					t.Errorf("held by %v, %v and %v, want until round %d and for %v", held(minDeferWakeups-1, time.Hour), held(minDeferWakeups, most-1),
-						held(minDeferWakeups, most), minDeferWakeups, most)
+				if !deferred(minDeferWakeups-1, time.Hour) || !deferred(minDeferWakeups, most-1) || deferred(minDeferWakeups, most) {
+					t.Errorf("deferred: %v, %v and %v, want until round %d and for %v", deferred(minDeferWakeups-1, time.Hour), deferred(minDeferWakeups, most-1),
+						deferred(minDeferWakeups, most), minDeferWakeups, most)
 				}
 			})
 		})
 	}
 }
 
-// A frame that the system takes no more of waits in a buffer, and would leave long after its searcher has: it is
-// thrown away, whether its searcher is told to leave or left out of a whole list.
-func TestAFrameThatWaitsDoesNotLeaveForWhoHasLeft(t *testing.T) {
-	for name, list := range map[string]func(*rig) string{
-		"told to leave": func(r *rig) string {
-			return testpeer.List(42, false, testpeer.Member("s", r.s.Addr, "Terminating", 0))
+// A frame that the system does not accept waits in a buffer, and would be sent long after its searcher began to
+// leave. It is dropped, whether the searcher is reported as draining or left out of a whole list.
+func TestABufferedFrameIsNotSentToALeavingSearcher(t *testing.T) {
+	for name, list := range map[string]func(*harness) string{
+		"reported as draining": func(h *harness) string {
+			return testpeer.List(42, false, testpeer.Member("s", h.searcher.Addr, "Terminating", 0))
 		},
-		"told to leave elsewhere": func(*rig) string {
+		"reported as draining at another address": func(*harness) string {
 			return testpeer.List(42, false, testpeer.Member("s", "127.0.0.1:1", "Terminating", 0))
 		},
-		"left out of a whole list": func(*rig) string {
+		"left out of a whole list": func(*harness) string {
 			return testpeer.List(42, true, testpeer.Member("other", "127.0.0.1:1", "Ready", 0))
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			r := start(t, sendAll)
-			w := testpeer.Get(t, r.d.Watches, "a watch")
-			r.ask("search", "t", time.Minute, 1)
-			r.part()
-			r.onLoop(func() {
-				c := r.pool.searchers["s"].conns[0]
+			h := startHarness(t, sendOnce)
+			w := testpeer.Get(t, h.discovery.Watches, "a watch")
+			h.sendQuery("search", "t", time.Minute, 1)
+			h.nextPart()
+			h.onLoop(func() {
+				c := h.pool.searchers["s"].conns[0]
 				_ = setSendBuffer(c.conn.Fd(), 1)
-				for c.conn.Buffered() == 0 { // the searcher of this test does not read so fast
+				for c.conn.Buffered() == 0 { // the searcher of this test does not read that fast
 					c.write([]byte("\x00\x01\x00\x01c" + strings.Repeat("x", 1<<16)))
 				}
-				c.inFlight[0].firstByte = c.written // as if the part's frame were behind these
+				c.inFlight[0].firstByte = c.written // as if the part's frame were behind these bytes
 				c.inFlight[0].endByte = c.written + 1
-				w.Send(list(r))
-				r.wait("the list has come", func() bool { return r.deferForUpdates(time.Now()) })
+				w.Send(list(h))
+				h.spinUntil("the list is received", func() bool { return h.deferForUpdates(time.Now()) })
 			})
-			if got := r.outcome(); got.Status != eiderwinch.NoConnection {
+			if got := h.nextOutcome(); got.Status != eiderwinch.NoConnection {
 				t.Errorf("have %v", got.Status)
 			}
-			r.onLoop(func() {
-				if r.stats.HeldBack != 1 {
-					t.Errorf("%d held back", r.stats.HeldBack)
+			h.onLoop(func() {
+				if h.stats.HeldBack != 1 {
+					t.Errorf("%d held back", h.stats.HeldBack)
 				}
 			})
 		})
 	}
 }
 
-// A list of another address may know of an earlier process of a searcher alone. The later one stays as cold as it is, and
-// what is sent goes to where it is.
-func TestAnOlderListDoesNotHaveBackTheProcessBefore(t *testing.T) {
-	r, moved, later := start(t, sendAll), testpeer.NewDiscovery(t), testpeer.NewSearcher(t)
-	old := testpeer.Get(t, r.d.Watches, "a watch")
+// The list of another address may know only an earlier process of a searcher. The later process stays as cold as
+// it is, and parts are sent to its address.
+func TestAnOlderListDoesNotBringBackThePreviousProcess(t *testing.T) {
+	h, moved, later := startHarness(t, sendOnce), testpeer.NewDiscovery(t), testpeer.NewSearcher(t)
+	old := testpeer.Get(t, h.discovery.Watches, "a watch")
 	started := time.Now().UnixMilli()
 	old.Send(testpeer.List(42, false, testpeer.Member("s", later.Addr, "Ready", started)))
-	told := r.listed().Replicas[0].Started
-	r.Reload(moved.Addr)
-	moved.Tell(testpeer.List(7, true, testpeer.Member("s", r.s.Addr, "Ready", started-1000)))
-	if got := r.listed(); got.Kind != eiderwinch.Whole || got.Replicas[0].Started != told {
+	told := h.nextListChange().Replicas[0].Started
+	h.Reload(moved.Addr)
+	moved.Tell(testpeer.List(7, true, testpeer.Member("s", h.searcher.Addr, "Ready", started-1000)))
+	if got := h.nextListChange(); got.Kind != eiderwinch.Whole || got.Replicas[0].Started != told {
 		t.Errorf("have %+v, want the start at %v", got, told)
 	}
-	client := r.ask("search", "t", time.Minute, 1)
+	client := h.sendQuery("search", "t", time.Minute, 1)
 	testpeer.Get(t, later.Parts, "a part").Answer("served", 1, "v")
 	if resp, _ := client.Hear(); resp.StatusCode != 200 {
 		t.Errorf("have %s", resp.Status)
 	}
 }
 
-// A watch that can't be opened for want of descriptors is opened when there are some, and the loop goes on.
+// A watch that can't be opened because there are no descriptors is opened once there are some, and the loop goes
+// on.
 func TestAWatchIsOpenedOnceThereAreDescriptors(t *testing.T) {
 	var refused atomic.Int32
-	r := start(t, func(r *rig) {
-		r.beforeDial(r.d.Addr, func(context.Context) error {
+	h := startHarness(t, func(h *harness) {
+		h.beforeDial(h.discovery.Addr, func(context.Context) error {
 			if refused.Add(1) <= 3 {
 				return &net.OpError{Op: "dial", Err: syscall.EMFILE}
 			}
 			return nil
 		})
 	})
-	testpeer.Get(t, r.d.Watches, "a watch")
-	r.onLoop(func() {
-		if got := r.stats.DialRetries; got != 3 || r.stats.WatchFails != 0 {
-			t.Errorf("%d dials tried again, %d watches failed; want 3 and 0", got, r.stats.WatchFails)
+	testpeer.Get(t, h.discovery.Watches, "a watch")
+	h.onLoop(func() {
+		if got := h.stats.DialRetries; got != 3 || h.stats.WatchFails != 0 {
+			t.Errorf("%d dials retried, %d watches failed; want 3 and 0", got, h.stats.WatchFails)
 		}
 	})
 }
 
-// Where both the address in use and that of a reload are silent, whichever speaks first is heard, and the move is
-// made once the new one has.
+// If both the address in use and that of a reload are silent, the first one to send an update is used, and the
+// move takes place once the new address has sent its list.
 func TestAReloadWhileBothAddressesAreSilent(t *testing.T) {
-	r, moved := start(t, nil), testpeer.NewDiscovery(t)
-	old := testpeer.Get(t, r.d.Watches, "a watch")
-	r.Reload(moved.Addr)
-	r.until("the old watch is silent", func() bool { return r.watch.follower.Due().Sub(time.Now()) < time.Second })
-	old.Send(testpeer.List(42, false, testpeer.Member("s", r.s.Addr, "Terminating", 0)))
-	if got := r.listed(); got.Replicas[0].State != eiderwinch.Draining {
-		t.Errorf("the old one's news is %+v", got)
+	h, moved := startHarness(t, nil), testpeer.NewDiscovery(t)
+	old := testpeer.Get(t, h.discovery.Watches, "a watch")
+	h.Reload(moved.Addr)
+	h.waitUntil("the old watch is silent", func() bool { return time.Until(h.watch.follower.Due()) < time.Second })
+	old.Send(testpeer.List(42, false, testpeer.Member("s", h.searcher.Addr, "Terminating", 0)))
+	if got := h.nextListChange(); got.Replicas[0].State != eiderwinch.Draining {
+		t.Errorf("the update from the old address is %+v", got)
 	}
-	moved.Tell(testpeer.List(7, true, testpeer.Member("s", r.s.Addr, "Ready", 0), testpeer.Member("x", "127.0.0.1:1", "Ready", 0)))
-	if got := r.listed(); got.Kind != eiderwinch.Whole || got.Replicas[0].State != eiderwinch.Draining || len(got.Replicas) != 2 {
-		t.Errorf("the new one's list is %+v", got)
+	moved.Tell(testpeer.List(7, true, testpeer.Member("s", h.searcher.Addr, "Ready", 0), testpeer.Member("x", "127.0.0.1:1", "Ready", 0)))
+	if got := h.nextListChange(); got.Kind != eiderwinch.Whole || got.Replicas[0].State != eiderwinch.Draining || len(got.Replicas) != 2 {
+		t.Errorf("the list from the new address is %+v", got)
 	}
-	testpeer.Get(t, moved.Watches, "a watch there")
+	testpeer.Get(t, moved.Watches, "a watch at the new address")
 }
