--- a/internal/netio/watch.go
+++ b/internal/netio/watch.go
@@ -247,8 +247,8 @@
 	s.fail(err)
 }
 
-// close ends a watch that another one has replaced.
-func (w *watch) close() {
+// stop ends a watch that another one has replaced.
+func (w *watch) stop() {
 	for _, s := range w.subscriptions {
 		s.end()
 	}
@@ -266,7 +266,7 @@
 		return
 	}
 	if n.nextWatch != nil {
-		n.nextWatch.close()
+		n.nextWatch.stop()
 		n.nextWatch = nil
 	}
 	if addr == n.watch.addr { // back at the address in use before the other one has sent a list
@@ -282,7 +282,7 @@
 func (n *Node) promoteWatch(w *watch) {
 	if w == n.nextWatch {
 		n.log.Info("discovery address changed", "to", w.addr, "revision", w.revision, "before", n.watch.revision)
-		n.watch.close()
+		n.watch.stop()
 		n.watch, n.nextWatch = w, nil
 	}
 }
