--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -1,5 +1,5 @@
-// Command simhost hosts aggregators for the simulator: one for each instance
-// named on its standard input, with nothing shared between them.
+// Command simhost runs aggregators for the simulator: one for each instance that is
+// named on its standard input. The instances share no state.
 package main
 
 import (
@@ -18,10 +18,10 @@
 	}
 }
 
-// run answers batches until the input ends.
-func run(in io.Reader, out io.Writer) error {
-	r, w := wire.NewReader(in), wire.NewWriter(out)
-	hosted := make(map[string]*eiderwinch.Aggregator)
+// run reads batches and writes the reply to each until the input ends.
+func run(input io.Reader, output io.Writer) error {
+	r, w := wire.NewReader(input), wire.NewWriter(output)
+	aggregators := make(map[string]*eiderwinch.Aggregator)
 	for {
 		b, err := r.Next()
 		if err == io.EOF {
@@ -30,18 +30,18 @@
 		if err != nil {
 			return err
 		}
-		for _, n := range b.News {
-			if n.Halted {
-				delete(hosted, n.Instance)
+		for _, in := range b.Inputs {
+			if in.Halted {
+				delete(aggregators, in.Instance)
 			}
-			if n.Init != nil {
-				hosted[n.Instance] = eiderwinch.New(*n.Init)
+			if in.Init != nil {
+				aggregators[in.Instance] = eiderwinch.New(*in.Init)
 			}
-			if a := hosted[n.Instance]; a != nil {
-				w.Actions(n.Instance, a.Turn(b.Clock, n.Events))
+			if a := aggregators[in.Instance]; a != nil {
+				w.WriteActions(in.Instance, a.Turn(b.Clock, in.Events))
 			}
 		}
-		if err := w.End(); err != nil {
+		if err := w.EndReply(); err != nil {
 			return err
 		}
 	}
--- a/internal/format/wire/wire.go
+++ b/internal/format/wire/wire.go
@@ -1,5 +1,5 @@
-// Package wire translates between the simulator's text lines and the events
-// and actions of package eiderwinch. It decides nothing.
+// Package wire translates between the text lines of the simulator and the events
+// and actions of package eiderwinch. It makes no decisions.
 package wire
 
 import (
@@ -16,105 +16,114 @@
 	"eiderwinch/internal/format/config"
 )
 
-// Batch is one batch of the simulator: the clock and, in order, the news of
-// each instance.
+// flagRepeat is the bit of an order's flags that marks a repeat by the client.
+const flagRepeat = 2
+
+// maxInventorySlot is the highest slot in which a member list may be stored.
+const maxInventorySlot = 15
+
+// Batch is one batch of messages from the simulator: the clock and the input of
+// each instance, in the order in which the instances were first named.
 type Batch struct {
-	Clock time.Duration
-	News  []*News
+	Clock  time.Duration
+	Inputs []*Input
 
-	current *News
+	current *Input // of the instance that the following lines are for
 }
 
-// News is what one batch brings to one instance, in one entry. Halted tells
-// that what ran before is void; Init is nil where none was started. Events
-// are those since the last of both.
-type News struct {
+// Input is everything that one batch holds for one instance.
+type Input struct {
 	Instance string
-	Halted   bool
-	Init     *eiderwinch.Settings
-	Events   []eiderwinch.Event
+	Halted   bool                 // the aggregator that ran before is discarded
+	Init     *eiderwinch.Settings // settings of an aggregator started in the batch; nil if there was none
+	Events   []eiderwinch.Event   // the events since the last halt or start
 }
 
 // Reader reads batches.
 type Reader struct {
-	in    *bufio.Reader
-	lists map[int][]eiderwinch.Replica
-	hosts map[string]*host
-	line  int
-}
-
-// host is what the wire must remember of an instance to name things by index.
-type host struct {
-	classes map[string]int
-	tenants map[string]int      // counted from 1
-	queries map[int64]*gathered // this batch's, by number, until their parts are in
-	order   []int64
-	steps   []bool             // of each class: its queries have a second step
-	later   map[int64]awaiting // queries that may get one, by number
-	highest int64              // number so far
-}
-
-// gathered is a query whose parts are coming, or, with the ID alone, its second step.
-type gathered struct {
+	in        *bufio.Reader
+	lists     map[int][]eiderwinch.Replica // member lists by inventory slot
+	instances map[string]*instanceState
+	line      int // number of the last line read
+}
+
+// instanceState is what the reader keeps of an instance: its indexes of names, and the
+// queries whose parts are still being read.
+type instanceState struct {
+	classes       map[string]int          // index of each class by name
+	tenants       map[string]int          // number of each tenant by name, from 1
+	queries       map[int64]*pendingQuery // queries of this batch by number, until they are delivered
+	order         []int64                 // numbers of the pending queries in the order of arrival
+	hasSecondStep []bool                  // for each class: whether its queries have a second step
+	secondSteps   map[int64]secondStep    // queries that may still get a second step, by number
+	highest       int64                   // highest query number received so far
+}
+
+// pendingQuery is a query whose parts are still being read. For the parts of a second
+// step only the ID and the parts of the query are set.
+type pendingQuery struct {
 	eiderwinch.Query
 	second bool
 }
 
-type awaiting struct {
-	id    uint64
-	until time.Duration
+// secondStep is a query that may get a second step until its deadline.
+type secondStep struct {
+	id       uint64
+	deadline time.Duration // clock time
 }
 
 // NewReader returns a Reader of the simulator's lines.
 func NewReader(in io.Reader) *Reader {
 	return &Reader{
-		in:    bufio.NewReaderSize(in, 1<<20),
-		lists: make(map[int][]eiderwinch.Replica),
-		hosts: make(map[string]*host),
+		in:        bufio.NewReaderSize(in, 1<<20),
+		lists:     make(map[int][]eiderwinch.Replica),
+		instances: make(map[string]*instanceState),
 	}
 }
 
 // Next returns the next batch, or io.EOF at the end of the input.
 func (r *Reader) Next() (Batch, error) {
-	f, err := r.fields()
+	f, err := r.readFields()
 	if err != nil {
 		return Batch{}, err
 	}
 	if f[0] != "clock" || len(f) < 2 {
-		return Batch{}, r.fault("want clock, have %q", f[0])
+		return Batch{}, r.errorf("message %q at the start of a batch, want clock and a time", f[0])
 	}
 	clock, err := strconv.ParseInt(f[1], 10, 64)
 	if err != nil {
-		return Batch{}, r.fault("bad clock %q", f[1])
+		return Batch{}, r.errorf("malformed clock %q, want an integer", f[1])
 	}
 	b := Batch{Clock: time.Duration(clock)}
 	for {
-		f, err := r.fields()
+		f, err := r.readFields()
 		if err == io.EOF {
-			return Batch{}, r.fault("input ends inside a batch")
+			return Batch{}, r.errorf("input ends inside a batch, want flush")
 		}
 		if err != nil {
 			return Batch{}, err
 		}
 		if f[0] == "flush" {
-			r.flush(&b)
+			r.finish(&b)
 			return b, nil
 		}
-		if err := r.event(&b, f); err != nil {
-			return Batch{}, r.fault("%s: %v", f[0], err)
+		if err := r.readMessage(&b, f); err != nil {
+			return Batch{}, r.errorf("%s: %v", f[0], err)
 		}
 	}
 }
 
-func (r *Reader) fault(format string, args ...any) error {
+// errorf returns an error that names the current line.
+func (r *Reader) errorf(format string, args ...any) error {
 	return fmt.Errorf("line %d: %s", r.line, fmt.Sprintf(format, args...))
 }
 
-func (r *Reader) fields() ([]string, error) {
+// readFields reads one line and returns its fields.
+func (r *Reader) readFields() ([]string, error) {
 	s, err := r.in.ReadString('\n')
 	if err == io.EOF && s != "" {
 		r.line++
-		return nil, r.fault("cut short")
+		return nil, r.errorf("truncated line, want a line feed at its end")
 	}
 	if err != nil {
 		return nil, err
@@ -123,57 +132,58 @@
 	return strings.Split(strings.TrimRight(s, "\r\n"), "\t"), nil
 }
 
-// event takes in one line of a batch.
-func (r *Reader) event(b *Batch, f []string) error {
-	p := &parser{f: f}
+// readMessage adds one message to a batch. The entries that follow an inventory message
+// are read with it.
+func (r *Reader) readMessage(b *Batch, f []string) error {
+	p := &parser{fields: f}
 	switch f[0] {
 	case "for":
-		who := p.text(1)
+		name := p.text(1)
 		if p.err == nil {
-			r.turnTo(b, who)
+			r.selectInstance(b, name)
 		}
 		return p.err
 	case "inventory":
-		return r.inventory(p)
+		return r.readInventory(p)
 	}
-	n := b.current
-	if n == nil {
-		return fmt.Errorf("no instance was named")
+	in := b.current
+	if in == nil {
+		return fmt.Errorf("no instance selected, want a for message first")
 	}
 	if f[0] == "init" {
-		return r.init(n, p)
+		return r.readInit(in, p)
 	}
-	h := r.hosts[n.Instance]
-	if h == nil {
-		return fmt.Errorf("instance %s was not started", n.Instance)
+	s := r.instances[in.Instance]
+	if s == nil {
+		return fmt.Errorf("instance %s was not started", in.Instance)
 	}
 	switch f[0] {
 	case "halt":
-		delete(r.hosts, n.Instance)
-		n.Halted, n.Init, n.Events = true, nil, nil
+		delete(r.instances, in.Instance)
+		in.Halted, in.Init, in.Events = true, nil, nil
 		return nil
 	case "order":
-		return h.take(b.Clock, p)
+		return s.readOrder(b.Clock, p)
 	case "message", "first", "status_back":
-		return nil // not asked for at any time
+		return nil // ignored: these are never requested
 	}
-	r.deliver(n, h)
+	r.deliverQueries(in, s)
 	switch f[0] {
 	case "backends_changed":
-		return r.changed(n, p)
+		return r.readListChange(in, p)
 	case "ring":
 		p.int(1)
-		n.Events = append(n.Events, eiderwinch.Woken{})
+		in.Events = append(in.Events, eiderwinch.Woken{})
 	case "dropped":
-		n.Events = append(n.Events, eiderwinch.Gone{Query: p.id(1)})
+		in.Events = append(in.Events, eiderwinch.Gone{Query: p.id(1)})
 	case "attempt_end":
-		n.Events = append(n.Events, eiderwinch.Outcome{
+		in.Events = append(in.Events, eiderwinch.Outcome{
 			Part:    p.id(1),
 			Attempt: int(p.int(2)),
 			Replica: p.text(3),
 			Status:  p.status(4),
 			Took:    time.Duration(p.int(5)),
-			Load:    load(p.optional(7)),
+			Load:    parseLoad(p.optional(7)),
 		})
 	default:
 		return fmt.Errorf("unknown message")
@@ -181,9 +191,9 @@
 	return p.err
 }
 
-// load reads a load report, name:value pairs set apart by commas. What is not known of it
-// or can't be is passed over.
-func load(report string) *eiderwinch.Load {
+// parseLoad parses a load report: name:value pairs separated by commas. Unknown names and
+// impossible values are skipped. It returns nil if there is no usable value.
+func parseLoad(report string) *eiderwinch.Load {
 	for report != "" {
 		var pair string
 		pair, report, _ = strings.Cut(report, ",")
@@ -195,85 +205,93 @@
 	return nil
 }
 
-// turnTo makes who the instance of the lines that follow.
-func (r *Reader) turnTo(b *Batch, who string) {
-	for _, n := range b.News {
-		if n.Instance == who {
-			b.current = n
+// selectInstance makes the named instance the one that the following lines are for.
+func (r *Reader) selectInstance(b *Batch, name string) {
+	for _, in := range b.Inputs {
+		if in.Instance == name {
+			b.current = in
 			return
 		}
 	}
-	b.current = &News{Instance: who}
-	b.News = append(b.News, b.current)
+	b.current = &Input{Instance: name}
+	b.Inputs = append(b.Inputs, b.current)
 }
 
-// flush ends a batch.
-func (r *Reader) flush(b *Batch) {
-	for _, n := range b.News {
-		if h := r.hosts[n.Instance]; h != nil {
-			r.deliver(n, h)
+// finish delivers the pending queries of all instances at the end of a batch.
+func (r *Reader) finish(b *Batch) {
+	for _, in := range b.Inputs {
+		if s := r.instances[in.Instance]; s != nil {
+			r.deliverQueries(in, s)
 		}
 	}
 }
 
-// deliver hands over the queries whose parts have been gathered.
-func (r *Reader) deliver(n *News, h *host) {
-	for _, number := range h.order {
-		if q := h.queries[number]; q.second {
-			n.Events = append(n.Events, eiderwinch.SecondStep{Query: q.ID, Parts: q.Parts})
+// deliverQueries adds the pending queries and second steps to the events. It runs before
+// any other event is added and at the end of the batch, so events keep their order.
+func (r *Reader) deliverQueries(in *Input, s *instanceState) {
+	for _, number := range s.order {
+		if q := s.queries[number]; q.second {
+			in.Events = append(in.Events, eiderwinch.SecondStep{Query: q.ID, Parts: q.Parts})
 		} else {
-			n.Events = append(n.Events, q.Query)
+			in.Events = append(in.Events, q.Query)
 		}
-		delete(h.queries, number)
+		delete(s.queries, number)
 	}
-	h.order = h.order[:0]
+	s.order = s.order[:0]
 }
 
-func (r *Reader) init(n *News, p *parser) error {
+// readInit starts an instance. Its earlier state and the events so far are discarded.
+func (r *Reader) readInit(in *Input, p *parser) error {
 	seed := p.id(1)
 	text := p.rest(2)
 	if p.err != nil {
 		return p.err
 	}
-	s, err := Settings([]byte(text))
+	settings, err := ParseSettings([]byte(text))
 	if err != nil {
 		return err
 	}
-	s.Seed = seed
-	h := &host{
-		classes: make(map[string]int), tenants: make(map[string]int), queries: make(map[int64]*gathered), later: make(map[int64]awaiting), highest: -1,
+	settings.Seed = seed
+	s := &instanceState{
+		classes:     make(map[string]int),
+		tenants:     make(map[string]int),
+		queries:     make(map[int64]*pendingQuery),
+		secondSteps: make(map[int64]secondStep),
+		highest:     -1,
 	}
-	for i, t := range s.Tenants {
-		h.tenants[t.Name] = i + 1
+	for i, t := range settings.Tenants {
+		s.tenants[t.Name] = i + 1
 	}
-	for i, c := range s.Classes {
-		h.classes[c.Name] = i
-		h.steps = append(h.steps, c.Fetch > 0)
+	for i, c := range settings.Classes {
+		s.classes[c.Name] = i
+		s.hasSecondStep = append(s.hasSecondStep, c.Fetch > 0)
 	}
-	r.hosts[n.Instance] = h
-	n.Events = nil
-	n.Init = &s
+	r.instances[in.Instance] = s
+	in.Events = nil
+	in.Init = &settings
 	return nil
 }
 
-func (r *Reader) inventory(p *parser) error {
+// readInventory reads a member list and its entries, one on each of the following lines,
+// and stores it in its slot.
+func (r *Reader) readInventory(p *parser) error {
 	slot, count := p.int(1), p.int(2)
 	if p.err != nil {
 		return p.err
 	}
-	if slot < 0 || slot > 15 || count < 0 {
-		return fmt.Errorf("slot %d with %d entries", slot, count)
+	if slot < 0 || slot > maxInventorySlot || count < 0 {
+		return fmt.Errorf("slot %d with %d entries, want a slot from 0 to 15 and no negative number of entries", slot, count)
 	}
 	var list []eiderwinch.Replica
 	for i := int64(0); i < count; i++ {
-		f, err := r.fields()
+		f, err := r.readFields()
 		if err != nil {
 			return fmt.Errorf("entry %d: %v", i, err)
 		}
 		if f[0] != "m" {
-			return fmt.Errorf("want entry %d, have %q", i, f[0])
+			return fmt.Errorf("entry %d: message %q, want m", i, f[0])
 		}
-		e := &parser{f: f}
+		e := &parser{fields: f}
 		list = append(list, eiderwinch.Replica{
 			ID:      e.text(1),
 			Zone:    e.optional(2),
@@ -289,7 +307,9 @@
 	return nil
 }
 
-func (r *Reader) changed(n *News, p *parser) error {
+// readListChange reads a change of the member list. Its entries are those of the
+// inventory slot that it names.
+func (r *Reader) readListChange(in *Input, p *parser) error {
 	kind := p.int(1)
 	if p.err != nil {
 		return p.err
@@ -305,67 +325,70 @@
 			return p.err
 		}
 		if !ok {
-			return fmt.Errorf("no inventory %s", p.text(2))
+			return fmt.Errorf("no inventory in slot %s", p.text(2))
 		}
 		change.Replicas = list
 	}
-	n.Events = append(n.Events, change)
+	in.Events = append(in.Events, change)
 	return nil
 }
 
-// take gathers a query, or one of its parts. Parts of a second step come in a later batch, under the number of
-// their query; those of a query that is over are passed over.
-func (h *host) take(clock time.Duration, p *parser) error {
+// readOrder reads a query (its shard is negative) or one part of a query. The parts of a
+// second step come in a later batch under the number of their query. Parts of a query
+// that has ended are ignored.
+func (s *instanceState) readOrder(clock time.Duration, p *parser) error {
 	id, class, key := p.id(1), p.text(2), p.optional(4)
-	left, number, shard, amount, flags := p.int(5), p.int(7), p.int(8), p.float(9), p.intOr(10, 0)
+	left, number, shard, weight, flags := p.int(5), p.int(7), p.int(8), p.float(9), p.intOr(10, 0)
 	if p.err != nil {
 		return p.err
 	}
-	index, ok := h.classes[class]
+	index, ok := s.classes[class]
 	if !ok {
 		return fmt.Errorf("unknown class %q", class)
 	}
 	if shard < 0 {
-		h.order = append(h.order, number)
-		h.queries[number] = &gathered{Query: eiderwinch.Query{
-			ID: id, Class: index, Key: key, Left: time.Duration(left), Repeat: flags&2 != 0,
-			Tenant: h.tenants[p.optional(3)],
+		s.order = append(s.order, number)
+		s.queries[number] = &pendingQuery{Query: eiderwinch.Query{
+			ID: id, Class: index, Key: key, Left: time.Duration(left), Repeat: flags&flagRepeat != 0,
+			Tenant: s.tenants[p.optional(3)],
 		}}
-		h.highest = max(h.highest, number)
-		if h.steps[index] {
-			maps.DeleteFunc(h.later, func(_ int64, w awaiting) bool { return w.until < clock })
-			h.later[number] = awaiting{id, clock + time.Duration(left)}
+		s.highest = max(s.highest, number)
+		if s.hasSecondStep[index] {
+			maps.DeleteFunc(s.secondSteps, func(_ int64, step secondStep) bool { return step.deadline < clock })
+			s.secondSteps[number] = secondStep{id, clock + time.Duration(left)}
 		}
 		return nil
 	}
-	q := h.queries[number]
-	if w, ok := h.later[number]; q == nil && ok {
-		delete(h.later, number)
-		q = &gathered{Query: eiderwinch.Query{ID: w.id}, second: true}
-		h.order = append(h.order, number)
-		h.queries[number] = q
+	q := s.queries[number]
+	if step, ok := s.secondSteps[number]; q == nil && ok {
+		delete(s.secondSteps, number)
+		q = &pendingQuery{Query: eiderwinch.Query{ID: step.id}, second: true}
+		s.order = append(s.order, number)
+		s.queries[number] = q
 	}
 	if q != nil {
-		q.Parts = append(q.Parts, eiderwinch.Part{ID: id, Shard: int(shard), Weight: amount})
-	} else if number > h.highest {
-		return fmt.Errorf("part %d comes without its query", id)
+		q.Parts = append(q.Parts, eiderwinch.Part{ID: id, Shard: int(shard), Weight: weight})
+	} else if number > s.highest {
+		return fmt.Errorf("part %d arrived without its query", id)
 	}
 	return nil
 }
 
-// parser reads the fields of one line and keeps the first error.
+// parser parses the fields of one line and keeps the first error.
 type parser struct {
-	f   []string
-	err error
+	fields []string
+	err    error
 }
 
+// optional returns a field, or "" if it is absent or "-".
 func (p *parser) optional(i int) string {
-	if i >= len(p.f) || p.f[i] == "-" {
+	if i >= len(p.fields) || p.fields[i] == "-" {
 		return ""
 	}
-	return p.f[i]
+	return p.fields[i]
 }
 
+// text returns a field that must not be empty.
 func (p *parser) text(i int) string {
 	s := p.optional(i)
 	if s == "" {
@@ -374,12 +397,13 @@
 	return s
 }
 
+// rest returns the rest of the line from a field on.
 func (p *parser) rest(i int) string {
-	if i >= len(p.f) {
+	if i >= len(p.fields) {
 		p.fail("field %d is missing", i)
 		return ""
 	}
-	return strings.Join(p.f[i:], "\t")
+	return strings.Join(p.fields[i:], "\t")
 }
 
 func (p *parser) fail(format string, args ...any) {
@@ -392,7 +416,7 @@
 	s := p.text(i)
 	v, err := strconv.ParseInt(s, 10, 64)
 	if err != nil {
-		p.fail("field %d is no whole number: %q", i, s)
+		p.fail("field %d is %q, want an integer", i, s)
 	}
 	return v
 }
@@ -408,7 +432,7 @@
 	s := p.text(i)
 	v, err := strconv.ParseUint(s, 10, 64)
 	if err != nil {
-		p.fail("field %d is no id: %q", i, s)
+		p.fail("field %d is %q, want an unsigned integer", i, s)
 	}
 	return v
 }
@@ -417,7 +441,7 @@
 	s := p.text(i)
 	v, err := strconv.ParseFloat(s, 64)
 	if err != nil || math.IsNaN(v) || math.IsInf(v, 0) {
-		p.fail("field %d is no number: %q", i, s)
+		p.fail("field %d is %q, want a finite number", i, s)
 	}
 	return v
 }
@@ -426,7 +450,7 @@
 	s := p.text(i)
 	v, ok := statuses[s]
 	if !ok {
-		p.fail("unknown ending %q", s)
+		p.fail("unknown attempt status %q", s)
 	}
 	return v
 }
@@ -445,6 +469,7 @@
 	}
 }
 
+// statuses maps the wire's names of attempt statuses.
 var statuses = map[string]eiderwinch.Status{
 	"GOOD":   eiderwinch.OK,
 	"BAD":    eiderwinch.Failed,
@@ -456,8 +481,8 @@
 	"NOP":    eiderwinch.NotSent,
 }
 
-// Settings reads the start settings of an instance.
-func Settings(text []byte) (eiderwinch.Settings, error) {
+// ParseSettings parses the settings with which an instance is started.
+func ParseSettings(text []byte) (eiderwinch.Settings, error) {
 	s, err := config.ParseSettings(text)
 	return s.Module, err
 }
@@ -468,8 +493,8 @@
 // NewWriter returns a Writer of replies.
 func NewWriter(out io.Writer) *Writer { return &Writer{bufio.NewWriterSize(out, 1<<16)} }
 
-// Actions writes the actions of one instance.
-func (w *Writer) Actions(instance string, actions []eiderwinch.Action) {
+// WriteActions writes the actions of one instance.
+func (w *Writer) WriteActions(instance string, actions []eiderwinch.Action) {
 	if len(actions) == 0 {
 		return
 	}
@@ -502,8 +527,8 @@
 	}
 }
 
-// End closes the reply and sends it off.
-func (w *Writer) End() error {
+// EndReply ends the reply to a batch and flushes it.
+func (w *Writer) EndReply() error {
 	fmt.Fprintln(w.out, "next")
 	return w.out.Flush()
 }
