--- a/internal/format/http1/head.go
+++ b/internal/format/http1/head.go
@@ -1,6 +1,6 @@
-// Package http1 holds incremental parsers and encoders for the part of
-// HTTP/1.1 that the program speaks. They do no I/O: bytes are fed in as they
-// come, and whatever they hold is bounded.
+// Package http1 provides incremental parsers and encoders for the subset of
+// HTTP/1.1 that the program uses. They do no I/O: bytes are fed in as they
+// arrive, and the amount of data that a parser holds is bounded.
 package http1
 
 import (
@@ -12,13 +12,13 @@
 	"strings"
 )
 
-// Bounds of what a parser holds.
+// Limits in bytes of what a parser holds.
 const (
-	MaxHead = 16 << 10 // start line and fields
+	MaxHead = 16 << 10 // start line and header fields
 	MaxBody = 64 << 10 // body of a request
 )
 
-// Error is a message that can't be taken, with the status that says so.
+// Error describes a message that is rejected. Status is the status code of the response to it.
 type Error struct {
 	Status int
 	Reason string
@@ -26,17 +26,18 @@
 
 func (e *Error) Error() string { return fmt.Sprintf("%d: %s", e.Status, e.Reason) }
 
-func bad(format string, args ...any) error {
+// badMessage returns an Error with status 400.
+func badMessage(format string, args ...any) error {
 	return &Error{Status: 400, Reason: fmt.Sprintf(format, args...)}
 }
 
-// Header holds the fields of a message, names in lower case.
+// Header holds the header fields of a message, with their names in lower case.
 type Header []Field
 
-// Field is one field of a message.
+// Field is one header field.
 type Field struct{ Name, Value string }
 
-// Get returns the value of the first field of that name (in lower case).
+// Get returns the value of the first field with the given name (in lower case), or "".
 func (h Header) Get(name string) string {
 	for _, f := range h {
 		if f.Name == name {
@@ -46,8 +47,9 @@
 	return ""
 }
 
-// Sole returns the value of the field of that name (in lower case), or nothing where it
-// comes more than once with different values: no reader can tell which is meant.
+// Sole returns the value of the field with the given name (in lower case). It returns ""
+// if the field occurs more than once with different values, because it is undecidable
+// which one is meant.
 func (h Header) Sole(name string) string {
 	value, seen := "", false
 	for _, f := range h {
@@ -62,13 +64,14 @@
 	return value
 }
 
-// named tells whether there is a field of that name (in lower case).
-func (h Header) named(name string) bool {
+// hasField reports whether there is a field with the given name (in lower case).
+func (h Header) hasField(name string) bool {
 	return slices.ContainsFunc(h, func(f Field) bool { return f.Name == name })
 }
 
-// has tells whether a field that holds a list names an item.
-func (h Header) has(name, item string) bool {
+// listContains reports whether a field whose value is a comma-separated list contains the
+// item, in any case.
+func (h Header) listContains(name, item string) bool {
 	for _, f := range h {
 		if f.Name != name {
 			continue
@@ -84,14 +87,14 @@
 
 var errHeadTooLong = &Error{Status: 431, Reason: "the head is too long"}
 
-// head is the start of a message: its first line, cut at blanks, and fields.
+// head is the start of a message: its start line, split at spaces, and its header fields.
 type head struct {
-	start  []string
-	header Header
+	startLine []string
+	header    Header
 }
 
-// readHead takes a message's head off its bytes. It returns nil while the head
-// has not ended yet.
+// readHead parses the head of a message and returns the bytes after it. It returns a nil
+// head while the head is incomplete.
 func readHead(buf []byte) (h *head, rest []byte, err error) {
 	end := bytes.Index(buf, []byte("\r\n\r\n"))
 	switch {
@@ -101,25 +104,26 @@
 		return nil, buf, nil
 	}
 	lines := strings.Split(string(buf[:end]), "\r\n")
-	h = &head{start: strings.Split(lines[0], " ")}
+	h = &head{startLine: strings.Split(lines[0], " ")}
 	for _, line := range lines[1:] {
 		name, value, ok := strings.Cut(line, ":")
 		if !ok || !isToken(name) {
-			return nil, buf, bad("malformed field %q", line)
+			return nil, buf, badMessage("malformed field %q", line)
 		}
 		value = strings.Trim(value, " \t")
 		if strings.ContainsFunc(value, isControl) {
-			return nil, buf, bad("malformed value of field %q", name)
+			return nil, buf, badMessage("malformed value of field %q", name)
 		}
 		h.header = append(h.header, Field{strings.ToLower(name), value})
 	}
 	return h, buf[end+4:], nil
 }
 
-// isControl tells a rune that no field's value may hold (RFC 9110, 5.5).
+// isControl reports whether a rune is a control character, which field values must not
+// contain (RFC 9110, 5.5).
 func isControl(r rune) bool { return r < ' ' && r != '\t' || r == 0x7f }
 
-// isToken tells whether s is a token as field names and methods are.
+// isToken reports whether s is a token, the form of field names and methods.
 func isToken(s string) bool {
 	for i := range len(s) {
 		c := s[i]
@@ -131,46 +135,47 @@
 	return s != ""
 }
 
-// bodyOf makes the decoder for the body that a head announces. Where it names
-// neither a length nor chunks, the body is empty or, with untilClose, lasts
-// until the connection ends.
-func bodyOf(h Header, untilClose bool) (body, error) {
+// newBodyDecoder returns the decoder for the body that a head announces. If the head
+// gives neither a length nor chunked coding, the body is empty or, with endsAtClose, lasts
+// until the connection closes.
+func newBodyDecoder(h Header, endsAtClose bool) (bodyDecoder, error) {
 	length, seen := int64(0), false
 	chunked := false
-	if h.named("content-length") && h.named("transfer-encoding") { // whichever a peer believes, the other is smuggled in
-		return body{}, bad("both content-length and transfer-encoding")
+	if h.hasField("content-length") && h.hasField("transfer-encoding") { // request smuggling: peers disagree on which one counts
+		return bodyDecoder{}, badMessage("both content-length and transfer-encoding")
 	}
 	for _, f := range h {
 		switch f.Name {
 		case "content-length":
 			n, err := parseLength(f.Value)
 			if err != nil || seen && n != length {
-				return body{}, bad("malformed content-length")
+				return bodyDecoder{}, badMessage("malformed content-length")
 			}
 			length, seen = n, true
 		case "transfer-encoding":
 			if chunked || !strings.EqualFold(f.Value, "chunked") {
-				return body{}, &Error{Status: 501, Reason: "transfer-encoding other than chunked"}
+				return bodyDecoder{}, &Error{Status: 501, Reason: "transfer-encoding other than chunked"}
 			}
 			chunked = true
 		}
 	}
 	for _, name := range [...]string{"transfer-encoding", "content-length", "trailer"} {
-		if chunked && h.has("trailer", name) { // they must not come behind the body (RFC 9110, 6.5.1)
-			return body{}, bad("trailer announces %s", name)
+		if chunked && h.listContains("trailer", name) { // must not be sent in a trailer (RFC 9110, 6.5.1)
+			return bodyDecoder{}, badMessage("trailer announces %s", name)
 		}
 	}
 	switch {
 	case chunked:
-		return body{state: chunkSize}, nil
+		return bodyDecoder{state: chunkSize}, nil
 	case seen:
-		return body{state: plain, left: length}, nil
-	case untilClose:
-		return body{state: endless}, nil
+		return bodyDecoder{state: fixedLength, remaining: length}, nil
+	case endsAtClose:
+		return bodyDecoder{state: untilClosed}, nil
 	}
-	return body{state: plain}, nil
+	return bodyDecoder{state: fixedLength}, nil
 }
 
+// parseLength parses a content-length: digits only, without a sign.
 func parseLength(s string) (int64, error) {
 	for i := range len(s) {
 		if s[i] < '0' || s[i] > '9' {
@@ -180,56 +185,58 @@
 	return strconv.ParseInt(s, 10, 63)
 }
 
+// bodyState is what a bodyDecoder reads next.
 type bodyState int
 
 const (
-	plain     bodyState = iota // left more bytes
-	endless                    // all bytes there are
-	chunkSize                  // at a line with a chunk's size
-	chunkData                  // left more bytes of a chunk
-	chunkEnd                   // at the line end behind a chunk
-	trailer                    // at a line of the trailer
-	done
+	fixedLength bodyState = iota // the remaining bytes of the body
+	untilClosed                  // all bytes until the connection closes
+	chunkSize                    // a line with the size of a chunk
+	chunkData                    // the remaining bytes of a chunk
+	chunkEnd                     // the line end after a chunk
+	trailer                      // a line of the trailer
+	done                         // nothing: the body has ended
 )
 
-// body decodes a message's body.
-type body struct {
-	state    bodyState
-	left     int64
-	trailing int   // bytes of trailer so far
-	excess   int64 // bytes of chunk lines beyond what chunks of that size need
+// bodyDecoder decodes the body of a message.
+type bodyDecoder struct {
+	state        bodyState
+	remaining    int64 // bytes of the body or chunk
+	trailerBytes int   // bytes of trailer received so far
+	overhead     int64 // bytes of chunk lines beyond the allowance, see maxOverhead
 }
 
 const (
 	maxChunkLine = 256
-	// maxExcess bounds what chunk lines and their extensions may take beyond
-	// chunkCost and twice the data: a body of single bytes with an extension each
-	// would cost its reader hundreds of times its length.
-	maxExcess = 16 << 10
-	chunkCost = 16
+	// maxOverhead bounds the bytes of chunk lines and their extensions beyond an allowance
+	// of freeOverhead for each chunk and twice its data. Without it, a body of one-byte
+	// chunks with an extension each would cost its reader hundreds of times its length.
+	maxOverhead  = 16 << 10
+	freeOverhead = 16
 )
 
-// decode passes on what it can of src to emit, and returns what it has not used.
-func (b *body) decode(src []byte, emit func([]byte) error) (rest []byte, err error) {
+// decode passes the decoded part of src to emit, and returns the bytes that it has not
+// consumed.
+func (b *bodyDecoder) decode(src []byte, emit func([]byte) error) (rest []byte, err error) {
 	for {
 		switch b.state {
-		case plain, chunkData:
-			n := min(b.left, int64(len(src)))
+		case fixedLength, chunkData:
+			n := min(b.remaining, int64(len(src)))
 			if n > 0 {
 				if err := emit(src[:n]); err != nil {
 					return src, err
 				}
 			}
-			src, b.left = src[n:], b.left-n
-			if b.left > 0 {
+			src, b.remaining = src[n:], b.remaining-n
+			if b.remaining > 0 {
 				return src, nil
 			}
-			if b.state == plain {
+			if b.state == fixedLength {
 				b.state = done
 			} else {
 				b.state = chunkEnd
 			}
-		case endless:
+		case untilClosed:
 			if len(src) > 0 {
 				err = emit(src)
 			}
@@ -238,12 +245,12 @@
 			line, after, ok := bytes.Cut(src, []byte("\r\n"))
 			if !ok {
 				if len(src) > maxChunkLine {
-					return src, bad("a line of the chunked body is too long")
+					return src, badMessage("a line of the chunked body is too long")
 				}
 				return src, nil
 			}
 			src = after
-			if err := b.line(line); err != nil {
+			if err := b.decodeLine(line); err != nil {
 				return src, err
 			}
 		case done:
@@ -252,32 +259,32 @@
 	}
 }
 
-// line takes in a line between or behind chunks.
-func (b *body) line(line []byte) error {
+// decodeLine handles a line between or after chunks.
+func (b *bodyDecoder) decodeLine(line []byte) error {
 	switch b.state {
 	case chunkEnd:
 		if len(line) > 0 {
-			return bad("a chunk is longer than its size")
+			return badMessage("a chunk is longer than its size")
 		}
 		b.state = chunkSize
 	case chunkSize:
 		size, extension, _ := bytes.Cut(line, []byte(";"))
-		if bytes.ContainsAny(extension, "\r\n\x00") { // another reader may end the line there
-			return bad("malformed chunk extension")
+		if bytes.ContainsAny(extension, "\r\n\x00") { // another parser may end the line there
+			return badMessage("malformed chunk extension")
 		}
 		n, err := strconv.ParseUint(string(bytes.TrimRight(size, " \t")), 16, 31)
 		if err != nil {
-			return bad("malformed chunk size")
+			return badMessage("malformed chunk size")
 		}
-		if b.excess = max(b.excess+int64(len(line))+2-chunkCost-2*int64(n), 0); b.excess > maxExcess {
-			return bad("the chunked body is mostly not data")
+		if b.overhead = max(b.overhead+int64(len(line))+2-freeOverhead-2*int64(n), 0); b.overhead > maxOverhead {
+			return badMessage("the chunked body is mostly not data")
 		}
-		b.left, b.state = int64(n), chunkData
+		b.remaining, b.state = int64(n), chunkData
 		if n == 0 {
 			b.state = trailer
 		}
 	case trailer:
-		if b.trailing += len(line); b.trailing > MaxHead {
+		if b.trailerBytes += len(line); b.trailerBytes > MaxHead {
 			return errHeadTooLong
 		}
 		if len(line) == 0 {
@@ -286,7 +293,7 @@
 		}
 		name, value, ok := strings.Cut(string(line), ":")
 		if !ok || !isToken(name) || strings.ContainsFunc(value, isControl) {
-			return bad("malformed trailer %q", line)
+			return badMessage("malformed trailer %q", line)
 		}
 	}
 	return nil
--- a/internal/format/http1/http1_test.go
+++ b/internal/format/http1/http1_test.go
@@ -10,7 +10,7 @@
 	"testing"
 )
 
-// parse feeds text in pieces of n bytes and returns the requests in it.
+// parse feeds text in pieces of n bytes to a RequestParser and returns the requests in it.
 func parse(text string, n int) (out []*Request, err error) {
 	var p RequestParser
 	for len(text) > 0 {
@@ -36,18 +36,18 @@
 func TestRequests(t *testing.T) {
 	for name, c := range map[string]struct {
 		text   string
-		bodies []string // of the requests in it
+		bodies []string // of the requests in the text
 	}{
 		"without a body":       {"GET /_health HTTP/1.1\r\nHost: b\r\n\r\n", []string{""}},
-		"of a length":          {post + "Content-Length: 3\r\n\r\nabc", []string{"abc"}},
+		"with a length":        {post + "Content-Length: 3\r\n\r\nabc", []string{"abc"}},
 		"two on a connection":  {post + "Content-Length: 1\r\n\r\na" + post + "Content-Length: 1\r\n\r\nb", []string{"a", "b"}},
 		"chunked":              {post + "Transfer-Encoding: chunked\r\n\r\n1\r\na\r\n2;x=y\r\nbc\r\n0\r\n\r\n", []string{"abc"}},
 		"chunked with trailer": {post + "Transfer-Encoding: Chunked\r\n\r\n1\r\na\r\n0\r\nX: y\r\n\r\n", []string{"a"}},
 		"chunked, then more":   {post + "Transfer-Encoding: chunked\r\n\r\n0\r\n\r\n" + post + "\r\n", []string{"", ""}},
-		"behind a blank line":  {"\r\n" + post + "\r\n", []string{""}},
+		"after a blank line":   {"\r\n" + post + "\r\n", []string{""}},
 		"same length twice":    {post + "Content-Length: 1\r\nContent-Length: 1\r\n\r\na", []string{"a"}},
-		"cut short":            {post + "Content-Length: 9\r\n\r\nabc", nil},
-		"of the longest body": {post + "Content-Length: 65536\r\n\r\n" + strings.Repeat("x", MaxBody),
+		"truncated":            {post + "Content-Length: 9\r\n\r\nabc", nil},
+		"with the longest body": {post + "Content-Length: 65536\r\n\r\n" + strings.Repeat("x", MaxBody),
 			[]string{strings.Repeat("x", MaxBody)}},
 	} {
 		for _, n := range []int{1, 7, len(c.text)} {
@@ -63,7 +63,7 @@
 	}
 }
 
-func TestRequestsThatCantBeRead(t *testing.T) {
+func TestMalformedRequests(t *testing.T) {
 	for text, want := range map[string]int{
 		"POST /a\r\n\r\n":                                                               400,
 		"POST a HTTP/1.1\r\n\r\n":                                                       400,
@@ -86,7 +86,7 @@
 		post + "Transfer-Encoding: chunked\r\n\r\n0\r\nno colon\r\n\r\n":                400,
 		post + "Transfer-Encoding: chunked\r\nTrailer: Content-Length\r\n\r\n0\r\n\r\n": 400,
 		post + "Transfer-Encoding: chunked\r\n\r\n" + strings.Repeat("1;"+strings.Repeat("x", 200)+"\r\na\r\n", 200): 400,
-		post + "Content-Length: 1\r\nTransfer-Encoding: gzip\r\n\r\n":                                                400, // whatever the coding
+		post + "Content-Length: 1\r\nTransfer-Encoding: gzip\r\n\r\n":                                                400, // whatever the transfer coding
 		post + "Transfer-Encoding: gzip, chunked\r\nContent-Length: 1\r\n\r\n":                                       400,
 		post + "Transfer-Encoding: gzip\r\n\r\n":                                                                     501,
 		post + "Transfer-Encoding: gzip, chunked\r\n\r\n":                                                            501,
@@ -119,7 +119,7 @@
 	var p RequestParser
 	p.Feed([]byte(post + "Expect: 100-Continue\r\nContent-Length: 1\r\n\r\n"))
 	if r, err := p.Next(); r != nil || err != nil || !p.Continue() || p.Continue() {
-		t.Errorf("the client that waits for 100 Continue is not told once: %v, %v", r, err)
+		t.Errorf("100 Continue: want it asked for exactly once; have request %v, error %v", r, err)
 	}
 }
 
@@ -167,9 +167,9 @@
 	}
 }
 
-// FuzzAgainstStandardLibrary holds the parser against net/http: what ours takes,
-// that must take too, with the same body. A request that two readers understand
-// differently is a way to smuggle another one in.
+// FuzzAgainstStandardLibrary compares the parser with net/http: every request that this
+// parser accepts, net/http must accept too, with the same body. A request that two parsers
+// understand differently allows request smuggling.
 func FuzzAgainstStandardLibrary(f *testing.F) {
 	for _, s := range []string{
 		post + "Content-Length: 3\r\n\r\nabc",
@@ -186,11 +186,11 @@
 		}
 		ours := list[0]
 		for strings.HasPrefix(text, "\r\n") {
-			text = text[2:] // net/http takes no blank lines before a request
+			text = text[2:] // net/http accepts no blank lines before a request
 		}
 		theirs, err := http.ReadRequest(bufio.NewReaderSize(strings.NewReader(text), 1<<20))
 		if err != nil {
-			t.Fatalf("%q: net/http refuses it: %v", text, err)
+			t.Fatalf("%q: net/http rejects it: %v", text, err)
 		}
 		body, err := io.ReadAll(theirs.Body)
 		if err != nil || string(body) != string(ours.Body) || theirs.Method != ours.Method || theirs.RequestURI != ours.Target {
@@ -199,7 +199,8 @@
 	})
 }
 
-// FuzzRequests holds the parser to its bounds, and to the same requests however the bytes are cut.
+// FuzzRequests checks that the parser keeps to its limits and returns the same requests
+// however the bytes are split.
 func FuzzRequests(f *testing.F) {
 	f.Add(post + "Content-Length: 3\r\n\r\nabc" + post + "Transfer-Encoding: chunked\r\n\r\n1\r\na\r\n0\r\n\r\n")
 	f.Fuzz(func(t *testing.T, text string) {
@@ -209,8 +210,8 @@
 				t.Errorf("a body of %d bytes", len(r.Body))
 			}
 		}
-		if cut, cutErr := parse(text, 3); (err == nil) == (cutErr == nil) && !reflect.DeepEqual(whole, cut) {
-			t.Errorf("%q: whole %v, cut %v", text, whole, cut)
+		if split, splitErr := parse(text, 3); (err == nil) == (splitErr == nil) && !reflect.DeepEqual(whole, split) {
+			t.Errorf("%q: whole %v, split %v", text, whole, split)
 		}
 	})
 }
--- a/internal/format/http1/request.go
+++ b/internal/format/http1/request.go
@@ -5,37 +5,37 @@
 	"strings"
 )
 
-// Request is one request.
+// Request is an HTTP request.
 type Request struct {
 	Method string
 	Target string
 	Header Header
 	Body   []byte
-	Close  bool // the client wants the connection closed after the answer
+	Close  bool // the connection must be closed after the response
 }
 
-// RequestParser parses the requests that come on one connection.
+// RequestParser parses the requests that arrive on one connection.
 type RequestParser struct {
-	buf  []byte
-	req  *Request // its head is parsed, its body is coming
-	body body
-	asks bool // the client waits for "100 Continue"
+	buf            []byte
+	req            *Request // its head is parsed, its body is incomplete
+	body           bodyDecoder
+	awaitsContinue bool // the client waits for "100 Continue" before it sends the body
 }
 
-// Feed adds bytes that have come.
+// Feed adds bytes that have arrived.
 func (p *RequestParser) Feed(b []byte) { p.buf = append(p.buf, b...) }
 
-// Buffered is how many bytes are held that belong to no request passed on yet.
+// Buffered returns the number of bytes that were fed in and not parsed yet.
 func (p *RequestParser) Buffered() int { return len(p.buf) }
 
-// Idle tells that no request has begun.
+// Idle reports whether no request has begun.
 func (p *RequestParser) Idle() bool { return p.req == nil && len(p.buf) == 0 }
 
-// Next returns the next request, or nil until it is whole. After an error,
-// which is an *Error, the connection can't be read any further.
+// Next returns the next request, or nil while it is incomplete. After an error,
+// which is an *Error, the connection cannot be read any further.
 func (p *RequestParser) Next() (*Request, error) {
 	if p.req == nil {
-		if err := p.head(); err != nil || p.req == nil {
+		if err := p.parseHead(); err != nil || p.req == nil {
 			return nil, err
 		}
 	}
@@ -46,73 +46,75 @@
 		p.req.Body = append(p.req.Body, b...)
 		return nil
 	})
-	p.buf = rest // Feed moves it when it needs room
+	p.buf = rest // Feed reallocates it when it needs room
 	if len(rest) == 0 {
-		p.buf = nil // a connection that stays open must not keep the room of its longest request
+		p.buf = nil // an open connection must not hold a buffer of the size of its longest request
 	}
 	if err != nil || p.body.state != done {
 		return nil, err
 	}
 	r := p.req
-	p.req, p.asks = nil, false
+	p.req, p.awaitsContinue = nil, false
 	return r, nil
 }
 
-// Continue tells, once for a request, that its client waits for "100 Continue".
+// Continue reports whether the client waits for "100 Continue" before it sends the body.
+// It returns true at most once for each request.
 func (p *RequestParser) Continue() bool {
-	asks := p.asks
-	p.asks = false
-	return asks
+	awaitsContinue := p.awaitsContinue
+	p.awaitsContinue = false
+	return awaitsContinue
 }
 
 var errBodyTooLong = &Error{Status: 413, Reason: "the body is too long"}
 
-func (p *RequestParser) head() error {
+// parseHead parses the head of a request, if it is complete, and prepares its body.
+func (p *RequestParser) parseHead() error {
 	for len(p.buf) >= 2 && p.buf[0] == '\r' && p.buf[1] == '\n' {
-		p.buf = p.buf[2:] // blank lines before a request are to be passed over
+		p.buf = p.buf[2:] // blank lines before a request must be ignored
 	}
-	read, rest, err := readHead(p.buf)
-	if read == nil || err != nil {
+	parsed, rest, err := readHead(p.buf)
+	if parsed == nil || err != nil {
 		return err
 	}
-	f, h := read.start, read.header
+	f, h := parsed.startLine, parsed.header
 	if len(f) != 3 || !isToken(f[0]) || !strings.HasPrefix(f[1], "/") {
-		return bad("malformed request line")
+		return badMessage("malformed request line")
 	}
 	if f[2] != "HTTP/1.1" && f[2] != "HTTP/1.0" {
 		return &Error{Status: 505, Reason: "unknown version"}
 	}
 	if !isTarget(f[1]) {
-		return bad("malformed target")
+		return badMessage("malformed target")
 	}
 	hosts := 0
-	for _, x := range h {
-		if x.Name == "host" {
+	for _, field := range h {
+		if field.Name == "host" {
 			hosts++
 		}
-		if x.Name == "transfer-encoding" && f[2] == "HTTP/1.0" { // readers differ on what it means there
-			return bad("transfer-encoding in HTTP/1.0")
+		if field.Name == "transfer-encoding" && f[2] == "HTTP/1.0" { // parsers differ on its meaning there
+			return badMessage("transfer-encoding in HTTP/1.0")
 		}
 	}
-	if hosts > 1 { // whichever a peer believes (RFC 9112, 3.2)
-		return bad("%d host fields", hosts)
+	if hosts > 1 { // peers disagree on which one counts (RFC 9112, 3.2)
+		return badMessage("%d host fields", hosts)
 	}
-	r := &Request{Method: f[0], Target: f[1], Header: h, Close: h.has("connection", "close")}
-	r.Close = r.Close || f[2] == "HTTP/1.0" && !h.has("connection", "keep-alive")
-	if p.body, err = bodyOf(h, false); err != nil {
+	r := &Request{Method: f[0], Target: f[1], Header: h, Close: h.listContains("connection", "close")}
+	r.Close = r.Close || f[2] == "HTTP/1.0" && !h.listContains("connection", "keep-alive")
+	if p.body, err = newBodyDecoder(h, false); err != nil {
 		return err
 	}
-	if p.body.state == plain && p.body.left > MaxBody {
+	if p.body.state == fixedLength && p.body.remaining > MaxBody {
 		return errBodyTooLong
 	}
-	p.asks = p.body.state != plain || p.body.left > 0
-	p.asks = p.asks && strings.EqualFold(h.Get("expect"), "100-continue")
+	p.awaitsContinue = p.body.state != fixedLength || p.body.remaining > 0
+	p.awaitsContinue = p.awaitsContinue && strings.EqualFold(h.Get("expect"), "100-continue")
 	p.req, p.buf = r, rest
 	return nil
 }
 
-// isTarget tells whether a target can be read by all: no controls, and whole
-// escapes in its path.
+// isTarget reports whether all parsers accept a target: it has no control characters or
+// spaces, and the escapes in its path are complete.
 func isTarget(s string) bool {
 	path, _, _ := strings.Cut(s, "?")
 	for i := range len(s) {
@@ -140,28 +142,29 @@
 	return append(dst, "\r\n\r\n"...)
 }
 
-var reasons = map[int]string{
+var reasonPhrases = map[int]string{
 	200: "OK", 400: "Bad Request", 404: "Not Found", 405: "Method Not Allowed", 408: "Request Timeout", 409: "Conflict",
 	413: "Content Too Large", 431: "Request Header Fields Too Large", 501: "Not Implemented",
 	502: "Bad Gateway", 503: "Service Unavailable", 504: "Gateway Timeout", 505: "HTTP Version Not Supported",
 }
 
-// AppendContinue appends the interim answer to Expect: 100-continue.
+// AppendContinue appends the interim response to Expect: 100-continue.
 func AppendContinue(dst []byte) []byte { return append(dst, "HTTP/1.1 100 Continue\r\n\r\n"...) }
 
-// AppendResponse appends a response. Fields are added as they are given.
-func AppendResponse(dst []byte, status int, body []byte, end bool, fields ...Field) []byte {
+// AppendResponse appends a response. The fields are added as given; closeConn announces
+// that the connection will be closed.
+func AppendResponse(dst []byte, status int, body []byte, closeConn bool, fields ...Field) []byte {
 	dst = append(dst, "HTTP/1.1 "...)
 	dst = strconv.AppendInt(dst, int64(status), 10)
 	dst = append(dst, ' ')
-	dst = append(dst, reasons[status]...)
+	dst = append(dst, reasonPhrases[status]...)
 	for _, f := range fields {
 		dst = append(dst, "\r\n"...)
 		dst = append(dst, f.Name...)
 		dst = append(dst, ": "...)
 		dst = append(dst, f.Value...)
 	}
-	if end {
+	if closeConn {
 		dst = append(dst, "\r\nConnection: close"...)
 	}
 	dst = append(dst, "\r\nContent-Length: "...)
--- a/internal/format/http1/response.go
+++ b/internal/format/http1/response.go
@@ -11,15 +11,15 @@
 	Header Header
 }
 
-// ResponseParser parses one response and hands out its body as it comes.
+// ResponseParser parses one response and passes on its body as it arrives.
 type ResponseParser struct {
 	buf  []byte
 	head *Response
-	body body
+	body bodyDecoder
 }
 
-// Feed takes in bytes that have come and passes those of the body to emit. It
-// returns the response once its head is in, nil before.
+// Feed adds bytes that have arrived and passes those of the body to emit. It
+// returns the response once its head is complete, and nil before.
 func (p *ResponseParser) Feed(b []byte, emit func([]byte) error) (*Response, error) {
 	p.buf = append(p.buf, b...)
 	if p.head == nil {
@@ -32,26 +32,28 @@
 	return p.head, err
 }
 
-// Done tells that the response has ended.
+// Done reports whether the response has ended.
 func (p *ResponseParser) Done() bool { return p.head != nil && p.body.state == done }
 
-// Endless tells that the response has no end but that of its connection, which may also break.
-func (p *ResponseParser) Endless() bool { return p.head != nil && p.body.state == endless }
+// Endless reports whether only the close of the connection ends the response. The connection
+// may also break before the response is complete.
+func (p *ResponseParser) Endless() bool { return p.head != nil && p.body.state == untilClosed }
 
+// parseHead parses the head of the response, if it is complete, and prepares its body.
 func (p *ResponseParser) parseHead() error {
-	read, rest, err := readHead(p.buf)
-	if read == nil || err != nil {
+	parsed, rest, err := readHead(p.buf)
+	if parsed == nil || err != nil {
 		return err
 	}
-	f, h := read.start, read.header
+	f, h := parsed.startLine, parsed.header
 	if len(f) < 2 || !strings.HasPrefix(f[0], "HTTP/1.") {
-		return bad("malformed status line")
+		return badMessage("malformed status line")
 	}
 	status, err := strconv.Atoi(f[1])
 	if err != nil || status < 200 || status > 599 {
-		return bad("malformed status %q", f[1])
+		return badMessage("malformed status %q", f[1])
 	}
-	if p.body, err = bodyOf(h, true); err != nil {
+	if p.body, err = newBodyDecoder(h, true); err != nil {
 		return err
 	}
 	p.head, p.buf = &Response{Status: status, Header: h}, rest
