--- a/internal/format/catalog/catalog.go
+++ b/internal/format/catalog/catalog.go
@@ -1,4 +1,4 @@
-// Package catalog reads the member lists that discovery sends. It does no I/O.
+// Package catalog parses the member lists that discovery sends. It does no I/O.
 package catalog
 
 import (
@@ -10,17 +10,17 @@
 	"time"
 )
 
-// Phase is a searcher's state in a list.
+// Phase is the state of a searcher in a member list.
 type Phase string
 
-// The phases of a searcher; Gone stands in changes only.
+// The phases of a searcher. Gone occurs only in changes.
 const (
 	Ready       Phase = "Ready"
 	Terminating Phase = "Terminating"
 	Gone        Phase = "Gone"
 )
 
-// Member is one searcher.
+// Member is one searcher of a member list.
 type Member struct {
 	ID        string  `json:"id"`
 	HostPort  string  `json:"host_port"`
@@ -32,7 +32,8 @@
 	UpSinceMS int64   `json:"up_since_ms"`
 }
 
-// Started is when the searcher last started; zero means long ago.
+// Started returns the time at which the searcher last started. The zero time means that it
+// started long ago.
 func (m Member) Started() time.Time {
 	if m.UpSinceMS == 0 {
 		return time.Time{}
@@ -40,16 +41,16 @@
 	return time.UnixMilli(m.UpSinceMS)
 }
 
-// Update is a list or, where it is not Complete, the changes to one.
+// Update is a whole member list or, if it is not Complete, changes to one.
 type Update struct {
 	Revision int64    `json:"revision"`
 	Complete bool     `json:"complete"`
 	Members  []Member `json:"members"`
 
-	Twice int `json:"-"` // members left out, since another one bears the same id
+	Twice int `json:"-"` // number of members left out because another one has the same ID
 }
 
-// Check tells what is wrong with an update, if anything.
+// Check returns an error that describes the first invalid member of an update, or nil.
 func (u Update) Check() error {
 	for i, m := range u.Members {
 		switch {
@@ -64,8 +65,9 @@
 	return nil
 }
 
-// Leaving returns those of an update that may not be sent anything new, as changes. What an
-// update says of them can be used where the rest of it is at fault: it only makes careful.
+// Leaving returns the members of an update that must not be sent anything new, as changes.
+// It may be applied even if the rest of the update is invalid: it can only stop sends to a
+// searcher.
 func (u Update) Leaving() Update {
 	u.Complete = false
 	u.Members = slices.DeleteFunc(slices.Clone(u.Members), func(m Member) bool {
@@ -74,28 +76,29 @@
 	return u
 }
 
-// Once leaves each member in an update once. Of two that differ neither can be believed
-// more, so the one that may not be sent anything stands, else the later started.
+// Once removes duplicate members from an update. When two entries with the same ID differ,
+// neither is more credible, so it keeps the one that must not be sent anything, or else the
+// one that started later.
 func (u *Update) Once() {
-	at := make(map[string]int, len(u.Members))
+	indexes := make(map[string]int, len(u.Members))
 	members := u.Members[:0]
 	for _, m := range u.Members {
-		i, twice := at[m.ID]
-		if !twice {
-			at[m.ID] = len(members)
+		i, duplicate := indexes[m.ID]
+		if !duplicate {
+			indexes[m.ID] = len(members)
 			members = append(members, m)
 			continue
 		}
 		u.Twice++
-		if was := members[i]; was.Phase == Ready && (m.Phase != Ready || m.UpSinceMS > was.UpSinceMS) {
+		if previous := members[i]; previous.Phase == Ready && (m.Phase != Ready || m.UpSinceMS > previous.UpSinceMS) {
 			members[i] = m
 		}
 	}
 	u.Members = members
 }
 
-// Parse reads one update. Where it returns an error, no more of the update may be used than
-// Leaving says of it.
+// Parse parses one update. If it returns an error, only the result of Leaving may be used of
+// the update.
 func Parse(text []byte) (Update, error) {
 	var u Update
 	if err := json.Unmarshal(text, &u); err != nil {
@@ -108,61 +111,61 @@
 	return u, nil
 }
 
-// MaxObject bounds an object where nothing else is asked for: four times what 1,024
-// searchers take, indented, with long names.
-const MaxObject = 4 << 20
+// MaxObjectSize is the default for Objects.Most in bytes: four times the size of an indented
+// list of 1,024 searchers with long names.
+const MaxObjectSize = 4 << 20
 
-// ErrTooLong is why an object is not read on.
+// ErrTooLong is returned for an object that exceeds the size limit.
 var ErrTooLong = errors.New("catalog: the object is too long")
 
-// Objects finds the JSON objects in what comes on a watch, however it is split and
-// indented. The zero value is ready.
+// Objects splits the data of a watch into JSON objects, however the data is split into reads
+// and indented. The zero value is ready to use.
 type Objects struct {
-	Most   int // bytes of an object; 0 means MaxObject
-	buf    []byte
-	depth  int
-	quoted bool // in a string
-	escape bool // behind a backslash in it
+	Most     int    // largest size of an object in bytes; 0 means MaxObjectSize
+	buf      []byte // the start of an incomplete object
+	depth    int    // of nested objects and arrays
+	inString bool   // inside a string
+	escaped  bool   // after a backslash in a string
 }
 
-// Inside tells whether an object has begun and not ended.
+// Inside reports whether an object has begun and not ended.
 func (o *Objects) Inside() bool { return o.depth > 0 }
 
-// Feed takes in bytes and passes each whole object to emit, which must not keep it. Between
-// objects only white space may stand.
+// Feed adds bytes and passes each complete object to emit, which must not retain it. Only
+// white space is allowed between objects.
 func (o *Objects) Feed(b []byte, emit func([]byte) error) error {
-	most := o.Most
-	if most == 0 {
-		most = MaxObject
+	maxSize := o.Most
+	if maxSize == 0 {
+		maxSize = MaxObjectSize
 	}
-	begin := 0 // of the object in hand, in b
+	start := 0 // index in b at which the current object, or the rest of it, starts
 	for i, c := range b {
 		switch {
-		case o.escape:
-			o.escape = false
-		case o.quoted:
-			o.escape, o.quoted = c == '\\', c != '"'
+		case o.escaped:
+			o.escaped = false
+		case o.inString:
+			o.escaped, o.inString = c == '\\', c != '"'
 		case o.depth == 0 && strings.IndexByte(" \t\r\n", c) >= 0:
 		case o.depth == 0 && c != '{':
 			return fmt.Errorf("catalog: %q between objects, want white space or an object", c)
 		case c == '"':
-			o.quoted = true
+			o.inString = true
 		case c == '{', c == '[':
 			if o.depth == 0 {
-				begin = i
+				start = i
 			}
 			o.depth++
 		case c == '}', c == ']':
 			if o.depth--; o.depth > 0 {
 				break
 			}
-			text := b[begin : i+1]
+			text := b[start : i+1]
 			if len(o.buf) > 0 {
 				text = append(o.buf, text...)
 			}
-			o.buf = nil // the room of a whole list is not needed for changes
-			if len(text) > most {
-				return fmt.Errorf("%w: %d bytes, want %d at most", ErrTooLong, len(text), most)
+			o.buf = nil // frees the memory: changes do not need a buffer of the size of a whole list
+			if len(text) > maxSize {
+				return fmt.Errorf("%w: %d bytes, want %d at most", ErrTooLong, len(text), maxSize)
 			}
 			if err := emit(text); err != nil {
 				return err
@@ -170,8 +173,8 @@
 		}
 	}
 	if o.depth > 0 {
-		if o.buf = append(o.buf, b[begin:]...); len(o.buf) > most {
-			return fmt.Errorf("%w: over %d bytes and no end", ErrTooLong, most)
+		if o.buf = append(o.buf, b[start:]...); len(o.buf) > maxSize {
+			return fmt.Errorf("%w: more than %d bytes and still incomplete", ErrTooLong, maxSize)
 		}
 	}
 	return nil
--- a/internal/format/catalog/catalog_test.go
+++ b/internal/format/catalog/catalog_test.go
@@ -35,7 +35,8 @@
 	}
 }
 
-// Lists may come indented, over several lines, and the network splits them anywhere.
+// Lists may be indented over several lines, and the network may split them anywhere. Each object
+// must be found whole.
 func TestObjects(t *testing.T) {
 	const text = "\n{\"a\": [\n  {\"b\": \"}\\\"{\\\\\"}\n]}\n\n \r\n{}{\"c\":1}\r\n\n{\"d"
 	want := []string{"{\"a\": [\n  {\"b\": \"}\\\"{\\\\\"}\n]}", "{}", "{\"c\":1}"}
@@ -63,8 +64,9 @@
 	}
 }
 
-// Of a member that stands twice, the one that may not be sent anything stands; of an update at fault, that alone.
-func TestMembersThatCannotAllBeBelieved(t *testing.T) {
+// Two entries of one member may contradict each other, in either order: the one by which the searcher must
+// not be sent anything must be kept. Of an invalid update, only such entries may be used.
+func TestLeavingMembersAreKept(t *testing.T) {
 	ready, leaving := `{"id":"s","host_port":"h:1","phase":"Ready"}`, `{"id":"s","phase":"Terminating"}`
 	for _, text := range []string{ready + "," + leaving, leaving + "," + ready} {
 		u, err := Parse([]byte(`{"revision":1,"complete":true,"members":[` + text + `,{"id":"t","phase":"Gone"}]}`))
@@ -78,9 +80,9 @@
 	}
 }
 
-func BenchmarkAWholeList(b *testing.B) {
+func BenchmarkWholeList(b *testing.B) {
 	for _, n := range []int{12, 350, 1024} {
-		text := List(n)
+		text := indentedList(n)
 		b.Run(strconv.Itoa(n), func(b *testing.B) {
 			b.ReportAllocs()
 			b.SetBytes(int64(len(text)))
@@ -94,8 +96,8 @@
 	}
 }
 
-// List is an indented list of so many searchers.
-func List(n int) []byte {
+// indentedList returns an indented member list of n searchers.
+func indentedList(n int) []byte {
 	u := Update{Revision: 1, Complete: true}
 	for i := range n {
 		u.Members = append(u.Members, Member{ID: fmt.Sprintf("s-%08x", i), HostPort: "127.0.0.1:8443", Locality: "zone-a", Flavor: "std", Cell: i / 3, Phase: Ready, Size: 1})
@@ -111,7 +113,7 @@
 	f.Add([]byte(`{"revision":1,"members":[{"id":"s","phase":"Gone"}]}`))
 	f.Fuzz(func(t *testing.T, b []byte) {
 		if u, err := Parse(b); err == nil && u.Check() != nil {
-			t.Errorf("%q is taken, but %v", b, u.Check())
+			t.Errorf("%q is accepted, but %v", b, u.Check())
 		}
 	})
 }
--- a/internal/format/frame/frame.go
+++ b/internal/format/frame/frame.go
@@ -1,5 +1,7 @@
-// Package frame holds an incremental parser and encoders for the frames that
-// gatherers and searchers exchange. It does no I/O.
+// Package frame provides an incremental parser and encoders for the frames that
+// gatherers and searchers exchange. A frame is a length (4 bytes, big-endian), a letter
+// that gives its type, and a payload; the length counts the letter and the payload. The
+// package does no I/O.
 package frame
 
 import (
@@ -13,73 +15,75 @@
 	"unicode/utf8"
 )
 
-// The letters of frames.
+// The letters that give the type of a frame.
 const (
 	Call   = 'q' // from a gatherer: the parts of one call
-	Cancel = 'c' // from a gatherer: the id of a part that is given up
-	Probe  = 'p' // both ways
-	Load   = 'l' // both ways
+	Cancel = 'c' // from a gatherer: the ID of a part that is cancelled
+	Probe  = 'p' // in both directions
+	Load   = 'l' // in both directions
 	Answer = 'a' // from a searcher: the answer to one part
-	Error  = 'e' // from a searcher: the frame before could not be used
+	Error  = 'e' // from a searcher: the preceding frame could not be used
 )
 
-// fromSearcher holds the letters that a searcher sends.
-const fromSearcher = string(Answer) + string(Error) + string(Probe) + string(Load)
+// searcherLetters holds the letters of the frames that a searcher sends.
+const searcherLetters = string(Answer) + string(Error) + string(Probe) + string(Load)
 
-// MaxFrame bounds a frame's length: no value can be passed on that is longer
-// than a body may be (64 KiB), and the line before it is short.
-const MaxFrame = 68 << 10
+// MaxLength is the largest valid length of a frame: a value longer than the largest
+// body (64 KiB) cannot be passed on, and the line before the value is short.
+const MaxLength = 68 << 10
 
-// keep is how much room a parser holds on to while it is empty.
-const keep = 4 << 10
+// retainedCapacity is the largest buffer, in bytes, that an empty parser keeps.
+const retainedCapacity = 4 << 10
 
+// lengthSize is the size of the length at the start of a frame, in bytes.
 const lengthSize = 4
 
-// Frame is one frame. Rest is valid until the parser's next use.
+// Frame is one frame: its letter and its payload, Rest, which is valid only until the
+// next use of the parser.
 type Frame struct {
 	Letter byte
 	Rest   []byte
 }
 
-// Parser parses the frames that come from a searcher on one connection.
+// Parser parses the frames that arrive from a searcher on one connection.
 type Parser struct {
-	buf  []byte
-	used int
+	buf      []byte
+	consumed int // bytes of buf that belong to frames already returned
 }
 
-// Feed adds bytes that have come.
+// Feed adds bytes that have arrived.
 func (p *Parser) Feed(b []byte) {
-	p.buf = append(p.buf[:0], p.buf[p.used:]...)
-	p.used = 0
+	p.buf = append(p.buf[:0], p.buf[p.consumed:]...)
+	p.consumed = 0
 	p.buf = append(p.buf, b...)
 }
 
-// Buffered is how many bytes are held of a frame that has begun.
-func (p *Parser) Buffered() int { return len(p.buf) - p.used }
+// Buffered returns the number of bytes that belong to no frame returned yet.
+func (p *Parser) Buffered() int { return len(p.buf) - p.consumed }
 
-// Next returns the next frame; ok is false until it is whole. After an error
-// the connection can't be read any further. A length or letter that can't be
-// is an error as soon as it is read: what it announces may never come.
+// Next returns the next frame; ok is false while it is incomplete. After an error
+// the connection cannot be read any further. An invalid length or letter is an error as
+// soon as it is read, because the rest of the frame may never arrive.
 func (p *Parser) Next() (f Frame, ok bool, err error) {
-	b := p.buf[p.used:]
-	if len(b) == 0 && cap(p.buf) > keep {
-		p.buf, p.used = nil, 0
+	b := p.buf[p.consumed:]
+	if len(b) == 0 && cap(p.buf) > retainedCapacity {
+		p.buf, p.consumed = nil, 0
 	}
 	if len(b) < lengthSize {
 		return Frame{}, false, nil
 	}
 	n := binary.BigEndian.Uint32(b)
-	if n < 1 || n > MaxFrame {
-		return Frame{}, false, fmt.Errorf("frame of length %d", n)
+	if n < 1 || n > MaxLength {
+		return Frame{}, false, fmt.Errorf("frame length %d, want at least 1 and at most 68 KiB", n)
 	}
-	if len(b) > lengthSize && !strings.ContainsRune(fromSearcher, rune(b[lengthSize])) {
-		return Frame{}, false, fmt.Errorf("unknown letter %q", b[lengthSize])
+	if len(b) > lengthSize && !strings.ContainsRune(searcherLetters, rune(b[lengthSize])) {
+		return Frame{}, false, fmt.Errorf("unknown frame letter %q, want a, e, l or p", b[lengthSize])
 	}
 	if uint32(len(b)-lengthSize) < n {
 		return Frame{}, false, nil
 	}
 	end := lengthSize + int(n)
-	p.used += end
+	p.consumed += end
 	return Frame{Letter: b[lengthSize], Rest: b[lengthSize+1 : end]}, true, nil
 }
 
@@ -88,17 +92,18 @@
 	ID    string
 	Shard int
 	List  List
-	Text  string
+	Text  string // what the searcher is asked
 }
 
-// List is what a part carries beside its text.
+// List holds the optional fields of a part, which are sent before its text.
 type List struct {
-	Wait  time.Duration // how long the gatherer will wait
-	Key   string        // the idempotency key; empty in classes without
-	From  []int         // second step: the shards that were in; nil in the first step
-	Whole bool          // second step: the first step was whole
+	Wait  time.Duration // how long the gatherer waits for the answer
+	Key   string        // the idempotency key; empty in classes that have none
+	From  []int         // second step: the shards whose answers the first step has; nil in the first step
+	Whole bool          // second step: whether the first step was whole
 }
 
+// append appends the list as NAME=VALUE pairs separated by commas. The wait is at least 1 ms.
 func (l List) append(dst []byte) []byte {
 	dst = append(dst, "d="...)
 	dst = strconv.AppendInt(dst, max(l.Wait.Milliseconds(), 1), 10)
@@ -140,30 +145,32 @@
 	})
 }
 
-// AppendCancel appends a frame that gives up a part.
+// AppendCancel appends a frame that cancels a part.
 func AppendCancel(dst []byte, id string) []byte {
 	return appendFrame(dst, Cancel, func(dst []byte) []byte { return append(dst, id...) })
 }
 
-func appendFrame(dst []byte, letter byte, rest func([]byte) []byte) []byte {
-	at := len(dst)
+// appendFrame appends a frame whose payload is written by appendPayload.
+func appendFrame(dst []byte, letter byte, appendPayload func([]byte) []byte) []byte {
+	start := len(dst)
 	dst = append(dst, 0, 0, 0, 0, letter)
-	dst = rest(dst)
-	binary.BigEndian.PutUint32(dst[at:], uint32(len(dst)-at-lengthSize))
+	dst = appendPayload(dst)
+	binary.BigEndian.PutUint32(dst[start:], uint32(len(dst)-start-lengthSize))
 	return dst
 }
 
-// End says how a searcher ended a part.
+// End is how a searcher ended a part.
 type End int
 
 // The ways a searcher can end a part.
 const (
 	Served  End = iota
-	Broke       // it may have run
-	Skipped     // it never ran
+	Broke       // the part failed and may have run
+	Skipped     // the part never ran
 )
 
-var ends = map[string]End{"served": Served, "broke": Broke, "skipped": Skipped}
+// endNames maps the names of ends in an Answer frame.
+var endNames = map[string]End{"served": Served, "broke": Broke, "skipped": Skipped}
 
 // Result is a searcher's answer to one part.
 type Result struct {
@@ -174,32 +181,33 @@
 	Report Report
 }
 
-// Report is what of a load report is used.
+// Report holds the part of a load report that is used.
 type Report struct {
-	Given   bool    // a usable one came
-	Spoilt  bool    // one came that can't be used
-	Waiting float64 // parts that wait at the searcher, of all gatherers: 0 to maxWaiting
+	Given   bool    // a usable report was received
+	Spoilt  bool    // a malformed report was received
+	Waiting float64 // parts of all gatherers that wait at the searcher, from 0 to maxQueueLength
 }
 
-// maxWaiting bounds what is believed of a queue, in parts.
-const maxWaiting = 1e6
+// maxQueueLength is the longest queue, in parts, that is accepted as plausible.
+const maxQueueLength = 1e6
 
-// waitingField names the queue's length in a report, as in settings.stats.fields.
-const waitingField = "waiting"
+// queueField is the name of the queue length in a report, as in settings.stats.fields.
+const queueField = "waiting"
 
-// ParseReport reads a load report, NAME=VALUE pairs set apart by commas, or "-" for none.
-// Fields that are not known are passed over. A report without the queue is no report; one
-// whose queue is no number or can't be is spoilt. Neither spoils the answer it came with.
+// ParseReport parses a load report: NAME=VALUE pairs separated by commas, or "-" for none.
+// Unknown fields are ignored. A report without the queue length counts as no report; one
+// whose queue length is not a number or out of range is malformed. The answer that carries the
+// report is accepted in both cases.
 func ParseReport(text string) Report {
 	for text != "" && text != "-" {
 		var pair string
 		pair, text, _ = strings.Cut(text, ",")
 		name, value, _ := strings.Cut(pair, "=")
-		if name != waitingField {
+		if name != queueField {
 			continue
 		}
 		v, err := strconv.ParseFloat(value, 64)
-		if err != nil || !(v >= 0 && v <= maxWaiting) {
+		if err != nil || !(v >= 0 && v <= maxQueueLength) {
 			return Report{Spoilt: true}
 		}
 		return Report{Given: true, Waiting: v}
@@ -207,20 +215,20 @@
 	return Report{}
 }
 
-var errResult = errors.New("malformed answer")
+var errMalformedAnswer = errors.New("malformed answer")
 
-// ParseAnswer reads the rest of an Answer frame. Only a served part must have
-// a score and a value of valid text. The load report is the rest of the line
-// whatever it holds: an unreadable one spoils nothing, see ParseReport.
+// ParseAnswer parses the payload of an Answer frame. Only a served part must have
+// a score and a value that is valid UTF-8. The load report is the rest of the line,
+// whatever it contains: a malformed one does not invalidate the answer, see ParseReport.
 func ParseAnswer(rest []byte) (Result, error) {
 	line, value, ok := bytes.Cut(rest, []byte("\n"))
 	f := strings.SplitN(string(line), " ", 4)
 	if !ok || len(f) != 4 || f[0] == "" {
-		return Result{}, errResult
+		return Result{}, errMalformedAnswer
 	}
-	end, ok := ends[f[1]]
+	end, ok := endNames[f[1]]
 	if !ok {
-		return Result{}, fmt.Errorf("%w: unknown end %q", errResult, f[1])
+		return Result{}, fmt.Errorf("%w: unknown end %q, want served, broke or skipped", errMalformedAnswer, f[1])
 	}
 	r := Result{ID: f[0], End: end, Report: ParseReport(f[3])}
 	if end != Served {
@@ -228,10 +236,10 @@
 	}
 	score, err := strconv.ParseInt(f[2], 10, 64)
 	if err != nil {
-		return Result{}, fmt.Errorf("%w: score %q", errResult, f[2])
+		return Result{}, fmt.Errorf("%w: score %q, want an integer", errMalformedAnswer, f[2])
 	}
 	if !utf8.Valid(value) {
-		return Result{}, fmt.Errorf("%w: the value is no text", errResult)
+		return Result{}, fmt.Errorf("%w: value is not valid UTF-8", errMalformedAnswer)
 	}
 	r.Score, r.Value = score, string(value)
 	return r, nil
--- a/internal/format/frame/frame_test.go
+++ b/internal/format/frame/frame_test.go
@@ -22,6 +22,8 @@
 	}
 }
 
+// Frames must be the same however the network splits them, and an invalid length or letter
+// must be an error before the rest of the frame arrives, which it may never do.
 func TestFrames(t *testing.T) {
 	text := "\x00\x00\x00\x04et.3\x00\x00\x00\x01p\x00\x00\x00\x03axy"
 	for n := 1; n <= len(text); n++ {
@@ -47,13 +49,13 @@
 		}
 	}
 	for _, text := range []string{
-		"\x00\x00\x00\x00", "\xff\x00\x00\x01", "\x00\x01\x10\x01", // lengths, before anything follows
-		"\x00\x00\x00\x09z", "\x00\x00\x00\x09q", // letters, before the frame is whole
+		"\x00\x00\x00\x00", "\xff\x00\x00\x01", "\x00\x01\x10\x01", // invalid lengths, before any letter
+		"\x00\x00\x00\x09z", "\x00\x00\x00\x09q", // invalid letters, before the frame is complete
 	} {
 		var p Parser
 		p.Feed([]byte(text))
 		if _, _, err := p.Next(); err == nil {
-			t.Errorf("%q is no frame, but was taken", text)
+			t.Errorf("%q is not a valid frame, but was accepted", text)
 		}
 	}
 }
@@ -63,7 +65,7 @@
 		"t.3 served 184 inflight=7,util=0.61\nv": {"t.3", Served, 184, "v", Report{}},
 		"t.3.b served 0 -\n":                     {"t.3.b", Served, 0, "", Report{}},
 		"t.3 served -7 -\na\nb":                  {"t.3", Served, -7, "a\nb", Report{}},
-		"t.3 served 1 a  b =\xff\nv":             {"t.3", Served, 1, "v", Report{}}, // an unreadable report
+		"t.3 served 1 a  b =\xff\nv":             {"t.3", Served, 1, "v", Report{}}, // a malformed report
 		"t.3 served 1 \nv":                       {"t.3", Served, 1, "v", Report{}},
 		"t.3 served 1 rps=31.5,waiting=7\nv":     {"t.3", Served, 1, "v", Report{Given: true, Waiting: 7}},
 		"t.3 skipped 0 waiting=0\n":              {"t.3", Skipped, 0, "", Report{Given: true}},
@@ -79,18 +81,18 @@
 		"t.3 served 1 -\n\xff",
 	} {
 		if got, err := ParseAnswer([]byte(text)); err == nil {
-			t.Errorf("%q was taken for %+v", text, got)
+			t.Errorf("%q was accepted as %+v", text, got)
 		}
 	}
 }
 
-// A report that is missing, new or no number spoils nothing and is not believed.
+// A report that is missing, has unknown fields or an invalid queue length must not be used.
 func TestParseReport(t *testing.T) {
 	for text, want := range map[string]Report{
 		"": {}, "-": {}, "qps=31": {}, "load=3,waiting": {Spoilt: true}, "Waiting=3": {}, "waitings=3,new=x": {},
 		"waiting=3":               {Given: true, Waiting: 3},
 		"qps=31,waiting=2.5,x=y=": {Given: true, Waiting: 2.5},
-		"waiting=3,waiting=x":     {Given: true, Waiting: 3}, // the first counts
+		"waiting=3,waiting=x":     {Given: true, Waiting: 3}, // the first one counts
 		"waiting=x":               {Spoilt: true}, "waiting=": {Spoilt: true}, "waiting=-1": {Spoilt: true},
 		"waiting=NaN": {Spoilt: true}, "waiting=+Inf": {Spoilt: true}, "waiting=1e7": {Spoilt: true},
 		",,,": {}, "=": {}, "waiting=3=4": {Spoilt: true}, strings.Repeat("a=1,", 1000): {},
--- a/internal/format/http1/http1_test.go
+++ b/internal/format/http1/http1_test.go
@@ -46,7 +46,7 @@
 		"chunked, then more":   {post + "Transfer-Encoding: chunked\r\n\r\n0\r\n\r\n" + post + "\r\n", []string{"", ""}},
 		"after a blank line":   {"\r\n" + post + "\r\n", []string{""}},
 		"same length twice":    {post + "Content-Length: 1\r\nContent-Length: 1\r\n\r\na", []string{"a"}},
-		"truncated":            {post + "Content-Length: 9\r\n\r\nabc", nil},
+		"truncated body":       {post + "Content-Length: 9\r\n\r\nabc", nil},
 		"with the longest body": {post + "Content-Length: 65536\r\n\r\n" + strings.Repeat("x", MaxBody),
 			[]string{strings.Repeat("x", MaxBody)}},
 	} {
