--- a/internal/configuration/change/change.go
+++ b/internal/configuration/change/change.go
@@ -1,22 +1,23 @@
-// Package change takes changes of the configuration through their transaction:
-// staged, applied, on probation, then confirmed or undone. It is a state machine
-// without I/O: Step takes one event and returns what must be written and what
-// must be done then. The caller writes the records first, durably where it has a
-// disk, and only then carries out the effects; after a crash it hands the records
-// to Recover.
+// Package change implements the transaction that each change of the configuration
+// goes through: it is staged, applied and watched on probation, then confirmed or
+// undone. It is a state machine without I/O: Step handles one event and returns the
+// records to write and the effects to carry out. The caller writes the records
+// first, durably where it has a disk, and carries out the effects only afterwards.
+// After a crash it passes the records to Recover.
 //
 //	staged -> applying -> probation -> confirmed
 //	   |         |            |
 //	   |         +------------+---> undoing -> undone
 //	   +---> discarded
 //
-// It is the confirmed commit of routers (RFC 6241, 8.4): what is applied and not
-// confirmed in time is undone by itself, and so is what makes service fall.
+// This is the confirmed commit of routers (RFC 6241, 8.4): a change that is applied
+// and not confirmed in time is undone automatically, and so is one that makes
+// service regress.
 //
-// The rule for a second change: at most one transaction is being applied, on
-// probation or being undone. Another may be staged meanwhile; to apply it is
-// refused, not queued. What it was made against is not in force for certain then,
-// and whoever wants it applied should see what came of the first.
+// At most one transaction is being applied, on probation or being undone. Others may
+// be staged meanwhile, but applying one is refused, not queued: the generation that
+// it was made against may not stay in force, and whoever applies it should see the
+// outcome of the first change before.
 package change
 
 import (
@@ -26,133 +27,137 @@
 	"time"
 )
 
-// Generation numbers the configurations that were put in force, from 1. Numbers
-// are never used again, also not that of one that was undone.
+// Generation is the number of a configuration that was put in force, counted from 1.
+// Numbers are never reused, not even that of a configuration that was undone.
 type Generation uint64
 
-// Tx numbers the transactions, from 1.
+// Tx is the number of a transaction, counted from 1.
 type Tx uint64
 
 // Hash is the BLAKE3 hash of a configuration's text.
 type Hash [32]byte
 
-// State is how far a transaction is.
+// State is the state of a transaction.
 type State uint8
 
-// The states of a transaction. One that was refused never becomes a transaction.
+// The states of a transaction. A change that is refused when it is staged never
+// becomes a transaction.
 const (
-	Staged    State = iota // checked, and tried on the world as it is
+	Staged    State = iota // checked, also by a dry run against the current environment
 	Applying               // being put in force
-	Probation              // in force; watched, and to be confirmed
-	Confirmed              // in force for good
-	Undoing                // the last confirmed one is being put in force again
-	Undone                 // it is
-	Discarded              // it was never applied
-	states
+	Probation              // in force, watched by the guard, waiting for confirmation
+	Confirmed              // in force permanently
+	Undoing                // the last confirmed generation is being put in force again
+	Undone                 // the last confirmed generation is in force again
+	Discarded              // never applied
+	stateCount
 )
 
-var stateNames = [states]string{"staged", "applying", "probation", "confirmed", "undoing", "undone", "discarded"}
+var stateNames = [stateCount]string{"staged", "applying", "probation", "confirmed", "undoing", "undone", "discarded"}
 
 func (s State) String() string {
-	if s < states {
+	if s < stateCount {
 		return stateNames[s]
 	}
 	return fmt.Sprintf("State(%d)", uint8(s))
 }
 
-// Over tells that nothing more happens to the transaction.
+// Over reports whether s is a final state.
 func (s State) Over() bool { return s == Confirmed || s == Undone || s == Discarded }
 
-// Active tells that another one can't be applied beside it.
+// Active reports whether a transaction in state s prevents others from being applied.
 func (s State) Active() bool { return s == Applying || s == Probation || s == Undoing }
 
-// Limits bound a Machine. The zero value of a field means its default.
+// Limits bound a Machine. A field that is zero means its default.
 type Limits struct {
-	Staged    int           // transactions that are staged at once; 16. More are refused
-	Kept      int           // transactions that are over and still shown; 256
-	ApplyMost time.Duration // an apply that is not through by then is undone; 5 s
-	Shortest  time.Duration // bounds of the time in which to confirm; 1 s
-	Longest   time.Duration // 24 h
+	MaxStaged    int           // transactions staged at the same time; further ones are refused; default 16
+	MaxFinished  int           // finished transactions that Txs still returns; default 256
+	ApplyTimeout time.Duration // an apply that has not finished after this time is undone; default 5 s
+	MinProbation time.Duration // shortest probation that Apply accepts; default 1 s
+	MaxProbation time.Duration // longest probation that Apply accepts; default 24 h
 }
 
-// An apply is one pointer on the event loop: 5 s are far beyond any pause of it.
-var defaults = Limits{Staged: 16, Kept: 256, ApplyMost: 5 * time.Second, Shortest: time.Second, Longest: 24 * time.Hour}
+// An apply replaces one pointer on the event loop: 5 s are far longer than any pause
+// of the loop.
+var defaults = Limits{MaxStaged: 16, MaxFinished: 256, ApplyTimeout: 5 * time.Second, MinProbation: time.Second, MaxProbation: 24 * time.Hour}
 
-func (l Limits) complete() Limits {
-	if l.Staged <= 0 {
-		l.Staged = defaults.Staged
+func (l Limits) withDefaults() Limits {
+	if l.MaxStaged <= 0 {
+		l.MaxStaged = defaults.MaxStaged
 	}
-	if l.Kept <= 0 {
-		l.Kept = defaults.Kept
+	if l.MaxFinished <= 0 {
+		l.MaxFinished = defaults.MaxFinished
 	}
-	if l.ApplyMost <= 0 {
-		l.ApplyMost = defaults.ApplyMost
+	if l.ApplyTimeout <= 0 {
+		l.ApplyTimeout = defaults.ApplyTimeout
 	}
-	if l.Shortest <= 0 {
-		l.Shortest = defaults.Shortest
+	if l.MinProbation <= 0 {
+		l.MinProbation = defaults.MinProbation
 	}
-	if l.Longest <= 0 {
-		l.Longest = defaults.Longest
+	if l.MaxProbation <= 0 {
+		l.MaxProbation = defaults.MaxProbation
 	}
 	return l
 }
 
-// Record is one transition. The records in the order of Seq are the machine's
-// state, on top of the generation that they begin with.
+// Record is one state transition. A Base and the records that follow it, in the order
+// of Seq, are the persistent state of a Machine. Records are stored as JSON under
+// these field names.
 type Record struct {
 	Seq     uint64
 	Tx      Tx
 	State   State
-	Hash    Hash       // of Staged
-	Against Generation // of Staged: what it was made against
-	Gen     Generation // of Applying: the number that it gets
-	Reason  string     // why it was undone or discarded; who staged it
-	At      time.Time  // by the wall clock, for people
+	Hash    Hash       // set for Staged
+	Against Generation // set for Staged: the generation that the change was made against
+	Gen     Generation // set for Applying: the number that the new generation gets
+	Reason  string     // why it was undone or discarded; for Staged, the submitter's note
+	At      time.Time  // wall clock time, for display
 }
 
-// Event is something that has happened: Stage, Apply, Applied, Confirm, Undo,
-// Fell, Reverted or Tick.
+// Event is an input of Step: Stage, Apply, Applied, Confirm, Undo, Fell, Reverted or
+// Tick.
 type Event interface{ event() }
 
-// Stage brings a configuration that was checked. Result.Tx is its transaction.
+// Stage submits a configuration that was checked. Result.Tx is its transaction.
 type Stage struct {
 	Hash    Hash
-	Against Generation // 0: the one that is confirmed now
+	Against Generation // 0: the generation that is confirmed now
 	Note    string
 }
 
-// Apply asks for a staged one to be put in force.
+// Apply requests that a staged transaction is put in force.
 type Apply struct {
 	Tx     Tx
-	Within time.Duration // of probation
-	Auto   bool          // at the end of probation it is confirmed, not undone
+	Within time.Duration // length of the probation
+	Auto   bool          // confirm at the end of the probation instead of undoing
 }
 
-// Applied tells that an apply is through, or why it failed.
+// Applied reports that a Swap was carried out, or why it failed.
 type Applied struct {
 	Tx  Tx
 	Err error
 }
 
-// Confirm makes one that is on probation stay.
+// Confirm confirms the transaction that is on probation.
 type Confirm struct{ Tx Tx }
 
-// Undo takes one back that is not confirmed.
+// Undo discards a staged transaction, or undoes one that is not confirmed yet.
 type Undo struct {
 	Tx     Tx
 	Reason string
 }
 
-// Fell tells that service has fallen since an apply.
+// Fell reports that service has regressed since an apply.
 type Fell struct {
 	Tx     Tx
 	Reason string
 }
 
-// Reverted tells that the last confirmed generation is in force again.
+// Reverted reports that a Revert was carried out: the last confirmed generation is in
+// force again.
 type Reverted struct{ Tx Tx }
 
-// Tick tells that time has gone by.
+// Tick reports that time has passed.
 type Tick struct{}
 
 func (Stage) event()    {}
@@ -164,8 +169,9 @@
 func (Reverted) event() {}
 func (Tick) event()     {}
 
-// Effect is something to be done: Swap, Revert or Ended. Effects are carried out
-// in their order; Swap and Revert are answered by Applied and Reverted.
+// Effect is an action that the caller carries out: Swap, Revert or Ended. Effects are
+// carried out in their order. The caller acknowledges Swap with an Applied event and
+// Revert with a Reverted event.
 type Effect interface{ effect() }
 
 // Swap puts a generation in force.
@@ -182,7 +188,7 @@
 	Hash Hash
 }
 
-// Ended tells that a transaction is over.
+// Ended reports that a transaction has reached a final state.
 type Ended struct {
 	Tx     Tx
 	State  State
@@ -193,71 +199,72 @@
 func (Revert) effect() {}
 func (Ended) effect()  {}
 
-// Result is what a step asks for.
+// Result is the outcome of one event.
 type Result struct {
 	Records []Record
 	Effects []Effect
-	Tx      Tx    // of a Stage
+	Tx      Tx    // of a Stage: the new transaction
 	Err     error // why the event was refused
 }
 
-// The reasons for a refusal.
+// The reasons for refusing an event.
 var (
-	ErrBusy    = errors.New("another change is under way")
-	ErrStale   = errors.New("it was made against another generation")
-	ErrNoTx    = errors.New("no such transaction")
-	ErrState   = errors.New("it is in another state")
-	ErrFull    = errors.New("too many changes are staged")
-	ErrWithin  = errors.New("the time to confirm is out of bounds")
-	ErrNothing = errors.New("it is what is in force already")
+	ErrBusy      = errors.New("another change is under way")
+	ErrStale     = errors.New("the change was made against another generation")
+	ErrNoTx      = errors.New("no such transaction")
+	ErrState     = errors.New("it is in another state")
+	ErrFull      = errors.New("too many changes are staged")
+	ErrProbation = errors.New("the probation time is out of bounds")
+	ErrNothing   = errors.New("the configuration is in force already")
 )
 
-// tx is one transaction.
-type tx struct {
-	id      Tx
-	state   State
-	hash    Hash
-	against Generation
-	gen     Generation
-	within  time.Duration
-	auto    bool
-	due     time.Time // of Applying and Probation: undone, or confirmed, by then
-	reason  string
-	at      time.Time
-}
-
-// Counts are what a Machine has done and turned away.
+// transaction is the state of one transaction.
+type transaction struct {
+	id          Tx
+	state       State
+	hash        Hash
+	against     Generation
+	gen         Generation
+	probation   time.Duration
+	autoConfirm bool
+	deadline    time.Time // in Applying and Probation: when it is undone, or confirmed by autoConfirm
+	reason      string
+	changedAt   time.Time // of the last transition
+}
+
+// Counts counts the events that a Machine has accepted and refused. Its field names
+// are keys of the admin status.
 type Counts struct {
 	Staged, Applied, Confirmed, Undone, Discarded, Refused int
-	Fell, Unconfirmed, Crashed                             int // why they were undone
+	Fell, Unconfirmed, Crashed                             int // undone transactions by reason
 }
 
-// Machine is the state machine. Make it with New or Recover.
+// Machine is the state machine. Create it with New or Recover.
 type Machine struct {
-	limits    Limits
-	seq       uint64
-	last      Tx
-	lastGen   Generation
-	confirmed Generation
-	hash      Hash // of confirmed
-	txs       map[Tx]*tx
-	order     []Tx
-	active    Tx // 0: none
-	counts    Counts
-}
-
-// New returns a machine with a first generation in force.
+	limits        Limits
+	lastSeq       uint64
+	lastTx        Tx
+	lastGen       Generation
+	confirmed     Generation
+	confirmedHash Hash
+	txs           map[Tx]*transaction
+	order         []Tx // keys of txs in the order in which they were staged
+	active        Tx   // 0: none
+	counts        Counts
+}
+
+// New returns a machine whose first generation is in force.
 func New(first Hash, l Limits) *Machine {
-	return &Machine{limits: l.complete(), lastGen: 1, confirmed: 1, hash: first, txs: make(map[Tx]*tx)}
+	return &Machine{limits: l.withDefaults(), lastGen: 1, confirmed: 1, confirmedHash: first, txs: make(map[Tx]*transaction)}
 }
 
-// Confirmed is the last confirmed generation.
-func (m *Machine) Confirmed() (Generation, Hash) { return m.confirmed, m.hash }
+// Confirmed returns the last confirmed generation.
+func (m *Machine) Confirmed() (Generation, Hash) { return m.confirmed, m.confirmedHash }
 
-// Counts are what was done so far.
+// Counts returns the counts since the machine was created.
 func (m *Machine) Counts() Counts { return m.counts }
 
-// Status is a transaction as it is shown.
+// Status describes a transaction for display.
 type Status struct {
 	Tx      Tx
 	State   State
@@ -265,29 +272,30 @@
 	Against Generation
 	Gen     Generation // 0 until it is applied
 	Auto    bool
-	Due     time.Time // of Probation
+	Due     time.Time // end of its Probation
 	Reason  string
 	At      time.Time // of the last transition
 }
 
-// Txs are those that are not over and the last that are, in the order they came.
+// Txs returns the unfinished transactions and the latest finished ones, in the order
+// in which they were staged.
 func (m *Machine) Txs() (out []Status) {
 	for _, id := range m.order {
 		t := m.txs[id]
-		out = append(out, Status{t.id, t.state, t.hash, t.against, t.gen, t.auto, t.due, t.reason, t.at})
+		out = append(out, Status{t.id, t.state, t.hash, t.against, t.gen, t.autoConfirm, t.deadline, t.reason, t.changedAt})
 	}
 	return out
 }
 
-// step is one Step in the making.
+// step holds the state of one call of Step.
 type step struct {
 	*Machine
 	now    time.Time
 	result Result
 }
 
-// Step takes in one event. Times are compared by the monotonic clock where now
-// carries one, so a clock that is set does not end a probation.
+// Step handles one event. Times are compared by the monotonic clock where now carries
+// one, so setting the wall clock does not end a probation.
 func (m *Machine) Step(now time.Time, e Event) Result {
 	s := &step{Machine: m, now: now}
 	switch e := e.(type) {
@@ -298,46 +306,46 @@
 	case Applied:
 		s.applied(e)
 	case Confirm:
-		if t := s.in(e.Tx, Probation); t != nil {
+		if t := s.require(e.Tx, Probation); t != nil {
 			s.confirm(t)
 		}
 	case Undo:
-		if t := s.in(e.Tx, Staged, Applying, Probation); t != nil && t.state == Staged {
-			s.end(t, Discarded, e.Reason)
+		if t := s.require(e.Tx, Staged, Applying, Probation); t != nil && t.state == Staged {
+			s.finish(t, Discarded, e.Reason)
 		} else if t != nil {
 			s.undo(t, e.Reason)
 		}
 	case Fell:
-		// The guard may see a fall while the transaction ends by itself.
+		// The guard may report a regression after the transaction has ended for another reason.
 		if t := m.txs[e.Tx]; t != nil && (t.state == Probation || t.state == Applying) {
 			s.counts.Fell++
 			s.undo(t, e.Reason)
 		}
 	case Reverted:
 		if t := m.txs[e.Tx]; t != nil && t.state == Undoing {
-			s.end(t, Undone, t.reason)
+			s.finish(t, Undone, t.reason)
 		}
 	}
 	s.expire()
 	if s.result.Err != nil {
 		s.counts.Refused++
 	}
-	m.forget()
+	m.dropFinished()
 	return s.result
 }
 
-func (s *step) do(e Effect) { s.result.Effects = append(s.result.Effects, e) }
+func (s *step) addEffect(e Effect) { s.result.Effects = append(s.result.Effects, e) }
 
-// turn takes a transaction to a state and records it.
-func (s *step) turn(t *tx, to State) {
-	s.seq++
-	t.state, t.at = to, s.now
+// transition changes the state of a transaction and records the change.
+func (s *step) transition(t *transaction, to State) {
+	s.lastSeq++
+	t.state, t.changedAt = to, s.now
 	if s.active == t.id && !to.Active() {
 		s.active = 0
 	} else if to.Active() {
 		s.active = t.id
 	}
-	r := Record{Seq: s.seq, Tx: t.id, State: to, Reason: t.reason, At: s.now.Round(0)}
+	r := Record{Seq: s.lastSeq, Tx: t.id, State: to, Reason: t.reason, At: s.now.Round(0)}
 	switch to {
 	case Staged:
 		r.Hash, r.Against = t.hash, t.against
@@ -347,8 +355,9 @@
 	s.result.Records = append(s.result.Records, r)
 }
 
-// in returns a transaction in one of some states, else it refuses the event.
-func (s *step) in(id Tx, wanted ...State) *tx {
+// require returns the transaction if it is in one of the wanted states. Otherwise it
+// refuses the event and returns nil.
+func (s *step) require(id Tx, wanted ...State) *transaction {
 	t := s.txs[id]
 	switch {
 	case t == nil:
@@ -372,142 +381,146 @@
 		}
 	}
 	switch {
-	case staged >= s.limits.Staged:
-		s.result.Err = fmt.Errorf("%w: %d, at most %d", ErrFull, staged, s.limits.Staged)
+	case staged >= s.limits.MaxStaged:
+		s.result.Err = fmt.Errorf("%w: %d, at most %d", ErrFull, staged, s.limits.MaxStaged)
 	case e.Against != s.confirmed:
 		s.result.Err = fmt.Errorf("%w: %d, in force is %d", ErrStale, e.Against, s.confirmed)
-	case e.Hash == s.hash:
+	case e.Hash == s.confirmedHash:
 		s.result.Err = fmt.Errorf("generation %d: %w", s.confirmed, ErrNothing)
 	default:
-		s.last++
-		t := &tx{id: s.last, hash: e.Hash, against: e.Against, reason: e.Note}
+		s.lastTx++
+		t := &transaction{id: s.lastTx, hash: e.Hash, against: e.Against, reason: e.Note}
 		s.txs[t.id] = t
 		s.order = append(s.order, t.id)
 		s.counts.Staged++
 		s.result.Tx = t.id
-		s.turn(t, Staged)
+		s.transition(t, Staged)
 	}
 }
 
 func (s *step) apply(e Apply) {
-	t := s.in(e.Tx, Staged)
+	t := s.require(e.Tx, Staged)
 	switch {
 	case t == nil:
 	case s.active != 0:
 		s.result.Err = fmt.Errorf("%w: transaction %d is %v", ErrBusy, s.active, s.txs[s.active].state)
 	case t.against != s.confirmed:
 		s.result.Err = fmt.Errorf("%w: %d, in force is %d", ErrStale, t.against, s.confirmed)
-	case e.Within < s.limits.Shortest || e.Within > s.limits.Longest:
-		s.result.Err = fmt.Errorf("%w: %v, want %v to %v", ErrWithin, e.Within, s.limits.Shortest, s.limits.Longest)
+	case e.Within < s.limits.MinProbation || e.Within > s.limits.MaxProbation:
+		s.result.Err = fmt.Errorf("%w: %v, want %v to %v", ErrProbation, e.Within, s.limits.MinProbation, s.limits.MaxProbation)
 	default:
 		s.lastGen++
-		t.gen, t.within, t.auto, t.due = s.lastGen, e.Within, e.Auto, s.now.Add(s.limits.ApplyMost)
+		t.gen, t.probation, t.autoConfirm, t.deadline = s.lastGen, e.Within, e.Auto, s.now.Add(s.limits.ApplyTimeout)
 		s.counts.Applied++
-		s.turn(t, Applying)
-		s.do(Swap{t.id, t.gen, t.hash})
+		s.transition(t, Applying)
+		s.addEffect(Swap{t.id, t.gen, t.hash})
 	}
 }
 
 func (s *step) applied(e Applied) {
 	t := s.txs[e.Tx]
 	switch {
-	case t == nil || t.state != Applying: // it is being undone by now
+	case t == nil || t.state != Applying: // its undo has begun already
 	case e.Err != nil:
 		s.undo(t, "could not be applied: "+e.Err.Error())
 	default:
-		t.due = s.now.Add(t.within)
-		s.turn(t, Probation)
+		t.deadline = s.now.Add(t.probation)
+		s.transition(t, Probation)
 	}
 }
 
-func (s *step) confirm(t *tx) {
-	s.confirmed, s.hash = t.gen, t.hash
+func (s *step) confirm(t *transaction) {
+	s.confirmed, s.confirmedHash = t.gen, t.hash
 	s.counts.Confirmed++
-	s.turn(t, Confirmed)
-	s.do(Ended{t.id, Confirmed, t.reason})
+	s.transition(t, Confirmed)
+	s.addEffect(Ended{t.id, Confirmed, t.reason})
 }
 
-// undo begins to put the last confirmed generation in force again.
-func (s *step) undo(t *tx, reason string) {
+// undo starts to put the last confirmed generation in force again.
+func (s *step) undo(t *transaction, reason string) {
 	t.reason = reason
-	s.turn(t, Undoing)
-	s.do(Revert{t.id, s.confirmed, s.hash})
+	s.transition(t, Undoing)
+	s.addEffect(Revert{t.id, s.confirmed, s.confirmedHash})
 }
 
-func (s *step) end(t *tx, to State, reason string) {
+// finish takes a transaction that is not confirmed to its final state.
+func (s *step) finish(t *transaction, to State, reason string) {
 	t.reason = reason
 	if to == Undone {
 		s.counts.Undone++
 	} else {
 		s.counts.Discarded++
 	}
-	s.turn(t, to)
-	s.do(Ended{t.id, to, reason})
+	s.transition(t, to)
+	s.addEffect(Ended{t.id, to, reason})
 }
 
-// expire ends what has lasted too long.
+// expire undoes, or automatically confirms, the active transaction once its deadline
+// has passed.
 func (s *step) expire() {
 	t := s.txs[s.active]
-	if t == nil || t.state == Undoing || s.now.Before(t.due) {
+	if t == nil || t.state == Undoing || s.now.Before(t.deadline) {
 		return
 	}
 	switch {
 	case t.state == Applying:
-		s.undo(t, fmt.Sprintf("not applied within %v", s.limits.ApplyMost))
-	case t.auto:
+		s.undo(t, fmt.Sprintf("not applied within %v", s.limits.ApplyTimeout))
+	case t.autoConfirm:
 		s.confirm(t)
 	default:
 		s.counts.Unconfirmed++
-		s.undo(t, fmt.Sprintf("not confirmed within %v", t.within))
+		s.undo(t, fmt.Sprintf("not confirmed within %v", t.probation))
 	}
 }
 
-// forget drops the oldest that are over beyond those that are kept.
-func (m *Machine) forget() {
-	over := 0
+// dropFinished removes the oldest finished transactions beyond Limits.MaxFinished.
+func (m *Machine) dropFinished() {
+	finished := 0
 	for _, t := range m.txs {
 		if t.state.Over() {
-			over++
+			finished++
 		}
 	}
 	m.order = slices.DeleteFunc(m.order, func(id Tx) bool {
-		if over <= m.limits.Kept || !m.txs[id].state.Over() {
+		if finished <= m.limits.MaxFinished || !m.txs[id].state.Over() {
 			return false
 		}
-		over--
+		finished--
 		delete(m.txs, id)
 		return true
 	})
 }
 
-// Base is where records begin.
+// Base is the state of a machine without unfinished transactions, onto which later
+// records are replayed. It is stored as JSON under these field names.
 type Base struct {
 	Seq       uint64 // of the last record before
-	Tx        Tx     // the last that was given out
+	Tx        Tx     // the last number that was assigned
 	Gen       Generation
 	Confirmed Generation
 	Hash      Hash
 }
 
-// Base is where later records can begin, so that those so far need not be kept.
-// There is none while a transaction is not over.
+// Base returns the current state as a base for later records, so that the records so
+// far need not be kept. It returns false while a transaction is unfinished.
 func (m *Machine) Base() (Base, bool) {
 	for _, t := range m.txs {
 		if !t.state.Over() {
 			return Base{}, false
 		}
 	}
-	return Base{m.seq, m.last, m.lastGen, m.confirmed, m.hash}, true
+	return Base{m.lastSeq, m.lastTx, m.lastGen, m.confirmed, m.confirmedHash}, true
 }
 
-// Recover makes a machine from what one before has written. A transaction that
-// was under way is undone, since what was in force is gone with the process: the
-// last confirmed generation is to be put in force, and the result's records are
-// to be written, before anything else is done. Staged ones stay.
+// Recover restores a machine from the records of an earlier process. A transaction
+// that was active is undone, since the configuration that was in force ended with
+// that process. Before anything else, the caller must put the last confirmed
+// generation in force and write the records of the result. Staged transactions stay
+// staged.
 func Recover(now time.Time, b Base, l Limits, records []Record) (*Machine, Result, error) {
 	m := &Machine{
-		limits: l.complete(), seq: b.Seq, last: b.Tx, lastGen: b.Gen, confirmed: b.Confirmed, hash: b.Hash,
-		txs: make(map[Tx]*tx),
+		limits: l.withDefaults(), lastSeq: b.Seq, lastTx: b.Tx, lastGen: b.Gen, confirmed: b.Confirmed, confirmedHash: b.Hash,
+		txs: make(map[Tx]*transaction),
 	}
 	for i, r := range records {
 		if err := m.replay(r); err != nil {
@@ -520,37 +533,37 @@
 		if t.state != Undoing {
 			reason = "the process ended while it was " + t.state.String()
 			t.reason = reason
-			s.turn(t, Undoing)
+			s.transition(t, Undoing)
 		}
 		m.counts.Crashed++
-		s.end(t, Undone, reason)
+		s.finish(t, Undone, reason)
 	}
-	m.forget()
+	m.dropFinished()
 	return m, s.result, nil
 }
 
-// replay takes in one record.
+// replay checks one record and applies it to the machine.
 func (m *Machine) replay(r Record) error {
-	if r.Seq != m.seq+1 {
-		return fmt.Errorf("follows number %d", m.seq)
+	if r.Seq != m.lastSeq+1 {
+		return fmt.Errorf("follows number %d", m.lastSeq)
 	}
-	m.seq = r.Seq
+	m.lastSeq = r.Seq
 	t := m.txs[r.Tx]
 	if (t == nil) != (r.State == Staged) {
-		return fmt.Errorf("transaction %d turns %v: %w", r.Tx, r.State, ErrNoTx)
+		return fmt.Errorf("transaction %d becomes %v: %w", r.Tx, r.State, ErrNoTx)
 	}
 	if t == nil {
-		t = &tx{id: r.Tx, hash: r.Hash, against: r.Against}
-		m.txs[r.Tx], m.last = t, max(m.last, r.Tx)
+		t = &transaction{id: r.Tx, hash: r.Hash, against: r.Against}
+		m.txs[r.Tx], m.lastTx = t, max(m.lastTx, r.Tx)
 		m.order = append(m.order, r.Tx)
-	} else if !t.state.leads(r.State) {
-		return fmt.Errorf("transaction %d turns %v, but is %v", r.Tx, r.State, t.state)
+	} else if !t.state.canBecome(r.State) {
+		return fmt.Errorf("transaction %d becomes %v, but is %v", r.Tx, r.State, t.state)
 	}
-	t.state, t.reason, t.at = r.State, r.Reason, r.At
+	t.state, t.reason, t.changedAt = r.State, r.Reason, r.At
 	switch {
 	case r.State.Active():
 		if m.active != 0 && m.active != r.Tx {
-			return fmt.Errorf("transaction %d turns %v while %d is under way", r.Tx, r.State, m.active)
+			return fmt.Errorf("transaction %d becomes %v while %d is active", r.Tx, r.State, m.active)
 		}
 		m.active = r.Tx
 	case m.active == r.Tx:
@@ -559,17 +572,17 @@
 	switch r.State {
 	case Applying:
 		if r.Gen <= m.lastGen {
-			return fmt.Errorf("generation %d was given out before", r.Gen)
+			return fmt.Errorf("generation %d was assigned before", r.Gen)
 		}
 		t.gen, m.lastGen = r.Gen, r.Gen
 	case Confirmed:
-		m.confirmed, m.hash = t.gen, t.hash
+		m.confirmed, m.confirmedHash = t.gen, t.hash
 	}
 	return nil
 }
 
-// leads tells that a state can come right after s.
-func (s State) leads(to State) bool {
+// canBecome reports whether a transaction may go from state s directly to state to.
+func (s State) canBecome(to State) bool {
 	switch s {
 	case Staged:
 		return to == Applying || to == Discarded
--- a/internal/configuration/change/change_test.go
+++ b/internal/configuration/change/change_test.go
@@ -8,197 +8,197 @@
 
 var t0 = time.Unix(1_000_000, 0)
 
-// world is a machine, what it has written, and what is in force.
-type world struct {
+// harness drives a Machine and keeps the records and the effects that it returns.
+type harness struct {
 	t       *testing.T
-	m       *Machine
+	machine *Machine
 	now     time.Time
-	log     []Record
+	records []Record
 	effects []Effect
 }
 
-func newWorld(t *testing.T) *world {
-	return &world{t: t, m: New(Hash{1}, Limits{}), now: t0}
+func newHarness(t *testing.T) *harness {
+	return &harness{t: t, machine: New(Hash{1}, Limits{}), now: t0}
 }
 
-func (w *world) step(e Event) Result {
-	w.t.Helper()
-	r := w.m.Step(w.now, e)
-	w.log = append(w.log, r.Records...)
-	w.effects = r.Effects
+func (h *harness) step(e Event) Result {
+	h.t.Helper()
+	r := h.machine.Step(h.now, e)
+	h.records = append(h.records, r.Records...)
+	h.effects = r.Effects
 	return r
 }
 
-func (w *world) ok(e Event) Tx {
-	w.t.Helper()
-	r := w.step(e)
+func (h *harness) accept(e Event) Tx {
+	h.t.Helper()
+	r := h.step(e)
 	if r.Err != nil {
-		w.t.Fatalf("%+v: %v", e, r.Err)
+		h.t.Fatalf("%+v: %v", e, r.Err)
 	}
 	return r.Tx
 }
 
-func (w *world) refused(e Event, want error) {
-	w.t.Helper()
-	if r := w.step(e); !errors.Is(r.Err, want) || len(r.Records)+len(r.Effects) > 0 {
-		w.t.Errorf("%+v: %v with %v, want %v", e, r.Err, r.Effects, want)
+func (h *harness) checkRefused(e Event, want error) {
+	h.t.Helper()
+	if r := h.step(e); !errors.Is(r.Err, want) || len(r.Records)+len(r.Effects) > 0 {
+		h.t.Errorf("%+v: %v with %v, want %v", e, r.Err, r.Effects, want)
 	}
 }
 
-func (w *world) is(id Tx, want State) {
-	w.t.Helper()
-	for _, s := range w.m.Txs() {
+func (h *harness) checkState(id Tx, want State) {
+	h.t.Helper()
+	for _, s := range h.machine.Txs() {
 		if s.Tx == id && s.State != want {
-			w.t.Errorf("transaction %d is %v (%s), want %v", id, s.State, s.Reason, want)
+			h.t.Errorf("transaction %d is %v (%s), want %v", id, s.State, s.Reason, want)
 		}
 	}
 }
 
-// probation brings a configuration up to its probation.
-func (w *world) probation(h Hash, auto bool) Tx {
-	w.t.Helper()
-	id := w.ok(Stage{Hash: h})
-	w.ok(Apply{Tx: id, Within: time.Minute, Auto: auto})
-	if s, ok := w.effects[0].(Swap); !ok || s.Hash != h || s.Tx != id {
-		w.t.Fatalf("effects %v", w.effects)
+// startProbation stages and applies a configuration, so that it is on probation.
+func (h *harness) startProbation(hash Hash, auto bool) Tx {
+	h.t.Helper()
+	id := h.accept(Stage{Hash: hash})
+	h.accept(Apply{Tx: id, Within: time.Minute, Auto: auto})
+	if s, ok := h.effects[0].(Swap); !ok || s.Hash != hash || s.Tx != id {
+		h.t.Fatalf("effects %v", h.effects)
 	}
-	w.ok(Applied{Tx: id})
-	w.is(id, Probation)
+	h.accept(Applied{Tx: id})
+	h.checkState(id, Probation)
 	return id
 }
 
-func TestAChangeIsConfirmed(t *testing.T) {
-	w := newWorld(t)
-	id := w.probation(Hash{2}, false)
-	if g, _ := w.m.Confirmed(); g != 1 {
+func TestConfirmedChangeStaysInForce(t *testing.T) {
+	h := newHarness(t)
+	id := h.startProbation(Hash{2}, false)
+	if g, _ := h.machine.Confirmed(); g != 1 {
 		t.Errorf("generation %d before it is confirmed", g)
 	}
-	w.ok(Confirm{id})
-	if g, h := w.m.Confirmed(); g != 2 || h != (Hash{2}) {
+	h.accept(Confirm{id})
+	if g, hash := h.machine.Confirmed(); g != 2 || hash != (Hash{2}) {
 		t.Errorf("generation %d", g)
 	}
-	w.refused(Undo{Tx: id}, ErrState)
-	w.refused(Confirm{id}, ErrState)
+	h.checkRefused(Undo{Tx: id}, ErrState)
+	h.checkRefused(Confirm{id}, ErrState)
 }
 
-func TestWhatIsNotConfirmedIsUndone(t *testing.T) {
-	w := newWorld(t)
-	id := w.probation(Hash{2}, false)
-	w.now = w.now.Add(time.Minute - 1)
-	w.ok(Tick{})
-	w.is(id, Probation)
-	w.now = w.now.Add(1)
-	w.ok(Tick{})
-	if r, ok := w.effects[0].(Revert); !ok || r.Gen != 1 || r.Hash != (Hash{1}) {
-		t.Errorf("effects %v", w.effects)
-	}
-	w.refused(Confirm{id}, ErrState) // too late: the undo has begun
-	w.ok(Reverted{id})
-	w.is(id, Undone)
-	// The number is not used again.
-	if next := w.probation(Hash{3}, true); next != 2 {
+func TestUnconfirmedChangeIsUndone(t *testing.T) {
+	h := newHarness(t)
+	id := h.startProbation(Hash{2}, false)
+	h.now = h.now.Add(time.Minute - 1)
+	h.accept(Tick{})
+	h.checkState(id, Probation)
+	h.now = h.now.Add(1)
+	h.accept(Tick{})
+	if r, ok := h.effects[0].(Revert); !ok || r.Gen != 1 || r.Hash != (Hash{1}) {
+		t.Errorf("effects %v", h.effects)
+	}
+	h.checkRefused(Confirm{id}, ErrState) // too late: the undo has begun
+	h.accept(Reverted{id})
+	h.checkState(id, Undone)
+	// The generation number is not reused.
+	if next := h.startProbation(Hash{3}, true); next != 2 {
 		t.Errorf("transaction %d", next)
 	}
-	w.now = w.now.Add(time.Minute)
-	w.ok(Tick{})
-	if g, _ := w.m.Confirmed(); g != 3 {
-		t.Errorf("generation %d, want 3: it was to be confirmed by itself", g)
+	h.now = h.now.Add(time.Minute)
+	h.accept(Tick{})
+	if g, _ := h.machine.Confirmed(); g != 3 {
+		t.Errorf("generation %d, want 3: it should be confirmed automatically", g)
 	}
 }
 
-func TestTheGuardUndoes(t *testing.T) {
-	w := newWorld(t)
-	id := w.probation(Hash{2}, true)
-	w.ok(Fell{id, "search: 40% failed"})
-	w.is(id, Undoing)
-	w.ok(Fell{id, "once more"})
-	w.ok(Reverted{id})
-	if s := w.m.Txs()[0]; s.Reason != "search: 40% failed" || w.m.Counts().Fell != 1 {
-		t.Errorf("%+v, %+v", s, w.m.Counts())
+func TestRegressionUndoesAChange(t *testing.T) {
+	h := newHarness(t)
+	id := h.startProbation(Hash{2}, true)
+	h.accept(Fell{id, "search: 40% failed"})
+	h.checkState(id, Undoing)
+	h.accept(Fell{id, "once more"})
+	h.accept(Reverted{id})
+	if s := h.machine.Txs()[0]; s.Reason != "search: 40% failed" || h.machine.Counts().Fell != 1 {
+		t.Errorf("%+v, %+v", s, h.machine.Counts())
 	}
 }
 
-func TestASecondChangeIsRefusedUntilTheFirstIsOver(t *testing.T) {
-	w := newWorld(t)
-	first := w.probation(Hash{2}, false)
-	second := w.ok(Stage{Hash: Hash{3}})
+func TestSecondApplyIsRefusedUntilTheFirstIsFinished(t *testing.T) {
+	h := newHarness(t)
+	first := h.startProbation(Hash{2}, false)
+	second := h.accept(Stage{Hash: Hash{3}})
 	apply := Apply{Tx: second, Within: time.Minute}
-	w.refused(apply, ErrBusy)
-	w.ok(Undo{first, "by hand"})
-	w.refused(apply, ErrBusy) // while it is being undone, too
-	w.ok(Reverted{first})
-	w.ok(apply)
-	w.ok(Applied{Tx: second})
-	w.ok(Confirm{second})
-	w.refused(Stage{Hash: Hash{4}, Against: 1}, ErrStale)
-	w.refused(Stage{Hash: Hash{3}}, ErrNothing)
+	h.checkRefused(apply, ErrBusy)
+	h.accept(Undo{first, "by hand"})
+	h.checkRefused(apply, ErrBusy) // while it is being undone, too
+	h.accept(Reverted{first})
+	h.accept(apply)
+	h.accept(Applied{Tx: second})
+	h.accept(Confirm{second})
+	h.checkRefused(Stage{Hash: Hash{4}, Against: 1}, ErrStale)
+	h.checkRefused(Stage{Hash: Hash{3}}, ErrNothing)
 }
 
-func TestWhatWasStagedBeforeAnotherWasConfirmedIsStale(t *testing.T) {
-	w := newWorld(t)
-	first, second := w.ok(Stage{Hash: Hash{2}}), w.ok(Stage{Hash: Hash{3}})
-	w.ok(Apply{Tx: first, Within: time.Minute})
-	w.ok(Applied{Tx: first})
-	w.ok(Confirm{first})
-	w.refused(Apply{Tx: second, Within: time.Minute}, ErrStale)
-	w.ok(Undo{second, "stale"})
-	w.is(second, Discarded)
+func TestStagedChangeIsStaleAfterAnotherIsConfirmed(t *testing.T) {
+	h := newHarness(t)
+	first, second := h.accept(Stage{Hash: Hash{2}}), h.accept(Stage{Hash: Hash{3}})
+	h.accept(Apply{Tx: first, Within: time.Minute})
+	h.accept(Applied{Tx: first})
+	h.accept(Confirm{first})
+	h.checkRefused(Apply{Tx: second, Within: time.Minute}, ErrStale)
+	h.accept(Undo{second, "stale"})
+	h.checkState(second, Discarded)
 }
 
-func TestBoundsAndFailures(t *testing.T) {
-	w := newWorld(t)
-	id := w.ok(Stage{Hash: Hash{2}})
-	w.refused(Apply{Tx: id, Within: time.Millisecond}, ErrWithin)
-	w.refused(Apply{Tx: id, Within: 48 * time.Hour}, ErrWithin)
-	w.refused(Apply{Tx: 9, Within: time.Minute}, ErrNoTx)
-	w.refused(Confirm{id}, ErrState)
-	for range defaults.Staged - 1 {
-		w.ok(Stage{Hash: Hash{3}})
-	}
-	w.refused(Stage{Hash: Hash{3}}, ErrFull)
-	w.ok(Apply{Tx: id, Within: time.Minute})
-	w.ok(Applied{id, errors.New("no descriptors")})
-	w.is(id, Undoing)
-	w.ok(Reverted{id})
-	hung := Tx(2)
-	w.ok(Apply{Tx: hung, Within: time.Minute})
-	w.now = w.now.Add(defaults.ApplyMost)
-	w.ok(Tick{})
-	w.is(hung, Undoing)
-	w.ok(Applied{Tx: hung}) // comes after all
-	w.is(hung, Undoing)
+func TestBoundsFailedAndOverdueApplies(t *testing.T) {
+	h := newHarness(t)
+	id := h.accept(Stage{Hash: Hash{2}})
+	h.checkRefused(Apply{Tx: id, Within: time.Millisecond}, ErrProbation)
+	h.checkRefused(Apply{Tx: id, Within: 48 * time.Hour}, ErrProbation)
+	h.checkRefused(Apply{Tx: 9, Within: time.Minute}, ErrNoTx)
+	h.checkRefused(Confirm{id}, ErrState)
+	for range defaults.MaxStaged - 1 {
+		h.accept(Stage{Hash: Hash{3}})
+	}
+	h.checkRefused(Stage{Hash: Hash{3}}, ErrFull)
+	h.accept(Apply{Tx: id, Within: time.Minute})
+	h.accept(Applied{id, errors.New("no descriptors")})
+	h.checkState(id, Undoing)
+	h.accept(Reverted{id})
+	overdue := Tx(2)
+	h.accept(Apply{Tx: overdue, Within: time.Minute})
+	h.now = h.now.Add(defaults.ApplyTimeout)
+	h.accept(Tick{})
+	h.checkState(overdue, Undoing)
+	h.accept(Applied{Tx: overdue}) // arrives after the timeout
+	h.checkState(overdue, Undoing)
 }
 
-func TestWhatIsOverIsForgottenInTime(t *testing.T) {
-	w := newWorld(t)
+func TestOldestFinishedTransactionsAreDropped(t *testing.T) {
+	h := newHarness(t)
 	for i := range 1000 {
-		w.ok(Confirm{w.probation(Hash{byte(i), byte(i >> 8), 7}, false)})
+		h.accept(Confirm{h.startProbation(Hash{byte(i), byte(i >> 8), 7}, false)})
 	}
-	if n := len(w.m.Txs()); n != defaults.Kept {
-		t.Errorf("%d are kept", n)
+	if n := len(h.machine.Txs()); n != defaults.MaxFinished {
+		t.Errorf("%d finished transactions are kept", n)
 	}
-	if b, ok := w.m.Base(); !ok || b.Confirmed != 1001 || b.Seq != 4000 {
+	if b, ok := h.machine.Base(); !ok || b.Confirmed != 1001 || b.Seq != 4000 {
 		t.Errorf("base %+v, %v", b, ok)
 	}
 }
 
 func TestRecordsOutOfOrderAreRefused(t *testing.T) {
-	w := newWorld(t)
-	w.ok(Confirm{w.probation(Hash{2}, false)})
+	h := newHarness(t)
+	h.accept(Confirm{h.startProbation(Hash{2}, false)})
 	base := Base{Gen: 1, Confirmed: 1, Hash: Hash{1}}
-	if m, r, err := Recover(t0, base, Limits{}, w.log); err != nil || m.confirmed != 2 || len(r.Records) > 0 {
+	if m, r, err := Recover(t0, base, Limits{}, h.records); err != nil || m.confirmed != 2 || len(r.Records) > 0 {
 		t.Errorf("%v, %v", r, err)
 	}
-	for name, log := range map[string][]Record{
-		"a gap":             {w.log[0], w.log[2]},
-		"no beginning":      w.log[1:],
-		"a leap":            {w.log[0], {Seq: 2, Tx: 1, State: Confirmed}},
-		"an old generation": {w.log[0], {Seq: 2, Tx: 1, State: Applying, Gen: 1}},
-		"two at once": {w.log[0], {Seq: 2, Tx: 2, State: Staged}, {Seq: 3, Tx: 1, State: Applying, Gen: 2},
+	for name, records := range map[string][]Record{
+		"a gap":             {h.records[0], h.records[2]},
+		"no beginning":      h.records[1:],
+		"a skipped state":   {h.records[0], {Seq: 2, Tx: 1, State: Confirmed}},
+		"an old generation": {h.records[0], {Seq: 2, Tx: 1, State: Applying, Gen: 1}},
+		"two at once": {h.records[0], {Seq: 2, Tx: 2, State: Staged}, {Seq: 3, Tx: 1, State: Applying, Gen: 2},
 			{Seq: 4, Tx: 2, State: Applying, Gen: 3}},
 	} {
-		if _, _, err := Recover(t0, base, Limits{}, log); err == nil {
-			t.Errorf("%s was taken", name)
+		if _, _, err := Recover(t0, base, Limits{}, records); err == nil {
+			t.Errorf("%s was accepted", name)
 		}
 	}
 }
--- a/internal/configuration/change/explore_test.go
+++ b/internal/configuration/change/explore_test.go
@@ -10,33 +10,35 @@
 	"time"
 )
 
-// point is one state of the machine with all that is round it: what was written,
-// what is on its way to the event loop and back, and what is in force there.
-type point struct {
-	m       *Machine
-	log     []Record
-	swaps   []Effect // not carried out yet, in their order
+// model is one state of the machine together with its environment: the written
+// records, the effects and acknowledgements on the way to the event loop and back, and
+// the generation in force there.
+type model struct {
+	machine *Machine
+	records []Record
+	effects []Effect // not carried out yet, in order
 	acks    []Event  // not delivered yet, in any order
 	inForce Generation
 	ended   map[Tx]int
 }
 
-const mostTxs = 3
+const maxTransactions = 3
 
-func (p *point) clone() *point {
-	m := *p.m
-	m.txs = make(map[Tx]*tx)
-	for id, t := range p.m.txs {
+func (m *model) clone() *model {
+	machine := *m.machine
+	machine.txs = make(map[Tx]*transaction)
+	for id, t := range m.machine.txs {
 		c := *t
-		m.txs[id] = &c
+		machine.txs[id] = &c
 	}
-	m.order = slices.Clone(m.order)
-	return &point{&m, slices.Clip(p.log), slices.Clone(p.swaps), slices.Clone(p.acks), p.inForce, maps.Clone(p.ended)}
+	machine.order = slices.Clone(machine.order)
+	return &model{&machine, slices.Clip(m.records), slices.Clone(m.effects), slices.Clone(m.acks), m.inForce, maps.Clone(m.ended)}
 }
 
-// key names a state: two points of one key behave alike. Times are not in it; a
-// due time is either to come or, by the event 'expire', over.
-func (p *point) key() string {
+// key identifies a state: two models with the same key behave in the same way. It
+// contains no times: a deadline either is in the future or, after the Tick of 48 hours
+// later, has passed.
+func (m *model) key() string {
 	b := make([]byte, 0, 128)
 	add := func(list ...uint64) {
 		for _, n := range list {
@@ -49,14 +51,14 @@
 		}
 		return 0
 	}
-	add(uint64(p.m.confirmed), uint64(p.m.lastGen), uint64(p.m.active), uint64(p.m.last), uint64(p.inForce))
-	for id := Tx(1); id <= p.m.last; id++ {
-		add(uint64(p.ended[id]))
-		if t := p.m.txs[id]; t != nil {
-			add(uint64(t.state), uint64(t.against), uint64(t.gen), flag(t.auto))
+	add(uint64(m.machine.confirmed), uint64(m.machine.lastGen), uint64(m.machine.active), uint64(m.machine.lastTx), uint64(m.inForce))
+	for id := Tx(1); id <= m.machine.lastTx; id++ {
+		add(uint64(m.ended[id]))
+		if t := m.machine.txs[id]; t != nil {
+			add(uint64(t.state), uint64(t.against), uint64(t.gen), flag(t.autoConfirm))
 		}
 	}
-	for _, e := range p.swaps {
+	for _, e := range m.effects {
 		switch e := e.(type) {
 		case Swap:
 			add('s', uint64(e.Tx), uint64(e.Gen))
@@ -64,8 +66,8 @@
 			add('r', uint64(e.Tx), uint64(e.Gen))
 		}
 	}
-	acks := make([]string, 0, len(p.acks))
-	for _, a := range p.acks {
+	acks := make([]string, 0, len(m.acks))
+	for _, a := range m.acks {
 		switch a := a.(type) {
 		case Applied:
 			acks = append(acks, string([]byte{'a', byte(a.Tx), byte(flag(a.Err != nil))}))
@@ -77,24 +79,24 @@
 	return string(b) + strings.Join(acks, "")
 }
 
-var errSwap = errors.New("could not")
+var errSwapFailed = errors.New("could not")
 
-// move is one thing that can happen.
-type move struct {
+// action is one thing that can happen next in a state.
+type action struct {
 	name any
-	do   func(*point)
+	do   func(*model)
 }
 
-// moves are all that can happen next.
-func (p *point) moves() (out []move) {
+// actions returns everything that can happen next.
+func (m *model) actions() (out []action) {
 	event := func(now time.Time, e Event) {
-		out = append(out, move{e, func(p *point) { p.take(p.m.Step(now, e)) }})
+		out = append(out, action{e, func(m *model) { m.apply(m.machine.Step(now, e)) }})
 	}
-	if p.m.last < mostTxs {
-		event(t0, Stage{Hash: Hash{byte(p.m.last) + 2}})
+	if m.machine.lastTx < maxTransactions {
+		event(t0, Stage{Hash: Hash{byte(m.machine.lastTx) + 2}})
 		event(t0, Stage{Hash: Hash{9}, Against: 99})
 	}
-	for id := Tx(1); id <= p.m.last; id++ {
+	for id := Tx(1); id <= m.machine.lastTx; id++ {
 		for _, auto := range []bool{false, true} {
 			event(t0, Apply{Tx: id, Within: time.Minute, Auto: auto})
 		}
@@ -103,166 +105,168 @@
 		event(t0, Fell{id, ""})
 	}
 	event(t0.Add(48*time.Hour), Tick{})
-	if len(p.swaps) > 0 {
-		out = append(out, move{"carry out", func(p *point) { p.carryOut(nil) }}, move{"fail to", func(p *point) { p.carryOut(errSwap) }})
+	if len(m.effects) > 0 {
+		out = append(out, action{"carry out", func(m *model) { m.carryOut(nil) }}, action{"fail to carry out", func(m *model) { m.carryOut(errSwapFailed) }})
 	}
-	for i := range p.acks {
-		out = append(out, move{p.acks[i], func(p *point) {
-			e := p.acks[i]
-			p.acks = slices.Delete(p.acks, i, i+1)
-			p.take(p.m.Step(t0, e))
+	for i := range m.acks {
+		out = append(out, action{m.acks[i], func(m *model) {
+			e := m.acks[i]
+			m.acks = slices.Delete(m.acks, i, i+1)
+			m.apply(m.machine.Step(t0, e))
 		}})
 	}
-	return append(out, move{"crash", func(p *point) { p.crash() }})
+	return append(out, action{"crash", func(m *model) { m.crash() }})
 }
 
-// take books what a step asks for.
-func (p *point) take(r Result) {
-	p.log = append(p.log, r.Records...)
+// apply stores the records of a step, queues its effects and counts the transactions it ended.
+func (m *model) apply(r Result) {
+	m.records = append(m.records, r.Records...)
 	for _, e := range r.Effects {
 		if e, ok := e.(Ended); ok {
-			p.ended[e.Tx]++
+			m.ended[e.Tx]++
 			continue
 		}
-		p.swaps = append(p.swaps, e)
+		m.effects = append(m.effects, e)
 	}
 }
 
-// carryOut lets the event loop take the next effect. To revert can't fail: it is
-// one pointer.
-func (p *point) carryOut(err error) {
-	e := p.swaps[0]
-	p.swaps = p.swaps[1:]
+// carryOut has the event loop carry out the next effect. A revert can't fail, since it
+// only replaces one pointer.
+func (m *model) carryOut(err error) {
+	e := m.effects[0]
+	m.effects = m.effects[1:]
 	switch e := e.(type) {
 	case Swap:
 		if err == nil {
-			p.inForce = e.Gen
+			m.inForce = e.Gen
 		}
-		p.acks = append(p.acks, Applied{e.Tx, err})
+		m.acks = append(m.acks, Applied{e.Tx, err})
 	case Revert:
-		p.inForce = e.Gen
-		p.acks = append(p.acks, Reverted{e.Tx})
+		m.inForce = e.Gen
+		m.acks = append(m.acks, Reverted{e.Tx})
 	}
 }
 
-// crash loses all but what was written.
-func (p *point) crash() {
-	m, r, err := Recover(t0, Base{Gen: 1, Confirmed: 1, Hash: Hash{1}}, Limits{}, p.log)
+// crash loses everything but the written records, and recovers from them.
+func (m *model) crash() {
+	machine, r, err := Recover(t0, Base{Gen: 1, Confirmed: 1, Hash: Hash{1}}, Limits{}, m.records)
 	if err != nil {
 		panic(err)
 	}
-	p.m, p.swaps, p.acks, p.inForce = m, nil, nil, m.confirmed
-	p.take(r)
+	m.machine, m.effects, m.acks, m.inForce = machine, nil, nil, machine.confirmed
+	m.apply(r)
 }
 
-// wrong tells which invariant a state breaks; before is the state that it came
-// from. What a crash would leave depends on the state alone, and is looked at where
-// it is new.
-func (p *point) wrong(before *point, isNew bool) string {
+// violation describes an invariant that the state breaks, or returns the empty string.
+// before is the state that it was reached from. The outcome of a crash depends on the
+// state alone, so it is checked only for new states.
+func (m *model) violation(before *model, isNew bool) string {
 	active := 0
 	gens := make(map[Generation]bool)
-	allowed := []Generation{p.m.confirmed}
-	for _, t := range p.m.txs {
+	allowed := []Generation{m.machine.confirmed}
+	for _, t := range m.machine.txs {
 		if t.state.Active() {
 			active++
 			allowed = append(allowed, t.gen)
 		}
 		if t.gen != 0 && gens[t.gen] {
-			return fmt.Sprintf("generation %d was given out twice", t.gen)
+			return fmt.Sprintf("generation %d was assigned twice", t.gen)
 		}
 		gens[t.gen] = true
-		if over := t.state.Over(); over != (p.ended[t.id] == 1) || p.ended[t.id] > 1 {
-			return fmt.Sprintf("transaction %d is %v and ended %d times", t.id, t.state, p.ended[t.id])
+		if over := t.state.Over(); over != (m.ended[t.id] == 1) || m.ended[t.id] > 1 {
+			return fmt.Sprintf("transaction %d is %v and ended %d times", t.id, t.state, m.ended[t.id])
 		}
-		if before == nil || before.m.txs[t.id] == nil {
+		if before == nil || before.machine.txs[t.id] == nil {
 			continue
 		}
-		switch was := before.m.txs[t.id].state; {
+		switch was := before.machine.txs[t.id].state; {
 		case was.Over() && t.state != was:
 			return fmt.Sprintf("transaction %d was %v and is %v", t.id, was, t.state)
 		case was == Undoing && t.state == Confirmed:
-			return fmt.Sprintf("transaction %d was confirmed while it was undone", t.id)
-		case was != Confirmed && t.state == Confirmed && t.against != before.m.confirmed:
-			return fmt.Sprintf("transaction %d was made against %d and confirmed after %d", t.id, t.against, before.m.confirmed)
+			return fmt.Sprintf("transaction %d was confirmed while it was being undone", t.id)
+		case was != Confirmed && t.state == Confirmed && t.against != before.machine.confirmed:
+			return fmt.Sprintf("transaction %d was made against %d and confirmed after %d", t.id, t.against, before.machine.confirmed)
 		}
 	}
 	if active > 1 {
 		return fmt.Sprintf("%d transactions are active", active)
 	}
-	// A swap that is under way may still be in force for a moment after its undo
-	// has begun, but nothing else.
-	if !slices.Contains(allowed, p.inForce) {
-		return fmt.Sprintf("generation %d is in force, allowed are %v", p.inForce, allowed)
+	// A generation whose swap was in progress may still be in force shortly after its
+	// undo has begun. No other generation may be.
+	if !slices.Contains(allowed, m.inForce) {
+		return fmt.Sprintf("generation %d is in force, allowed are %v", m.inForce, allowed)
 	}
-	if active == 0 && len(p.swaps) > 0 {
-		return "nothing is active, yet the event loop is to change something"
+	if active == 0 && len(m.effects) > 0 {
+		return "no transaction is active, but effects are pending"
 	}
 	if !isNew {
 		return ""
 	}
-	if c, _, err := Recover(t0, Base{Gen: 1, Confirmed: 1, Hash: Hash{1}}, Limits{}, p.log); err != nil || c.confirmed != p.m.confirmed {
-		return fmt.Sprintf("after a crash generation %v would be confirmed, not %d: %v", c, p.m.confirmed, err)
+	if c, _, err := Recover(t0, Base{Gen: 1, Confirmed: 1, Hash: Hash{1}}, Limits{}, m.records); err != nil || c.confirmed != m.machine.confirmed {
+		return fmt.Sprintf("after a crash generation %v would be confirmed, not %d: %v", c, m.machine.confirmed, err)
 	}
 	return ""
 }
 
-// settles tells that a state comes to rest by itself: all that is on its way
-// arrives, and time goes by.
-func (p *point) settles() bool {
+// settles reports whether the state reaches one without active transactions and
+// pending effects when these are delivered and time passes, with the confirmed
+// generation in force.
+func (m *model) settles() bool {
 	for range 10 {
-		for len(p.swaps) > 0 {
-			p.carryOut(nil)
+		for len(m.effects) > 0 {
+			m.carryOut(nil)
 		}
-		for len(p.acks) > 0 {
-			e := p.acks[0]
-			p.acks = p.acks[1:]
-			p.take(p.m.Step(t0, e))
+		for len(m.acks) > 0 {
+			e := m.acks[0]
+			m.acks = m.acks[1:]
+			m.apply(m.machine.Step(t0, e))
 		}
-		p.take(p.m.Step(t0.Add(48*time.Hour), Tick{}))
-		if p.m.active == 0 && len(p.swaps)+len(p.acks) == 0 {
-			return p.inForce == p.m.confirmed
+		m.apply(m.machine.Step(t0.Add(48*time.Hour), Tick{}))
+		if m.machine.active == 0 && len(m.effects)+len(m.acks) == 0 {
+			return m.inForce == m.machine.confirmed
 		}
 	}
 	return false
 }
 
-// TestEveryReachableState walks through all states that three transactions can
-// bring about with every event at every moment, failed swaps, acknowledgements in
-// any order and a crash after each step, and holds each against the invariants of
-// docs/config.md.
+// TestEveryReachableState guards against event orders that put a wrong generation in
+// force, end a transaction twice or leave one active for ever. It visits all states that
+// three transactions can reach with every event at every moment, failed swaps,
+// acknowledgements in any order and a crash after each step, and checks each state
+// against the invariants of docs/config.md.
 func TestEveryReachableState(t *testing.T) {
-	start := &point{m: New(Hash{1}, Limits{}), inForce: 1, ended: make(map[Tx]int)}
+	start := &model{machine: New(Hash{1}, Limits{}), inForce: 1, ended: make(map[Tx]int)}
 	seen := map[string]bool{start.key(): true}
-	queue := []*point{start}
-	steps, deepest := 0, map[string]int{start.key(): 0}
+	queue := []*model{start}
+	steps, depths := 0, map[string]int{start.key(): 0}
 	for len(queue) > 0 {
-		p := queue[0]
+		m := queue[0]
 		queue = queue[1:]
-		depth := deepest[p.key()]
-		for _, move := range p.moves() {
-			next := p.clone()
-			move.do(next)
+		depth := depths[m.key()]
+		for _, action := range m.actions() {
+			next := m.clone()
+			action.do(next)
 			steps++
 			key := next.key()
-			if what := next.wrong(p, !seen[key]); what != "" {
-				t.Fatalf("after %T %+v: %s\nrecords %+v", move.name, move.name, what, next.log)
+			if broken := next.violation(m, !seen[key]); broken != "" {
+				t.Fatalf("after %T %+v: %s\nrecords %+v", action.name, action.name, broken, next.records)
 			}
 			if seen[key] {
 				continue
 			}
-			seen[key], deepest[key] = true, depth+1
+			seen[key], depths[key] = true, depth+1
 			if !next.clone().settles() {
-				t.Fatalf("after %T %+v it does not come to rest: %x", move.name, move.name, key)
+				t.Fatalf("after %T %+v it does not settle: %x", action.name, action.name, key)
 			}
 			queue = append(queue, next)
 		}
 	}
-	most := 0
-	for _, d := range deepest {
-		most = max(most, d)
+	deepest := 0
+	for _, d := range depths {
+		deepest = max(deepest, d)
 	}
-	t.Logf("%d states, %d steps, the farthest %d steps away", len(seen), steps, most)
+	t.Logf("%d states, %d steps, the deepest after %d steps", len(seen), steps, deepest)
 	if len(seen) < 1000 {
-		t.Errorf("%d states: the walk does not go anywhere", len(seen))
+		t.Errorf("%d states: the search reaches too few", len(seen))
 	}
 }
