--- a/internal/configuration/guard/guard.go
+++ b/internal/configuration/guard/guard.go
@@ -1,21 +1,21 @@
-// Package guard tells whether service has fallen since a change. It compares, by
-// class, the seconds after the change with those before: queries not answered in
-// time, refused, failed, slower than 99 of 100 were before, or still without an
-// answer. It has no I/O and no clock.
+// Package guard detects whether service has regressed since a change. For each class
+// it compares the seconds after the change with those before by five metrics: queries
+// not answered in time, refused, failed, slower than 99 of 100 were before, or still
+// without an answer. It has no I/O and no clock.
 //
-// A test that is made each second on several counts of several classes fires on
-// chance if its bound is the usual 5 or 1 percent, and queries that fail do so in
-// bunches, so that plain binomial bounds fire on quite ordinary days. Three things
-// are done about that. Counts are divided by how much more they vary from second
-// to second before the change than independent queries would (the quasi-binomial
-// dispersion of generalized linear models; McCullagh and Nelder, 4.5). The bound
-// on what chance does is that of Limits.Chance, over all tests of a probation
-// together (Bonferroni). And a fall must be large enough to matter, and be seen in
-// two seconds one after the other.
+// A test that runs each second on several counts of several classes fires by chance
+// if its significance level is the usual 5 or 1 percent, and failures come in bursts,
+// so that plain binomial bounds fire on ordinary days. There are three countermeasures.
+// Counts are divided by how much more they vary from second to second before the
+// change than independent queries would (the quasi-binomial dispersion of generalized
+// linear models; McCullagh and Nelder, 4.5). The significance level is Limits.Chance
+// for all tests of a probation together (Bonferroni correction). And a regression must
+// be large enough to matter, and be seen in two consecutive seconds.
 //
-// It can't tell why service fell. Where a searcher crashes in the second of an
-// apply, a change is undone that had nothing to do with it: the one before is
-// known to be good, and applying again costs less than a morning's reservations.
+// The guard can't tell why service regressed. Where a searcher crashes in the second
+// of an apply, a change is undone that did not cause it. That is acceptable: the
+// previous configuration is known to be good, and applying the change again costs less
+// than leaving a bad one in force and losing reservations all morning.
 package guard
 
 import (
@@ -28,206 +28,211 @@
 	"eiderwinch/internal/service"
 )
 
-// Class is what the guard must know of a class.
+// Class describes a class of queries to the guard.
 type Class struct {
 	Name string
-	Aim  time.Duration // an answer within it is in time
+	Aim  time.Duration // latency target; an answer within it is in time
 }
 
-// Limits say when service counts as fallen. The zero value of a field means its
+// Limits define when service counts as regressed. A field that is zero means its
 // default.
 type Limits struct {
-	Chance float64 // of undoing a change that changed nothing, in one probation; 0.001
-	Points float64 // share of queries that must fare worse than before; 0.05
-	Slower float64 // p99 over what it was; 1.5
-	Before int     // seconds before the change that are compared with; 60
-	Within int     // seconds after it that are looked at together; 10
+	Chance          float64 // probability of undoing a change without effect, in one probation; default 0.001
+	Points          float64 // least increase of the share of queries that fare badly; default 0.05
+	Slower          float64 // least ratio of the p99 to that of the baseline; default 1.5
+	BaselineSeconds int     // seconds before the change to compare with; default 60
+	RecentSeconds   int     // latest seconds after the change that are tested together; default 10
 }
 
-var defaults = Limits{Chance: 0.001, Points: 0.05, Slower: 1.5, Before: 60, Within: 10}
+var defaults = Limits{Chance: 0.001, Points: 0.05, Slower: 1.5, BaselineSeconds: 60, RecentSeconds: 10}
 
-func (l Limits) complete() Limits {
+func (l Limits) withDefaults() Limits {
 	for _, at := range []struct {
-		have *float64
-		def  float64
+		value        *float64
+		defaultValue float64
 	}{{&l.Chance, defaults.Chance}, {&l.Points, defaults.Points}, {&l.Slower, defaults.Slower}} {
-		if *at.have <= 0 {
-			*at.have = at.def
+		if *at.value <= 0 {
+			*at.value = at.defaultValue
 		}
 	}
-	if l.Before <= 0 {
-		l.Before = defaults.Before
+	if l.BaselineSeconds <= 0 {
+		l.BaselineSeconds = defaults.BaselineSeconds
 	}
-	if l.Within <= 0 {
-		l.Within = defaults.Within
+	if l.RecentSeconds <= 0 {
+		l.RecentSeconds = defaults.RecentSeconds
 	}
 	return l
 }
 
 // Constants of the tests.
 const (
-	// looks is how many seconds of a probation the chance is shared among. A longer
-	// one has a little more.
-	looks = 60
-	// leastBefore is how many seconds, and leastCount how many queries, must be
-	// known from before to compare with. Else assumed is taken for the share that
-	// fared badly, as on a day that is just good enough.
-	leastBefore = 5
-	leastCount  = 50
-	assumed     = 0.05
-	// leastAfter is the least number of queries after the change that is judged. Of
-	// fewer not even all failing is beyond chance at 5 percent before.
-	leastAfter = 8
-	// confirmed is in how many seconds in a row a fall must be seen.
-	confirmed = 2
-	// grace is how long a query may be open beyond the p99 of before until it counts
-	// as stuck. Windows are whole seconds.
-	grace = 2
+	// testedSeconds is the number of seconds of a probation among which Limits.Chance
+	// is divided. A longer probation has a slightly higher total chance.
+	testedSeconds = 60
+	// The baseline needs at least minBaselineSeconds seconds and minBaselineQueries
+	// queries. Otherwise assumedShare is taken for the share of queries that fared
+	// badly before, as on a day when service is just good enough.
+	minBaselineSeconds = 5
+	minBaselineQueries = 50
+	assumedShare       = 0.05
+	// minQueries is the least number of queries after the change that is tested. With
+	// fewer, not even failure of all of them is significant where 5 percent failed
+	// before.
+	minQueries = 8
+	// consecutiveSeconds is the number of seconds in a row in which a regression must
+	// be seen.
+	consecutiveSeconds = 2
+	// unansweredGrace is how many seconds longer than the baseline's p99 a query may
+	// be open until it counts as unanswered. Windows are whole seconds.
+	unansweredGrace = 2
 )
 
 // metric is one way in which queries can fare badly.
 type metric int
 
-const ( // what is named first is told first: those before 'late' are late as well
+// The metrics, in the order in which regressions are reported. Those before 'late'
+// come first because the queries that they count are late as well.
+const (
 	refused metric = iota
 	failed
 	late
 	slow
-	stuck
-	metrics
+	unanswered
+	metricCount
 )
 
-var names = [metrics]string{"refused", "failed", "not answered in time", "slower than before", "without an answer"}
+var metricNames = [metricCount]string{"refused", "failed", "not answered in time", "slower than before", "without an answer"}
 
-// second is how a class fared in one second.
-type second struct {
-	at       int64
+// secondCounts counts the queries of a class in one second.
+type secondCounts struct {
+	second   int64
 	taken    int
-	ended    int // with an answer of some kind
-	gone     int
-	bad      [stuck]int // but slow, which depends on what was before
+	ended    int             // answered, refused or failed
+	gone     int             // their client left
+	bad      [unanswered]int // by metric; without slow, which depends on the baseline
 	times    []service.Count
 	answered int
 }
 
-// class is one class.
-type class struct {
+// classState holds the observations of one class.
+type classState struct {
 	Class
-	before, after []second
-	p99           time.Duration // of before; 0 while it is not known
-	usual         [metrics]usual
-	seen          [metrics]int // seconds in a row in which a fall was seen
+	baseline, afterChange []secondCounts
+	baselineP99           time.Duration // 0 while the baseline is too small
+	expected              [metricCount]expectation
+	worseSeconds          [metricCount]int // consecutive seconds in which a regression was seen
 }
 
-// usual is the share of queries that fared badly before a change, and by how much
-// more their number varied from second to second than chance alone would have it.
-type usual struct{ share, dispersion float64 }
+// expectation is the share of queries that fared badly before a change, and the factor
+// by which the variance of their number exceeds that of independent queries.
+type expectation struct{ share, dispersion float64 }
 
-// Guard watches. Make it with New.
+// Guard detects regressions of service. Create it with New.
 type Guard struct {
-	limits  Limits
-	classes []*class
-	begun   bool
-	at      int64 // the second of the change
-	spoilt  int64 // seconds up to it are of no change, but not usual either
+	limits         Limits
+	classes        []*classState
+	watching       bool
+	changeSecond   int64 // the second of the change
+	distortedUntil int64 // seconds up to this one are affected by an undone change and left out of the baseline
 }
 
-// New returns a guard that has seen nothing.
+// New returns a guard without any observations.
 func New(classes []Class, l Limits) *Guard {
-	g := &Guard{limits: l.complete()}
+	g := &Guard{limits: l.withDefaults()}
 	for _, c := range classes {
-		g.classes = append(g.classes, &class{Class: c})
+		g.classes = append(g.classes, &classState{Class: c})
 	}
 	return g
 }
 
-// Begin tells that a change was applied in a second. What comes after it, is
-// compared with what came before; the second itself is of neither.
+// Begin starts to watch a change that was applied in the given second. The seconds
+// after it are compared with those before; the second itself belongs to neither.
 func (g *Guard) Begin(at int64) {
-	g.begun, g.at = true, at
+	g.watching, g.changeSecond = true, at
 	for _, c := range g.classes {
-		c.after, c.seen = nil, [metrics]int{}
+		c.afterChange, c.worseSeconds = nil, [metricCount]int{}
 		sum := service.NewSum()
-		for _, s := range c.before {
+		for _, s := range c.baseline {
 			sum.Add(service.Class{Times: s.times})
 		}
-		if c.p99 = 0; known(c.before) {
-			c.p99 = sum.Quantile(0.99)
+		if c.baselineP99 = 0; isSufficient(c.baseline) {
+			c.baselineP99 = sum.Quantile(0.99)
 		}
-		for m := range metrics {
-			c.usual[m] = c.expect(m)
+		for m := range metricCount {
+			c.expected[m] = c.expect(m)
 		}
 	}
 }
 
-// lingers is for how many seconds after an undo queries of the bad generation still
-// end: what they come to must not pass for usual, or the next fall is seen late.
-const lingers = 4
+// undoSettleSeconds is for how many seconds after an undo queries of the bad generation
+// still end. Counting them into the baseline would delay the detection of the next
+// regression.
+const undoSettleSeconds = 4
 
-// End tells that the change is confirmed or undone, and in which second. What came
-// while it was on probation counts as before only where it is confirmed.
+// End stops watching a change that was confirmed (kept) or undone in the given second.
+// The observations of its probation join the baseline only if it was confirmed.
 func (g *Guard) End(kept bool, at int64) {
 	if !kept {
-		g.spoilt = at + lingers
+		g.distortedUntil = at + undoSettleSeconds
 	}
 	for _, c := range g.classes {
 		if kept {
-			c.before = last(append(c.before, c.after...), g.limits.Before)
+			c.baseline = lastN(append(c.baseline, c.afterChange...), g.limits.BaselineSeconds)
 		}
-		c.after = nil
+		c.afterChange = nil
 	}
-	g.begun = false
+	g.watching = false
 }
 
-// Fall is what has fallen.
-type Fall struct {
+// Regression describes how a class has regressed.
+type Regression struct {
 	Class         string
-	What          string
+	What          string  // the name of the metric
 	Before, After float64 // shares of the queries
 	Queries       int     // after the change
 }
 
-func (f Fall) String() string {
-	return fmt.Sprintf("%s: %.1f%% of %d queries %s, %.1f%% before", f.Class, 100*f.After, f.Queries, f.What, 100*f.Before)
+func (r Regression) String() string {
+	return fmt.Sprintf("%s: %.1f%% of %d queries %s, %.1f%% before", r.Class, 100*r.After, r.Queries, r.What, 100*r.Before)
 }
 
-// Add takes in a second that is over, of one gatherer, and tells whether service
-// has fallen.
-func (g *Guard) Add(w service.Window) (Fall, bool) {
-	var fall Fall
-	fell := false
+// Add records a finished second of a gatherer, and reports whether service has
+// regressed.
+func (g *Guard) Add(w service.Window) (Regression, bool) {
+	var regression Regression
+	found := false
 	for _, k := range w.Classes {
 		for _, c := range g.classes {
 			if c.Name != k.Name {
 				continue
 			}
-			s := count(w.Second, k, c.Aim)
-			if w.Second <= g.spoilt && (!g.begun || w.Second < g.at) {
+			s := summarize(w.Second, k, c.Aim)
+			if w.Second <= g.distortedUntil && (!g.watching || w.Second < g.changeSecond) {
 				continue
 			}
-			if !g.begun || w.Second < g.at {
-				c.before = last(append(c.before, s), g.limits.Before)
-			} else if w.Second > g.at {
-				c.after = last(append(c.after, s), g.limits.Before)
-				if f, ok := g.judge(c); ok && !fell {
-					fall, fell = f, true
+			if !g.watching || w.Second < g.changeSecond {
+				c.baseline = lastN(append(c.baseline, s), g.limits.BaselineSeconds)
+			} else if w.Second > g.changeSecond {
+				c.afterChange = lastN(append(c.afterChange, s), g.limits.BaselineSeconds)
+				if r, ok := g.test(c); ok && !found {
+					regression, found = r, true
 				}
 			}
 		}
 	}
-	return fall, fell
+	return regression, found
 }
 
-func last(list []second, n int) []second {
+func lastN(list []secondCounts, n int) []secondCounts {
 	if len(list) > n {
-		return append([]second(nil), list[len(list)-n:]...)
+		return append([]secondCounts(nil), list[len(list)-n:]...)
 	}
 	return list
 }
 
-// count is how a class fared in a second.
-func count(at int64, k service.Class, aim time.Duration) second {
-	s := second{at: at, taken: k.Taken, gone: k.Gone, times: k.Times}
+// summarize counts the queries of a class in one second.
+func summarize(at int64, k service.Class, aim time.Duration) secondCounts {
+	s := secondCounts{second: at, taken: k.Taken, gone: k.Gone, times: k.Times}
 	s.answered = k.Whole + k.Partial
 	s.ended = s.answered + k.Refused + k.Failed
 	inTime := 0
@@ -236,85 +241,88 @@
 			inTime += int(t.N)
 		}
 	}
-	s.bad = [stuck]int{late: s.ended - inTime, refused: k.Refused, failed: k.Failed}
+	s.bad = [unanswered]int{late: s.ended - inTime, refused: k.Refused, failed: k.Failed}
 	return s
 }
 
-func known(list []second) bool {
+// isSufficient reports whether a baseline is large enough to compare with.
+func isSufficient(list []secondCounts) bool {
 	n := 0
 	for _, s := range list {
 		n += s.ended
 	}
-	return len(list) >= leastBefore && n >= leastCount
+	return len(list) >= minBaselineSeconds && n >= minBaselineQueries
 }
 
-// judge compares a class with what it was.
-func (g *Guard) judge(c *class) (Fall, bool) {
-	chance := g.limits.Chance / float64(looks*len(g.classes)*int(metrics))
-	recent := last(c.after, g.limits.Within)
-	var fall Fall
-	fell := false
-	for m := range metrics {
-		if c.p99 == 0 && m == slow {
+// test compares the latest seconds of a class with its baseline. It returns the first
+// metric that has regressed in enough consecutive seconds.
+func (g *Guard) test(c *classState) (Regression, bool) {
+	chance := g.limits.Chance / float64(testedSeconds*len(g.classes)*int(metricCount))
+	recent := lastN(c.afterChange, g.limits.RecentSeconds)
+	var regression Regression
+	found := false
+	for m := range metricCount {
+		if c.baselineP99 == 0 && m == slow {
 			continue
 		}
-		n, k := c.sum(m, recent, g.at)
-		p, dispersion := c.usual[m].share, c.usual[m].dispersion
+		n, k := c.sum(m, recent, g.changeSecond)
+		p, dispersion := c.expected[m].share, c.expected[m].dispersion
 		share := 0.0
 		if n > 0 {
 			share = float64(k) / float64(n)
 		}
-		worse := n >= leastAfter && share >= p+g.limits.Points && tail(n, k, p, dispersion) < chance
+		worse := n >= minQueries && share >= p+g.limits.Points && upperTail(n, k, p, dispersion) < chance
 		if worse && m == slow {
-			worse = c.quantile(recent) >= time.Duration(g.limits.Slower*float64(c.p99))
+			worse = c.p99(recent) >= time.Duration(g.limits.Slower*float64(c.baselineP99))
 		}
 		if !worse {
-			c.seen[m] = 0
+			c.worseSeconds[m] = 0
 			continue
 		}
-		if c.seen[m]++; c.seen[m] >= confirmed && !fell {
-			fall, fell = Fall{c.Name, names[m], p, share, n}, true
+		if c.worseSeconds[m]++; c.worseSeconds[m] >= consecutiveSeconds && !found {
+			regression, found = Regression{c.Name, metricNames[m], p, share, n}, true
 		}
 	}
-	return fall, fell
+	return regression, found
 }
 
-// sum is how many queries there were, and how many of them fared badly.
-func (c *class) sum(m metric, list []second, at int64) (n, k int) {
-	if m == stuck {
-		return c.open(list)
+// sum returns the number of queries n in some seconds, and how many of them, k, fared
+// badly by a metric.
+func (c *classState) sum(m metric, list []secondCounts, at int64) (n, k int) {
+	if m == unanswered {
+		return c.sumUnanswered(list)
 	}
 	for _, s := range list {
-		sn, sk := c.of(m, s)
+		sn, sk := c.inSecond(m, s)
 		n, k = n+sn, k+sk
 	}
 	return n, k
 }
 
-// of is the same for one second.
-func (c *class) of(m metric, s second) (n, k int) {
+// inSecond returns the same numbers as sum for one second.
+func (c *classState) inSecond(m metric, s secondCounts) (n, k int) {
 	if m != slow {
 		return s.ended, s.bad[m]
 	}
 	for _, t := range s.times {
-		if t.Micros > c.p99.Microseconds() {
+		if t.Micros > c.baselineP99.Microseconds() {
 			k += int(t.N)
 		}
 	}
 	return s.answered, k
 }
 
-// open is how many of those queries that were taken after the change, long enough
-// ago, have no answer yet.
-func (c *class) open(list []second) (n, k int) {
+// sumUnanswered returns the number of queries n that were taken after the change and
+// should have ended by now, and how many of them, k, are still open.
+func (c *classState) sumUnanswered(list []secondCounts) (n, k int) {
 	if len(list) == 0 {
 		return 0, 0
 	}
-	now := list[len(list)-1].at
-	settled := now - grace - int64(math.Ceil(c.p99.Seconds()))
+	now := list[len(list)-1].second
+	overdue := now - unansweredGrace - int64(math.Ceil(c.baselineP99.Seconds()))
 	ended := 0
 	for _, s := range list {
-		if s.at <= settled {
+		if s.second <= overdue {
 			n += s.taken
 		}
 		ended += s.ended + s.gone
@@ -322,26 +330,26 @@
 	return n, max(n-ended, 0)
 }
 
-// expect works out what is usual in one way.
-func (c *class) expect(m metric) usual {
+// expect estimates from the baseline how queries fare by a metric.
+func (c *classState) expect(m metric) expectation {
 	p := 0.0
 	if m == slow {
-		p = 0.01 // by the meaning of p99
-	} else if m == stuck {
-		return usual{0.01, 1}
+		p = 0.01 // by the definition of the p99
+	} else if m == unanswered {
+		return expectation{0.01, 1}
 	}
-	if !known(c.before) {
-		return usual{max(p, assumed), 1}
+	if !isSufficient(c.baseline) {
+		return expectation{max(p, assumedShare), 1}
 	}
-	n, k := c.sum(m, c.before, 0)
+	n, k := c.sum(m, c.baseline, 0)
 	if n == 0 {
-		return usual{max(p, assumed), 1}
+		return expectation{max(p, assumedShare), 1}
 	}
 	// Rule of succession, so that what never happened before is not impossible.
 	p = max(p, (float64(k)+1)/(float64(n)+2))
 	squares, seconds := 0.0, 0
-	for _, s := range c.before {
-		sn, sk := c.of(m, s)
+	for _, s := range c.baseline {
+		sn, sk := c.inSecond(m, s)
 		if sn == 0 {
 			continue
 		}
@@ -350,13 +358,14 @@
 		seconds++
 	}
 	if seconds < 2 {
-		return usual{p, 1}
+		return expectation{p, 1}
 	}
-	return usual{p, max(1, squares/float64(seconds-1))}
+	return expectation{p, max(1, squares/float64(seconds-1))}
 }
 
-// tail is the chance of k or more of n at a share of p.
-func tail(n, k int, p, dispersion float64) float64 {
+// upperTail returns the probability of k or more bad queries among n where a share p
+// is expected.
+func upperTail(n, k int, p, dispersion float64) float64 {
 	if k == 0 {
 		return 1
 	}
@@ -368,8 +377,8 @@
 	return distuv.Binomial{N: trials, P: min(p, 1)}.Survival(hits - 1)
 }
 
-// quantile is the p99 of some seconds.
-func (c *class) quantile(list []second) time.Duration {
+// p99 returns the 99th percentile of the latencies in some seconds.
+func (c *classState) p99(list []secondCounts) time.Duration {
 	sum := service.NewSum()
 	for _, s := range list {
 		sum.Add(service.Class{Times: s.times})
