--- a/internal/configuration/bundle/bundle.go
+++ b/internal/configuration/bundle/bundle.go
@@ -1,6 +1,6 @@
-// Package bundle holds a gatherer's whole configuration: the platform's file, the
-// operators' file and the layout, as texts. It checks them against each other and
-// names them by a hash. It does no I/O.
+// Package bundle holds a gatherer's whole configuration as texts: the platform's file,
+// the operators' file and the layout. It checks them against each other and identifies
+// them by a hash. It does no I/O.
 package bundle
 
 import (
@@ -19,17 +19,17 @@
 	"eiderwinch/internal/layout/layoutfile"
 )
 
-// Bundle is the texts.
+// Bundle holds the texts of a configuration.
 type Bundle struct {
 	Platform  []byte `json:"platform"`  // JSON
 	Operators []byte `json:"operators"` // XML
-	Layout    []byte `json:"layout"`    // XML; empty: the platform's cells say who holds what
+	Layout    []byte `json:"layout"`    // XML; empty: the platform's cells assign shards to searchers
 }
 
-// MostBytes bounds a bundle. A layout of 10,000 segments is some 2 MB.
+// MostBytes is the largest size of a bundle. A layout of 10,000 segments has about 2 MB.
 const MostBytes = 32 << 20
 
-// Hash is the BLAKE3 hash of the texts, each with its length before it.
+// Hash returns the BLAKE3 hash of the texts, each preceded by its length.
 func (b Bundle) Hash() change.Hash {
 	h := blake3.New()
 	for _, text := range [...][]byte{b.Platform, b.Operators, b.Layout} {
@@ -39,44 +39,44 @@
 	return change.Hash(h.Sum(nil))
 }
 
-// Candidate is a bundle that was read.
+// Candidate is a bundle that was parsed and checked.
 type Candidate struct {
 	Bundle
 	Hash   change.Hash
 	Config *config.Config
 	File   *settings.File
-	Layout *layout.Layout // nil: the platform's cells say who holds what
+	Layout *layout.Layout // nil: the platform's cells assign shards to searchers
 	Fleet  layout.Fleet
 }
 
-// Names are the files' names, for messages.
+// Names holds the names of the files, for messages.
 type Names struct{ Platform, Operators, Layout string }
 
-// ErrLarge is why a bundle is not read.
-var ErrLarge = errors.New("the configuration is too large")
+// ErrTooLarge is returned for a bundle that exceeds MostBytes.
+var ErrTooLarge = errors.New("the configuration is too large")
 
-// Check reads a bundle and returns all that is wrong with it.
-func Check(b Bundle, n Names) (*Candidate, error) {
+// Check parses a bundle. The error joins all faults that were found.
+func Check(b Bundle, names Names) (*Candidate, error) {
 	if size := len(b.Platform) + len(b.Operators) + len(b.Layout); size > MostBytes {
-		return nil, fmt.Errorf("%w: %d bytes, at most %d", ErrLarge, size, MostBytes)
+		return nil, fmt.Errorf("%w: %d bytes, at most %d", ErrTooLarge, size, MostBytes)
 	}
 	c := &Candidate{Bundle: b, Hash: b.Hash()}
 	var errs []error
 	var err error
 	if c.Config, err = config.Parse(b.Platform); err != nil {
-		errs = append(errs, fmt.Errorf("%s: %w", n.Platform, err))
+		errs = append(errs, fmt.Errorf("%s: %w", names.Platform, err))
 	}
-	if c.File, err = settings.Read(n.Operators, bytes.NewReader(b.Operators)); err != nil {
+	if c.File, err = settings.Read(names.Operators, bytes.NewReader(b.Operators)); err != nil {
 		errs = append(errs, err)
 	}
 	if c.Config != nil && c.File != nil {
-		errs = append(errs, c.File.Fit(n.Operators, c.Config.Settings))
+		errs = append(errs, c.File.Fit(names.Operators, c.Config.Settings))
 	}
 	if len(b.Layout) > 0 {
-		if c.Layout, c.Fleet, err = layoutfile.Read(n.Layout, bytes.NewReader(b.Layout)); err != nil {
+		if c.Layout, c.Fleet, err = layoutfile.Read(names.Layout, bytes.NewReader(b.Layout)); err != nil {
 			errs = append(errs, err)
 		} else if err := c.Layout.Check(c.Fleet); err != nil {
-			errs = append(errs, fmt.Errorf("%s: %w", n.Layout, err))
+			errs = append(errs, fmt.Errorf("%s: %w", names.Layout, err))
 		}
 	}
 	if err := errors.Join(errs...); err != nil {
@@ -85,8 +85,9 @@
 	return c, nil
 }
 
-// Restart names what differs between two candidates and takes effect at the next
-// start only: the listener, descriptors, what the decisions are told at a start.
+// Restart returns the keys that differ between two candidates and take effect only at
+// the next start: the listener, file descriptors, and the settings that the decision
+// module gets when it starts.
 func Restart(now, next *Candidate) (keys []string) {
 	keys = now.Config.Pending(next.Config)
 	for _, at := range []struct {
--- a/internal/configuration/signature/signature.go
+++ b/internal/configuration/signature/signature.go
@@ -1,10 +1,10 @@
-// Package signature says whether a configuration comes from somebody who may
-// change it. Keys stand in a file of their own, each with the time for which it
-// holds, so that a new one can hold beside the old one until all use it.
+// Package signature verifies that a configuration comes from somebody who may change
+// it. Keys are in a file of their own, each with its period of validity, so that a new
+// key can be valid together with the old one until everybody uses the new one.
 //
-// Two algorithms: Ed25519 (RFC 8032), whose gatherers hold public keys only, and
-// BLAKE3 in its keyed mode (BLAKE3 paper, 2.3), where signer and gatherer share a
-// secret. It has no I/O and no clock.
+// There are two algorithms: Ed25519 (RFC 8032), where gatherers have public keys only,
+// and BLAKE3 in its keyed mode (BLAKE3 paper, 2.3), where signer and gatherer share a
+// secret. The package has no I/O and no clock.
 package signature
 
 import (
@@ -22,23 +22,24 @@
 	"eiderwinch/internal/format/xmlform"
 )
 
-// Namespace names the form of key files.
+// Namespace is the XML namespace of key files.
 const Namespace = "urn:eiderwinch:keys:1"
 
-// mostKeys bounds a key file: those before, the one in use, those to come.
-const mostKeys = 8
+// maxKeys is the most keys of a file: previous ones, the current one and future ones.
+const maxKeys = 8
 
-// context keeps a signature from being taken for one of something else.
-const context = "eiderwinch configuration 1\n"
+// configurationContext precedes each signed message, so that a signature is not valid for
+// anything but a configuration.
+const configurationContext = "eiderwinch configuration 1\n"
 
-// Form returns the form of key files, of which deploy/keys.xsd is made.
+// Form returns the form of key files, from which deploy/keys.xsd is generated.
 func Form() *xmlform.Form {
 	return &xmlform.Form{
 		Namespace: Namespace, Root: "keys", Depth: 2,
 		Doc:   "Keys that sign configurations of eiderwinch. See docs/operate-config.md.",
 		Order: []string{"keys", "key"},
 		Elements: map[string]xmlform.Element{
-			"keys": {Doc: "the whole file", Children: []xmlform.Child{{Name: "key", Least: 1, Most: mostKeys}}},
+			"keys": {Doc: "the whole file", Children: []xmlform.Child{{Name: "key", Least: 1, Most: maxKeys}}},
 			"key": {Doc: "one key; several may hold at once, so that they can be changed one after the other", Attributes: []xmlform.Attribute{
 				{Name: "name", Kind: xmlform.Name, Required: true, Doc: "named by signatures made with it"},
 				{Name: "algorithm", Kind: xmlform.Choice, Values: []string{"ed25519", "blake3"}, Required: true, Doc: "ed25519: a public key, to sign the private one; blake3: a shared secret"},
@@ -50,7 +51,7 @@
 	}
 }
 
-// Key is one key.
+// Key is one key of a file.
 type Key struct {
 	Name        string
 	From, Until time.Time
@@ -59,11 +60,11 @@
 	secret      []byte
 }
 
-// Keys are the keys of a file.
+// Keys holds the keys of a file.
 type Keys struct{ list []Key }
 
-// Read reads a key file, whose name is for messages only. The error joins all its
-// faults; none of them shows a key's value.
+// Read parses a key file. The file's name is used in messages only. The error joins all
+// faults that were found, and never contains the value of a key.
 func Read(file string, r io.Reader) (*Keys, error) {
 	faults := &xmlform.Faults{File: file}
 	root := Form().Read(r, faults)
@@ -93,15 +94,15 @@
 			faults.Add(n.Line, n.Name, "until no later than from", "a key that holds for some time")
 		}
 		value, err := base64.StdEncoding.DecodeString(n.Text("value"))
-		blake := n.Text("algorithm") == "blake3"
+		isBLAKE3 := n.Text("algorithm") == "blake3"
 		switch {
 		case err != nil:
 			faults.Add(n.Line, n.Name, "a value that is no base64", "base64")
-		case blake && len(value) == 32:
+		case isBLAKE3 && len(value) == 32:
 			k.secret = value
-		case !blake && len(value) == ed25519.PublicKeySize:
+		case !isBLAKE3 && len(value) == ed25519.PublicKeySize:
 			k.public = value
-		case !blake && len(value) == ed25519.PrivateKeySize:
+		case !isBLAKE3 && len(value) == ed25519.PrivateKeySize:
 			k.private = value
 			k.public = k.private.Public().(ed25519.PublicKey)
 		default:
@@ -115,7 +116,7 @@
 	return keys, nil
 }
 
-// The reasons why a signature does not hold.
+// The reasons for rejecting a signature, or for not signing.
 var (
 	ErrMissing = errors.New("the configuration is not signed")
 	ErrForm    = errors.New("malformed signature")
@@ -125,7 +126,8 @@
 	ErrPublic  = errors.New("the key can't sign: it is a public one")
 )
 
-// Sign signs a message with a key that holds now: NAME:BASE64.
+// Sign signs a message with a key that is valid at the time now. The signature has the
+// form NAME:BASE64.
 func (k *Keys) Sign(now time.Time, name string, message []byte) (string, error) {
 	key, err := k.find(now, name)
 	if err != nil {
@@ -136,14 +138,15 @@
 	case key.secret != nil:
 		sum = key.mac(message)
 	case key.private != nil:
-		sum = ed25519.Sign(key.private, signed(message))
+		sum = ed25519.Sign(key.private, withContext(message))
 	default:
 		return "", fmt.Errorf("key %q: %w", name, ErrPublic)
 	}
 	return name + ":" + base64.StdEncoding.EncodeToString(sum), nil
 }
 
-// Verify tells why a signature of a message does not hold; nil if it does.
+// Verify returns nil if the signature of a message is valid at the time now, otherwise the
+// reason why it is not.
 func (k *Keys) Verify(now time.Time, message []byte, signature string) error {
 	if signature == "" {
 		return ErrMissing
@@ -160,7 +163,7 @@
 	if key.secret != nil {
 		ok = subtle.ConstantTimeCompare(sum, key.mac(message)) == 1
 	} else {
-		ok = ed25519.Verify(key.public, signed(message), sum)
+		ok = ed25519.Verify(key.public, withContext(message), sum)
 	}
 	if !ok {
 		return fmt.Errorf("key %q: %w", name, ErrBad)
@@ -168,11 +171,12 @@
 	return nil
 }
 
-// ErrNoSecret is why a key can't authenticate messages: both sides must have the same one.
+// ErrNoSecret is returned by Mac for a key that is not a shared secret: both sides of an
+// authentication code need the same key.
 var ErrNoSecret = errors.New("the key is no shared secret, want algorithm blake3")
 
-// Mac returns the code that a message bears under a shared secret that holds now. purpose
-// keeps it from being taken for a code of something else; it must end with a line end.
+// Mac returns the authentication code of a message under a shared secret that is valid at
+// the time now. The code is valid for one purpose only; purpose must end with a newline.
 func (k *Keys) Mac(now time.Time, name, purpose string, message []byte) ([]byte, error) {
 	key, err := k.find(now, name)
 	if err != nil {
@@ -181,9 +185,10 @@
 	if key.secret == nil {
 		return nil, fmt.Errorf("key %q: %w", name, ErrNoSecret)
 	}
-	return key.macOf(purpose, message), nil
+	return key.macFor(purpose, message), nil
 }
 
+// find returns the key of a name if it is valid at the time now.
 func (k *Keys) find(now time.Time, name string) (*Key, error) {
 	for i := range k.list {
 		key := &k.list[i]
@@ -198,16 +203,16 @@
 	return nil, fmt.Errorf("key %.40q: %w", name, ErrUnknown)
 }
 
-func signed(message []byte) []byte { return append([]byte(context), message...) }
+func withContext(message []byte) []byte { return append([]byte(configurationContext), message...) }
 
-func (k *Key) mac(message []byte) []byte { return k.macOf(context, message) }
+func (k *Key) mac(message []byte) []byte { return k.macFor(configurationContext, message) }
 
-func (k *Key) macOf(purpose string, message []byte) []byte {
+func (k *Key) macFor(purpose string, message []byte) []byte {
 	h, err := blake3.NewKeyed(k.secret)
-	if err != nil { // can't be: it has 32 bytes
+	if err != nil { // impossible: the secret has 32 bytes
 		panic(err)
 	}
-	_, _ = h.Write([]byte(purpose)) // neither ever fails
+	_, _ = h.Write([]byte(purpose)) // hash writes never fail
 	_, _ = h.Write(message)
 	return h.Sum(nil)
 }
--- a/internal/durable/durable.go
+++ b/internal/durable/durable.go
@@ -1,5 +1,5 @@
-// Package durable has writes to disk, and the files behind them, bear failures that pass: a disk that is full
-// or returns errors for a while, and a process that was killed while it made a file.
+// Package durable makes file access tolerate transient failures: a disk that is full or returns errors for a while,
+// and a process that was killed while it created a file.
 package durable
 
 import (
@@ -15,43 +15,44 @@
 	"time"
 
 	"go.etcd.io/bbolt"
+	bolterrors "go.etcd.io/bbolt/errors"
 
 	"eiderwinch/internal/format/sealed"
 )
 
-// Waits between tries.
 const (
-	leastWait  = 10 * time.Millisecond
-	mostWait   = 500 * time.Millisecond
-	tellAgain  = 10 * time.Second // how often a write that keeps failing is logged
-	unfinished = ".new"           // behind the name of a file that is being made
+	minWait         = 10 * time.Millisecond // mean wait after the first failed try; doubled after each further one
+	maxWait         = 500 * time.Millisecond
+	logInterval     = 10 * time.Second // between log lines on a write that keeps failing
+	temporarySuffix = ".new"           // appended to the name of a file that is being created
 )
 
-// ErrPermanent is part of errors that trying again can't help: what is to be written is itself at fault.
+// ErrPermanent marks errors that retrying can't fix, because the data to be written is itself invalid.
 var ErrPermanent = errors.New("permanent")
 
-// Retry calls write until it succeeds, fails with ErrPermanent, or ctx ends; then it returns the last error.
-// It is for the goroutine that owns what is written: nothing that depends on the write happens meanwhile.
+// Retry calls write until it succeeds, fails with a permanent error such as ErrPermanent, or ctx ends; in the last two
+// cases it returns the last error. It blocks the goroutine that owns the data, so that nothing that depends on the
+// write happens before it.
 func Retry(ctx context.Context, log *slog.Logger, what string, write func() error) error {
-	var began, told time.Time
-	for wait, fails := leastWait, 1; ; wait, fails = min(2*wait, mostWait), fails+1 {
+	var firstFailure, lastLogged time.Time
+	for wait, tries := minWait, 1; ; wait, tries = min(2*wait, maxWait), tries+1 {
 		err := write()
 		now := time.Now()
 		if err == nil {
-			if fails > 1 {
-				log.Info("written at last", "what", what, "fails", fails-1, "after", now.Sub(began))
+			if tries > 1 {
+				log.Info("write succeeded after retries", "what", what, "fails", tries-1, "after", now.Sub(firstFailure))
 			}
 			return nil
 		}
-		if permanent(err) {
+		if isPermanent(err) {
 			return err
 		}
-		if fails == 1 {
-			began = now
+		if tries == 1 {
+			firstFailure = now
 		}
-		if now.Sub(told) >= tellAgain {
-			told = now
-			log.Error("a write fails; it is tried again", "what", what, "fails", fails, "err", err)
+		if now.Sub(lastLogged) >= logInterval {
+			lastLogged = now
+			log.Error("a write fails; it is tried again", "what", what, "fails", tries, "err", err)
 		}
 		select {
 		case <-ctx.Done():
@@ -61,28 +62,28 @@
 	}
 }
 
-// permanent tells whether an error is of what is written, or of a file that is not open for writing any more.
-func permanent(err error) bool {
-	for _, at := range [...]error{ErrPermanent, sealed.ErrDamaged, bbolt.ErrDatabaseNotOpen, bbolt.ErrDatabaseReadOnly} {
-		if errors.Is(err, at) {
+// isPermanent reports whether an error is caused by the data, or by a file that is no longer open for writing.
+func isPermanent(err error) bool {
+	for _, target := range [...]error{ErrPermanent, sealed.ErrDamaged, bolterrors.ErrDatabaseNotOpen, bolterrors.ErrDatabaseReadOnly} {
+		if errors.Is(err, target) {
 			return true
 		}
 	}
 	return false
 }
 
-// StartTime is how long a process that starts tries to write and to open what it needs.
+// StartTime bounds the time in which a starting process retries to write, and to open what it needs.
 const StartTime = 20 * time.Second
 
-// AtStart is Retry for a process that starts.
+// AtStart calls Retry for at most StartTime. It is for processes that are starting.
 func AtStart(log *slog.Logger, what string, write func() error) error {
 	ctx, stop := context.WithTimeout(context.Background(), StartTime)
 	defer stop()
 	return Retry(ctx, log, what, write)
 }
 
-// Transient tells whether a file may be read or opened a little later: an error of the disk or of the system's
-// means, and none of the file's name or rights.
+// Transient reports whether reading or opening a file may succeed a little later: the error comes from the disk or
+// from a shortage of system resources, not from the file's name or permissions.
 func Transient(err error) bool {
 	var number syscall.Errno
 	if !errors.As(err, &number) {
@@ -96,10 +97,10 @@
 	return false
 }
 
-// Within calls f again while it fails with an error that Transient names, for so long at the most.
-func Within(most time.Duration, f func() error) error {
-	end := time.Now().Add(most)
-	for wait := leastWait; ; wait = min(2*wait, mostWait) {
+// Within retries f while it fails with a transient error, for at most the given time. It returns the last error.
+func Within(timeout time.Duration, f func() error) error {
+	end := time.Now().Add(timeout)
+	for wait := minWait; ; wait = min(2*wait, maxWait) {
 		err := f()
 		if err == nil || !Transient(err) || time.Now().Add(wait).After(end) {
 			return err
@@ -108,10 +109,10 @@
 	}
 }
 
-// ReadTime is how long a file is tried to be read.
+// ReadTime bounds the time in which ReadFile retries.
 const ReadTime = 5 * time.Second
 
-// ReadFile reads a file, again where the disk or the system fails for a while.
+// ReadFile reads a file, and retries after transient errors.
 func ReadFile(path string) (text []byte, err error) {
 	err = Within(ReadTime, func() error {
 		text, err = os.ReadFile(path)
@@ -120,12 +121,12 @@
 	return text, err
 }
 
-// OpenBolt opens a bbolt file, or makes one. A new file gets its name once it is whole and on disk, so that a
-// process killed meanwhile leaves none that can't be opened.
+// OpenBolt opens a bbolt file, or creates one. A new file gets its name only when it is complete and on disk, so that
+// a process that is killed meanwhile leaves no file that can't be opened.
 func OpenBolt(path string, options *bbolt.Options) (*bbolt.DB, error) {
 	_, err := os.Stat(path)
 	if errors.Is(err, fs.ErrNotExist) {
-		err = makeBolt(path, options)
+		err = createBolt(path, options)
 	}
 	if err != nil {
 		return nil, err
@@ -133,35 +134,35 @@
 	return bbolt.Open(path, 0o600, options)
 }
 
-func makeBolt(path string, options *bbolt.Options) error {
-	fresh := path + unfinished
-	if err := os.Remove(fresh); err != nil && !errors.Is(err, fs.ErrNotExist) {
+func createBolt(path string, options *bbolt.Options) error {
+	temporary := path + temporarySuffix
+	if err := os.Remove(temporary); err != nil && !errors.Is(err, fs.ErrNotExist) {
 		return err
 	}
-	db, err := bbolt.Open(fresh, 0o600, options)
+	db, err := bbolt.Open(temporary, 0o600, options)
 	if err != nil {
 		return err
 	}
 	if err := errors.Join(db.Sync(), db.Close()); err != nil {
 		return err
 	}
-	// A link fails where another process has made the file meanwhile, which a rename would replace.
-	if err := os.Link(fresh, path); err != nil && !errors.Is(err, fs.ErrExist) {
+	// A link fails if another process has created the file meanwhile. A rename would replace that file.
+	if err := os.Link(temporary, path); err != nil && !errors.Is(err, fs.ErrExist) {
 		return err
 	}
-	if err := os.Remove(fresh); err != nil {
+	if err := os.Remove(temporary); err != nil {
 		return err
 	}
-	return syncFolder(filepath.Dir(path))
+	return syncDirectory(filepath.Dir(path))
 }
 
-func syncFolder(path string) error {
-	folder, err := os.Open(path)
+func syncDirectory(path string) error {
+	directory, err := os.Open(path)
 	if err != nil {
 		return err
 	}
-	if err := errors.Join(folder.Sync(), folder.Close()); err != nil {
-		return fmt.Errorf("folder %s: %w", path, err)
+	if err := errors.Join(directory.Sync(), directory.Close()); err != nil {
+		return fmt.Errorf("directory %s: %w", path, err)
 	}
 	return nil
 }
--- a/internal/durable/durable_test.go
+++ b/internal/durable/durable_test.go
@@ -16,28 +16,28 @@
 	"go.etcd.io/bbolt"
 )
 
-func TestAWriteIsTriedAgainUntilItSucceeds(t *testing.T) {
+func TestRetryUntilTheWriteSucceeds(t *testing.T) {
 	var log bytes.Buffer
-	fails := 0
+	tries := 0
 	err := Retry(context.Background(), slog.New(slog.NewTextHandler(&log, nil)), "records", func() error {
-		if fails++; fails < 4 {
+		if tries++; tries < 4 {
 			return fmt.Errorf("commit: %w", syscall.ENOSPC)
 		}
 		return nil
 	})
-	if err != nil || fails != 4 {
-		t.Errorf("%d tries, %v", fails, err)
+	if err != nil || tries != 4 {
+		t.Errorf("%d tries, %v", tries, err)
 	}
 	if text := log.String(); strings.Count(text, "a write fails") != 1 || !strings.Contains(text, "fails=3") {
 		t.Errorf("logged: %s", text)
 	}
 }
 
-func TestAWriteThatCannotSucceedIsGivenUp(t *testing.T) {
+func TestRetryEndsOnPermanentErrorsAndTimeouts(t *testing.T) {
 	log := slog.New(slog.DiscardHandler)
 	tries := 0
-	at := fmt.Errorf("too long: %w", ErrPermanent)
-	if err := Retry(context.Background(), log, "", func() error { tries++; return at }); err != at || tries != 1 {
+	permanent := fmt.Errorf("too long: %w", ErrPermanent)
+	if err := Retry(context.Background(), log, "", func() error { tries++; return permanent }); err != permanent || tries != 1 {
 		t.Errorf("%d tries, %v", tries, err)
 	}
 	ctx, stop := context.WithTimeout(context.Background(), 50*time.Millisecond)
@@ -47,13 +47,14 @@
 	}
 }
 
-// A process that is killed while it makes its file leaves one that can be made anew.
-func TestAFileThatWasMadeHalfIsMadeAnew(t *testing.T) {
+// Guards against a process that cannot start because an earlier one was killed while it created its database file: the
+// incomplete file is created again.
+func TestIncompleteNewFileIsCreatedAgain(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "log")
-	if err := os.WriteFile(path+unfinished, []byte("half a page"), 0o600); err != nil {
+	if err := os.WriteFile(path+temporarySuffix, []byte("half a page"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	for range 2 { // made, and opened again
+	for range 2 { // created, then opened again
 		db, err := OpenBolt(path, &bbolt.Options{Timeout: time.Second})
 		if err != nil {
 			t.Fatal(err)
@@ -67,7 +68,7 @@
 	}
 }
 
-func TestErrorsOfNamesAndRightsDoNotPass(t *testing.T) {
+func TestErrorsOfNamesAndPermissionsAreNotTransient(t *testing.T) {
 	for err, want := range map[error]bool{
 		syscall.EIO: true, syscall.ENOSPC: true, syscall.EMFILE: true, syscall.ENOENT: false, syscall.EACCES: false,
 		errors.New("malformed"): false,
