--- a/internal/asynclog/asynclog.go
+++ b/internal/asynclog/asynclog.go
@@ -1,5 +1,5 @@
-// Package asynclog keeps a log's reader from holding up the process: lines wait in a bounded queue for a
-// goroutine that writes them, and are dropped and counted where the reader is too slow.
+// Package asynclog writes log lines without blocking the process on a slow reader of the log: lines wait in a
+// bounded queue for a goroutine that writes them. When the queue is full, lines are dropped and counted.
 package asynclog
 
 import (
@@ -10,28 +10,28 @@
 )
 
 const (
-	queued    = 4096                   // lines that wait
-	flushTime = 500 * time.Millisecond // for what waits at the end
+	queueCapacity = 4096                   // lines
+	closeTimeout  = 500 * time.Millisecond // for writing the queued lines in Close
 )
 
-// Writer is an io.Writer that does not block. Make it with New.
+// Writer is an io.Writer that does not block. Create it with New.
 type Writer struct {
-	to      io.Writer
+	output  io.Writer
 	lines   chan []byte
 	stop    chan struct{}
 	done    chan struct{}
-	dropped atomic.Int64 // lines that found no room
+	dropped atomic.Int64 // lines dropped because the queue was full
 	failed  atomic.Int64 // lines that could not be written
 }
 
-// New returns a Writer of lines to another, which is written to by one goroutine.
-func New(to io.Writer) *Writer {
-	w := &Writer{to: to, lines: make(chan []byte, queued), stop: make(chan struct{}), done: make(chan struct{})}
+// New returns a Writer that writes lines to output from a single goroutine.
+func New(output io.Writer) *Writer {
+	w := &Writer{output: output, lines: make(chan []byte, queueCapacity), stop: make(chan struct{}), done: make(chan struct{})}
 	go w.run()
 	return w
 }
 
-// Write takes one line. It never fails: the log's troubles are not its writers'.
+// Write queues one line. It never fails: problems of the log must not affect the code that logs.
 func (w *Writer) Write(line []byte) (int, error) {
 	select {
 	case w.lines <- append([]byte(nil), line...):
@@ -41,21 +41,21 @@
 	return len(line), nil
 }
 
-// Lost is how many lines were dropped for want of room, and how many could not be written.
+// Lost returns the number of lines dropped because the queue was full, and of those that could not be written.
 func (w *Writer) Lost() (dropped, failed int64) { return w.dropped.Load(), w.failed.Load() }
 
-// Close writes what waits, for a while, and ends the goroutine.
+// Close writes the queued lines, for at most closeTimeout, and ends the goroutine.
 func (w *Writer) Close() {
 	close(w.stop)
 	select {
 	case <-w.done:
-	case <-time.After(flushTime):
+	case <-time.After(closeTimeout):
 	}
 }
 
 func (w *Writer) run() {
 	defer close(w.done)
-	for told := int64(0); ; {
+	for reported := int64(0); ; {
 		select {
 		case line := <-w.lines:
 			w.write(line)
@@ -65,15 +65,15 @@
 			}
 			return
 		}
-		if dropped := w.dropped.Load(); dropped > told {
-			w.write(fmt.Appendf(nil, "level=WARN msg=\"log lines dropped\" dropped=%d\n", dropped-told))
-			told = dropped
+		if dropped := w.dropped.Load(); dropped > reported {
+			w.write(fmt.Appendf(nil, "level=WARN msg=\"log lines dropped\" dropped=%d\n", dropped-reported))
+			reported = dropped
 		}
 	}
 }
 
 func (w *Writer) write(line []byte) {
-	if _, err := w.to.Write(line); err != nil {
+	if _, err := w.output.Write(line); err != nil {
 		w.failed.Add(1)
 	}
 }
--- a/internal/asynclog/asynclog_test.go
+++ b/internal/asynclog/asynclog_test.go
@@ -8,25 +8,26 @@
 	"time"
 )
 
-// reader takes lines as a test lets it.
-type reader struct {
+// slowOutput blocks each write until open is closed, and then fails with err if it is set.
+type slowOutput struct {
 	bytes.Buffer
 	open chan struct{}
 	err  error
 }
 
-func (r *reader) Write(b []byte) (int, error) {
-	<-r.open
-	if r.err != nil {
-		return 0, r.err
+func (o *slowOutput) Write(b []byte) (int, error) {
+	<-o.open
+	if o.err != nil {
+		return 0, o.err
 	}
-	return r.Buffer.Write(b)
+	return o.Buffer.Write(b)
 }
 
-func TestAReaderThatStandsStillHoldsUpNobody(t *testing.T) {
-	r := &reader{open: make(chan struct{})}
-	w := New(r)
-	const lines = queued + 100
+// Guards against a process that blocks because nobody reads its log, as on a full pipe.
+func TestStalledReaderDoesNotBlockWrites(t *testing.T) {
+	output := &slowOutput{open: make(chan struct{})}
+	w := New(output)
+	const lines = queueCapacity + 100
 	began := time.Now()
 	for range lines {
 		if _, err := w.Write([]byte("line\n")); err != nil {
@@ -38,22 +39,22 @@
 	}
 	dropped, _ := w.Lost()
 	if dropped < 99 || dropped > 100 {
-		t.Errorf("%d dropped, want those that found no room", dropped)
+		t.Errorf("%d dropped, want those beyond the queue", dropped)
 	}
-	close(r.open)
+	close(output.open)
 	w.Close()
-	if got := strings.Count(r.String(), "line\n"); got != lines-int(dropped) {
+	if got := strings.Count(output.String(), "line\n"); got != lines-int(dropped) {
 		t.Errorf("%d lines written, want %d", got, lines-int(dropped))
 	}
-	if !strings.Contains(r.String(), "log lines dropped") {
-		t.Error("the loss is not told")
+	if !strings.Contains(output.String(), "log lines dropped") {
+		t.Error("the loss is not logged")
 	}
 }
 
-func TestALogThatCannotBeWrittenIsCounted(t *testing.T) {
-	r := &reader{open: make(chan struct{}), err: errors.New("broken pipe")}
-	close(r.open)
-	w := New(r)
+func TestFailedWritesAreCounted(t *testing.T) {
+	output := &slowOutput{open: make(chan struct{}), err: errors.New("broken pipe")}
+	close(output.open)
+	w := New(output)
 	_, _ = w.Write([]byte("line\n"))
 	w.Close()
 	if _, failed := w.Lost(); failed != 1 {
