--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -15,12 +15,13 @@
 	"eiderwinch/internal/netio"
 )
 
-// fakeNode holds what it was told to adopt, and what the file held then.
+// fakeNode records the epoch that it adopted, and what the layout file held at that
+// time.
 type fakeNode struct {
-	epoch layout.Epoch
-	file  string
-	kept  string
-	ended bool
+	epoch       layout.Epoch
+	file        string
+	fileAtAdopt string
+	ended       bool
 }
 
 func (n *fakeNode) State(context.Context, int64) (netio.State, bool) {
@@ -30,14 +31,16 @@
 func (n *fakeNode) Adopt(l *layout.Layout) {
 	n.epoch = l.Epoch()
 	text, _ := os.ReadFile(n.file)
-	n.kept = string(text)
+	n.fileAtAdopt = string(text)
 }
 
-func text(epoch int) string {
+func layoutXML(epoch int) string {
 	return fmt.Sprintf(`<layout xmlns="urn:eiderwinch:layout:1" epoch="%d" next="1" replicas="1"><searcher id="s" zone="x"/><segment id="0"><holder searcher="s"/></segment></layout>`, epoch)
 }
 
-func TestAnEpochIsOnDiskBeforeItIsTakenUp(t *testing.T) {
+// If an epoch were adopted before it is on disk, a gatherer killed in between would
+// restart with an older one. Older epochs and faulty layouts must be refused.
+func TestEpochIsOnDiskBeforeItIsAdopted(t *testing.T) {
 	dir := t.TempDir()
 	n := &fakeNode{epoch: 3, file: filepath.Join(dir, "layout.xml")}
 	g := &Gatherer{Name: "g", Node: n, Layout: n.file}
@@ -54,8 +57,8 @@
 		err := c.Do(ctx, http.MethodPut, "/v1/layout", []byte(text), &got)
 		return got, err
 	}
-	if got, err := put(text(5)); err != nil || got.Epoch != 5 || n.epoch != 5 || n.kept != text(5) {
-		t.Errorf("have %+v, %v; on disk was %q", got, err, n.kept)
+	if got, err := put(layoutXML(5)); err != nil || got.Epoch != 5 || n.epoch != 5 || n.fileAtAdopt != layoutXML(5) {
+		t.Errorf("have %+v, %v; on disk was %q", got, err, n.fileAtAdopt)
 	}
 	status := func(err error) int {
 		var e *Error
@@ -65,55 +68,57 @@
 		}
 		return e.Status
 	}
-	if _, err := put(text(4)); status(err) != http.StatusConflict || !strings.Contains(err.Error(), "found epoch 4, want one after 5") {
+	if _, err := put(layoutXML(4)); status(err) != http.StatusConflict || !strings.Contains(err.Error(), "found epoch 4, want one after 5") {
 		t.Errorf("an older epoch: %v", err)
 	}
-	if _, err := put(text(5)); err != nil {
-		t.Errorf("the same again: %v", err)
+	if _, err := put(layoutXML(5)); err != nil {
+		t.Errorf("the same epoch again: %v", err)
 	}
-	if _, err := put(strings.Replace(text(6), `searcher="s"`, `searcher="q"`, 1)); status(err) != http.StatusUnprocessableEntity {
-		t.Errorf("one on another fleet: %v", err)
+	if _, err := put(strings.Replace(layoutXML(6), `searcher="s"`, `searcher="q"`, 1)); status(err) != http.StatusUnprocessableEntity {
+		t.Errorf("a layout with an unknown searcher: %v", err)
 	}
 	g.Layout = filepath.Join(dir, "none", "layout.xml")
-	if _, err := put(text(6)); status(err) != http.StatusInternalServerError || n.epoch != 5 {
-		t.Errorf("one that can't be kept: %v, epoch %d", err, n.epoch)
+	if _, err := put(layoutXML(6)); status(err) != http.StatusInternalServerError || n.epoch != 5 {
+		t.Errorf("a layout file that can't be written: %v, epoch %d", err, n.epoch)
 	}
 	g.Layout = ""
-	if _, err := put(text(7)); status(err) != http.StatusForbidden {
-		t.Errorf("where none are taken: %v", err)
+	if _, err := put(layoutXML(7)); status(err) != http.StatusForbidden {
+		t.Errorf("a gatherer that accepts no epochs: %v", err)
 	}
 	var state GathererState
 	if err := c.Do(ctx, http.MethodGet, "/v1/state?after=x", nil, &state); status(err) != http.StatusBadRequest {
-		t.Errorf("an odd second: %v", err)
+		t.Errorf("a malformed second: %v", err)
 	}
 	if err := c.Do(ctx, http.MethodGet, "/v1/state?after=3", nil, &state); err != nil || state.Name != "g" || state.Epoch != 5 {
 		t.Errorf("state %+v, %v", state, err)
 	}
 	n.ended = true
 	if err := c.Do(ctx, http.MethodGet, "/v1/state", nil, &state); status(err) != http.StatusServiceUnavailable {
-		t.Errorf("one that has ended: %v", err)
+		t.Errorf("a gatherer that has ended: %v", err)
 	}
 	if left, _ := filepath.Glob(filepath.Join(dir, ".layout*")); len(left) > 0 {
 		t.Errorf("left behind: %v", left)
 	}
 }
 
-func TestWhereItListens(t *testing.T) {
+// A socket left by a killed process must not prevent a start; a socket in use, another
+// kind of file and an address that is not loopback must be refused.
+func TestListen(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "s")
 	s, err := Serve("unix:"+path, http.NotFoundHandler())
 	if err != nil {
 		t.Fatal(err)
 	}
 	if info, err := os.Stat(path); err != nil || info.Mode().Perm() != socketMode {
-		t.Errorf("others may use it: %v, %v", info.Mode(), err)
+		t.Errorf("the socket's mode is not owner-only: %v, %v", info.Mode(), err)
 	}
-	if _, err := Listen("unix:" + path); !errors.Is(err, errServed) {
-		t.Errorf("one that is served: %v", err)
+	if _, err := Listen("unix:" + path); !errors.Is(err, errInUse) {
+		t.Errorf("listening on a socket in use: %v", err)
 	}
 	if err := s.Close(); err != nil {
 		t.Error(err)
 	}
-	// What a killed process leaves.
+	// A killed process leaves its socket file behind.
 	l, err := Listen("unix:" + path)
 	if err != nil {
 		t.Fatal(err)
@@ -121,7 +126,7 @@
 	l.(interface{ SetUnlinkOnClose(bool) }).SetUnlinkOnClose(false)
 	l.Close()
 	if l, err = Listen("unix:" + path); err != nil {
-		t.Fatalf("one that is left over: %v", err)
+		t.Fatalf("listening on a left-over socket: %v", err)
 	}
 	l.Close()
 	if err := os.WriteFile(path, nil, 0o600); err != nil {
@@ -130,7 +135,7 @@
 	for _, bad := range []string{"unix:" + path, "0.0.0.0:0", "example:80"} {
 		if l, err := Listen(bad); err == nil {
 			l.Close()
-			t.Errorf("it listens at %s", bad)
+			t.Errorf("listened at %s", bad)
 		}
 	}
 }
--- a/internal/admin/change.go
+++ b/internal/admin/coordinator.go
@@ -8,8 +8,8 @@
 	"eiderwinch/internal/layout/reshard"
 )
 
-// Change is a change of the layout, as `layout plan --json` proposes and `layout
-// apply` asks for it.
+// Change is a change of the layout, as `layout plan --json` prints it and `layout
+// apply` submits it.
 type Change struct {
 	Kind     string             `json:"change"`
 	Segments []layout.SegmentID `json:"segments"`
@@ -19,12 +19,12 @@
 	Why      string             `json:"why,omitempty"`
 }
 
-// NewChange is a change in that form.
+// NewChange converts a layout change and the reason for it.
 func NewChange(c layout.Change, why string) Change {
 	return Change{c.Kind.String(), c.Segments, c.At, c.Share, c.Holders, why}
 }
 
-// Layout is the change itself.
+// Layout converts c to a layout change. Only a split may have a key or a share.
 func (c Change) Layout() (layout.Change, error) {
 	kind, err := layout.ParseChangeKind(c.Kind)
 	if err != nil {
@@ -36,46 +36,46 @@
 	return layout.Change{Kind: kind, Segments: c.Segments, At: c.At, Share: c.Share, Holders: c.Holders}, nil
 }
 
-// Submission asks a coordinator for changes, of which it takes on each or says
-// why not.
+// Submission asks a coordinator for changes. The coordinator accepts or refuses
+// each of them.
 type Submission struct {
-	// Epoch is the epoch that the changes were made up for; 0 means any. Where the
-	// coordinator has another, none is taken on.
+	// Epoch is the epoch that the changes were planned for; 0 means any. If the
+	// coordinator has another one, it refuses all changes.
 	Epoch   layout.Epoch `json:"epoch,omitempty"`
 	Changes []Change     `json:"changes"`
 }
 
-// Taken is what became of one change of a submission.
+// Taken is the result for one change of a submission.
 type Taken struct {
 	Job   reshard.JobID `json:"job,omitempty"`
-	Error string        `json:"error,omitempty"` // why it was refused
+	Error string        `json:"error,omitempty"` // why the change was refused
 }
 
-// Abortion asks for a change to be undone.
+// Abortion is the request to undo a change.
 type Abortion struct {
 	Reason string `json:"reason"`
 }
 
-// Job is a change under way, or over.
+// Job is a change that is under way or finished.
 type Job struct {
 	Job    reshard.JobID      `json:"job"`
 	Phase  string             `json:"phase"`
 	Over   bool               `json:"over"`
 	Heirs  []layout.SegmentID `json:"heirs,omitempty"`
-	Copied int                `json:"copied"` // of its new holders
+	Copied int                `json:"copied"` // new holders that have finished copying
 	Of     int                `json:"of"`
 	Reason string             `json:"reason,omitempty"`
 	Change
 }
 
-// PeerState is what a coordinator knows of a gatherer or searcher.
+// PeerState is a coordinator's view of a gatherer or searcher.
 type PeerState struct {
 	Name  string       `json:"name"`
 	Epoch layout.Epoch `json:"epoch,omitempty"`
 	Up    bool         `json:"up"`
 }
 
-// Status is what a coordinator tells of itself.
+// Status is the state that a coordinator reports.
 type Status struct {
 	Term      uint64         `json:"term"`
 	Epoch     layout.Epoch   `json:"epoch"`
--- a/internal/admin/gatherer.go
+++ b/internal/admin/gatherer.go
@@ -18,44 +18,44 @@
 	"eiderwinch/internal/service"
 )
 
-// Node is a gatherer, as its admin socket uses it.
+// Node is the part of a gatherer that its admin socket uses.
 type Node interface {
 	State(ctx context.Context, after int64) (netio.State, bool)
 	Adopt(*layout.Layout)
 }
 
-// GathererState is what a gatherer tells of itself.
+// GathererState is the state that a gatherer reports.
 type GathererState struct {
 	Name     string           `json:"name"`
 	Epoch    layout.Epoch     `json:"epoch"`
-	Oldest   layout.Epoch     `json:"oldest"` // that an open query is bound to
+	Oldest   layout.Epoch     `json:"oldest"` // epoch that an open query is bound to
 	Draining bool             `json:"draining"`
 	Service  []service.Window `json:"service,omitempty"`
 }
 
-// Gatherer is the admin socket of a gatherer.
+// Gatherer serves the admin socket of a gatherer.
 //
 //	GET /v1/state?after=SECOND   GathererState, with the seconds after that one
-//	PUT /v1/layout               an epoch, as a layout file
+//	PUT /v1/layout               a new epoch, as a layout file
 //	GET /v1/fleet                FleetState
-//	POST /v1/fleet/leave         has the gatherer leave its fleet
+//	POST /v1/fleet/leave         makes the gatherer leave its fleet
 type Gatherer struct {
 	Name string
 	Node Node
-	// Layout is the file that an epoch is written to before it is taken up, so
-	// that a gatherer that is started again never goes back to an older one: its
-	// coordinator counts on that when it lets old holders forget a segment. Empty
-	// means that epochs are not taken here.
+	// Layout is the file that an epoch is written to before it is adopted, so that
+	// a restarted gatherer never goes back to an older one. The coordinator relies
+	// on that when it has old holders drop a segment. If empty, the socket accepts
+	// no epochs.
 	Layout string
-	// Fleet is the gatherer's view of its fleet; nil: it keeps none.
+	// Fleet is the gatherer's view of its fleet; nil: it has no fleet.
 	Fleet *fleetnet.Node
-	// Leave has the gatherer leave that fleet.
+	// Leave makes the gatherer leave the fleet.
 	Leave func(context.Context) error
-	// Keeper adds what is answered of the configuration; nil adds nothing.
+	// Keeper registers the handlers of the configuration manager; may be nil.
 	Keeper func(*http.ServeMux)
 }
 
-// Handler answers on the socket.
+// Handler returns the HTTP handler of the socket.
 func (g *Gatherer) Handler() http.Handler {
 	m := http.NewServeMux()
 	m.HandleFunc("GET /v1/state", g.state)
@@ -72,22 +72,22 @@
 type FleetState struct {
 	Name    string          `json:"name"`
 	Addr    string          `json:"addr"`
-	View    uint64          `json:"view"`   // its number, the gatherer's own
-	Digest  string          `json:"digest"` // the same where the same processes are counted
+	View    uint64          `json:"view"`   // number of the view, counted by this gatherer alone
+	Digest  string          `json:"digest"` // equal where the same processes are counted
 	Counted int             `json:"counted"`
-	Over    bool            `json:"over"`            // a newer process bears the name
-	Share   *FleetShare     `json:"share,omitempty"` // where the fleet's limits are divided
+	Over    bool            `json:"over"`            // a newer process has the same name
+	Share   *FleetShare     `json:"share,omitempty"` // set if the fleet's limits are divided
 	Members []FleetMember   `json:"members"`
 	Counts  fleetnet.Counts `json:"counts"`
 }
 
-// FleetShare is what a gatherer may use of the fleet's limits.
+// FleetShare is a gatherer's share of the fleet's limits.
 type FleetShare struct {
-	Slots int       `json:"slots"` // the own one and those right before it
-	Until time.Time `json:"until"` // then it is the own one; zero: nothing ends it
+	Slots int       `json:"slots"` // the gatherer's own slot and those directly before it
+	Until time.Time `json:"until"` // when the share falls back to the own slot; zero: never
 }
 
-// FleetMember is one that is known, one that is gone included.
+// FleetMember is a known member of the fleet, including one that is gone.
 type FleetMember struct {
 	Name       string `json:"name"`
 	State      string `json:"state"`
@@ -98,7 +98,7 @@
 	Epoch      uint64 `json:"epoch"`
 }
 
-var errNoFleet = errors.New("this gatherer keeps no view of its fleet: see fleet in the operators' file")
+var errNoFleet = errors.New("this gatherer has no view of a fleet: see fleet in the operators' file")
 
 func (g *Gatherer) fleet(w http.ResponseWriter, _ *http.Request) {
 	if g.Fleet == nil {
@@ -107,7 +107,7 @@
 	}
 	known, counts, ok := g.Fleet.Known()
 	if !ok {
-		Refuse(w, http.StatusServiceUnavailable, errNoPart)
+		Refuse(w, http.StatusServiceUnavailable, errLeftFleet)
 		return
 	}
 	v := g.Fleet.View()
@@ -133,7 +133,7 @@
 	Answer(w, http.StatusOK, struct{}{})
 }
 
-var errNoPart = errors.New("the gatherer has left its fleet, or has ended")
+var errLeftFleet = errors.New("the gatherer has left its fleet, or has ended")
 
 var errNotServing = errors.New("the gatherer does not serve yet, or has ended")
 
@@ -182,7 +182,7 @@
 		return
 	case l.Epoch() > s.Epoch:
 		if err := Keep(g.Layout, text.Bytes()); err != nil {
-			Refuse(w, http.StatusInternalServerError, fmt.Errorf("epoch %d is not taken up: %w", l.Epoch(), err))
+			Refuse(w, http.StatusInternalServerError, fmt.Errorf("epoch %d is not adopted: %w", l.Epoch(), err))
 			return
 		}
 		g.Node.Adopt(l)
@@ -190,8 +190,8 @@
 	Answer(w, http.StatusOK, GathererState{Name: g.Name, Epoch: l.Epoch(), Oldest: s.Oldest, Draining: s.Draining})
 }
 
-// Keep replaces a file by a text, so that it holds the old text or the new one
-// whole whenever the machine stops.
+// Keep replaces a file's contents atomically and durably: if the machine stops at
+// any time, the file holds either the old or the whole new text.
 func Keep(path string, text []byte) (err error) {
 	dir := filepath.Dir(path)
 	f, err := os.CreateTemp(dir, "."+filepath.Base(path)+"-*")
--- a/internal/admin/listen.go
+++ b/internal/admin/socket.go
@@ -1,7 +1,8 @@
-// Package admin is how operators and a coordinator talk to a running gatherer or
-// coordinator: HTTP with JSON on a socket of the machine itself, a Unix socket or
-// a loopback port. It is off unless the operators' file names a socket, and never
-// on an address that others reach: it has no passwords.
+// Package admin implements the admin socket, over which operators and a coordinator
+// control a running gatherer or coordinator: JSON over HTTP on a Unix socket or a
+// loopback port. It is off unless the operators' file names a socket. It never
+// listens on an address that other machines can reach, because it has no
+// authentication.
 package admin
 
 import (
@@ -21,25 +22,25 @@
 	"eiderwinch/internal/durable"
 )
 
-// Bounds of what is taken. A layout of 10,000 segments with three holders each
-// is some 2 MB.
+// Limits of requests. A layout of 10,000 segments with three holders each is about
+// 2 MB.
 const (
-	maxBody    = 64 << 20
-	maxHead    = 16 << 10
-	headTime   = 2 * time.Second
-	bodyTime   = 10 * time.Second
-	idleTime   = 30 * time.Second
-	closeTime  = 2 * time.Second
-	socketMode = 0o600 // its owner alone
+	maxBodyBytes   = 64 << 20
+	maxHeaderBytes = 16 << 10
+	headerTimeout  = 2 * time.Second
+	bodyTimeout    = 10 * time.Second
+	idleTimeout    = 30 * time.Second
+	closeTimeout   = 2 * time.Second
+	socketMode     = 0o600 // access for the owner only
 )
 
-// Listen listens at an endpoint, "unix:PATH" or a loopback address and a port. A
-// socket that a killed process has left is taken over; one that a living process
-// serves is not.
+// Listen listens at an endpoint, "unix:PATH" or a loopback address and a port. It
+// replaces a socket left behind by a killed process, but not one that a running
+// process serves.
 func Listen(endpoint string) (net.Listener, error) {
-	network, addr := split(endpoint)
+	network, addr := splitEndpoint(endpoint)
 	if network == "unix" {
-		if err := clear(addr); err != nil {
+		if err := removeStaleSocket(addr); err != nil {
 			return nil, fmt.Errorf("admin socket %s: %w", endpoint, err)
 		}
 	} else if host, _, err := net.SplitHostPort(addr); err != nil || !net.ParseIP(host).IsLoopback() {
@@ -59,17 +60,17 @@
 	return l, nil
 }
 
-func split(endpoint string) (network, addr string) {
+func splitEndpoint(endpoint string) (network, addr string) {
 	if path, ok := strings.CutPrefix(endpoint, "unix:"); ok {
 		return "unix", path
 	}
 	return "tcp", endpoint
 }
 
-var errServed = errors.New("another process serves it")
+var errInUse = errors.New("another process listens on it")
 
-// clear removes a socket that nobody serves.
-func clear(path string) error {
+// removeStaleSocket removes a socket that no process serves.
+func removeStaleSocket(path string) error {
 	info, err := os.Lstat(path)
 	if errors.Is(err, fs.ErrNotExist) {
 		return nil
@@ -78,22 +79,22 @@
 		return err
 	}
 	if info.Mode()&fs.ModeSocket == 0 {
-		return errors.New("there is a file that is no socket")
+		return errors.New("the path exists and is not a socket")
 	}
-	if c, err := net.DialTimeout("unix", path, headTime); err == nil {
-		return errors.Join(errServed, c.Close())
+	if c, err := net.DialTimeout("unix", path, headerTimeout); err == nil {
+		return errors.Join(errInUse, c.Close())
 	}
 	return os.Remove(path)
 }
 
-// Server serves a handler until it is closed.
+// Server is an HTTP server at an endpoint.
 type Server struct {
 	http http.Server
 	addr string
 	done chan error
 }
 
-// Serve serves a handler at an endpoint.
+// Serve starts a server for a handler at an endpoint.
 func Serve(endpoint string, h http.Handler) (*Server, error) {
 	l, err := Listen(endpoint)
 	if err != nil {
@@ -101,41 +102,42 @@
 	}
 	s := &Server{
 		http: http.Server{
-			Handler: http.MaxBytesHandler(h, maxBody), MaxHeaderBytes: maxHead,
-			ReadHeaderTimeout: headTime, ReadTimeout: bodyTime, WriteTimeout: bodyTime, IdleTimeout: idleTime,
+			Handler: http.MaxBytesHandler(h, maxBodyBytes), MaxHeaderBytes: maxHeaderBytes,
+			ReadHeaderTimeout: headerTimeout, ReadTimeout: bodyTimeout, WriteTimeout: bodyTimeout, IdleTimeout: idleTimeout,
 		},
 		addr: endpoint, done: make(chan error, 1),
 	}
 	if l.Addr().Network() != "unix" {
 		s.addr = l.Addr().String()
 	}
-	go func() { s.done <- s.http.Serve(patientListener{l}) }()
+	go func() { s.done <- s.http.Serve(retryListener{l}) }()
 	return s, nil
 }
 
-// patientListener bears failures of accept: a server that ends with the first would be gone for good.
-type patientListener struct{ net.Listener }
+// retryListener retries accept after a failure: a server that ended at the first
+// failure would not come back.
+type retryListener struct{ net.Listener }
 
-// acceptWait is how long accept rests after a failure.
-const acceptWait = 20 * time.Millisecond
+// acceptRetryDelay is the pause after a failed accept.
+const acceptRetryDelay = 20 * time.Millisecond
 
 // Accept implements net.Listener. It fails only once the listener is closed.
-func (l patientListener) Accept() (net.Conn, error) {
+func (l retryListener) Accept() (net.Conn, error) {
 	for {
 		c, err := l.Listener.Accept()
 		if err == nil || errors.Is(err, net.ErrClosed) {
 			return c, err
 		}
-		time.Sleep(acceptWait)
+		time.Sleep(acceptRetryDelay)
 	}
 }
 
-// Endpoint is where it serves, with the port that it was given.
+// Endpoint returns the endpoint that the server listens on, with the actual port.
 func (s *Server) Endpoint() string { return s.addr }
 
-// Close lets open requests end for a while, and then breaks them.
+// Close waits up to closeTimeout for open requests to end, then aborts them.
 func (s *Server) Close() error {
-	ctx, stop := context.WithTimeout(context.Background(), closeTime)
+	ctx, stop := context.WithTimeout(context.Background(), closeTimeout)
 	defer stop()
 	if err := s.http.Shutdown(ctx); err != nil {
 		_ = s.http.Close()
@@ -146,22 +148,22 @@
 	return nil
 }
 
-// Client talks to one endpoint.
+// Client is a client of one admin socket.
 type Client struct {
 	endpoint string
 	http     http.Client
 }
 
-// NewClient returns a client of an endpoint, whose calls take so long at the
-// most. With wrap, which may be nil, tests come between.
+// NewClient returns a client of an endpoint whose requests end after timeout. With
+// wrap, which may be nil, tests intercept requests.
 func NewClient(endpoint string, timeout time.Duration, wrap func(http.RoundTripper) http.RoundTripper) *Client {
-	network, addr := split(endpoint)
+	network, addr := splitEndpoint(endpoint)
 	var dialer net.Dialer
 	var t http.RoundTripper = &http.Transport{
 		DialContext: func(ctx context.Context, _, _ string) (net.Conn, error) {
 			return dialer.DialContext(ctx, network, addr)
 		},
-		MaxIdleConnsPerHost: 1, IdleConnTimeout: idleTime / 2, MaxResponseHeaderBytes: maxHead,
+		MaxIdleConnsPerHost: 1, IdleConnTimeout: idleTimeout / 2, MaxResponseHeaderBytes: maxHeaderBytes,
 	}
 	if wrap != nil {
 		t = wrap(t)
@@ -172,7 +174,7 @@
 // Close closes idle connections.
 func (c *Client) Close() { c.http.CloseIdleConnections() }
 
-// Error is an answer that tells of a fault.
+// Error is an error response.
 type Error struct {
 	Status int    `json:"-"`
 	Text   string `json:"error"`
@@ -180,8 +182,9 @@
 
 func (e *Error) Error() string { return e.Text }
 
-// Do asks and reads the answer into out, which may be nil. The body is sent as
-// it is where it is a []byte, else as JSON; nil sends none.
+// Do sends a request and decodes the response into out, which may be nil; a *[]byte
+// gets the response as it is. If in is a []byte, it is sent as it is, else as JSON;
+// nil sends no body.
 func (c *Client) Do(ctx context.Context, method, path string, in, out any) error {
 	body, ok := in.([]byte)
 	if !ok && in != nil {
@@ -199,7 +202,7 @@
 		return fmt.Errorf("admin socket %s: %w", c.endpoint, err)
 	}
 	defer resp.Body.Close()
-	text, err := io.ReadAll(io.LimitReader(resp.Body, maxBody))
+	text, err := io.ReadAll(io.LimitReader(resp.Body, maxBodyBytes))
 	if err != nil {
 		return fmt.Errorf("admin socket %s: %w", c.endpoint, err)
 	}
@@ -218,25 +221,25 @@
 		return nil
 	}
 	if err := json.Unmarshal(text, out); err != nil {
-		return fmt.Errorf("admin socket %s: answer: %w", c.endpoint, err)
+		return fmt.Errorf("admin socket %s: invalid response: %w", c.endpoint, err)
 	}
 	return nil
 }
 
-// Answer writes an answer as JSON.
+// Answer writes a response as JSON.
 func Answer(w http.ResponseWriter, status int, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	_ = json.NewEncoder(w).Encode(v) // where it fails, whoever asked has left
+	_ = json.NewEncoder(w).Encode(v) // fails only if the client has disconnected
 }
 
-// Refuse answers with a fault.
+// Refuse writes an error response.
 func Refuse(w http.ResponseWriter, status int, err error) {
 	Answer(w, status, &Error{Text: err.Error()})
 }
 
-// Read reads a request's JSON. Where it can't, it refuses the request and returns
-// false.
+// Read decodes a request's JSON into v. If that fails, it refuses the request and
+// returns false.
 func Read(w http.ResponseWriter, r *http.Request, v any) bool {
 	d := json.NewDecoder(r.Body)
 	d.DisallowUnknownFields()
