--- a/internal/configuration/history/history.go
+++ b/internal/configuration/history/history.go
@@ -1,18 +1,17 @@
-// Package history keeps the configuration's transactions and texts on disk, so
-// that a gatherer that is killed at any byte comes up in the last generation that
-// was confirmed. It is a bbolt file: a commit is atomic and on disk when a method
-// returns.
+// Package history stores configuration transactions and texts on disk, so that a
+// gatherer killed during any write recovers the last confirmed generation. The
+// store is a bbolt file: each commit is atomic, and on disk when a method returns.
 //
-// Form, version 1. Bucket "meta" holds "version" (one byte, 1) and "base" (JSON of
-// a change.Base). Bucket "records" holds the JSON of one change.Record for each
-// key, its number in 8 bytes, most significant first. Bucket "texts" holds one
-// bundle for each key, its BLAKE3 hash: JSON of a bundle.Bundle, compressed by
-// zstd (RFC 8878). Every value but "version" carries the checksum of package
-// sealed.
+// Format, version 1. Bucket "meta" holds "version" (one byte, 1), "base" (JSON of a
+// change.Base) and "kept" (JSON list of the hashes of the texts kept at the last
+// compaction). Bucket "records" holds the JSON of one change.Record per key; the key
+// is the record's number in 8 bytes, big-endian. Bucket "texts" holds one bundle per
+// key, its BLAKE3 hash: the JSON of a bundle.Bundle, compressed with zstd (RFC 8878).
+// Every value but "version" carries the checksum of package sealed.
 //
-// bbolt was chosen over a log of our own with snapshots: it is there already for
-// the coordinator, its commits are atomic, and history is written a few times a
-// day, so what a commit costs does not matter.
+// bbolt was chosen over a custom log with snapshots because the coordinator already
+// uses it and its commits are atomic. The history is written a few times a day, so
+// the cost of a commit does not matter.
 package history
 
 import (
@@ -33,14 +32,15 @@
 )
 
 const (
-	version  = 1
-	lockWait = 2 * time.Second // another process holds the file
-	// maxRecords bounds the records after the base. A change has four, so this is
-	// some thousand changes; the keeper compacts at half of it.
+	formatVersion = 1
+	lockTimeout   = 2 * time.Second // how long to wait for another process that holds the file
+	// maxRecords bounds the records after the base. A change has four records, so
+	// this is about a thousand changes. The configuration manager compacts at half
+	// of it.
 	maxRecords = 4096
-	// keptTexts is how many texts of confirmed generations are kept to be looked at
-	// or applied again.
-	keptTexts = 64
+	// maxKeptTexts is how many texts a compaction keeps, so that they can be shown or
+	// applied again.
+	maxKeptTexts = 64
 )
 
 var (
@@ -52,26 +52,26 @@
 	keyKept       = []byte("kept")
 )
 
-// The faults of a file.
+// Errors of a history file.
 var (
-	ErrVersion = errors.New("the history is of another version")
-	ErrEmpty   = errors.New("the history holds nothing yet")
-	ErrLong    = fmt.Errorf("the history is full: nothing can be compacted while a change is under way (%w)", durable.ErrPermanent)
-	ErrNoText  = errors.New("the history holds no such configuration")
+	ErrVersion = errors.New("unsupported history version")
+	ErrEmpty   = errors.New("the history is empty")
+	ErrFull    = fmt.Errorf("the history is full: it cannot be compacted while a change is under way (%w)", durable.ErrPermanent)
+	ErrNoText  = errors.New("no such configuration in the history")
 )
 
-// History is an open history. It is for one goroutine.
+// History is an open history file. It is not safe for concurrent use.
 type History struct {
-	db    *bbolt.DB
-	zip   *zstd.Encoder
-	unzip *zstd.Decoder
-	last  uint64
-	since int
+	db               *bbolt.DB
+	encoder          *zstd.Encoder
+	decoder          *zstd.Decoder
+	lastSeq          uint64
+	recordsSinceBase int
 }
 
-// Open opens a history, or makes one. A new one is empty until Begin.
+// Open opens a history file, or creates one. A new history is empty until Begin.
 func Open(path string) (*History, error) {
-	db, err := durable.OpenBolt(path, &bbolt.Options{Timeout: lockWait})
+	db, err := durable.OpenBolt(path, &bbolt.Options{Timeout: lockTimeout})
 	if err != nil {
 		return nil, fmt.Errorf("history %s: %w", path, err)
 	}
@@ -85,17 +85,17 @@
 		meta := tx.Bucket(bucketMeta)
 		switch v := meta.Get(keyVersion); {
 		case v == nil:
-			return meta.Put(keyVersion, []byte{version})
-		case len(v) != 1 || v[0] != version:
-			return fmt.Errorf("%w: found %v, want %d", ErrVersion, v, version)
+			return meta.Put(keyVersion, []byte{formatVersion})
+		case len(v) != 1 || v[0] != formatVersion:
+			return fmt.Errorf("%w: found %v, want %d", ErrVersion, v, formatVersion)
 		}
 		return nil
 	})
 	if err == nil {
-		h.zip, err = zstd.NewWriter(nil, zstd.WithEncoderConcurrency(1))
+		h.encoder, err = zstd.NewWriter(nil, zstd.WithEncoderConcurrency(1))
 	}
 	if err == nil {
-		h.unzip, err = zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(2*bundle.MostBytes))
+		h.decoder, err = zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(2*bundle.MostBytes))
 	}
 	if err != nil {
 		return nil, errors.Join(fmt.Errorf("history %s: %w", path, err), db.Close())
@@ -103,15 +103,15 @@
 	return h, nil
 }
 
-// Close closes the file.
+// Close closes the history file.
 func (h *History) Close() error {
-	h.unzip.Close()
-	return errors.Join(h.zip.Close(), h.db.Close())
+	h.decoder.Close()
+	return errors.Join(h.encoder.Close(), h.db.Close())
 }
 
-// Begin makes a base the beginning: for a new history, with the text of its
-// generation, and for compacting one while nothing is under way. Of older texts
-// the last that were confirmed are kept.
+// Begin replaces the base and drops all records. It starts a new history, with the
+// text of its generation, or compacts one while no change is under way. The latest
+// maxKeptTexts texts are kept.
 func (h *History) Begin(b change.Base, text bundle.Bundle) error {
 	base, err := json.Marshal(b)
 	if err != nil {
@@ -119,12 +119,12 @@
 	}
 	err = h.db.Update(func(tx *bbolt.Tx) error {
 		meta := tx.Bucket(bucketMeta)
-		kept, err := h.kept(meta)
+		kept, err := h.keptHashes(meta)
 		if err != nil {
 			return err
 		}
 		err = tx.Bucket(bucketRecords).ForEach(func(key, value []byte) error {
-			r, err := record(key, value)
+			r, err := decodeRecord(key, value)
 			if err == nil && r.State == change.Staged {
 				kept = append(kept, r.Hash)
 			}
@@ -134,8 +134,8 @@
 			return err
 		}
 		kept = append(slices.DeleteFunc(kept, func(h change.Hash) bool { return h == b.Hash }), b.Hash)
-		kept = kept[max(len(kept)-keptTexts, 0):]
-		if err := h.put(tx, b.Hash, text); err != nil {
+		kept = kept[max(len(kept)-maxKeptTexts, 0):]
+		if err := h.putText(tx, b.Hash, text); err != nil {
 			return err
 		}
 		texts := tx.Bucket(bucketTexts)
@@ -161,12 +161,12 @@
 	if err != nil {
 		return fmt.Errorf("history: %w", err)
 	}
-	h.last, h.since = b.Seq, 0
+	h.lastSeq, h.recordsSinceBase = b.Seq, 0
 	return nil
 }
 
-// kept are the hashes of texts that were kept at the last Begin, the oldest first.
-func (h *History) kept(meta *bbolt.Bucket) (list []change.Hash, err error) {
+// keptHashes returns the hashes of the texts kept at the last Begin, oldest first.
+func (h *History) keptHashes(meta *bbolt.Bucket) (list []change.Hash, err error) {
 	v := meta.Get(keyKept)
 	if v == nil {
 		return nil, nil
@@ -178,8 +178,8 @@
 	return list, json.Unmarshal(text, &list)
 }
 
-// put writes a text, unless it is there.
-func (h *History) put(tx *bbolt.Tx, hash change.Hash, text bundle.Bundle) error {
+// putText stores a text unless it is already there.
+func (h *History) putText(tx *bbolt.Tx, hash change.Hash, text bundle.Bundle) error {
 	texts := tx.Bucket(bucketTexts)
 	if texts.Get(hash[:]) != nil {
 		return nil
@@ -188,26 +188,26 @@
 	if err != nil {
 		return err
 	}
-	return texts.Put(hash[:], sealed.Seal(hash[:], h.zip.EncodeAll(plain, nil)))
+	return texts.Put(hash[:], sealed.Seal(hash[:], h.encoder.EncodeAll(plain, nil)))
 }
 
-// Append writes records, and the text that one of them staged, in one commit.
+// Append writes records, and the text of the one that is staged, in one commit.
 func (h *History) Append(records []change.Record, text *bundle.Bundle) error {
 	if len(records) == 0 {
 		return nil
 	}
-	if h.since+len(records) > maxRecords {
-		return fmt.Errorf("%w: %d records", ErrLong, h.since)
+	if h.recordsSinceBase+len(records) > maxRecords {
+		return fmt.Errorf("%w: %d records", ErrFull, h.recordsSinceBase)
 	}
-	next := h.last
+	next := h.lastSeq
 	err := h.db.Update(func(tx *bbolt.Tx) error {
 		bucket := tx.Bucket(bucketRecords)
 		for _, r := range records {
 			if next++; r.Seq != next {
-				return fmt.Errorf("record %d follows number %d (%w)", r.Seq, next-1, durable.ErrPermanent)
+				return fmt.Errorf("out of sequence: record %d follows number %d (%w)", r.Seq, next-1, durable.ErrPermanent)
 			}
 			if r.State == change.Staged && text != nil {
-				if err := h.put(tx, r.Hash, *text); err != nil {
+				if err := h.putText(tx, r.Hash, *text); err != nil {
 					return err
 				}
 			}
@@ -225,14 +225,16 @@
 	if err != nil {
 		return fmt.Errorf("history: %w", err)
 	}
-	h.last, h.since = next, h.since+len(records)
+	h.lastSeq, h.recordsSinceBase = next, h.recordsSinceBase+len(records)
 	return nil
 }
 
-// Full tells that it should be compacted as soon as nothing is under way.
-func (h *History) Full() bool { return h.since > maxRecords/2 }
+// NeedsCompaction reports whether the history should be compacted as soon as no
+// change is under way.
+func (h *History) NeedsCompaction() bool { return h.recordsSinceBase > maxRecords/2 }
 
-func record(key, value []byte) (r change.Record, err error) {
+// decodeRecord verifies and decodes one record and checks its number against the key.
+func decodeRecord(key, value []byte) (r change.Record, err error) {
 	text, err := sealed.Open(key, value)
 	if err != nil {
 		return r, err
@@ -243,7 +245,7 @@
 	return r, nil
 }
 
-// Load reads the base and the records. Nothing of a damaged one is returned.
+// Load reads the base and the records. It returns nothing of a damaged history.
 func (h *History) Load() (b change.Base, records []change.Record, err error) {
 	err = h.db.View(func(tx *bbolt.Tx) error {
 		v := tx.Bucket(bucketMeta).Get(keyBase)
@@ -258,9 +260,9 @@
 			return fmt.Errorf("%w: the base: %w", sealed.ErrDamaged, err)
 		}
 		return tx.Bucket(bucketRecords).ForEach(func(key, value []byte) error {
-			r, err := record(key, value)
+			r, err := decodeRecord(key, value)
 			if want := b.Seq + uint64(len(records)) + 1; err == nil && r.Seq != want {
-				err = fmt.Errorf("%w: record %d stands where %d belongs", sealed.ErrDamaged, r.Seq, want)
+				err = fmt.Errorf("%w: found record %d, want %d", sealed.ErrDamaged, r.Seq, want)
 			}
 			records = append(records, r)
 			return err
@@ -269,22 +271,22 @@
 	if err != nil {
 		return change.Base{}, nil, fmt.Errorf("history: %w", err)
 	}
-	h.last, h.since = b.Seq+uint64(len(records)), len(records)
+	h.lastSeq, h.recordsSinceBase = b.Seq+uint64(len(records)), len(records)
 	return b, records, nil
 }
 
-// Text returns the configuration of a hash.
+// Text returns the configuration with the given hash.
 func (h *History) Text(hash change.Hash) (b bundle.Bundle, err error) {
 	err = h.db.View(func(tx *bbolt.Tx) error {
 		v := tx.Bucket(bucketTexts).Get(hash[:])
 		if v == nil {
 			return fmt.Errorf("%w: %x", ErrNoText, hash[:8])
 		}
-		packed, err := sealed.Open(hash[:], v)
+		compressed, err := sealed.Open(hash[:], v)
 		if err != nil {
 			return err
 		}
-		plain, err := h.unzip.DecodeAll(packed, nil)
+		plain, err := h.decoder.DecodeAll(compressed, nil)
 		if err != nil {
 			return fmt.Errorf("%w: %w", sealed.ErrDamaged, err)
 		}
@@ -292,7 +294,7 @@
 			return fmt.Errorf("%w: %w", sealed.ErrDamaged, err)
 		}
 		if b.Hash() != hash {
-			return fmt.Errorf("%w: the text of %x hashes to something else", sealed.ErrDamaged, hash[:8])
+			return fmt.Errorf("%w: the text stored for %x has another hash", sealed.ErrDamaged, hash[:8])
 		}
 		return nil
 	})
--- a/internal/configuration/history/history_test.go
+++ b/internal/configuration/history/history_test.go
@@ -16,11 +16,11 @@
 	"eiderwinch/internal/format/sealed"
 )
 
-func text(i int) bundle.Bundle {
+func newBundle(i int) bundle.Bundle {
 	return bundle.Bundle{Platform: []byte("{}"), Operators: bytes.Repeat(fmt.Appendf(nil, "<e n=%d/>", i), 100)}
 }
 
-func open(t *testing.T, path string) *History {
+func openHistory(t *testing.T, path string) *History {
 	t.Helper()
 	h, err := Open(path)
 	if err != nil {
@@ -30,11 +30,12 @@
 	return h
 }
 
-// run makes changes as a keeper would, and returns the machine.
-func run(t *testing.T, h *History, m *change.Machine, from, to int) {
+// applyChanges stages, applies and confirms one change for each number in [from, to),
+// and compacts the history as the configuration manager does.
+func applyChanges(t *testing.T, h *History, m *change.Machine, from, to int) {
 	t.Helper()
 	for i := from; i < to; i++ {
-		b := text(i)
+		b := newBundle(i)
 		var tx change.Tx
 		for _, e := range []func() change.Event{
 			func() change.Event { return change.Stage{Hash: b.Hash()} },
@@ -50,7 +51,7 @@
 				t.Fatal(err)
 			}
 		}
-		if h.Full() {
+		if h.NeedsCompaction() {
 			base, _ := m.Base()
 			if err := h.Begin(base, b); err != nil {
 				t.Fatal(err)
@@ -59,22 +60,22 @@
 	}
 }
 
-func TestWhatIsWrittenIsReadAgain(t *testing.T) {
+func TestLoadReturnsWhatWasWritten(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "h.db")
-	h := open(t, path)
+	h := openHistory(t, path)
 	if _, _, err := h.Load(); !errors.Is(err, ErrEmpty) {
-		t.Errorf("a new one: %v", err)
+		t.Errorf("Load of a new history: %v", err)
 	}
-	m := change.New(text(0).Hash(), change.Limits{})
+	m := change.New(newBundle(0).Hash(), change.Limits{})
 	base, _ := m.Base()
-	if err := h.Begin(base, text(0)); err != nil {
+	if err := h.Begin(base, newBundle(0)); err != nil {
 		t.Fatal(err)
 	}
-	run(t, h, m, 1, 4)
+	applyChanges(t, h, m, 1, 4)
 	if err := h.Close(); err != nil {
 		t.Fatal(err)
 	}
-	h = open(t, path)
+	h = openHistory(t, path)
 	b, records, err := h.Load()
 	if err != nil || len(records) != 12 {
 		t.Fatalf("%d records, %v", len(records), err)
@@ -85,40 +86,43 @@
 	}
 	gen, hash := again.Confirmed()
 	got, err := h.Text(hash)
-	if err != nil || gen != 4 || string(got.Operators) != string(text(3).Operators) {
+	if err != nil || gen != 4 || string(got.Operators) != string(newBundle(3).Operators) {
 		t.Errorf("generation %d: %v", gen, err)
 	}
 	if _, err := h.Text(change.Hash{9}); !errors.Is(err, ErrNoText) {
-		t.Errorf("an unknown hash: %v", err)
+		t.Errorf("Text of an unknown hash: %v", err)
 	}
-	run(t, h, again, 4, 6) // it goes on where it ended
+	applyChanges(t, h, again, 4, 6) // appending continues after recovery
 }
 
-func TestItsSizeIsBounded(t *testing.T) {
+// Without compaction, a long-running gatherer's history would grow without bound.
+func TestSizeIsBounded(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "h.db")
-	h := open(t, path)
-	m := change.New(text(0).Hash(), change.Limits{})
+	h := openHistory(t, path)
+	m := change.New(newBundle(0).Hash(), change.Limits{})
 	base, _ := m.Base()
-	if err := h.Begin(base, text(0)); err != nil {
+	if err := h.Begin(base, newBundle(0)); err != nil {
 		t.Fatal(err)
 	}
-	h.db.NoSync = true // only the size matters here
-	run(t, h, m, 1, 1200)
+	h.db.NoSync = true // this test checks the size, not durability
+	applyChanges(t, h, m, 1, 1200)
 	texts := 0
 	_ = h.db.View(func(tx *bbolt.Tx) error {
 		texts = tx.Bucket(bucketTexts).Stats().KeyN
 		return nil
 	})
-	if h.since > maxRecords/2+4 || texts > keptTexts+maxRecords/2/4+1 {
-		t.Errorf("%d records, %d texts", h.since, texts)
+	if h.recordsSinceBase > maxRecords/2+4 || texts > maxKeptTexts+maxRecords/2/4+1 {
+		t.Errorf("%d records, %d texts", h.recordsSinceBase, texts)
 	}
 	if info, err := os.Stat(path); err != nil || info.Size() > 8<<20 {
 		t.Errorf("%v bytes, %v", info.Size(), err)
 	}
 }
 
-func TestDamageIsSeen(t *testing.T) {
-	for name, spoil := range map[string]func(*bbolt.Tx) error{
+// A changed byte, a missing record or a text under another hash must be reported, not
+// recovered as a valid configuration.
+func TestDamageIsDetected(t *testing.T) {
+	for name, corrupt := range map[string]func(*bbolt.Tx) error{
 		"a record": func(tx *bbolt.Tx) error {
 			b := tx.Bucket(bucketRecords)
 			key, value := b.Cursor().First()
@@ -133,47 +137,49 @@
 		},
 		"the base": func(tx *bbolt.Tx) error { return tx.Bucket(bucketMeta).Put(keyBase, []byte("{}1234")) },
 	} {
-		h := open(t, filepath.Join(t.TempDir(), "h.db"))
-		m := change.New(text(0).Hash(), change.Limits{})
+		h := openHistory(t, filepath.Join(t.TempDir(), "h.db"))
+		m := change.New(newBundle(0).Hash(), change.Limits{})
 		base, _ := m.Base()
-		if err := h.Begin(base, text(0)); err != nil {
+		if err := h.Begin(base, newBundle(0)); err != nil {
 			t.Fatal(err)
 		}
-		run(t, h, m, 1, 3)
-		if err := h.db.Update(spoil); err != nil {
+		applyChanges(t, h, m, 1, 3)
+		if err := h.db.Update(corrupt); err != nil {
 			t.Fatal(err)
 		}
 		if _, _, err := h.Load(); !errors.Is(err, sealed.ErrDamaged) {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
-	h := open(t, filepath.Join(t.TempDir(), "h.db"))
-	b := text(1)
+	h := openHistory(t, filepath.Join(t.TempDir(), "h.db"))
+	b := newBundle(1)
 	hash := b.Hash()
 	if err := h.Append([]change.Record{{Seq: 1, Tx: 1, State: change.Staged, Hash: hash}}, &b); err != nil {
 		t.Fatal(err)
 	}
-	other := text(2).Hash()
-	_ = h.db.Update(func(tx *bbolt.Tx) error { // a text under another's name
-		packed, _ := sealed.Open(hash[:], tx.Bucket(bucketTexts).Get(hash[:]))
-		return tx.Bucket(bucketTexts).Put(other[:], sealed.Seal(other[:], packed))
+	other := newBundle(2).Hash()
+	_ = h.db.Update(func(tx *bbolt.Tx) error { // stores a text under another's hash
+		compressed, _ := sealed.Open(hash[:], tx.Bucket(bucketTexts).Get(hash[:]))
+		return tx.Bucket(bucketTexts).Put(other[:], sealed.Seal(other[:], compressed))
 	})
 	if _, err := h.Text(other); !errors.Is(err, sealed.ErrDamaged) {
-		t.Errorf("a text under another name: %v", err)
+		t.Errorf("a text under another hash: %v", err)
 	}
 }
 
-// A process that is killed after any step comes up in the last confirmed generation.
-func TestAProcessKilledAtAnyStepComesUpInTheLastConfirmedGeneration(t *testing.T) {
-	for kill := range 9 {
+// A process killed after any step of a change must recover the last confirmed
+// generation and its text, and leave no transaction active. The first change is
+// confirmed at step 3; the second one regresses and is undone.
+func TestKilledProcessRecoversLastConfirmedGeneration(t *testing.T) {
+	for lastStep := range 9 {
 		path := filepath.Join(t.TempDir(), "h.db")
-		h := open(t, path)
-		m := change.New(text(0).Hash(), change.Limits{})
+		h := openHistory(t, path)
+		m := change.New(newBundle(0).Hash(), change.Limits{})
 		base, _ := m.Base()
-		if err := h.Begin(base, text(0)); err != nil {
+		if err := h.Begin(base, newBundle(0)); err != nil {
 			t.Fatal(err)
 		}
-		good, bad := text(1), text(2)
+		good, bad := newBundle(1), newBundle(2)
 		confirmed := change.Generation(1)
 		for i, e := range []change.Event{
 			change.Stage{Hash: good.Hash()}, change.Apply{Tx: 1, Within: time.Minute}, change.Applied{Tx: 1}, change.Confirm{Tx: 1},
@@ -191,14 +197,14 @@
 			if i == 3 {
 				confirmed = 2
 			}
-			if i == kill {
+			if i == lastStep {
 				break
 			}
 		}
 		if err := h.Close(); err != nil {
 			t.Fatal(err)
 		}
-		h = open(t, path)
+		h = openHistory(t, path)
 		b, records, err := h.Load()
 		if err != nil {
 			t.Fatal(err)
@@ -212,11 +218,11 @@
 		}
 		gen, hash := again.Confirmed()
 		if _, err := h.Text(hash); err != nil || gen != confirmed {
-			t.Errorf("killed after step %d: generation %d, want %d; its text: %v", kill, gen, confirmed, err)
+			t.Errorf("killed after step %d: generation %d, want %d; its text: %v", lastStep, gen, confirmed, err)
 		}
 		for _, s := range again.Txs() {
 			if s.State.Active() {
-				t.Errorf("killed after step %d: transaction %d is %v", kill, s.Tx, s.State)
+				t.Errorf("killed after step %d: transaction %d is %v", lastStep, s.Tx, s.State)
 			}
 		}
 	}
--- a/internal/configuration/keeper/dryrun.go
+++ b/internal/configuration/keeper/dryrun.go
@@ -14,22 +14,23 @@
 	"eiderwinch/internal/netio"
 )
 
-// Bounds of a dry run.
+// Limits of a dry run.
 const (
-	dialTime  = time.Second
-	dialsMost = 16 // at once; the rest wait
-	// queryBytes is what an open query or part takes at the most, see docs/config.md.
-	queryBytes = 64 << 10
-	faultsMost = 50
+	dialTimeout = time.Second
+	maxDials    = 16 // concurrent dials; further ones wait
+	// maxQueryBytes is the most memory that an open query or part takes, see docs/config.md.
+	maxQueryBytes = 64 << 10
+	maxFaults     = 50
 )
 
-// dryRun tries a configuration on the world as it is. It can't catch everything:
-// a searcher may answer a connection and no query. The guard is for the rest.
+// dryRun checks a configuration against the running system: its memory limit,
+// discovery, and the holders of the layout's segments. It can't find every fault:
+// a searcher may accept a connection and answer no query. The guard covers the rest.
 func (k *Keeper) dryRun(ctx context.Context, c *bundle.Candidate) error {
-	faults := &faults{}
-	if open := c.File.Live.Admission.Open; open > 0 && int64(open)*queryBytes > c.Config.Memory {
+	faults := &faultList{}
+	if open := c.File.Live.Admission.Open; open > 0 && int64(open)*maxQueryBytes > c.Config.Memory {
 		faults.add(fmt.Errorf("admission: found open=%d, want at most %d: each may take %d KiB, and limits.memory_mb is %d",
-			open, c.Config.Memory/queryBytes, queryBytes>>10, c.Config.Memory>>20))
+			open, c.Config.Memory/maxQueryBytes, maxQueryBytes>>10, c.Config.Memory>>20))
 	}
 	list, ok := k.opts.Node.Searchers(ctx)
 	if !ok {
@@ -46,82 +47,83 @@
 		for s := range c.Layout.Serving() {
 			holders := slices.DeleteFunc(slices.Clone(s.Holders), func(id string) bool { return ready[id].ID == "" })
 			if len(holders) == 0 {
-				faults.add(fmt.Errorf("segment %d: none of its holders %v is ready, as discovery has it", s.ID, s.Holders))
+				faults.add(fmt.Errorf("segment %d: none of its holders %v is ready according to discovery", s.ID, s.Holders))
 			}
 			for _, id := range holders {
 				wanted[id] = true
 			}
 		}
 	}
-	type target struct{ what, addr string }
+	type target struct{ name, addr string }
 	targets := []target{{"discovery", c.Config.Discovery}}
 	for id := range wanted {
 		targets = append(targets, target{"searcher " + id, ready[id].Addr})
 	}
-	dead := &sync.Map{}
+	unreachable := &sync.Map{}
 	var dials sync.WaitGroup
-	room := make(chan struct{}, dialsMost)
+	semaphore := make(chan struct{}, maxDials)
 	for _, t := range targets {
 		dials.Add(1)
-		room <- struct{}{}
+		semaphore <- struct{}{}
 		go func() {
 			defer dials.Done()
-			defer func() { <-room }()
-			dialer := net.Dialer{Timeout: dialTime}
+			defer func() { <-semaphore }()
+			dialer := net.Dialer{Timeout: dialTimeout}
 			conn, err := dialer.DialContext(ctx, "tcp", t.addr)
 			if err != nil {
-				dead.Store(t.what, err)
+				unreachable.Store(t.name, err)
 				return
 			}
 			_ = conn.Close()
 		}()
 	}
 	dials.Wait()
-	if err, bad := dead.Load("discovery"); bad {
-		faults.add(fmt.Errorf("discovery does not connect: %w", err.(error)))
+	if err, failed := unreachable.Load("discovery"); failed {
+		faults.add(fmt.Errorf("cannot connect to discovery: %w", err.(error)))
 	}
 	if c.Layout != nil {
-		faults.addHolders(c.Layout, ready, dead)
+		faults.addUnreachableSegments(c.Layout, ready, unreachable)
 	}
 	return faults.err()
 }
 
-// faults are bounded.
-type faults struct {
-	list []error
-	more int
+// faultList collects at most maxFaults errors and counts the others.
+type faultList struct {
+	errs    []error
+	omitted int
 }
 
-func (f *faults) add(err error) {
-	if len(f.list) >= faultsMost {
-		f.more++
+func (f *faultList) add(err error) {
+	if len(f.errs) >= maxFaults {
+		f.omitted++
 		return
 	}
-	f.list = append(f.list, err)
+	f.errs = append(f.errs, err)
 }
 
-func (f *faults) err() error {
-	if f.more > 0 {
-		f.list = append(f.list, fmt.Errorf("and %d faults more", f.more))
+func (f *faultList) err() error {
+	if f.omitted > 0 {
+		f.errs = append(f.errs, fmt.Errorf("and %d faults more", f.omitted))
 	}
-	return errors.Join(f.list...)
+	return errors.Join(f.errs...)
 }
 
-// addHolders adds the segments none of whose ready holders can be connected to. A
-// single holder that can't is no fault: that happens every day.
-func (f *faults) addHolders(l *layout.Layout, ready map[string]netio.Searcher, dead *sync.Map) {
+// addUnreachableSegments adds a fault for each segment none of whose ready holders
+// can be connected to. A single unreachable holder is not a fault, because that
+// happens every day.
+func (f *faultList) addUnreachableSegments(l *layout.Layout, ready map[string]netio.Searcher, unreachable *sync.Map) {
 	for s := range l.Serving() {
-		alive, known := 0, 0
+		reachable, readyCount := 0, 0
 		for _, id := range s.Holders {
 			if ready[id].ID == "" {
 				continue
 			}
-			known++
-			if _, bad := dead.Load("searcher " + id); !bad {
-				alive++
+			readyCount++
+			if _, failed := unreachable.Load("searcher " + id); !failed {
+				reachable++
 			}
 		}
-		if known > 0 && alive == 0 {
+		if readyCount > 0 && reachable == 0 {
 			f.add(fmt.Errorf("segment %d: none of its holders %v can be connected to", s.ID, s.Holders))
 		}
 	}
--- a/internal/configuration/keeper/keeper.go
+++ b/internal/configuration/keeper/keeper.go
@@ -1,10 +1,11 @@
-// Package keeper keeps the configuration of a running gatherer: it takes changes
-// through their transaction (change), tries them on the world before they are
-// applied, swaps them in on the event loop, watches service (guard) and writes all
-// of it down (history). All that is decided, is decided in those packages.
+// Package keeper is the configuration manager of a running gatherer. It runs each
+// change as a transaction (package change), does a dry run before the change is
+// applied, swaps the configuration on the gatherer's event loop, watches service
+// (package guard) and records the transactions (package history). It makes no
+// decisions of its own: those packages make them.
 //
-// Two goroutines run: one owns the transactions, one carries out swaps in their
-// order, so that a loop that hangs does not stop the clock of an undo.
+// Two goroutines run: one owns the transactions, the other executes swaps in
+// order, so that a blocked event loop does not delay the deadline of an undo.
 package keeper
 
 import (
@@ -22,7 +23,7 @@
 	"eiderwinch/internal/netio"
 )
 
-// Node is the gatherer.
+// Node is the gatherer whose configuration is managed.
 type Node interface {
 	State(ctx context.Context, after int64) (netio.State, bool)
 	Apply(ctx context.Context, l netio.Live) error
@@ -30,78 +31,81 @@
 	Generations(ctx context.Context) ([]uint64, bool)
 }
 
-// History is where transactions are written down; history.History is one.
+// History stores the transactions durably; history.History implements it.
 type History interface {
 	Append(records []change.Record, text *bundle.Bundle) error
 	Begin(b change.Base, text bundle.Bundle) error
-	Full() bool
+	NeedsCompaction() bool
 }
 
-// Options is how a Keeper is started.
+// Options are the dependencies and settings of a Keeper.
 type Options struct {
 	Node    Node
-	Boot    *bundle.Candidate // in force at the start: what Machine has confirmed
+	Boot    *bundle.Candidate // in force at the start: the configuration that Machine has confirmed
 	Machine *change.Machine
-	History History      // nil: history is in memory only
-	Names   bundle.Names // of the files that a reload reads
+	History History      // nil: transactions are held in memory only
+	Names   bundle.Names // of the files that Read reads
 	Read    func() (b bundle.Bundle, signature string, err error)
-	// Verify tells why the signature of a hash does not hold; nil: none is needed.
+	// Verify returns an error if the signature of a hash is not valid; nil: no
+	// signature is required.
 	Verify  func(hash change.Hash, signature string) error
 	Live    func(*bundle.Candidate, change.Generation) netio.Live
-	Applied func(*bundle.Candidate) // called beside the swap, for what is not the node's; may be nil
+	Applied func(*bundle.Candidate) // called after a successful swap, for settings outside the node; may be nil
 	Logger  *slog.Logger
 }
 
 const (
-	tick      = 100 * time.Millisecond // how soon an overdue probation is seen
-	guardTick = 250 * time.Millisecond // how often finished seconds are asked for
-	queued    = 64                     // requests that wait
-	swapTime  = 5 * time.Second        // change.Limits.ApplyMost
-	endTime   = 2 * time.Second
-	// keptTexts is how many candidates that are over are held in memory, to be
-	// shown. Without a disk there are no others.
-	keptTexts = 16
+	clockInterval = 100 * time.Millisecond // an overdue probation is noticed within this time
+	guardInterval = 250 * time.Millisecond // how often the node is asked for finished seconds
+	queueCapacity = 64                     // of the channels of requests and of swaps
+	swapTimeout   = 5 * time.Second        // the default of change.Limits.ApplyMost
+	endTime       = 2 * time.Second
+	// maxKeptCandidates is how many candidates of finished transactions are held in
+	// memory to be shown. Without a history on disk, only these can be shown. It also
+	// bounds the list of regressions.
+	maxKeptCandidates = 16
 )
 
-// Keeper runs. Start it with Start.
+// Keeper is the configuration manager of one gatherer. Create it with Start.
 type Keeper struct {
-	opts    Options
-	m       *change.Machine
-	guard   *guard.Guard
-	texts   map[change.Hash]*bundle.Candidate
-	recent  []change.Hash // of texts, the oldest first
-	inForce *bundle.Candidate
-	gen     change.Generation // in force
-	layout  *layout.Layout    // the last that the node was given; its epoch may be newer than its text
-	text    []byte            // of layout
-	seen    int64             // the last second that the guard was told of
-	falls   []string          // what the guard saw, the last first
+	opts           Options
+	machine        *change.Machine
+	guard          *guard.Guard
+	candidates     map[change.Hash]*bundle.Candidate
+	candidateOrder []change.Hash // keys of candidates, oldest first
+	inForce        *bundle.Candidate
+	generation     change.Generation // of inForce
+	layout         *layout.Layout    // the last one given to the node; its epoch may be newer than the one in layoutText
+	layoutText     []byte
+	lastSecond     int64    // the last second passed to the guard
+	regressions    []string // found by the guard, latest first
 
-	ctx      context.Context // until it is told to end
+	ctx      context.Context // ends when the manager is to stop
 	requests chan func()
 	swaps    chan change.Effect
 	done     chan struct{}
 	err      error
 }
 
-// Start starts a keeper, which runs until ctx ends or the history can never be written.
+// Start starts a configuration manager. It runs until ctx ends or a write to the
+// history fails permanently.
 func Start(ctx context.Context, o Options) *Keeper {
 	k := &Keeper{
-		opts: o, m: o.Machine, texts: make(map[change.Hash]*bundle.Candidate),
-		requests: make(chan func(), queued), swaps: make(chan change.Effect, queued), done: make(chan struct{}),
+		opts: o, machine: o.Machine, candidates: make(map[change.Hash]*bundle.Candidate),
+		requests: make(chan func(), queueCapacity), swaps: make(chan change.Effect, queueCapacity), done: make(chan struct{}),
 	}
 	k.inForce = o.Boot
-	k.gen, _ = k.m.Confirmed()
-	k.remember(o.Boot)
+	k.generation, _ = k.machine.Confirmed()
+	k.addCandidate(o.Boot)
 	var classes []guard.Class
 	for _, c := range o.Boot.Config.Settings.Module.Classes {
 		classes = append(classes, guard.Class{Name: c.Name, Aim: c.Aim})
 	}
 	k.guard = guard.New(classes, o.Boot.File.Guard.Limits)
-	k.layout, k.text = o.Boot.Layout, o.Boot.Bundle.Layout
+	k.layout, k.layoutText = o.Boot.Layout, o.Boot.Bundle.Layout
 	ctx, stop := context.WithCancel(ctx)
 	k.ctx = ctx
-	go k.swapper(ctx)
+	go k.runSwaps(ctx)
 	go func() {
 		defer stop()
 		k.run(ctx)
@@ -109,7 +113,8 @@
 	return k
 }
 
-// Wait waits for its end and returns why it ended; nil if ctx did.
+// Wait waits until the manager has stopped. It returns nil if ctx ended, else the
+// error that stopped the manager.
 func (k *Keeper) Wait() error {
 	<-k.done
 	return k.err
@@ -117,25 +122,25 @@
 
 func (k *Keeper) run(ctx context.Context) {
 	defer close(k.done)
-	clock, watch := time.NewTicker(tick), time.NewTicker(guardTick)
-	defer clock.Stop()
-	defer watch.Stop()
+	clockTicker, guardTicker := time.NewTicker(clockInterval), time.NewTicker(guardInterval)
+	defer clockTicker.Stop()
+	defer guardTicker.Stop()
 	for k.err == nil {
 		select {
 		case <-ctx.Done():
 			return
 		case f := <-k.requests:
 			f()
-		case <-clock.C:
+		case <-clockTicker.C:
 			k.step(change.Tick{}, nil)
-		case <-watch.C:
-			k.watch(ctx)
+		case <-guardTicker.C:
+			k.updateGuard(ctx)
 		}
 	}
 }
 
-// do runs f on the keeper's goroutine and waits for it.
-func (k *Keeper) do(ctx context.Context, f func()) error {
+// runInLoop runs f on the goroutine that owns the transactions and waits for it.
+func (k *Keeper) runInLoop(ctx context.Context, f func()) error {
 	ran := make(chan struct{})
 	select {
 	case k.requests <- func() { f(); close(ran) }:
@@ -154,56 +159,58 @@
 	}
 }
 
-// ErrEnded is why nothing is taken any more.
-var ErrEnded = errors.New("the keeper of the configuration has ended")
+// ErrEnded is returned for requests after the configuration manager has stopped.
+var ErrEnded = errors.New("the configuration manager has stopped")
 
-// step takes in one event: first the history, then the effects.
+// step passes one event to the state machine. It writes the records to the history
+// before it executes the effects.
 func (k *Keeper) step(e change.Event, text *bundle.Candidate) change.Result {
-	r := k.m.Step(time.Now(), e)
+	r := k.machine.Step(time.Now(), e)
 	if k.opts.History != nil {
 		var b *bundle.Bundle
 		if text != nil {
 			b = &text.Bundle
 		}
-		// What is not on disk must not happen. A disk that fails for a while holds up all changes.
-		if err := k.write("records of configuration changes", func() error { return k.opts.History.Append(r.Records, b) }); err != nil {
-			// The gatherer goes on as it is; a new start goes on from the disk.
+		// No effect may happen before its records are on disk, so a temporary disk failure delays all changes.
+		if err := k.writeHistory("records of configuration changes", func() error { return k.opts.History.Append(r.Records, b) }); err != nil {
+			// The gatherer keeps the configuration in force; the next start recovers from the disk.
 			k.err = err
-			k.opts.Logger.Error("the history can't be written: no change is taken any more", "err", err)
+			k.opts.Logger.Error("cannot write the configuration history: no further changes are accepted", "err", err)
 			r.Err = errors.Join(r.Err, err)
 			return r
 		}
 	}
 	for _, x := range r.Effects {
-		k.carryOut(x)
+		k.execute(x)
 	}
-	if k.opts.History != nil && k.opts.History.Full() {
-		if base, ok := k.m.Base(); ok {
-			k.err = k.write("compacted history", func() error { return k.opts.History.Begin(base, k.texts[base.Hash].Bundle) })
+	if k.opts.History != nil && k.opts.History.NeedsCompaction() {
+		if base, ok := k.machine.Base(); ok {
+			k.err = k.writeHistory("compacted history", func() error { return k.opts.History.Begin(base, k.candidates[base.Hash].Bundle) })
 		}
 	}
 	return r
 }
 
-// write writes to the history, until that succeeds or the keeper is told to end.
-func (k *Keeper) write(what string, f func() error) error {
+// writeHistory repeats a write to the history until it succeeds, fails permanently or
+// the manager is to stop.
+func (k *Keeper) writeHistory(what string, f func() error) error {
 	return durable.Retry(k.ctx, k.opts.Logger, what, f)
 }
 
-func (k *Keeper) carryOut(e change.Effect) {
+func (k *Keeper) execute(e change.Effect) {
 	switch e := e.(type) {
 	case change.Swap, change.Revert:
-		k.swaps <- e // there are two for each transaction at the most, and one at a time
+		k.swaps <- e // at most two per transaction, and one at a time
 	case change.Ended:
-		k.opts.Logger.Info("configuration change over", "transaction", uint64(e.Tx), "state", e.State.String(), "reason", e.Reason)
+		k.opts.Logger.Info("configuration change finished", "transaction", uint64(e.Tx), "state", e.State.String(), "reason", e.Reason)
 		if e.State != change.Discarded {
-			k.guard.End(e.State == change.Confirmed, k.seen+1)
+			k.guard.End(e.State == change.Confirmed, k.lastSecond+1)
 		}
 	}
 }
 
-// swapper carries out swaps one after the other.
-func (k *Keeper) swapper(ctx context.Context) {
+// runSwaps executes swaps one after the other.
+func (k *Keeper) runSwaps(ctx context.Context) {
 	for {
 		var e change.Effect
 		select {
@@ -217,50 +224,52 @@
 		prepare := func() {
 			switch e := e.(type) {
 			case change.Swap:
-				to, gen = k.texts[e.Hash], e.Gen
+				to, gen = k.candidates[e.Hash], e.Gen
 			case change.Revert:
-				to, gen = k.texts[e.Hash], e.Gen
+				to, gen = k.candidates[e.Hash], e.Gen
 			}
-			live = k.live(to, gen)
+			live = k.liveSettings(to, gen)
 		}
-		if k.do(ctx, prepare) != nil {
+		if k.runInLoop(ctx, prepare) != nil {
 			return
 		}
-		swap, stop := context.WithTimeout(ctx, swapTime)
+		swap, stop := context.WithTimeout(ctx, swapTimeout)
 		err := k.opts.Node.Apply(swap, live)
 		stop()
 		if err == nil && k.opts.Applied != nil {
 			k.opts.Applied(to)
 		}
-		finish := func() { k.swapped(e, to, gen, err) }
-		if k.do(ctx, finish) != nil {
+		finish := func() { k.finishSwap(e, to, gen, err) }
+		if k.runInLoop(ctx, finish) != nil {
 			return
 		}
 	}
 }
 
-// live is what the node is told of a candidate. A layout that is put in force
-// again comes as a newer epoch: epochs only go forward.
-func (k *Keeper) live(to *bundle.Candidate, gen change.Generation) netio.Live {
+// liveSettings returns the settings that the node is given for a candidate. A layout
+// that is put in force again gets a newer epoch, because epochs only increase.
+func (k *Keeper) liveSettings(to *bundle.Candidate, gen change.Generation) netio.Live {
 	live := k.opts.Live(to, gen)
 	live.Layout = nil
 	if k.layout == nil || to.Layout == nil || to.File.Follow {
-		return live // without one at the start it waits for the next; a coordinator brings its own
+		// A gatherer that started without a layout takes one at its next start only. One
+		// that follows a coordinator gets its layouts from there.
+		return live
 	}
-	if text := to.Bundle.Layout; string(text) != string(k.text) {
+	if text := to.Bundle.Layout; string(text) != string(k.layoutText) {
 		live.Layout = to.Layout
 		if live.Layout.Epoch() <= k.layout.Epoch() {
 			live.Layout = to.Layout.Reissue(k.layout)
 		}
-		k.layout, k.text = live.Layout, text
+		k.layout, k.layoutText = live.Layout, text
 	}
 	return live
 }
 
-// swapped books what came of a swap.
-func (k *Keeper) swapped(e change.Effect, to *bundle.Candidate, gen change.Generation, err error) {
+// finishSwap records the outcome of a swap.
+func (k *Keeper) finishSwap(e change.Effect, to *bundle.Candidate, gen change.Generation, err error) {
 	if err == nil {
-		k.inForce, k.gen = to, gen
+		k.inForce, k.generation = to, gen
 		k.opts.Logger.Info("configuration in force", "generation", uint64(gen), "hash", fmt.Sprintf("%x", to.Hash[:8]))
 	} else {
 		k.opts.Logger.Error("configuration not put in force", "generation", uint64(gen), "err", err)
@@ -268,66 +277,67 @@
 	switch e := e.(type) {
 	case change.Swap:
 		if err == nil {
-			k.watch(context.Background()) // what is over by now was before the change
-			k.guard.Begin(k.seen + 1)
+			k.updateGuard(context.Background()) // the seconds finished by now precede the change
+			k.guard.Begin(k.lastSecond + 1)
 		}
 		k.step(change.Applied{Tx: e.Tx, Err: err}, nil)
 	case change.Revert:
 		if err != nil && !errors.Is(err, netio.ErrNotServing) {
-			k.swaps <- e // it must come about: nothing else can be applied until then
+			k.swaps <- e // retried until it succeeds: nothing else can be applied until then
 			return
 		}
 		k.step(change.Reverted{Tx: e.Tx}, nil)
 	}
 }
 
-// watch tells the guard of the seconds that are over.
-func (k *Keeper) watch(ctx context.Context) {
-	ctx, stop := context.WithTimeout(ctx, guardTick)
+// updateGuard passes finished seconds to the guard. If the guard finds a regression,
+// the change on probation is undone.
+func (k *Keeper) updateGuard(ctx context.Context) {
+	ctx, stop := context.WithTimeout(ctx, guardInterval)
 	defer stop()
-	s, ok := k.opts.Node.State(ctx, k.seen)
+	s, ok := k.opts.Node.State(ctx, k.lastSecond)
 	if !ok {
 		return
 	}
 	for _, w := range s.Service {
-		k.seen = max(k.seen, w.Second)
-		fall, fell := k.guard.Add(w)
-		if !fell {
+		k.lastSecond = max(k.lastSecond, w.Second)
+		regression, regressed := k.guard.Add(w)
+		if !regressed {
 			continue
 		}
-		k.falls = append([]string{fall.String()}, k.falls[:min(len(k.falls), keptTexts-1)]...)
-		for _, t := range k.m.Txs() {
+		k.regressions = append([]string{regression.String()}, k.regressions[:min(len(k.regressions), maxKeptCandidates-1)]...)
+		for _, t := range k.machine.Txs() {
 			if t.State == change.Probation {
-				k.opts.Logger.Warn("service has fallen since a change", "transaction", uint64(t.Tx), "fall", fall.String())
-				k.step(change.Fell{Tx: t.Tx, Reason: "service fell: " + fall.String()}, nil)
+				k.opts.Logger.Warn("service has regressed since a configuration change", "transaction", uint64(t.Tx), "fall", regression.String())
+				k.step(change.Fell{Tx: t.Tx, Reason: "service fell: " + regression.String()}, nil)
 			}
 		}
 	}
 }
 
-// remember holds a candidate's text. Those of transactions that are not over, and
-// the one that is confirmed, are never let go.
-func (k *Keeper) remember(c *bundle.Candidate) {
-	if _, there := k.texts[c.Hash]; there {
+// addCandidate holds a candidate in memory and evicts old ones. The candidates in
+// force, confirmed, or of unfinished transactions are never evicted.
+func (k *Keeper) addCandidate(c *bundle.Candidate) {
+	if _, ok := k.candidates[c.Hash]; ok {
 		return
 	}
-	k.texts[c.Hash] = c
-	k.recent = append(k.recent, c.Hash)
+	k.candidates[c.Hash] = c
+	k.candidateOrder = append(k.candidateOrder, c.Hash)
 	needed := map[change.Hash]bool{c.Hash: true, k.inForce.Hash: true}
-	_, confirmed := k.m.Confirmed()
+	_, confirmed := k.machine.Confirmed()
 	needed[confirmed] = true
-	for _, t := range k.m.Txs() {
+	for _, t := range k.machine.Txs() {
 		if !t.State.Over() {
 			needed[t.Hash] = true
 		}
 	}
 	var kept []change.Hash
-	for i, h := range k.recent {
-		if needed[h] || len(k.recent)-i <= keptTexts {
+	for i, h := range k.candidateOrder {
+		if needed[h] || len(k.candidateOrder)-i <= maxKeptCandidates {
 			kept = append(kept, h)
 		} else {
-			delete(k.texts, h)
+			delete(k.candidates, h)
 		}
 	}
-	k.recent = kept
+	k.candidateOrder = kept
 }
--- a/internal/configuration/keeper/keeper_test.go
+++ b/internal/configuration/keeper/keeper_test.go
@@ -25,13 +25,13 @@
 	"eiderwinch/internal/trial/testpeer"
 )
 
-// fakeNode is a gatherer whose service the test makes up.
+// fakeNode is a gatherer whose service windows the test sets.
 type fakeNode struct {
-	mu      sync.Mutex
-	applied []netio.Live
-	windows []service.Window
-	refuse  error
-	list    []netio.Searcher
+	mu        sync.Mutex
+	applied   []netio.Live
+	windows   []service.Window
+	applyErr  error
+	searchers []netio.Searcher
 }
 
 func (n *fakeNode) State(_ context.Context, after int64) (netio.State, bool) {
@@ -49,18 +49,20 @@
 func (n *fakeNode) Apply(_ context.Context, l netio.Live) error {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.refuse != nil {
-		return n.refuse
+	if n.applyErr != nil {
+		return n.applyErr
 	}
 	n.applied = append(n.applied, l)
 	return nil
 }
 
-func (n *fakeNode) Searchers(context.Context) ([]netio.Searcher, bool) { return n.list, true }
+func (n *fakeNode) Searchers(context.Context) ([]netio.Searcher, bool) { return n.searchers, true }
 
-func (n *fakeNode) Generations(context.Context) ([]uint64, bool) { return []uint64{n.last()}, true }
+func (n *fakeNode) Generations(context.Context) ([]uint64, bool) {
+	return []uint64{n.lastGeneration()}, true
+}
 
-func (n *fakeNode) last() uint64 {
+func (n *fakeNode) lastGeneration() uint64 {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if len(n.applied) == 0 {
@@ -77,8 +79,9 @@
 	return []byte(`<eiderwinch xmlns="urn:eiderwinch:operators:1">` + inner + `</eiderwinch>`)
 }
 
-// start starts a keeper of a fake node, with a discovery that connects.
-func start(t testing.TB, h History) (*Keeper, *fakeNode) {
+// startManager starts the configuration manager of a fake node. Its discovery address
+// accepts connections.
+func startManager(t testing.TB, h History) (*Keeper, *fakeNode) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -101,7 +104,7 @@
 	return k, n
 }
 
-func (k *Keeper) state(t *testing.T, tx change.Tx) string {
+func (k *Keeper) stateOf(t *testing.T, tx change.Tx) string {
 	t.Helper()
 	s, err := k.Status(context.Background())
 	if err != nil {
@@ -124,27 +127,27 @@
 	return s.Tx
 }
 
-func TestAChangeIsAppliedConfirmedAndShown(t *testing.T) {
-	k, n := start(t, nil)
+func TestChangeIsAppliedConfirmedAndShown(t *testing.T) {
+	k, n := startManager(t, nil)
 	ctx := context.Background()
 	tx := stage(t, k, `<class name="search" open="7" attempts="2"/><pools multiplex="3"/>`)
-	by := false
-	if err := k.Apply(ctx, tx, time.Minute, &by); err != nil {
+	auto := false
+	if err := k.Apply(ctx, tx, time.Minute, &auto); err != nil {
 		t.Fatal(err)
 	}
-	testpeer.Until(t, "probation", func() bool { return k.state(t, tx) == "probation" })
+	testpeer.Until(t, "probation", func() bool { return k.stateOf(t, tx) == "probation" })
 	if l := n.applied[0]; l.Core.Generation != 2 || l.Core.Classes[0].Open != 7 || l.Core.Classes[0].Attempts != 2 || l.Multiplex != 3 || l.Core.MaxOpen != 1000 {
 		t.Errorf("applied %+v with %+v", l, l.Core)
 	}
 	other := stage(t, k, `<pools multiplex="4"/>`)
 	if err := k.Apply(ctx, other, 0, nil); !errors.Is(err, change.ErrBusy) {
-		t.Errorf("a second one: %v", err)
+		t.Errorf("applying a second change: %v", err)
 	}
 	if err := k.Confirm(ctx, tx); err != nil {
 		t.Fatal(err)
 	}
 	if err := k.Apply(ctx, other, 0, nil); !errors.Is(err, change.ErrStale) {
-		t.Errorf("one made against the generation before: %v", err)
+		t.Errorf("applying a change made against the previous generation: %v", err)
 	}
 	if b, err := k.Show(ctx, 2); err != nil || !strings.Contains(string(b.Operators), `multiplex="3"`) {
 		t.Errorf("generation 2: %v, %s", err, b.Operators)
@@ -154,16 +157,18 @@
 	}
 	if _, err := k.Stage(ctx, bundle.Bundle{Operators: operators(`<class name="search" within="5s" copies="2"/><class name="x"/>`)}, 0, "", ""); err == nil ||
 		!strings.Contains(err.Error(), "copies=2") {
-		t.Errorf("one that breaks the rules: %v", err)
+		t.Errorf("staging an invalid configuration: %v", err)
 	}
 	if _, err := k.Stage(ctx, bundle.Bundle{Operators: operators(`<class name="search" within="5s"/><admission open="900000"/>`)}, 0, "", ""); err == nil ||
 		!strings.Contains(err.Error(), "at most the deadline of search, 4s") || !strings.Contains(err.Error(), "at most max_open, 1000") {
-		t.Errorf("one that does not fit: %v", err)
+		t.Errorf("staging a configuration outside the platform's limits: %v", err)
 	}
 }
 
-func TestServiceFallsAndTheChangeIsUndone(t *testing.T) {
-	k, n := start(t, nil)
+// A change after which most queries fail must be undone during its probation, with
+// the regression as its reason.
+func TestChangeIsUndoneAfterRegression(t *testing.T) {
+	k, n := startManager(t, nil)
 	second := time.Now().Unix() - 100
 	add := func(failed int) {
 		n.mu.Lock()
@@ -180,13 +185,13 @@
 	if err := k.Apply(context.Background(), tx, time.Hour, nil); err != nil {
 		t.Fatal(err)
 	}
-	testpeer.Until(t, "probation", func() bool { return k.state(t, tx) == "probation" })
+	testpeer.Until(t, "probation", func() bool { return k.stateOf(t, tx) == "probation" })
 	add(60) // the second of the change itself
 	add(60)
 	add(60)
-	testpeer.Until(t, "the undo", func() bool { return k.state(t, tx) == "undone" })
-	if n.last() != 1 {
-		t.Errorf("generation %d is in force", n.last())
+	testpeer.Until(t, "the undo", func() bool { return k.stateOf(t, tx) == "undone" })
+	if n.lastGeneration() != 1 {
+		t.Errorf("generation %d is in force", n.lastGeneration())
 	}
 	s, _ := k.Status(context.Background())
 	if len(s.Falls) == 0 || !strings.Contains(s.Transactions[0].Reason, "service fell: search: 60.0%") {
@@ -194,63 +199,66 @@
 	}
 }
 
-func TestASwapThatFailsIsUndone(t *testing.T) {
-	k, n := start(t, nil)
-	n.refuse = netio.ErrNotServing
+func TestFailedSwapIsUndone(t *testing.T) {
+	k, n := startManager(t, nil)
+	n.applyErr = netio.ErrNotServing
 	tx := stage(t, k, `<pools multiplex="4"/>`)
 	if err := k.Apply(context.Background(), tx, 0, nil); err != nil {
 		t.Fatal(err)
 	}
-	testpeer.Until(t, "the undo", func() bool { return k.state(t, tx) == "undone" })
+	testpeer.Until(t, "the undo", func() bool { return k.stateOf(t, tx) == "undone" })
 }
 
-// What is on its way must not be lost, nor texts be held for ever.
-func TestAThousandChangesInARow(t *testing.T) {
+// Runs many changes one after the other: none may be lost, and the candidates and
+// transactions held in memory must stay bounded.
+func TestThousandChangesInARow(t *testing.T) {
 	h, err := history.Open(filepath.Join(t.TempDir(), "h.db"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer h.Close()
-	k, n := start(t, nil)
-	b, _ := k.m.Base()
+	k, n := startManager(t, nil)
+	b, _ := k.machine.Base()
 	if err := h.Begin(b, k.inForce.Bundle); err != nil {
 		t.Fatal(err)
 	}
 	ctx := context.Background()
-	most := 1000
+	changes := 1000
 	if testing.Short() {
-		most = 50
+		changes = 50
 	}
-	for i := range most {
+	for i := range changes {
 		tx := stage(t, k, fmt.Sprintf(`<class name="search" open="%d"/>`, i+1))
 		if err := k.Apply(ctx, tx, time.Minute, nil); err != nil {
 			t.Fatal(err)
 		}
 		testpeer.Until(t, "probation", func() bool { return k.Confirm(ctx, tx) == nil })
 	}
-	if n.last() != uint64(most)+1 {
-		t.Errorf("generation %d", n.last())
+	if n.lastGeneration() != uint64(changes)+1 {
+		t.Errorf("generation %d", n.lastGeneration())
 	}
-	_ = k.do(ctx, func() {
-		if len(k.texts) > keptTexts+2 || len(k.recent) != len(k.texts) || len(k.m.Txs()) > 256 {
-			t.Errorf("%d texts, %d names of them and %d transactions are held", len(k.texts), len(k.recent), len(k.m.Txs()))
+	_ = k.runInLoop(ctx, func() {
+		if len(k.candidates) > maxKeptCandidates+2 || len(k.candidateOrder) != len(k.candidates) || len(k.machine.Txs()) > 256 {
+			t.Errorf("%d candidates, %d entries in their order and %d transactions are held", len(k.candidates), len(k.candidateOrder), len(k.machine.Txs()))
 		}
 	})
 }
 
-func TestADryRunNamesSegmentsWithoutALivingHolder(t *testing.T) {
-	k, n := start(t, nil)
-	alive, err := net.Listen("tcp", "127.0.0.1:0")
+// A layout must be refused if a segment has no ready holder that can be connected to,
+// and only such segments may be reported.
+func TestDryRunReportsSegmentsWithoutReachableHolder(t *testing.T) {
+	k, n := startManager(t, nil)
+	reachable, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer alive.Close()
-	dead, err := net.Listen("tcp", "127.0.0.1:0")
+	defer reachable.Close()
+	unreachable, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	dead.Close()
-	n.list = []netio.Searcher{{ID: "a", Addr: alive.Addr().String(), Ready: true}, {ID: "b", Addr: dead.Addr().String(), Ready: true}, {ID: "c", Addr: alive.Addr().String()}}
+	unreachable.Close()
+	n.searchers = []netio.Searcher{{ID: "a", Addr: reachable.Addr().String(), Ready: true}, {ID: "b", Addr: unreachable.Addr().String(), Ready: true}, {ID: "c", Addr: reachable.Addr().String()}}
 	text := `<layout xmlns="urn:eiderwinch:layout:1" epoch="1" next="3" replicas="1"><searcher id="a" zone="x"/><searcher id="b" zone="x"/><searcher id="c" zone="x"/>
 		<segment id="0" to="d"><holder searcher="a"/><holder searcher="b"/></segment><segment id="1" from="d" to="k"><holder searcher="b"/></segment>
 		<segment id="2" from="k"><holder searcher="c"/></segment></layout>`
@@ -261,7 +269,8 @@
 	}
 }
 
-// FuzzAdmin holds the admin interface to answers in its form, whatever is asked.
+// FuzzAdmin checks that the admin endpoints give well-formed JSON responses, never
+// status 500, to any request.
 func FuzzAdmin(f *testing.F) {
 	for _, s := range []struct{ method, path, body string }{
 		{"POST", "/v1/config", `{"operators":"PGVpZGVyd2luY2gvPg==","note":"x"}`}, {"GET", "/v1/config", ""},
@@ -270,7 +279,7 @@
 	} {
 		f.Add(s.method, s.path, s.body)
 	}
-	k, _ := start(f, nil)
+	k, _ := startManager(f, nil)
 	m := http.NewServeMux()
 	k.Handle(m)
 	f.Fuzz(func(t *testing.T, method, path, body string) {
@@ -289,9 +298,10 @@
 	})
 }
 
-// Whatever epoch a file names, each layout that the node is given is newer than the
-// one before, also after an undo: the node would pass over an older one in silence.
-func TestEachLayoutThatIsPutInForceIsNewer(t *testing.T) {
+// Each layout given to the node must have a newer epoch than the one before,
+// whatever epoch its file names and also after an undo. The node ignores an older
+// layout without an error.
+func TestEachAppliedLayoutHasNewerEpoch(t *testing.T) {
 	text := func(epoch int, holder string) []byte {
 		return fmt.Appendf(nil, `<layout xmlns="urn:eiderwinch:layout:1" epoch="%d" next="1" replicas="1"><searcher id="a" zone="x"/><searcher id="b" zone="x"/><segment id="0"><holder searcher=%q/></segment></layout>`, epoch, holder)
 	}
@@ -303,7 +313,7 @@
 		return c
 	}
 	first := candidate(1, "a")
-	k := &Keeper{opts: Options{Live: daemon.Live}, layout: first.Layout, text: first.Bundle.Layout}
+	k := &Keeper{opts: Options{Live: daemon.Live}, layout: first.Layout, layoutText: first.Bundle.Layout}
 	for i, c := range []struct {
 		to     *bundle.Candidate
 		epoch  uint64
@@ -313,16 +323,16 @@
 		{candidate(2, "b"), 4, "b"}, {first, 5, "a"}, // the same file again
 		{candidate(9, "b"), 9, "b"},
 	} {
-		l := k.live(c.to, 2).Layout
+		l := k.liveSettings(c.to, 2).Layout
 		if l == nil || uint64(l.Epoch()) != c.epoch || l.Segment(0).Holders[0] != c.holder {
 			t.Fatalf("change %d: have %v, want epoch %d at %s", i+1, l, c.epoch, c.holder)
 		}
 	}
-	if l := k.live(candidate(9, "b"), 3).Layout; l != nil {
-		t.Errorf("the layout that is in force is given again, as epoch %d", l.Epoch())
+	if l := k.liveSettings(candidate(9, "b"), 3).Layout; l != nil {
+		t.Errorf("the layout in force is given to the node again, as epoch %d", l.Epoch())
 	}
 	k = &Keeper{opts: Options{Live: daemon.Live}}
-	if l := k.live(first, 2).Layout; l != nil {
-		t.Error("one that is to wait for the next start is put in force")
+	if l := k.liveSettings(first, 2).Layout; l != nil {
+		t.Error("a layout that takes effect at the next start only is put in force")
 	}
 }
--- a/internal/configuration/keeper/requests.go
+++ b/internal/configuration/keeper/requests.go
@@ -10,35 +10,35 @@
 	"eiderwinch/internal/configuration/change"
 )
 
-// Staged is what became of a configuration that was staged.
+// Staged is the result of staging a configuration.
 type Staged struct {
 	Tx      change.Tx `json:"transaction"`
 	Hash    string    `json:"hash"`
-	Restart []string  `json:"restart,omitempty"` // what takes effect at the next start only
+	Restart []string  `json:"restart,omitempty"` // settings that take effect at the next start only
 }
 
-// Stage checks a configuration, tries it on the world as it is, and stages it. A
-// part that is empty stays as it is in force. Against is the generation that it
-// was made against; 0 means the one in force now. The signature, where one is
-// needed, is of the bundle as it is given here.
+// Stage checks a configuration, does a dry run and stages it. Files that are empty
+// in the bundle are taken from the configuration in force. Against is the generation
+// that the configuration was made against; 0 means the one in force. The signature,
+// if one is required, is of the bundle as passed in.
 func (k *Keeper) Stage(ctx context.Context, b bundle.Bundle, against change.Generation, note, signature string) (Staged, error) {
 	if k.opts.Verify != nil {
 		if err := k.opts.Verify(b.Hash(), signature); err != nil {
 			return Staged{}, err
 		}
 	}
-	var now *bundle.Candidate
-	if err := k.do(ctx, func() { now = k.inForce }); err != nil {
+	var inForce *bundle.Candidate
+	if err := k.runInLoop(ctx, func() { inForce = k.inForce }); err != nil {
 		return Staged{}, err
 	}
 	if len(b.Platform) == 0 {
-		b.Platform = now.Platform
+		b.Platform = inForce.Platform
 	}
 	if len(b.Operators) == 0 {
-		b.Operators = now.Operators
+		b.Operators = inForce.Operators
 	}
 	if len(b.Layout) == 0 {
-		b.Layout = now.Bundle.Layout
+		b.Layout = inForce.Bundle.Layout
 	}
 	c, err := bundle.Check(b, k.opts.Names)
 	if err != nil {
@@ -48,10 +48,10 @@
 		return Staged{}, err
 	}
 	out := Staged{Hash: fmt.Sprintf("%x", c.Hash), Restart: bundle.Restart(k.opts.Boot, c)}
-	err = k.do(ctx, func() {
+	err = k.runInLoop(ctx, func() {
 		r := k.step(change.Stage{Hash: c.Hash, Against: against, Note: note}, c)
 		if out.Tx, err = r.Tx, r.Err; err == nil {
-			k.remember(c)
+			k.addCandidate(c)
 		}
 	})
 	if err != nil {
@@ -60,13 +60,13 @@
 	return out, nil
 }
 
-// Apply puts a staged configuration in force, on probation for so long. Zero means
-// as the configuration itself says.
+// Apply puts a staged configuration in force and on probation for the time within.
+// If within is 0 or auto is nil, the configuration's own setting applies.
 func (k *Keeper) Apply(ctx context.Context, tx change.Tx, within time.Duration, auto *bool) error {
-	return k.ask(ctx, func() change.Event {
+	return k.submit(ctx, func() change.Event {
 		e := change.Apply{Tx: tx, Within: within}
-		for _, t := range k.m.Txs() {
-			if c := k.texts[t.Hash]; t.Tx == tx && c != nil {
+		for _, t := range k.machine.Txs() {
+			if c := k.candidates[t.Hash]; t.Tx == tx && c != nil {
 				if e.Auto = c.File.Guard.Auto; e.Within == 0 {
 					e.Within = c.File.Guard.Probation
 				}
@@ -79,25 +79,27 @@
 	})
 }
 
-// Confirm makes one on probation stay.
+// Confirm ends the probation of a transaction and keeps its configuration in force.
 func (k *Keeper) Confirm(ctx context.Context, tx change.Tx) error {
-	return k.ask(ctx, func() change.Event { return change.Confirm{Tx: tx} })
+	return k.submit(ctx, func() change.Event { return change.Confirm{Tx: tx} })
 }
 
-// Undo takes one back that is not confirmed.
+// Undo takes back a transaction that is not confirmed yet.
 func (k *Keeper) Undo(ctx context.Context, tx change.Tx, reason string) error {
-	return k.ask(ctx, func() change.Event { return change.Undo{Tx: tx, Reason: reason} })
+	return k.submit(ctx, func() change.Event { return change.Undo{Tx: tx, Reason: reason} })
 }
 
-func (k *Keeper) ask(ctx context.Context, event func() change.Event) error {
+// submit passes an event, made on the goroutine that owns the transactions, to the
+// state machine.
+func (k *Keeper) submit(ctx context.Context, event func() change.Event) error {
 	var err error
-	if end := k.do(ctx, func() { err = k.step(event(), nil).Err }); end != nil {
-		return end
+	if loopErr := k.runInLoop(ctx, func() { err = k.step(event(), nil).Err }); loopErr != nil {
+		return loopErr
 	}
 	return err
 }
 
-// Reload reads the files again and applies them, as SIGHUP asks for.
+// Reload reads the configuration files again and applies them; SIGHUP triggers it.
 func (k *Keeper) Reload(ctx context.Context) error {
 	b, signature, err := k.opts.Read()
 	if err != nil {
@@ -112,16 +114,16 @@
 		return err
 	}
 	if len(s.Restart) > 0 {
-		k.opts.Logger.Warn("these take effect at the next start", "keys", s.Restart)
+		k.opts.Logger.Warn("some changed settings take effect only at the next start", "keys", s.Restart)
 	}
 	if err := k.Apply(ctx, s.Tx, 0, nil); err != nil {
-		// Else it would stay staged for ever: nobody knows its number.
+		// Without this, the transaction would stay staged for ever, because nobody knows its number.
 		return errors.Join(err, k.Undo(ctx, s.Tx, err.Error()))
 	}
 	return nil
 }
 
-// Transaction is one as it is shown.
+// Transaction is a transaction as Status shows it.
 type Transaction struct {
 	Tx      change.Tx         `json:"transaction"`
 	State   string            `json:"state"`
@@ -131,30 +133,30 @@
 	Gen     change.Generation `json:"generation,omitempty"`
 	Reason  string            `json:"reason,omitempty"`
 	At      time.Time         `json:"at"`
-	Left    string            `json:"left,omitempty"` // of its probation
+	Left    string            `json:"left,omitempty"` // remaining time of its probation
 }
 
-// Status is how things stand.
+// Status is the state of a gatherer's configuration.
 type Status struct {
 	Confirmed    change.Generation `json:"confirmed"`
 	InForce      change.Generation `json:"in_force"`
 	Hash         string            `json:"hash"`
-	Open         []uint64          `json:"open"`    // generations that open queries were taken under, and that in force
-	Durable      bool              `json:"durable"` // the history is on disk
+	Open         []uint64          `json:"open"`    // the generation in force, and those under which open queries were accepted
+	Durable      bool              `json:"durable"` // whether the history is on disk
 	Falls        []string          `json:"falls,omitempty"`
 	Transactions []Transaction     `json:"transactions"`
 	Counts       change.Counts     `json:"counts"`
 }
 
-// Status returns how things stand.
+// Status returns the state of the configuration and its transactions.
 func (k *Keeper) Status(ctx context.Context) (s Status, err error) {
 	s.Open, _ = k.opts.Node.Generations(ctx)
-	err = k.do(ctx, func() {
-		s.Confirmed, _ = k.m.Confirmed()
-		s.InForce, s.Hash = k.gen, fmt.Sprintf("%x", k.inForce.Hash)
-		s.Durable, s.Falls, s.Counts = k.opts.History != nil, k.falls, k.m.Counts()
+	err = k.runInLoop(ctx, func() {
+		s.Confirmed, _ = k.machine.Confirmed()
+		s.InForce, s.Hash = k.generation, fmt.Sprintf("%x", k.inForce.Hash)
+		s.Durable, s.Falls, s.Counts = k.opts.History != nil, k.regressions, k.machine.Counts()
 		s.Transactions = []Transaction{}
-		for _, t := range k.m.Txs() {
+		for _, t := range k.machine.Txs() {
 			x := Transaction{
 				Tx: t.Tx, State: t.State.String(), Over: t.State.Over(), Hash: fmt.Sprintf("%x", t.Hash),
 				Against: t.Against, Gen: t.Gen, Reason: t.Reason, At: t.At,
@@ -168,18 +170,18 @@
 	return s, err
 }
 
-// ErrNoText is why a generation can't be shown.
-var ErrNoText = errors.New("its text is not kept any more")
+// ErrNoText is returned for a generation whose text is no longer kept.
+var ErrNoText = errors.New("its text is no longer kept")
 
-// Show returns the texts of a generation that is in force or was.
+// Show returns the files of a generation that is or was in force.
 func (k *Keeper) Show(ctx context.Context, gen change.Generation) (b bundle.Bundle, err error) {
 	found := errors.New("no such generation")
-	end := k.do(ctx, func() {
+	loopErr := k.runInLoop(ctx, func() {
 		hash := change.Hash{}
-		if confirmed, h := k.m.Confirmed(); confirmed == gen {
+		if confirmed, h := k.machine.Confirmed(); confirmed == gen {
 			hash, found = h, nil
 		}
-		for _, t := range k.m.Txs() {
+		for _, t := range k.machine.Txs() {
 			if t.Gen == gen {
 				hash, found = t.Hash, nil
 			}
@@ -187,7 +189,7 @@
 		if found != nil {
 			return
 		}
-		if c := k.texts[hash]; c != nil {
+		if c := k.candidates[hash]; c != nil {
 			b = c.Bundle
 			return
 		}
@@ -200,7 +202,7 @@
 		}
 		b, found = disk.Text(hash)
 	})
-	if err := errors.Join(end, found); err != nil {
+	if err := errors.Join(loopErr, found); err != nil {
 		return bundle.Bundle{}, fmt.Errorf("generation %d: %w", gen, err)
 	}
 	return b, nil
--- a/internal/configuration/keeper/serve.go
+++ b/internal/configuration/keeper/serve.go
@@ -13,33 +13,34 @@
 	"eiderwinch/internal/configuration/change"
 )
 
-// Proposal asks for a configuration to be staged. Parts that are empty stay as
-// they are in force.
+// Proposal is the request to stage a configuration. Files that are empty are taken
+// from the configuration in force.
 type Proposal struct {
 	bundle.Bundle
 	Against   change.Generation `json:"against,omitempty"`
 	Note      string            `json:"note,omitempty"`
-	Signature string            `json:"signature,omitempty"` // of the parts' hash
+	Signature string            `json:"signature,omitempty"` // of the bundle's hash
 }
 
-// Application asks for one to be applied.
+// Application is the request to apply a staged configuration.
 type Application struct {
-	WithinMS int64 `json:"within_ms,omitempty"` // of probation; 0: as the configuration says
-	Auto     *bool `json:"auto,omitempty"`      // at its end it is confirmed; absent: as the configuration says
+	WithinMS int64 `json:"within_ms,omitempty"` // length of the probation; 0: as the configuration says
+	Auto     *bool `json:"auto,omitempty"`      // confirm at the end of the probation; absent: as the configuration says
 }
 
-// Withdrawal asks for one to be undone.
+// Withdrawal is the request to undo a change.
 type Withdrawal struct {
 	Reason string `json:"reason"`
 }
 
-// Handle adds what is answered on a gatherer's admin socket.
+// Handle registers the configuration endpoints of a gatherer's admin socket. The
+// right column names the request or, for GET, the response.
 //
-//	POST /v1/config                         Proposal; Staged
+//	POST /v1/config                         Proposal; responds with Staged
 //	POST /v1/config/{transaction}/apply     Application
 //	POST /v1/config/{transaction}/confirm
 //	POST /v1/config/{transaction}/undo      Withdrawal
-//	POST /v1/config/reload                  as SIGHUP
+//	POST /v1/config/reload                  same as SIGHUP
 //	GET  /v1/config                         Status
 //	GET  /v1/config/generations/{number}    bundle.Bundle
 func (k *Keeper) Handle(m *http.ServeMux) {
@@ -49,14 +50,14 @@
 			return
 		}
 		s, err := k.Stage(r.Context(), p.Bundle, p.Against, p.Note, p.Signature)
-		answer(w, s, err)
+		respond(w, s, err)
 	})
 	m.HandleFunc("POST /v1/config/reload", func(w http.ResponseWriter, r *http.Request) {
-		answer(w, struct{}{}, k.Reload(r.Context()))
+		respond(w, struct{}{}, k.Reload(r.Context()))
 	})
 	m.HandleFunc("GET /v1/config", func(w http.ResponseWriter, r *http.Request) {
 		s, err := k.Status(r.Context())
-		answer(w, s, err)
+		respond(w, s, err)
 	})
 	m.HandleFunc("GET /v1/config/generations/{number}", func(w http.ResponseWriter, r *http.Request) {
 		n, err := strconv.ParseUint(r.PathValue("number"), 10, 64)
@@ -65,9 +66,9 @@
 			return
 		}
 		b, err := k.Show(r.Context(), change.Generation(n))
-		answer(w, b, err)
+		respond(w, b, err)
 	})
-	on := func(verb string, do func(context.Context, change.Tx, *http.Request, func(any) bool) error) {
+	handleTransaction := func(verb string, do func(context.Context, change.Tx, *http.Request, func(any) bool) error) {
 		m.HandleFunc("POST /v1/config/{transaction}/"+verb, func(w http.ResponseWriter, r *http.Request) {
 			n, err := strconv.ParseUint(r.PathValue("transaction"), 10, 64)
 			if err != nil {
@@ -77,21 +78,21 @@
 			ok := true
 			err = do(r.Context(), change.Tx(n), r, func(v any) bool { ok = admin.Read(w, r, v); return ok })
 			if ok {
-				answer(w, struct{}{}, err)
+				respond(w, struct{}{}, err)
 			}
 		})
 	}
-	on("apply", func(ctx context.Context, tx change.Tx, _ *http.Request, read func(any) bool) error {
+	handleTransaction("apply", func(ctx context.Context, tx change.Tx, _ *http.Request, read func(any) bool) error {
 		var a Application
 		if !read(&a) {
 			return nil
 		}
 		return k.Apply(ctx, tx, time.Duration(a.WithinMS)*time.Millisecond, a.Auto)
 	})
-	on("confirm", func(ctx context.Context, tx change.Tx, _ *http.Request, _ func(any) bool) error {
+	handleTransaction("confirm", func(ctx context.Context, tx change.Tx, _ *http.Request, _ func(any) bool) error {
 		return k.Confirm(ctx, tx)
 	})
-	on("undo", func(ctx context.Context, tx change.Tx, _ *http.Request, read func(any) bool) error {
+	handleTransaction("undo", func(ctx context.Context, tx change.Tx, _ *http.Request, read func(any) bool) error {
 		var u Withdrawal
 		if !read(&u) {
 			return nil
@@ -100,8 +101,8 @@
 	})
 }
 
-// answer writes an answer, or the reason why there is none.
-func answer(w http.ResponseWriter, v any, err error) {
+// respond writes a response, or the error with the status code that fits it.
+func respond(w http.ResponseWriter, v any, err error) {
 	switch {
 	case err == nil:
 		admin.Answer(w, http.StatusOK, v)
