--- a/internal/format/config/config.go
+++ b/internal/format/config/config.go
@@ -1,6 +1,6 @@
-// Package config is the one place where the program's configuration is read,
-// checked and given defaults: the LB_ variables, the file that LB_CONFIG names
-// and the settings object in it. Errors name the key at fault.
+// Package config reads a gatherer's configuration, checks it and applies defaults:
+// the LB_ environment variables, the JSON file that LB_CONFIG names and the settings
+// object in that file. Errors name the invalid key.
 package config
 
 import (
@@ -15,24 +15,25 @@
 	"eiderwinch/internal/format/catalog"
 )
 
-// Config is all that a gatherer is told at its start.
+// Config is the platform's configuration of a gatherer.
 type Config struct {
 	Name      string
 	Listen    string
 	Discovery string
-	Memory    int64 // bytes the process may take
-	Sockets   int   // descriptors the process may hold
-	Known     catalog.Update
+	Memory    int64          // memory limit of the process in bytes
+	Sockets   int            // limit on the file descriptors of the process
+	Known     catalog.Update // the member list as of the writing of the file
 	Settings  Settings
 }
 
-// Defaults and bounds of the limits.
+// Defaults and bounds of the limits of the process.
 const (
 	defaultMemoryMB = 192
 	defaultSockets  = 1024
-	minSockets      = 64 // listener, poller, discovery, a few clients and searchers
+	minSockets      = 64 // enough for the listener, the poller, discovery, a few clients and searchers
 )
 
+// file is the JSON form of the configuration file.
 type file struct {
 	Name      string `json:"name"`
 	Listen    string `json:"listen"`
@@ -46,25 +47,25 @@
 	Settings json.RawMessage `json:"settings"`
 }
 
-// Load reads the configuration at the start. The variables LB_NAME, LB_LISTEN
-// and LB_DISCOVERY win over the file.
+// Load reads the configuration when the process starts. The variables LB_NAME,
+// LB_LISTEN and LB_DISCOVERY override the file.
 func Load(getenv func(string) string) (*Config, error) { return load(getenv, false) }
 
-// Reload reads the configuration again while the program runs. It is the file
-// that has been replaced, so its discovery wins over LB_DISCOVERY, which is as
-// old as the process.
+// Reload reads the configuration again while the process runs. Only the file can
+// have changed since the start, so its discovery overrides LB_DISCOVERY, which is
+// as old as the process.
 func Reload(getenv func(string) string) (*Config, error) { return load(getenv, true) }
 
-// Parse reads a configuration from its text alone, whatever the environment says.
+// Parse reads a configuration from its text alone and ignores the environment.
 func Parse(text []byte) (*Config, error) {
 	return parse(text, func(string) string { return "" }, false)
 }
 
-// Pending names the keys in which next differs from c and which only a new
-// start puts into effect.
+// Pending returns the keys in which next differs from c and which take effect only
+// after a restart.
 func (c *Config) Pending(next *Config) []string {
 	var keys []string
-	for _, at := range []struct {
+	for _, setting := range []struct {
 		key     string
 		differs bool
 	}{
@@ -74,30 +75,30 @@
 		{"limits.sockets", c.Sockets != next.Sockets},
 		{"settings", !reflect.DeepEqual(c.Settings.withoutSeed(), next.Settings.withoutSeed())},
 	} {
-		if at.differs {
-			keys = append(keys, at.key)
+		if setting.differs {
+			keys = append(keys, setting.key)
 		}
 	}
 	return keys
 }
 
-func load(getenv func(string) string, again bool) (*Config, error) {
+func load(getenv func(string) string, reload bool) (*Config, error) {
 	path := getenv("LB_CONFIG")
 	if path == "" {
-		return nil, errors.New("LB_CONFIG is not set: it names the config file")
+		return nil, errors.New("LB_CONFIG is not set: want the path of the configuration file")
 	}
 	text, err := durable.ReadFile(path)
 	if err != nil {
 		return nil, fmt.Errorf("LB_CONFIG: %w", err)
 	}
-	c, err := parse(text, getenv, again)
+	c, err := parse(text, getenv, reload)
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
 	return c, nil
 }
 
-func parse(text []byte, getenv func(string) string, again bool) (*Config, error) {
+func parse(text []byte, getenv func(string) string, reload bool) (*Config, error) {
 	var f file
 	if err := json.Unmarshal(text, &f); err != nil {
 		return nil, err
@@ -105,15 +106,15 @@
 	for name, value := range map[string]*string{
 		"LB_NAME": &f.Name, "LB_LISTEN": &f.Listen, "LB_DISCOVERY": &f.Discovery,
 	} {
-		hidden := again && name == "LB_DISCOVERY" && *value != ""
-		if v := getenv(name); v != "" && !hidden {
+		fileWins := reload && name == "LB_DISCOVERY" && *value != ""
+		if v := getenv(name); v != "" && !fileWins {
 			*value = v
 		}
 	}
-	if err := address(f.Listen); err != nil {
+	if err := checkAddress(f.Listen); err != nil {
 		return nil, fmt.Errorf("listen (LB_LISTEN): %w", err)
 	}
-	if err := address(f.Discovery); err != nil {
+	if err := checkAddress(f.Discovery); err != nil {
 		return nil, fmt.Errorf("discovery (LB_DISCOVERY): %w", err)
 	}
 	c := &Config{Name: f.Name, Listen: f.Listen, Discovery: f.Discovery, Known: f.Known}
@@ -135,7 +136,7 @@
 		c.Sockets = defaultSockets
 	}
 	if len(f.Settings) == 0 {
-		return nil, errors.New("settings is missing: want the object that the platform hands to its instances")
+		return nil, errors.New("settings is missing: want the object that the platform passes to its instances")
 	}
 	var err error
 	if c.Settings, err = ParseSettings(f.Settings); err != nil {
@@ -149,14 +150,15 @@
 	return c, nil
 }
 
-// address checks an address to be numeric: there is no DNS to ask.
-func address(s string) error {
+// checkAddress checks that an address is numeric, because there is no DNS to resolve
+// names.
+func checkAddress(s string) error {
 	host, port, err := net.SplitHostPort(s)
 	if err != nil {
 		return fmt.Errorf("want address:port: %w", err)
 	}
 	if _, err := strconv.ParseUint(port, 10, 16); err != nil || net.ParseIP(host) == nil {
-		return fmt.Errorf("want a numeric address and port, have %q", s)
+		return fmt.Errorf("found %q, want a numeric address and port", s)
 	}
 	return nil
 }
--- a/internal/format/config/config_test.go
+++ b/internal/format/config/config_test.go
@@ -8,13 +8,15 @@
 	"time"
 )
 
-const good = `{"name":"n3","listen":"127.0.0.4:8443","discovery":"127.0.0.1:8500","seed":"8c1f30d27a5be964",
+// validConfig is a complete configuration, which the tests change in one place each.
+const validConfig = `{"name":"n3","listen":"127.0.0.4:8443","discovery":"127.0.0.1:8500","seed":"8c1f30d27a5be964",
 	"limits":{"cores":1.0,"memory_mb":64,"sockets":256},
 	"known":{"revision":41,"complete":true,"members":[{"id":"s","host_port":"h:1","phase":"Ready"}]},
 	"settings":{"membership_mode":"pushed","tick":5000000,"domain":{"places":1,"in_a_row":1,"shards":2,"class_fetch":[3]},
 	"classes":[{"name":"a","aim":1,"deadline":2,"effect":"keyed"}],
 	"policy_limits":{"max_open":140,"multiplex":8,"conn_idle":9000000000},"rules":{"drain_grace":400000000}}}`
 
+// env returns a getenv for pairs of a variable and its value.
 func env(pairs ...string) func(string) string {
 	return func(key string) string {
 		for i := 0; i < len(pairs); i += 2 {
@@ -28,7 +30,7 @@
 
 func TestLoad(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "config.json")
-	if err := os.WriteFile(path, []byte(good), 0o600); err != nil {
+	if err := os.WriteFile(path, []byte(validConfig), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	c, err := Load(env("LB_CONFIG", path, "LB_LISTEN", "127.0.0.9:1"))
@@ -53,7 +55,7 @@
 
 func TestDefaults(t *testing.T) {
 	text := strings.NewReplacer(`"memory_mb":64,"sockets":256`, "", `"max_open":140,"multiplex":8,"conn_idle":9000000000`, "",
-		`"drain_grace":400000000`, "", `"tick":5000000,`, "").Replace(good)
+		`"drain_grace":400000000`, "", `"tick":5000000,`, "").Replace(validConfig)
 	text = strings.Replace(text, `"cores":1.0,`, `"cores":1.0`, 1)
 	c, err := parse([]byte(text), env(), false)
 	if err != nil {
@@ -66,13 +68,14 @@
 	}
 }
 
-// The variable is as old as the process: it must not hide what the replaced file says.
-func TestReloadReadsTheFileAgain(t *testing.T) {
+// LB_DISCOVERY is as old as the process. If it overrode the file at a reload too, a
+// discovery address in a replaced file would never take effect.
+func TestReloadPrefersTheFile(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "config.json")
 	for _, c := range []struct{ old, new, discovery, pending, err string }{
 		{"", "", "127.0.0.1:8500", "", ""},
 		{"127.0.0.1:8500", "127.0.0.7:1", "127.0.0.7:1", "", ""},
-		{`"discovery":"127.0.0.1:8500",`, "", "127.0.0.2:2", "", ""}, // the file names none
+		{`"discovery":"127.0.0.1:8500",`, "", "127.0.0.2:2", "", ""}, // without one in the file, the variable applies
 		{"8c1f30d27a5be964", "00", "127.0.0.1:8500", "", ""},
 		{`"sockets":256`, `"sockets":512`, "127.0.0.1:8500", "limits.sockets", ""},
 		{`"max_open":140`, `"max_open":141`, "127.0.0.1:8500", "settings", ""},
@@ -84,12 +87,12 @@
 				t.Fatal(err)
 			}
 		}
-		write(good)
+		write(validConfig)
 		first, err := Load(e)
 		if err != nil || first.Discovery != "127.0.0.2:2" {
-			t.Fatalf("at the start: %+v, %v", first, err)
+			t.Fatalf("Load: %+v, %v", first, err)
 		}
-		write(strings.Replace(good, c.old, c.new, 1))
+		write(strings.Replace(validConfig, c.old, c.new, 1))
 		next, err := Reload(e)
 		if c.err != "" {
 			if err == nil || !strings.Contains(err.Error(), c.err) {
@@ -106,10 +109,10 @@
 		t.Errorf("without LB_CONFIG: %v", err)
 	}
 	if _, err := Load(env("LB_CONFIG", "/nowhere")); err == nil || !strings.Contains(err.Error(), "LB_CONFIG") {
-		t.Errorf("without a file: %v", err)
+		t.Errorf("with a path that does not exist: %v", err)
 	}
 	for _, c := range []struct{ old, new, want string }{
-		{good, "{", "JSON"},
+		{validConfig, "{", "JSON"},
 		{"127.0.0.4:8443", "localhost:1", "listen"},
 		{"127.0.0.1:8500", "127.0.0.1", "discovery"},
 		{`"sockets":256`, `"sockets":3`, "limits.sockets: found 3, want 0, which means 1024, or at least 64"},
@@ -136,7 +139,7 @@
 		{`"drain_grace":400000000`, `"cold":-1`, "rules.cold is negative: found -1, want 0 or more"},
 		{`"tick":5000000`, `"balancers":-3`, "balancers is negative: found -3, want 0 or more"},
 	} {
-		text := strings.Replace(good, c.old, c.new, 1)
+		text := strings.Replace(validConfig, c.old, c.new, 1)
 		if _, err := parse([]byte(text), env(), false); err == nil || !strings.Contains(err.Error(), c.want) {
 			t.Errorf("%s for %.30s: have %v, want %q", c.new, c.old, err, c.want)
 		}
--- a/internal/format/config/settings.go
+++ b/internal/format/config/settings.go
@@ -8,31 +8,32 @@
 	"eiderwinch"
 )
 
-// Settings is the settings object of the config file, which the simulator
-// hands to its instances in the same form.
+// Settings is the settings object of the configuration file. The simulator passes
+// it to its instances in the same form.
 type Settings struct {
-	Module eiderwinch.Settings // what the decisions need
-	Limits Limits              // what the gatherer round them needs
+	Module eiderwinch.Settings // settings of the decision module
+	Limits Limits              // limits of the gatherer around it
 }
 
-// Limits holds what a real gatherer keeps to beside the decisions.
+// Limits holds the limits of a gatherer process that are not part of the decisions.
 type Limits struct {
-	Tick           time.Duration // turns come at most this often
-	MaxOpen        int           // queries and parts held at once; 0 means no limit
-	Multiplex      int           // parts that one connection carries at once
-	ConnectTimeout time.Duration
-	ConnIdle       time.Duration // searchers close connections idle for so long
-	DrainGrace     time.Duration // sends to a draining or gone searcher must end by then
-	AnswerSlack    time.Duration // a final answer may be so late
+	Tick           time.Duration // shortest time between two turns
+	MaxOpen        int           // most queries and parts held at once; 0 means no limit
+	Multiplex      int           // most parts that one connection carries at once
+	ConnectTimeout time.Duration // of a connection to a searcher
+	ConnIdle       time.Duration // searchers close connections that have been idle this long
+	DrainGrace     time.Duration // attempts at a draining or removed searcher must end within it
+	AnswerSlack    time.Duration // how late after its deadline a final answer may be
 }
 
-// withoutSeed returns the settings but for the seed, which is new in each file.
+// withoutSeed returns the settings with the seed cleared, because each file has a new
+// seed.
 func (s Settings) withoutSeed() Settings {
 	s.Module.Seed = 0
 	return s
 }
 
-// Defaults for settings that may be absent.
+// Defaults of settings that may be absent.
 const (
 	defaultTick           = 5 * time.Millisecond
 	defaultMultiplex      = 32
@@ -42,83 +43,84 @@
 	defaultAnswerSlack    = 20 * time.Millisecond
 )
 
-// nanos is a time span in the settings: whole nanoseconds.
-type nanos = int64
+// nanoseconds is a duration in the settings object.
+type nanoseconds = int64
 
-// settings is the part of the settings object that is used.
+// settings is the JSON form of the keys of the settings object that are used.
 type settings struct {
-	Zone     string `json:"az"`
-	Brokers  int    `json:"balancers"`
-	Number   int    `json:"my_number"`
-	ListMode string `json:"membership_mode"`
-	Tick     nanos  `json:"tick"`
-	Classes  []struct {
-		Name     string  `json:"name"`
-		Aim      nanos   `json:"aim"`
-		Deadline nanos   `json:"deadline"`
-		Effect   string  `json:"effect"`
-		Late     float64 `json:"late_worth"`
-		Window   nanos   `json:"repeat_window"`
-		Worth    float64 `json:"worth"`
+	Zone           string      `json:"az"`
+	Gatherers      int         `json:"balancers"`
+	Number         int         `json:"my_number"`
+	MembershipMode string      `json:"membership_mode"`
+	Tick           nanoseconds `json:"tick"`
+	Classes        []struct {
+		Name         string      `json:"name"`
+		Aim          nanoseconds `json:"aim"`
+		Deadline     nanoseconds `json:"deadline"`
+		Effect       string      `json:"effect"`
+		LateWorth    float64     `json:"late_worth"`
+		RepeatWindow nanoseconds `json:"repeat_window"`
+		Worth        float64     `json:"worth"`
 	} `json:"classes"`
 	Domain struct {
-		Batch    int       `json:"per_call"`
-		CallCost nanos     `json:"call_cost"`
-		Cells    int       `json:"places"`
-		Reach    int       `json:"in_a_row"`
-		Shards   int       `json:"shards"`
-		Need     []float64 `json:"whole_at"`
-		Floor    []float64 `json:"floor_by_class"`
-		Partial  []float64 `json:"class_partial"`
-		Fetch    []int     `json:"class_fetch"`
-		Warm     bool      `json:"warm_keys"`
+		Batch    int         `json:"per_call"`
+		CallCost nanoseconds `json:"call_cost"`
+		Cells    int         `json:"places"`
+		Reach    int         `json:"in_a_row"`
+		Shards   int         `json:"shards"`
+		WholeAt  []float64   `json:"whole_at"`
+		Floor    []float64   `json:"floor_by_class"`
+		Partial  []float64   `json:"class_partial"`
+		Fetch    []int       `json:"class_fetch"`
+		WarmKeys bool        `json:"warm_keys"`
 	} `json:"domain"`
 	Limits struct {
-		Attempts       int   `json:"attempts_cap"`
-		Cancel         bool  `json:"cancel"`
-		SecondCopies   bool  `json:"second_copies"`
-		RetryAfter     bool  `json:"retry_after"`
-		MaxRetry       nanos `json:"max_retry_after"`
-		MaxOpen        int   `json:"max_open"`
-		Multiplex      int   `json:"multiplex"`
-		ConnectTimeout nanos `json:"connect_timeout"`
-		ConnIdle       nanos `json:"conn_idle"`
+		MaxAttempts    int         `json:"attempts_cap"`
+		MayCancel      bool        `json:"cancel"`
+		SecondCopies   bool        `json:"second_copies"`
+		RetryAdvice    bool        `json:"retry_after"`
+		MaxRetryAdvice nanoseconds `json:"max_retry_after"`
+		MaxOpen        int         `json:"max_open"`
+		Multiplex      int         `json:"multiplex"`
+		ConnectTimeout nanoseconds `json:"connect_timeout"`
+		ConnIdle       nanoseconds `json:"conn_idle"`
 	} `json:"policy_limits"`
 	ValueBy   string  `json:"value_by"`
 	OverShare float64 `json:"over_share_worth"`
-	Parties   []struct {
+	Tenants   []struct {
 		Name  string  `json:"name"`
 		Share float64 `json:"share"`
 	} `json:"parties"`
 	Callers struct {
-		Marks bool `json:"marks_retry"`
+		MarksRepeats bool `json:"marks_retry"`
 	} `json:"callers"`
 	Prices struct {
 		CrossZone float64 `json:"cross_zone"`
 	} `json:"prices"`
 	Rules struct {
-		AnswerSlack  nanos   `json:"answer_slack"`
-		AskWithin    nanos   `json:"ask_within"`
-		BudgetFree   float64 `json:"budget_free"`
-		BudgetRatio  float64 `json:"repeat_ratio"`
-		BudgetWindow nanos   `json:"counted_over"`
-		ColdFor      nanos   `json:"cold"`
-		ColdShare    float64 `json:"start_capacity"`
-		DrainGrace   nanos   `json:"drain_grace"`
-		Multiple     float64 `json:"fall_multiple"`
-		Overload     nanos   `json:"overload_for"`
+		AnswerSlack       nanoseconds `json:"answer_slack"`
+		AskWithin         nanoseconds `json:"ask_within"`
+		RetryBudgetFree   float64     `json:"budget_free"`
+		RetryBudgetRatio  float64     `json:"repeat_ratio"`
+		RetryBudgetWindow nanoseconds `json:"counted_over"`
+		ColdFor           nanoseconds `json:"cold"`
+		ColdShare         float64     `json:"start_capacity"`
+		DrainGrace        nanoseconds `json:"drain_grace"`
+		ColdMultiple      float64     `json:"fall_multiple"`
+		ColdOverload      nanoseconds `json:"overload_for"`
 	} `json:"rules"`
 }
 
-// byWork is the value_by of a service where a query's worth grows with its work;
-// "request", the other one, is what an absent value means.
-const byWork = "work"
+// valueByWork is the value_by of a service in which the worth of a query grows with
+// its work. The other value is "request", which is also the default.
+const valueByWork = "work"
 
+// effects maps the effects of classes by their names in the settings object.
 var effects = map[string]eiderwinch.Effect{
 	"safe": eiderwinch.Safe, "keyed": eiderwinch.Keyed, "unsafe": eiderwinch.Unsafe,
 }
 
-// ParseSettings reads, checks and completes a settings object.
+// ParseSettings reads a settings object, checks it and applies defaults.
 func ParseSettings(text []byte) (Settings, error) {
 	var e settings
 	if err := json.Unmarshal(text, &e); err != nil {
@@ -128,7 +130,7 @@
 		return Settings{}, fmt.Errorf("settings: %w", err)
 	}
 	s := Settings{Module: e.module(), Limits: e.limits()}
-	s.Module.Tick = s.Limits.Tick // the module goes by the ticks that there are
+	s.Module.Tick = s.Limits.Tick // the decision module uses the tick that is in effect, default included
 	return s, nil
 }
 
@@ -136,12 +138,12 @@
 	switch {
 	case e.Domain.Cells < 1 || e.Domain.Reach < 1 || e.Domain.Shards < 1:
 		return fmt.Errorf("domain.shards, domain.places and domain.in_a_row must be above 0, found %d, %d and %d", e.Domain.Shards, e.Domain.Cells, e.Domain.Reach)
-	case e.ListMode != "on_request" && e.ListMode != "pushed":
-		return fmt.Errorf("unknown membership_mode %q, want on_request or pushed", e.ListMode)
-	case e.ValueBy != "" && e.ValueBy != byWork && e.ValueBy != "request":
+	case e.MembershipMode != "on_request" && e.MembershipMode != "pushed":
+		return fmt.Errorf("membership_mode: found %q, want on_request or pushed", e.MembershipMode)
+	case e.ValueBy != "" && e.ValueBy != valueByWork && e.ValueBy != "request":
 		return fmt.Errorf("value_by: found %q, want work or request", e.ValueBy)
 	}
-	for _, at := range []struct {
+	for _, setting := range []struct {
 		key   string
 		value int64
 	}{
@@ -151,24 +153,24 @@
 		{"policy_limits.multiplex", int64(e.Limits.Multiplex)},
 		{"policy_limits.connect_timeout", e.Limits.ConnectTimeout},
 		{"policy_limits.conn_idle", e.Limits.ConnIdle},
-		{"policy_limits.attempts_cap", int64(e.Limits.Attempts)},
+		{"policy_limits.attempts_cap", int64(e.Limits.MaxAttempts)},
 		{"rules.drain_grace", e.Rules.DrainGrace},
 		{"rules.answer_slack", e.Rules.AnswerSlack},
 		{"rules.ask_within", e.Rules.AskWithin},
-		{"rules.counted_over", e.Rules.BudgetWindow},
+		{"rules.counted_over", e.Rules.RetryBudgetWindow},
 		{"rules.cold", e.Rules.ColdFor},
-		{"rules.overload_for", e.Rules.Overload},
+		{"rules.overload_for", e.Rules.ColdOverload},
 		{"domain.call_cost", e.Domain.CallCost},
-		{"policy_limits.max_retry_after", e.Limits.MaxRetry},
-		{"balancers", int64(e.Brokers)},
+		{"policy_limits.max_retry_after", e.Limits.MaxRetryAdvice},
+		{"balancers", int64(e.Gatherers)},
 		{"my_number", int64(e.Number)},
 	} {
-		if at.value < 0 {
-			return fmt.Errorf("%s is negative: found %d, want 0 or more", at.key, at.value)
+		if setting.value < 0 {
+			return fmt.Errorf("%s is negative: found %d, want 0 or more", setting.key, setting.value)
 		}
 	}
 	for key, shares := range map[string][]float64{
-		"domain.whole_at": e.Domain.Need, "domain.floor_by_class": e.Domain.Floor, "domain.class_partial": e.Domain.Partial,
+		"domain.whole_at": e.Domain.WholeAt, "domain.floor_by_class": e.Domain.Floor, "domain.class_partial": e.Domain.Partial,
 	} {
 		for i, share := range shares {
 			if !(share >= 0 && share <= 1) {
@@ -189,8 +191,8 @@
 			return fmt.Errorf("classes[%d].name is missing", i)
 		case names[c.Name]:
 			return fmt.Errorf("classes[%d].name: found %q twice, want each class once", i, c.Name)
-		case c.Window < 0:
-			return fmt.Errorf("classes[%d].repeat_window: found %d for class %q, want 0 or more", i, c.Window, c.Name)
+		case c.RepeatWindow < 0:
+			return fmt.Errorf("classes[%d].repeat_window: found %d for class %q, want 0 or more", i, c.RepeatWindow, c.Name)
 		case !ok:
 			return fmt.Errorf("classes[%d].effect: class %q has unknown effect %q, want safe, keyed or unsafe", i, c.Name, c.Effect)
 		case c.Aim <= 0 || c.Deadline <= 0:
@@ -203,28 +205,28 @@
 
 func (e *settings) module() eiderwinch.Settings {
 	s := eiderwinch.Settings{
-		Brokers: e.Brokers, Number: e.Number, Zone: e.Zone, Tick: time.Duration(e.Tick),
+		Brokers: e.Gatherers, Number: e.Number, Zone: e.Zone, Tick: time.Duration(e.Tick),
 		Shards: e.Domain.Shards, Cells: e.Domain.Cells, Reach: e.Domain.Reach,
 		Batch: e.Domain.Batch, CallCost: time.Duration(e.Domain.CallCost),
-		WarmKeys: e.Domain.Warm, CrossZoneCosts: e.Prices.CrossZone > 0,
-		MarksRepeats: e.Callers.Marks, OverShare: e.OverShare, WorthByWork: e.ValueBy == byWork,
-		AskForList:  e.ListMode == "on_request",
-		MaxAttempts: e.Limits.Attempts, MayCancel: e.Limits.Cancel, SecondCopies: e.Limits.SecondCopies,
-		RetryAdvice: e.Limits.RetryAfter, MaxRetryAdvice: time.Duration(e.Limits.MaxRetry),
+		WarmKeys: e.Domain.WarmKeys, CrossZoneCosts: e.Prices.CrossZone > 0,
+		MarksRepeats: e.Callers.MarksRepeats, OverShare: e.OverShare, WorthByWork: e.ValueBy == valueByWork,
+		AskForList:  e.MembershipMode == "on_request",
+		MaxAttempts: e.Limits.MaxAttempts, MayCancel: e.Limits.MayCancel, SecondCopies: e.Limits.SecondCopies,
+		RetryAdvice: e.Limits.RetryAdvice, MaxRetryAdvice: time.Duration(e.Limits.MaxRetryAdvice),
 		AskWithin:   time.Duration(e.Rules.AskWithin),
-		BudgetRatio: e.Rules.BudgetRatio, BudgetFree: e.Rules.BudgetFree,
-		BudgetWindow: time.Duration(e.Rules.BudgetWindow),
+		BudgetRatio: e.Rules.RetryBudgetRatio, BudgetFree: e.Rules.RetryBudgetFree,
+		BudgetWindow: time.Duration(e.Rules.RetryBudgetWindow),
 		ColdShare:    e.Rules.ColdShare, ColdFor: time.Duration(e.Rules.ColdFor),
-		ColdMultiple: e.Rules.Multiple, ColdOverloads: time.Duration(e.Rules.Overload),
+		ColdMultiple: e.Rules.ColdMultiple, ColdOverloads: time.Duration(e.Rules.ColdOverload),
 	}
-	for _, t := range e.Parties {
+	for _, t := range e.Tenants {
 		s.Tenants = append(s.Tenants, eiderwinch.Tenant{Name: t.Name, Share: t.Share})
 	}
 	for i, c := range e.Classes {
 		class := eiderwinch.Class{
 			Name: c.Name, Aim: time.Duration(c.Aim), Deadline: time.Duration(c.Deadline),
-			Worth: c.Worth, LateWorth: c.Late, Effect: effects[c.Effect], RepeatWindow: time.Duration(c.Window),
-			Need: at(e.Domain.Need, i), Floor: at(e.Domain.Floor, i), Partial: at(e.Domain.Partial, i),
+			Worth: c.Worth, LateWorth: c.LateWorth, Effect: effects[c.Effect], RepeatWindow: time.Duration(c.RepeatWindow),
+			Need: shareOfClass(e.Domain.WholeAt, i), Floor: shareOfClass(e.Domain.Floor, i), Partial: shareOfClass(e.Domain.Partial, i),
 		}
 		if i < len(e.Domain.Fetch) {
 			class.Fetch = e.Domain.Fetch[i]
@@ -235,20 +237,20 @@
 }
 
 func (e *settings) limits() Limits {
-	span := func(n nanos, absent time.Duration) time.Duration {
+	durationOr := func(n nanoseconds, defaultValue time.Duration) time.Duration {
 		if n == 0 {
-			return absent
+			return defaultValue
 		}
 		return time.Duration(n)
 	}
 	l := Limits{
-		Tick:           span(e.Tick, defaultTick),
+		Tick:           durationOr(e.Tick, defaultTick),
 		MaxOpen:        e.Limits.MaxOpen,
 		Multiplex:      e.Limits.Multiplex,
-		ConnectTimeout: span(e.Limits.ConnectTimeout, defaultConnectTimeout),
-		ConnIdle:       span(e.Limits.ConnIdle, defaultConnIdle),
-		DrainGrace:     span(e.Rules.DrainGrace, defaultDrainGrace),
-		AnswerSlack:    span(e.Rules.AnswerSlack, defaultAnswerSlack),
+		ConnectTimeout: durationOr(e.Limits.ConnectTimeout, defaultConnectTimeout),
+		ConnIdle:       durationOr(e.Limits.ConnIdle, defaultConnIdle),
+		DrainGrace:     durationOr(e.Rules.DrainGrace, defaultDrainGrace),
+		AnswerSlack:    durationOr(e.Rules.AnswerSlack, defaultAnswerSlack),
 	}
 	if l.Multiplex == 0 {
 		l.Multiplex = defaultMultiplex
@@ -256,8 +258,9 @@
 	return l
 }
 
-// at returns the value of class i; where the settings name none, all parts are needed.
-func at(values []float64, i int) float64 {
+// shareOfClass returns the share of class i. Without one in the settings it is 1: all
+// parts are needed.
+func shareOfClass(values []float64, i int) float64 {
 	if i < len(values) {
 		return values[i]
 	}
