--- a/internal/format/config/settings.go
+++ b/internal/format/config/settings.go
@@ -22,8 +22,8 @@
 	Multiplex      int           // most parts that one connection carries at once
 	ConnectTimeout time.Duration // of a connection to a searcher
 	ConnIdle       time.Duration // searchers close connections that have been idle this long
-	DrainGrace     time.Duration // attempts at a draining or removed searcher must end within it
-	AnswerSlack    time.Duration // how late after its deadline a final answer may be
+	DrainGrace     time.Duration // sending to a draining or removed searcher must stop within it
+	AnswerSlack    time.Duration // how late a final answer may be
 }
 
 // withoutSeed returns the settings with the seed cleared, because each file has a new
--- a/internal/format/xmlform/form.go
+++ b/internal/format/xmlform/form.go
@@ -1,10 +1,10 @@
-// Package xmlform reads XML files whose form is a table: which elements there
-// are, which attributes each carries, of what kind, with which default and
-// bounds, and what it is for. All that is said of a form comes from that one
-// table: the reader, the schema under deploy/, and the explanations for people.
+// Package xmlform reads, formats, compares and documents XML files whose form is a
+// table: the elements, the attributes of each, and their kinds, defaults, bounds and
+// doc texts. The reader, the schemas under deploy/ and the explanations for operators
+// are all derived from that one table.
 //
-// All faults of a file are told in one go, each with its line, its element, what
-// was found and what is wanted. The package does no I/O of its own.
+// All faults of a file are reported together, each with its line, its element, what
+// was found and what is wanted. The package opens no files of its own.
 package xmlform
 
 import (
@@ -17,65 +17,66 @@
 	"time"
 )
 
-// Kind is how an attribute's value is read.
+// Kind is the type of an attribute's value.
 type Kind uint8
 
-// The kinds of values.
+// Kinds of values.
 const (
 	Text     Kind = iota // any text
-	Name                 // not empty, no blanks
-	Number               // a whole number from 0 to 2^32-1, or within Least and Most
-	Count                // a whole number from 1 to 2^63-1, or within Least and Most
+	Name                 // a text without blanks that is not empty
+	Number               // an integer from 0 to 2^32-1, or within Least and Most
+	Count                // an integer from 1 to 2^63-1, or within Least and Most
 	Share                // above 0, at most 1
 	Factor               // a number within Least and Most
-	Span                 // a time with its unit: 250ms, 30s, 1m30s
+	Span                 // a duration with its unit: 250ms, 30s, 1m30s
 	Choice               // one of Values
 	Flag                 // true or false
 	Address              // a numeric address and a port
 	Endpoint             // unix:PATH, or a loopback address and a port
-	kinds
+	kindCount
 )
 
-// Attribute is what an element may or must carry.
+// Attribute is an attribute that an element may or must carry.
 type Attribute struct {
 	Name     string
 	Kind     Kind
 	Required bool
-	Default  string   // in the form of a file; empty means that there is none
+	Default  string   // as it would stand in a file; empty means that there is none
 	Values   []string // of a Choice
-	// Least and Most bound numbers, and times in seconds. Both 0: the kind's own bounds.
+	// Least and Most bound numbers, and durations in seconds. If both are 0, the bounds
+	// of the kind apply.
 	Least, Most float64
-	Unit        string // of a number, for people
-	Doc         string // what it means
+	Unit        string // unit of a number, shown to operators
+	Doc         string // explanation, shown to operators
 }
 
-// Child is an element that may stand in another.
+// Child is an element that may occur in another one.
 type Child struct {
 	Name  string
-	Least int
-	Most  int // 0: any number
+	Least int // least number of occurrences
+	Most  int // greatest number of occurrences; 0 means no limit
 }
 
-// Element is what may stand in a file.
+// Element describes an element by the attributes and children that it may have.
 type Element struct {
 	Attributes []Attribute
 	Children   []Child
 	Doc        string
 }
 
-// Form is the form of a kind of file.
+// Form describes one kind of file.
 type Form struct {
 	Namespace string
 	Root      string
-	Depth     int // how deep elements lie in each other at the most
+	Depth     int // greatest nesting depth of elements
 	Doc       string
-	Order     []string // of the elements in the schema
+	Order     []string // order of the elements in the schema
 	Elements  map[string]Element
 }
 
 // Value is an attribute's value.
 type Value struct {
-	Given  bool // it stands in the file; else it is the default
+	Given  bool // it was given in the file; otherwise the default applies
 	Text   string
 	Number uint64
 	Float  float64
@@ -83,7 +84,7 @@
 	Flag   bool
 }
 
-// wanted says what a value must be, for people.
+// wanted returns a description of the valid values for messages.
 func (a Attribute) wanted() string {
 	bound := func(least, most string) string {
 		if a.Least == 0 && a.Most == 0 {
@@ -98,7 +99,7 @@
 		return "a number " + bound("0", "4294967295")
 	case Count:
 		if a.Least == 0 && a.Most == 0 {
-			return "a number from 1 on"
+			return "a number of at least 1"
 		}
 		return "a number " + bound("", "")
 	case Share:
@@ -106,7 +107,7 @@
 	case Factor:
 		return "a number " + bound("0", "any")
 	case Span:
-		return "a time with its unit, such as 250ms" + a.spans()
+		return "a time with its unit, such as 250ms" + a.durationBounds()
 	case Choice:
 		if n := len(a.Values); n > 1 {
 			return strings.Join(a.Values[:n-1], ", ") + " or " + a.Values[n-1]
@@ -122,17 +123,19 @@
 	return "text"
 }
 
-// spans are the bounds of a time.
-func (a Attribute) spans() string {
+// durationBounds returns the bounds of a duration for messages.
+func (a Attribute) durationBounds() string {
 	if a.Least == 0 && a.Most == 0 {
 		return ""
 	}
 	return fmt.Sprintf(", from %v to %v", seconds(a.Least), seconds(a.Most))
 }
 
+// seconds converts a number of seconds to a duration.
 func seconds(s float64) time.Duration { return time.Duration(math.Round(s * 1e9)) }
 
-// read reads a value, and tells whether it is of the kind and within the bounds.
+// read parses a value and reports whether it is of the attribute's kind and within
+// its bounds.
 func (a Attribute) read(s string) (v Value, ok bool) {
 	v.Text = s
 	bounded := a.Least != 0 || a.Most != 0
@@ -155,29 +158,31 @@
 		return v, err == nil && v.Float >= 0 && !math.IsInf(v.Float, 0) && within(v.Float)
 	case Span:
 		v.Span, err = time.ParseDuration(s)
-		return v, err == nil && v.Span >= 0 && strings.IndexFunc(s, notSpan) < 0 && within(v.Span.Seconds())
+		return v, err == nil && v.Span >= 0 && strings.IndexFunc(s, isNotDurationRune) < 0 && within(v.Span.Seconds())
 	case Choice:
 		return v, slices.Contains(a.Values, s)
 	case Flag:
 		v.Flag = s == "true"
 		return v, v.Flag || s == "false"
 	case Address:
-		return v, numeric(s) != nil
+		return v, parseNumericAddress(s) != nil
 	case Endpoint:
 		if path, ok := strings.CutPrefix(s, "unix:"); ok {
-			return v, path != "" && len(path) <= mostPath
+			return v, path != "" && len(path) <= maxSocketPath
 		}
-		ip := numeric(s)
+		ip := parseNumericAddress(s)
 		return v, ip != nil && ip.IsLoopback()
 	}
 	return v, true
 }
 
-// mostPath bounds a socket's path: the kernel takes 107 bytes.
-const mostPath = 100
+// maxSocketPath bounds the path of a Unix socket in bytes. The kernel accepts up to
+// 107 bytes.
+const maxSocketPath = 100
 
-// numeric is the address of a numeric address and a port; nil if it is none.
-func numeric(s string) net.IP {
+// parseNumericAddress returns the IP address of a numeric address and port, or nil if
+// s is not one.
+func parseNumericAddress(s string) net.IP {
 	host, port, err := net.SplitHostPort(s)
 	if err != nil {
 		return nil
@@ -188,21 +193,23 @@
 	return net.ParseIP(host)
 }
 
-// notSpan tells a rune that the schema does not allow in a time: it knows digits,
-// a dot and units, but no sign.
-func notSpan(r rune) bool { return !strings.ContainsRune("0123456789.nuµmsh", r) }
+// isNotDurationRune reports whether the schema does not allow r in a duration. The
+// schema allows digits, a dot and the letters of units, but no sign.
+func isNotDurationRune(r rune) bool { return !strings.ContainsRune("0123456789.nuµmsh", r) }
 
-// attribute finds an attribute by name.
-func (e Element) attribute(name string) int {
+// attributeIndex returns the index of the attribute with a name, or -1 if there is
+// none.
+func (e Element) attributeIndex(name string) int {
 	return slices.IndexFunc(e.Attributes, func(a Attribute) bool { return a.Name == name })
 }
 
-// Check tells what is wrong with a form itself: unknown children, defaults that
-// could not be read, elements that nothing reaches.
+// Check returns an error if the form itself is invalid: unknown children, attributes
+// without a doc text, defaults that are not valid values, or elements that are missing
+// in Order.
 func (f *Form) Check() error {
 	for name, e := range f.Elements {
 		if !slices.Contains(f.Order, name) {
-			return fmt.Errorf("element %s is not in the order", name)
+			return fmt.Errorf("element %s is missing in Order", name)
 		}
 		for _, c := range e.Children {
 			if _, ok := f.Elements[c.Name]; !ok {
@@ -211,18 +218,18 @@
 		}
 		for _, a := range e.Attributes {
 			if a.Doc == "" {
-				return fmt.Errorf("%s: attribute %s is not explained", name, a.Name)
+				return fmt.Errorf("%s: attribute %s has no doc text", name, a.Name)
 			}
 			if a.Default == "" {
 				continue
 			}
 			if _, ok := a.read(a.Default); !ok || a.Required {
-				return fmt.Errorf("%s: attribute %s has the default %q, which it can't have", name, a.Name, a.Default)
+				return fmt.Errorf("%s: attribute %s has the invalid default %q", name, a.Name, a.Default)
 			}
 		}
 	}
 	if len(f.Order) != len(f.Elements) {
-		return fmt.Errorf("%d elements, %d in the order", len(f.Elements), len(f.Order))
+		return fmt.Errorf("found %d elements, but %d in Order", len(f.Elements), len(f.Order))
 	}
 	return nil
 }
--- a/internal/format/xmlform/format.go
+++ b/internal/format/xmlform/format.go
@@ -8,9 +8,10 @@
 	"strings"
 )
 
-// Format writes a file in its one form: one element a line, two blanks for each
-// level, attributes in the order of the form, comments where they were. What it
-// writes it writes the same again. A file with faults is not formatted.
+// Format writes a file in its canonical format: one element on each line, two blanks
+// of indentation for each level, attributes in the order of the form, and comments
+// where they were. Formatting its output again changes nothing. A file with faults is
+// not formatted.
 func (f *Form) Format(name string, text []byte, w io.Writer) error {
 	faults := &Faults{File: name}
 	if f.Read(strings.NewReader(string(text)), faults); faults.Count() > 0 {
@@ -18,127 +19,131 @@
 	}
 	d := xml.NewDecoder(strings.NewReader(string(text)))
 	p := &printer{form: f}
-	p.b.WriteString(xml.Header)
+	p.out.WriteString(xml.Header)
 	for {
 		t, err := d.Token()
 		if err == io.EOF {
 			break
 		}
-		if err != nil { // can't be: it was read above
+		if err != nil { // cannot happen: Read has parsed the same text above
 			return fmt.Errorf("%s: %w", name, err)
 		}
 		switch t := t.(type) {
 		case xml.StartElement:
-			p.start(t)
+			p.startElement(t)
 		case xml.EndElement:
-			p.end(t.Name.Local)
+			p.endElement(t.Name.Local)
 		case xml.Comment:
-			p.line()
+			p.beginLine()
 			p.comment(string(t))
 		}
 	}
-	p.b.WriteString("\n")
-	_, err := io.WriteString(w, p.b.String())
+	p.out.WriteString("\n")
+	_, err := io.WriteString(w, p.out.String())
 	return err
 }
 
-// printer writes one file.
+// printer writes one file in the canonical format.
 type printer struct {
-	form  *Form
-	b     strings.Builder
-	depth int
-	open  bool // the last start tag has no end yet
-	begun bool
+	form    *Form
+	out     strings.Builder
+	depth   int
+	tagOpen bool // the last start tag has not been closed yet
+	started bool // a line has been written
 }
 
-// line begins a line, and ends an open start tag.
-func (p *printer) line() {
-	if p.open {
-		p.b.WriteString(">")
-		p.open = false
+// beginLine closes an open start tag and begins an indented line.
+func (p *printer) beginLine() {
+	if p.tagOpen {
+		p.out.WriteString(">")
+		p.tagOpen = false
 	}
-	if p.begun {
-		p.b.WriteString("\n")
+	if p.started {
+		p.out.WriteString("\n")
 	}
-	p.begun = true
-	p.b.WriteString(strings.Repeat("  ", p.depth))
+	p.started = true
+	p.out.WriteString(strings.Repeat("  ", p.depth))
 }
 
-// comment writes a comment; each of its further lines is as deep as it is written.
+// comment writes a comment. Its further lines keep the indentation that they have.
 func (p *printer) comment(text string) {
 	lines := strings.Split(text, "\n")
 	for i, s := range lines {
 		s = strings.TrimRight(s, " \t\r")
 		if i > 0 {
-			p.b.WriteString("\n")
+			p.out.WriteString("\n")
 		} else {
-			p.b.WriteString("<!--")
+			p.out.WriteString("<!--")
 		}
-		p.b.WriteString(s)
+		p.out.WriteString(s)
 	}
 	if last := lines[len(lines)-1]; strings.HasSuffix(last, " ") && strings.TrimSpace(last) != "" {
-		p.b.WriteString(" ")
+		p.out.WriteString(" ")
 	}
-	p.b.WriteString("-->")
+	p.out.WriteString("-->")
 }
 
-func (p *printer) start(t xml.StartElement) {
-	p.line()
-	p.b.WriteString("<" + t.Name.Local)
+// startElement writes a start tag without its closing bracket.
+func (p *printer) startElement(t xml.StartElement) {
+	p.beginLine()
+	p.out.WriteString("<" + t.Name.Local)
 	if p.depth == 0 {
-		fmt.Fprintf(&p.b, ` xmlns="%s"`, escape(p.form.Namespace))
+		fmt.Fprintf(&p.out, ` xmlns="%s"`, escape(p.form.Namespace))
 	}
 	e := p.form.Elements[t.Name.Local]
-	slices.SortStableFunc(t.Attr, func(a, b xml.Attr) int { return e.attribute(a.Name.Local) - e.attribute(b.Name.Local) })
+	slices.SortStableFunc(t.Attr, func(a, b xml.Attr) int { return e.attributeIndex(a.Name.Local) - e.attributeIndex(b.Name.Local) })
 	for _, a := range t.Attr {
 		if a.Name.Space == "" && a.Name.Local != "xmlns" {
-			fmt.Fprintf(&p.b, ` %s="%s"`, a.Name.Local, escape(a.Value))
+			fmt.Fprintf(&p.out, ` %s="%s"`, a.Name.Local, escape(a.Value))
 		}
 	}
 	p.depth++
-	p.open = true
+	p.tagOpen = true
 }
 
-func (p *printer) end(name string) {
+// endElement writes an end tag, or closes the start tag of an empty element.
+func (p *printer) endElement(name string) {
 	p.depth--
-	if p.open {
-		p.b.WriteString("/>")
-		p.open = false
+	if p.tagOpen {
+		p.out.WriteString("/>")
+		p.tagOpen = false
 		return
 	}
-	p.line()
-	p.b.WriteString("</" + name + ">")
+	p.beginLine()
+	p.out.WriteString("</" + name + ">")
 }
 
-// Diff says in which values two files differ, defaults included, one a line.
-// Elements of one name are told apart by their attribute "name" or "id".
+// Diff returns the values in which two files differ, defaults included, one value per
+// line. Elements of the same name are identified by their attribute "name" or "id".
 func Diff(a, b *Node) []string { return diff(a.Name, a, b) }
 
+// diff compares two elements whose path in both files is path.
 func diff(path string, a, b *Node) (out []string) {
-	for i, d := range a.def.Attributes {
-		have, want := a.values[i], b.values[i]
-		if have.Text != want.Text {
-			out = append(out, fmt.Sprintf("%s/@%s: %s to %s", path, d.Name, shown(have), shown(want)))
+	for i, d := range a.definition.Attributes {
+		before, after := a.values[i], b.values[i]
+		if before.Text != after.Text {
+			out = append(out, fmt.Sprintf("%s/@%s: %s to %s", path, d.Name, describe(before), describe(after)))
 		}
 	}
-	others := keyed(b)
-	mine := keyed(a)
-	for _, key := range mine.keys {
-		if o, ok := others.nodes[key]; ok {
-			out = append(out, diff(path+"/"+key, mine.nodes[key], o)...)
+	afterNodes := childrenByKey(b)
+	beforeNodes := childrenByKey(a)
+	for _, key := range beforeNodes.keys {
+		if o, ok := afterNodes.nodes[key]; ok {
+			out = append(out, diff(path+"/"+key, beforeNodes.nodes[key], o)...)
 		} else {
 			out = append(out, path+"/"+key+": taken out")
 		}
 	}
-	for _, key := range others.keys {
-		if mine.nodes[key] == nil {
-			out = append(out, path+"/"+key+": added"+others.nodes[key].given())
+	for _, key := range afterNodes.keys {
+		if beforeNodes.nodes[key] == nil {
+			out = append(out, path+"/"+key+": added"+afterNodes.nodes[key].givenAttributes())
 		}
 	}
 	return out
 }
 
-func shown(v Value) string {
+// describe returns a value and its origin for Diff.
+func describe(v Value) string {
 	switch {
 	case v.Given:
 		return fmt.Sprintf("%q", v.Text)
@@ -148,10 +153,10 @@
 	return "not given"
 }
 
-// given are an element's attributes as they stand in the file.
-func (n *Node) given() string {
+// givenAttributes returns an element's attributes as they are given in the file.
+func (n *Node) givenAttributes() string {
 	var b strings.Builder
-	for i, d := range n.def.Attributes {
+	for i, d := range n.definition.Attributes {
 		if n.values[i].Given {
 			fmt.Fprintf(&b, " %s=%q", d.Name, n.values[i].Text)
 		}
@@ -159,18 +164,20 @@
 	return b.String()
 }
 
+// keyedNodes holds nodes by their keys, and the keys in the order of the file.
 type keyedNodes struct {
 	keys  []string
 	nodes map[string]*Node
 }
 
-// keyed are an element's children by what tells them apart.
-func keyed(n *Node) keyedNodes {
+// childrenByKey returns an element's children by their keys: the element's name with
+// the value of its attribute "name" or "id", and a number where that is not unique.
+func childrenByKey(n *Node) keyedNodes {
 	out := keyedNodes{nodes: make(map[string]*Node)}
 	for _, c := range n.Children {
 		key := c.Name
 		for _, id := range []string{"name", "id"} {
-			if i := c.def.attribute(id); i >= 0 {
+			if i := c.definition.attributeIndex(id); i >= 0 {
 				key = fmt.Sprintf("%s[%s]", c.Name, c.values[i].Text)
 				break
 			}
--- a/internal/format/xmlform/read.go
+++ b/internal/format/xmlform/read.go
@@ -9,28 +9,30 @@
 	"time"
 )
 
-// Fault is one fault of a file.
+// Fault is a fault at one place of a file.
 type Fault struct {
 	File, Element string
 	Line          int
 	Found, Wanted string
 }
 
+// Error returns the place of the fault, what was found and what is wanted.
 func (f Fault) Error() string {
 	return fmt.Sprintf("%s:%d: <%s>: found %s, want %s", f.File, f.Line, f.Element, f.Found, f.Wanted)
 }
 
-// MostFaults bounds what is told of one file; the rest is counted.
+// MostFaults bounds the number of faults that are reported of one file. Further ones
+// are only counted.
 const MostFaults = 50
 
 // Faults collects the faults of one file.
 type Faults struct {
 	File string
 	list []error
-	more int
+	more int // faults beyond MostFaults
 }
 
-// Add adds a fault.
+// Add records a fault.
 func (f *Faults) Add(line int, element, found, wanted string) {
 	if len(f.list) >= MostFaults {
 		f.more++
@@ -39,10 +41,10 @@
 	f.list = append(f.list, Fault{File: f.File, Line: line, Element: element, Found: found, Wanted: wanted})
 }
 
-// Count is how many there are.
+// Count returns the number of faults, including those that are only counted.
 func (f *Faults) Count() int { return len(f.list) + f.more }
 
-// Err joins them, each a Fault; nil if there are none.
+// Err joins the faults, each a Fault, in one error. It returns nil if there are none.
 func (f *Faults) Err() error {
 	list := f.list
 	if f.more > 0 {
@@ -55,26 +57,36 @@
 type Node struct {
 	Name     string
 	Line     int
-	Sound    bool // its own attributes are in order; Children may not be
+	Sound    bool // its own attributes are valid; its Children may not be
 	Children []*Node
 
-	def    Element
-	values []Value // by the number of the attribute
+	definition Element
+	values     []Value // by the index of the attribute in definition
 }
 
-// Value returns an attribute's value, or its default. The attribute must be in
-// the form.
-func (n *Node) Value(name string) Value { return n.values[n.def.attribute(name)] }
+// Value returns an attribute's value, or its default. The form must have the
+// attribute.
+func (n *Node) Value(name string) Value { return n.values[n.definition.attributeIndex(name)] }
 
-// Text, Number and so on are an attribute's value of that kind.
-func (n *Node) Text(name string) string        { return n.Value(name).Text }
-func (n *Node) Number(name string) uint64      { return n.Value(name).Number }
-func (n *Node) Float(name string) float64      { return n.Value(name).Float }
+// Text returns the text of an attribute of any kind.
+func (n *Node) Text(name string) string { return n.Value(name).Text }
+
+// Number returns the value of an attribute of kind Number or Count.
+func (n *Node) Number(name string) uint64 { return n.Value(name).Number }
+
+// Float returns the value of an attribute of kind Share or Factor.
+func (n *Node) Float(name string) float64 { return n.Value(name).Float }
+
+// Span returns the value of an attribute of kind Span.
 func (n *Node) Span(name string) time.Duration { return n.Value(name).Span }
-func (n *Node) Flag(name string) bool          { return n.Value(name).Flag }
-func (n *Node) Given(name string) bool         { return n.Value(name).Given }
 
-// Child is the first child of a name; nil if there is none.
+// Flag returns the value of an attribute of kind Flag.
+func (n *Node) Flag(name string) bool { return n.Value(name).Flag }
+
+// Given reports whether the file gives the attribute.
+func (n *Node) Given(name string) bool { return n.Value(name).Given }
+
+// Child returns the first child with a name, or nil if there is none.
 func (n *Node) Child(name string) *Node {
 	for _, c := range n.Children {
 		if c.Name == name {
@@ -84,12 +96,12 @@
 	return nil
 }
 
-// Read reads a file. What is wrong with it is added to faults; the node is nil
-// where not even the root could be read. A node that is not sound stands for an
-// element that is there but has a fault.
+// Read reads a file and adds its faults to faults. It returns the root, or nil if the
+// root could not be read. A Node with Sound false is an element whose attributes have
+// a fault.
 func (f *Form) Read(r io.Reader, faults *Faults) *Node {
 	x := &reader{form: f, faults: faults}
-	x.tokens(xml.NewDecoder(r))
+	x.readTokens(xml.NewDecoder(r))
 	return x.root
 }
 
@@ -98,10 +110,11 @@
 	form   *Form
 	faults *Faults
 	root   *Node
-	open   []*Node
+	open   []*Node // the elements that are open, the root first
 }
 
-func (x *reader) tokens(d *xml.Decoder) {
+// readTokens reads all tokens of a file.
+func (x *reader) readTokens(d *xml.Decoder) {
 	for {
 		line, _ := d.InputPos()
 		t, err := d.Token()
@@ -116,39 +129,40 @@
 			if errors.As(err, &syntax) {
 				line = syntax.Line
 			}
-			x.faults.Add(line, x.in(), err.Error(), "well-formed XML")
+			x.faults.Add(line, x.openElement(), err.Error(), "well-formed XML")
 			return
 		}
 		switch t := t.(type) {
 		case xml.StartElement:
-			if !x.start(line, t) {
+			if !x.startElement(line, t) {
 				if err := d.Skip(); err != nil {
 					x.faults.Add(line, t.Name.Local, err.Error(), "well-formed XML")
 					return
 				}
 			}
 		case xml.EndElement:
-			x.end()
+			x.endElement()
 		case xml.CharData:
 			if s := strings.TrimSpace(string(t)); s != "" {
-				x.faults.Add(line, x.in(), fmt.Sprintf("text %.40q", s), "elements only")
+				x.faults.Add(line, x.openElement(), fmt.Sprintf("text %.40q", s), "elements only")
 			}
 		case xml.Directive:
-			x.faults.Add(line, x.in(), "a directive", "none: no entities are read")
+			x.faults.Add(line, x.openElement(), "a directive", "no directives: entities are not supported")
 		}
 	}
 }
 
-// in is the element that is open, for messages.
-func (x *reader) in() string {
+// openElement returns the name of the innermost open element for messages.
+func (x *reader) openElement() string {
 	if len(x.open) == 0 {
 		return x.form.Root
 	}
 	return x.open[len(x.open)-1].Name
 }
 
-// start takes in an element, and tells whether its children are to be read.
-func (x *reader) start(line int, t xml.StartElement) bool {
+// startElement adds an element to its parent and reports whether to read its
+// children.
+func (x *reader) startElement(line int, t xml.StartElement) bool {
 	n, f := t.Name.Local, x.form
 	if len(x.open) == 0 {
 		switch {
@@ -159,40 +173,40 @@
 			x.faults.Add(line, n, "a second "+n, "one")
 			return false
 		}
-	} else if up := x.open[len(x.open)-1]; len(x.open) >= f.Depth || t.Name.Space != f.Namespace || !up.def.allows(n) {
-		x.faults.Add(line, n, fmt.Sprintf("%s in %s", n, up.Name), "one of "+strings.Join(up.def.names(), ", "))
+	} else if parent := x.open[len(x.open)-1]; len(x.open) >= f.Depth || t.Name.Space != f.Namespace || !parent.definition.allows(n) {
+		x.faults.Add(line, n, fmt.Sprintf("%s in %s", n, parent.Name), "one of "+strings.Join(parent.definition.childNames(), ", "))
 		return false
 	}
-	node := &Node{Name: n, Line: line, def: f.Elements[n]}
-	node.Sound = x.values(node, t.Attr)
+	node := &Node{Name: n, Line: line, definition: f.Elements[n]}
+	node.Sound = x.readAttributes(node, t.Attr)
 	if len(x.open) == 0 {
 		x.root = node
 	} else {
-		up := x.open[len(x.open)-1]
-		up.Children = append(up.Children, node)
+		parent := x.open[len(x.open)-1]
+		parent.Children = append(parent.Children, node)
 	}
 	x.open = append(x.open, node)
 	return true
 }
 
-// end checks how many children of each name an element has.
-func (x *reader) end() {
+// endElement closes an element and checks how many children of each name it has.
+func (x *reader) endElement() {
 	n := x.open[len(x.open)-1]
 	x.open = x.open[:len(x.open)-1]
-	for _, c := range n.def.Children {
-		have := 0
+	for _, c := range n.definition.Children {
+		count := 0
 		for _, child := range n.Children {
 			if child.Name != c.Name {
 				continue
 			}
-			if have++; c.Most > 0 && have == c.Most+1 {
+			if count++; c.Most > 0 && count == c.Most+1 {
 				x.faults.Add(child.Line, c.Name, fmt.Sprintf("a further %s in %s", c.Name, n.Name), fmt.Sprintf("at most %d", c.Most))
 			}
 		}
-		if have < c.Least {
+		if count < c.Least {
 			found := "no " + c.Name
-			if have > 0 {
-				found = fmt.Sprintf("%d of %s", have, c.Name)
+			if count > 0 {
+				found = fmt.Sprintf("%d of %s", count, c.Name)
 			}
 			least := "one"
 			if c.Least > 1 {
@@ -203,6 +217,7 @@
 	}
 }
 
+// allows reports whether an element of that name may be a child of e.
 func (e Element) allows(child string) bool {
 	for _, c := range e.Children {
 		if c.Name == child {
@@ -212,33 +227,34 @@
 	return false
 }
 
-func (e Element) names() (out []string) {
+// childNames returns the names of the children that e may have.
+func (e Element) childNames() (out []string) {
 	for _, c := range e.Children {
 		out = append(out, c.Name)
 	}
 	return out
 }
 
-// instance is the namespace of xsi:schemaLocation, which files may carry.
-const instance = "http://www.w3.org/2001/XMLSchema-instance"
+// schemaInstance is the namespace of xsi:schemaLocation, which files may carry.
+const schemaInstance = "http://www.w3.org/2001/XMLSchema-instance"
 
-// values reads an element's attributes, and tells whether they are in order.
-func (x *reader) values(n *Node, attrs []xml.Attr) bool {
+// readAttributes reads an element's attributes and reports whether they are valid.
+func (x *reader) readAttributes(n *Node, attrs []xml.Attr) bool {
 	before := x.faults.Count()
-	n.values = make([]Value, len(n.def.Attributes))
+	n.values = make([]Value, len(n.definition.Attributes))
 	for _, a := range attrs {
-		if a.Name.Space == "xmlns" || a.Name.Local == "xmlns" || a.Name.Space == instance {
+		if a.Name.Space == "xmlns" || a.Name.Local == "xmlns" || a.Name.Space == schemaInstance {
 			continue
 		}
-		i := n.def.attribute(a.Name.Local)
+		i := n.definition.attributeIndex(a.Name.Local)
 		if i < 0 || a.Name.Space != "" {
-			x.faults.Add(n.Line, n.Name, "attribute "+a.Name.Local, "no attribute of that name")
+			x.faults.Add(n.Line, n.Name, "attribute "+a.Name.Local, "an attribute that the element has")
 			continue
 		}
 		if n.values[i].Given {
 			x.faults.Add(n.Line, n.Name, "attribute "+a.Name.Local+" twice", "one")
 		}
-		d := n.def.Attributes[i]
+		d := n.definition.Attributes[i]
 		v, ok := d.read(a.Value)
 		if !ok {
 			x.faults.Add(n.Line, n.Name, fmt.Sprintf("%s=%.40q", d.Name, a.Value), d.wanted())
@@ -246,7 +262,7 @@
 		v.Given = true
 		n.values[i] = v
 	}
-	for i, d := range n.def.Attributes {
+	for i, d := range n.definition.Attributes {
 		switch {
 		case n.values[i].Given:
 		case d.Required:
--- a/internal/format/xmlform/schema.go
+++ b/internal/format/xmlform/schema.go
@@ -7,10 +7,10 @@
 	"strings"
 )
 
-// Schema writes the form as an XML Schema (W3C, XML Schema 1.0). The reader
-// rejects all that the schema rejects. It rejects more: bounds of times, elements
-// that must stand there next to others that may stand there often, and whatever
-// the package that uses the form finds.
+// Schema writes the form as an XML Schema (W3C, XML Schema 1.0). The reader rejects
+// everything that the schema rejects. It also rejects what the schema cannot express:
+// durations out of bounds, missing required elements where others may be repeated, and
+// whatever the package that uses the form checks.
 func (f *Form) Schema(w io.Writer) error {
 	var b strings.Builder
 	b.WriteString(xml.Header)
@@ -24,9 +24,9 @@
 			fmt.Fprintf(&b, "    <xs:annotation><xs:documentation>%s</xs:documentation></xs:annotation>\n", escape(e.Doc))
 		}
 		b.WriteString("    <xs:complexType>\n")
-		e.children(&b)
+		e.writeChildren(&b)
 		for _, a := range e.Attributes {
-			a.schema(&b)
+			a.writeSchema(&b)
 		}
 		b.WriteString("    </xs:complexType>\n  </xs:element>\n")
 	}
@@ -35,18 +35,18 @@
 	return err
 }
 
-// children writes what may stand in an element: each at most once in any order,
-// or any number of each in any order.
-func (e Element) children(b *strings.Builder) {
+// writeChildren writes the children that an element may have: in any order, each at
+// most once or each any number of times.
+func (e Element) writeChildren(b *strings.Builder) {
 	if len(e.Children) == 0 {
 		return
 	}
-	single, needed := true, 0
+	allSingle, minChildren := true, 0
 	for _, c := range e.Children {
-		single = single && c.Most == 1
-		needed = max(needed, min(c.Least, 1))
+		allSingle = allSingle && c.Most == 1
+		minChildren = max(minChildren, min(c.Least, 1))
 	}
-	if single {
+	if allSingle {
 		b.WriteString("      <xs:all>\n")
 		for _, c := range e.Children {
 			fmt.Fprintf(b, "        <xs:element ref=%q minOccurs=\"%d\"/>\n", c.Name, c.Least)
@@ -54,15 +54,15 @@
 		b.WriteString("      </xs:all>\n")
 		return
 	}
-	fmt.Fprintf(b, "      <xs:choice minOccurs=\"%d\" maxOccurs=\"unbounded\">\n", needed)
+	fmt.Fprintf(b, "      <xs:choice minOccurs=\"%d\" maxOccurs=\"unbounded\">\n", minChildren)
 	for _, c := range e.Children {
 		fmt.Fprintf(b, "        <xs:element ref=%q/>\n", c.Name)
 	}
 	b.WriteString("      </xs:choice>\n")
 }
 
-// schema writes an attribute.
-func (a Attribute) schema(b *strings.Builder) {
+// writeSchema writes an attribute.
+func (a Attribute) writeSchema(b *strings.Builder) {
 	fmt.Fprintf(b, "      <xs:attribute name=%q", a.Name)
 	if a.Required {
 		b.WriteString(` use="required"`)
@@ -79,7 +79,8 @@
 	fmt.Fprintf(b, "        <xs:simpleType><xs:restriction base=%q>%s</xs:restriction></xs:simpleType>\n      </xs:attribute>\n", base, facets)
 }
 
-// facets are a kind's base in the schema, and what narrows it.
+// facets returns the base type of an attribute in the schema and the facets that
+// restrict it.
 func (a Attribute) facets() (base, facets string) {
 	bounded := a.Least != 0 || a.Most != 0
 	bounds := func(least, most string) string {
@@ -123,14 +124,16 @@
 	return "xs:string", ""
 }
 
+// escape returns s escaped as XML text.
 func escape(s string) string {
 	var b strings.Builder
-	_ = xml.EscapeText(&b, []byte(s)) // a strings.Builder takes all
+	_ = xml.EscapeText(&b, []byte(s)) // a write to a strings.Builder never fails
 	return b.String()
 }
 
-// Explain says what an element, or an attribute as "element/attribute", means:
-// kind, unit, default, bounds. An empty name lists all elements.
+// Explain writes an explanation of an element, or of an attribute if name is
+// "element/attribute": doc text, kind, unit, default and bounds. An empty name lists
+// all elements.
 func (f *Form) Explain(w io.Writer, name string) error {
 	if name == "" {
 		for _, n := range f.Order {
@@ -138,23 +141,23 @@
 		}
 		return nil
 	}
-	element, attribute, one := strings.Cut(name, "/")
+	element, attribute, oneAttribute := strings.Cut(name, "/")
 	e, ok := f.Elements[element]
 	if !ok {
 		return fmt.Errorf("no element %q, want one of %s", element, strings.Join(f.Order, ", "))
 	}
-	if one && e.attribute(attribute) < 0 {
+	if oneAttribute && e.attributeIndex(attribute) < 0 {
 		var have []string
 		for _, a := range e.Attributes {
 			have = append(have, a.Name)
 		}
 		return fmt.Errorf("no attribute %q in %s, want one of %s", attribute, element, strings.Join(have, ", "))
 	}
-	if !one {
+	if !oneAttribute {
 		fmt.Fprintf(w, "%s: %s\n", element, e.Doc)
 	}
 	for _, a := range e.Attributes {
-		if one && a.Name != attribute {
+		if oneAttribute && a.Name != attribute {
 			continue
 		}
 		fmt.Fprintf(w, "  %s: %s\n    %s", a.Name, a.Doc, a.wanted())
@@ -169,8 +172,8 @@
 		}
 		fmt.Fprintln(w)
 	}
-	if !one && len(e.Children) > 0 {
-		fmt.Fprintf(w, "  holds: %s\n", strings.Join(e.names(), ", "))
+	if !oneAttribute && len(e.Children) > 0 {
+		fmt.Fprintf(w, "  holds: %s\n", strings.Join(e.childNames(), ", "))
 	}
 	return nil
 }
--- a/internal/format/xmlform/xmlform_test.go
+++ b/internal/format/xmlform/xmlform_test.go
@@ -17,10 +17,10 @@
 
 func TestMain(m *testing.M) { steady.Main(m) }
 
-// all is a form with an attribute of each kind.
-func all() *Form {
+// testForm returns a form with an attribute of each kind.
+func testForm() *Form {
 	var list []Attribute
-	for k := range kinds {
+	for k := range kindCount {
 		list = append(list, Attribute{Name: fmt.Sprint("k", k), Kind: k, Values: []string{"up", "down"}, Doc: "one of its kind"})
 	}
 	list = append(list,
@@ -38,14 +38,14 @@
 	}
 }
 
-func read(f *Form, text string) (*Node, error) {
+func readText(f *Form, text string) (*Node, error) {
 	faults := &Faults{File: "f.xml"}
 	n := f.Read(strings.NewReader(text), faults)
 	return n, faults.Err()
 }
 
 func TestValuesAndDefaults(t *testing.T) {
-	n, err := read(all(), `<root xmlns="urn:test"><pair/><leaf times="2.5" few="5"/><pair/></root>`)
+	n, err := readText(testForm(), `<root xmlns="urn:test"><pair/><leaf times="2.5" few="5"/><pair/></root>`)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -54,7 +54,7 @@
 		leaf.Float("times") != 2.5 || leaf.Line != 1 || n.Child("none") != nil {
 		t.Errorf("have %+v", leaf)
 	}
-	if err := all().Check(); err != nil {
+	if err := testForm().Check(); err != nil {
 		t.Error(err)
 	}
 }
@@ -77,23 +77,23 @@
 		`<pair/><pair/><pair/><pair/>`: `<pair>: found a further pair in root, want at most 3`,
 		`<pair/><pair/><pair><leaf times="1"/></pair>`: `found leaf in pair`,
 	} {
-		if _, err := read(all(), `<root xmlns="urn:test">`+text+`</root>`); err == nil || !strings.Contains(err.Error(), want) {
+		if _, err := readText(testForm(), `<root xmlns="urn:test">`+text+`</root>`); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%s: have %v, want %s", text, err, want)
 		}
 	}
 }
 
-// rule is what a schema says of an attribute, as far as the schemas here go.
+// rule is an attribute in a schema, with the restrictions that these schemas use.
 type rule struct {
-	Name     string `xml:"name,attr"`
-	Use      string `xml:"use,attr"`
-	Restrict struct {
-		Base  string  `xml:"base,attr"`
-		Enums []facet `xml:"enumeration"`
-		Pats  []facet `xml:"pattern"`
-		MinI  []facet `xml:"minInclusive"`
-		MaxI  []facet `xml:"maxInclusive"`
-		MinE  []facet `xml:"minExclusive"`
+	Name        string `xml:"name,attr"`
+	Use         string `xml:"use,attr"`
+	Restriction struct {
+		Base         string  `xml:"base,attr"`
+		Enumerations []facet `xml:"enumeration"`
+		Patterns     []facet `xml:"pattern"`
+		MinInclusive []facet `xml:"minInclusive"`
+		MaxInclusive []facet `xml:"maxInclusive"`
+		MinExclusive []facet `xml:"minExclusive"`
 	} `xml:"simpleType>restriction"`
 }
 
@@ -101,15 +101,15 @@
 	Value string `xml:"value,attr"`
 }
 
-// rejects tells that a schema processor would reject a value.
+// rejects reports whether a schema processor would reject a value.
 func (r rule) rejects(s string) bool {
-	x := r.Restrict
-	for _, p := range x.Pats {
+	x := r.Restriction
+	for _, p := range x.Patterns {
 		if !regexp.MustCompile(`^(?:` + p.Value + `)$`).MatchString(s) {
 			return true
 		}
 	}
-	if len(x.Enums) > 0 && !slices.Contains(x.Enums, facet{s}) {
+	if len(x.Enumerations) > 0 && !slices.Contains(x.Enumerations, facet{s}) {
 		return true
 	}
 	switch x.Base {
@@ -129,16 +129,18 @@
 		return false
 	}
 	v, err := strconv.ParseFloat(strings.TrimSpace(s), 64)
-	bound := func(list []facet, bad func(b float64) bool) bool {
-		return slices.ContainsFunc(list, func(f facet) bool { b, _ := strconv.ParseFloat(f.Value, 64); return bad(b) })
+	violates := func(list []facet, outside func(bound float64) bool) bool {
+		return slices.ContainsFunc(list, func(f facet) bool { bound, _ := strconv.ParseFloat(f.Value, 64); return outside(bound) })
 	}
-	return err != nil || bound(x.MinI, func(b float64) bool { return !(v >= b) }) ||
-		bound(x.MaxI, func(b float64) bool { return !(v <= b) }) || bound(x.MinE, func(b float64) bool { return !(v > b) })
+	return err != nil || violates(x.MinInclusive, func(b float64) bool { return !(v >= b) }) ||
+		violates(x.MaxInclusive, func(b float64) bool { return !(v <= b) }) || violates(x.MinExclusive, func(b float64) bool { return !(v > b) })
 }
 
-func TestWhatTheSchemaRejectsTheReaderRejects(t *testing.T) {
+// If the reader accepted what the schema rejects, a file that a gatherer takes would
+// fail in an editor or another tool that checks it against the schema.
+func TestReaderRejectsWhatTheSchemaRejects(t *testing.T) {
 	var b strings.Builder
-	if err := all().Schema(&b); err != nil {
+	if err := testForm().Schema(&b); err != nil {
 		t.Fatal(err)
 	}
 	var schema struct {
@@ -151,8 +153,8 @@
 		t.Fatal(err)
 	}
 	rules := schema.Elements[1].Rules
-	if len(schema.Elements) != 3 || len(rules) != len(all().Elements["leaf"].Attributes) {
-		t.Fatalf("the schema is not of the form: %s", b.String())
+	if len(schema.Elements) != 3 || len(rules) != len(testForm().Elements["leaf"].Attributes) {
+		t.Fatalf("the schema does not match the form: %s", b.String())
 	}
 	rejected := 0
 	rapid.Check(t, func(t *rapid.T) {
@@ -162,13 +164,13 @@
 			rapid.SampledFrom([]string{"up", "down", "true", "false", "TRUE", "0x1p2", "1_0", "Inf", "INF", "nan", "NaN", "", " 5", "5 ", "unix:/a", "127.0.0.1:1", "[::1]:70000"}),
 			rapid.String(),
 		).Draw(t, "value")
-		a := all().Elements["leaf"].Attributes[i]
+		a := testForm().Elements["leaf"].Attributes[i]
 		if !rules[i].rejects(s) {
 			return
 		}
 		rejected++
 		if _, ok := a.read(s); ok {
-			t.Fatalf("%s=%q is read, but the schema rejects it: %+v", a.Name, s, rules[i])
+			t.Fatalf("the reader accepts %s=%q, but the schema rejects it: %+v", a.Name, s, rules[i])
 		}
 	})
 	if rejected == 0 {
@@ -178,14 +180,14 @@
 
 func TestExplain(t *testing.T) {
 	var b strings.Builder
-	if err := all().Explain(&b, "leaf/soon"); err != nil {
+	if err := testForm().Explain(&b, "leaf/soon"); err != nil {
 		t.Fatal(err)
 	}
 	if want := "  soon: bounded\n    a time with its unit, such as 250ms, from 100ms to 2s, in a time; 250ms where it is not given\n"; b.String() != want {
 		t.Errorf("have %q", b.String())
 	}
 	for _, bad := range []string{"no", "leaf/no"} {
-		if err := all().Explain(&b, bad); err == nil {
+		if err := testForm().Explain(&b, bad); err == nil {
 			t.Errorf("%s was explained", bad)
 		}
 	}
@@ -197,7 +199,7 @@
 	  lines -->
 	<leaf times="1" few="4"/>   <pair></pair></root><!--last-->`
 	var once, twice strings.Builder
-	if err := all().Format("f.xml", []byte(text), &once); err != nil {
+	if err := testForm().Format("f.xml", []byte(text), &once); err != nil {
 		t.Fatal(err)
 	}
 	want := xml.Header + `<!-- first -->
@@ -213,20 +215,20 @@
 	if once.String() != want {
 		t.Errorf("have %s", once.String())
 	}
-	if err := all().Format("f.xml", []byte(once.String()), &twice); err != nil || twice.String() != once.String() {
-		t.Errorf("again: %v, %s", err, twice.String())
+	if err := testForm().Format("f.xml", []byte(once.String()), &twice); err != nil || twice.String() != once.String() {
+		t.Errorf("formatted twice: %v, %s", err, twice.String())
 	}
-	if err := all().Format("f.xml", []byte(`<root xmlns="urn:test"/>`), &twice); err == nil {
-		t.Error("a file with faults is formatted")
+	if err := testForm().Format("f.xml", []byte(`<root xmlns="urn:test"/>`), &twice); err == nil {
+		t.Error("a file with faults was formatted")
 	}
 }
 
-func TestDiffNamesValuesAndDefaults(t *testing.T) {
-	a, err := read(all(), `<root xmlns="urn:test"><pair/><pair/><leaf times="1" few="3"/></root>`)
+func TestDiffIncludesDefaults(t *testing.T) {
+	a, err := readText(testForm(), `<root xmlns="urn:test"><pair/><pair/><leaf times="1" few="3"/></root>`)
 	if err != nil {
 		t.Fatal(err)
 	}
-	b, err := read(all(), `<root xmlns="urn:test"><pair/><pair/><pair/><leaf times="2" soon="1s"/></root>`)
+	b, err := readText(testForm(), `<root xmlns="urn:test"><pair/><pair/><pair/><leaf times="2" soon="1s"/></root>`)
 	if err != nil {
 		t.Fatal(err)
 	}
