--- a/internal/format/settings/settings.go
+++ b/internal/format/settings/settings.go
@@ -1,6 +1,6 @@
-// Package settings reads the operators' file: XML after deploy/eiderwinch.xsd, for
-// what the platform's configuration does not know. All of it is off where it is
-// not named. It does no I/O of its own.
+// Package settings reads the operators' file: XML that follows deploy/eiderwinch.xsd
+// and holds settings that the platform's configuration does not have. Each feature is
+// off unless the file names it. The package opens no files of its own.
 package settings
 
 import (
@@ -18,96 +18,97 @@
 	"eiderwinch/internal/layout/reshard"
 )
 
-// Namespace names the form of these files.
+// Namespace is the XML namespace of operators' files.
 const Namespace = "urn:eiderwinch:operators:1"
 
-// File is what an operators' file says.
+// File is the content of an operators' file.
 type File struct {
-	Admin       string // endpoint of a gatherer's admin socket; empty: none
-	Layout      string // a layout's file; empty: the platform's cells say who holds what
-	Follow      bool   // epochs are taken from a coordinator, and written to Layout
+	Admin       string // endpoint of a gatherer's admin socket; empty means none
+	Layout      string // path of a layout file; empty means that the platform's cells say which searchers hold a shard
+	Follow      bool   // take epochs from a coordinator and write them to Layout
 	Coordinator *Coordinator
-	Fleet       *Fleet // the view that gatherers keep of each other; nil: none
+	Fleet       *Fleet // membership of the gatherers' fleet; nil means none
 
 	Live    Live
 	Guard   Guard
-	Signing string // the file with the keys that configurations must be signed with; empty: none need be
-	History string // the file that changes of the configuration are written to; empty: memory
+	Signing string // path of the keys that configurations must be signed with; empty means no signatures
+	History string // path of the record of configuration changes; empty means in memory only
 }
 
-// Fleet is how a gatherer keeps a view of the others of its fleet.
+// Fleet configures how a gatherer keeps track of the other gatherers of its fleet.
 type Fleet struct {
-	Name   string // of the fleet
-	Listen string // address and port, for datagrams and streams
-	Keys   string // a key file
-	Key    string // the shared secret in it that messages are sealed with
-	Wide   bool   // links between regions: all is found out later
-	Seeds  []string
+	Name   string   // name of the fleet
+	Listen string   // address and port for datagrams and streams
+	Keys   string   // path of a key file
+	Key    string   // name of the shared secret in it that seals messages
+	Wide   bool     // the gatherers are in several regions, so changes are detected later
+	Seeds  []string // addresses of other gatherers, through which this one joins
 
-	Advertise string        // where the others reach it; empty: Listen
-	Slots     []string      // address of each gatherer by its number, where the fleet's limits are divided by them
-	Lease     time.Duration // how long a slot that was refused is known to be gone
-	Line      int
+	Advertise string        // address at which the others reach it; empty means Listen
+	Slots     []string      // address of each gatherer by its number, if the fleet's limits are divided among them
+	Lease     time.Duration // how long a refused connection shows that a gatherer is gone
+	Line      int           // line of the element in the file
 }
 
-// Live is what can change while queries run. The zero value of a field means what
-// the platform's configuration says.
+// Live holds the settings that can change while queries run. For a field that is zero
+// the platform's configuration applies.
 type Live struct {
 	Classes   []Class
 	Pools     Pools
 	Admission Admission
-	Log       string // debug, info, warn or error; empty: info
+	Log       string // level: debug, info, warn or error; empty means info
 }
 
-// Class is the operators' own limits for a class.
+// Class holds the operators' limits for a class of queries.
 type Class struct {
 	Name     string
-	Within   time.Duration // no query of it takes longer
-	Attempts int           // of each part
-	Open     int           // queries of it at once; further ones are refused
-	Line     int           // where it stands
+	Within   time.Duration // longest time that a query may take
+	Attempts int           // most attempts of each part
+	Open     int           // most queries open at once; further ones are refused
+	Line     int           // line of the element in the file
 }
 
-// Pools are the connections to searchers.
+// Pools holds the limits of connections to searchers.
 type Pools struct {
-	Multiplex      int           // parts that one carries at once
-	ConnectTimeout time.Duration // a call waits so long for one
-	Idle           time.Duration // one is closed that was idle for so long
-	Line           int
+	Multiplex      int           // most parts that one connection carries at once
+	ConnectTimeout time.Duration // longest time that a call waits for a connection
+	Idle           time.Duration // connections idle for this long are closed
+	Line           int           // line of the element in the file
 }
 
-// Admission is what clients may hold at once.
+// Admission limits what clients may hold at once.
 type Admission struct {
-	Open int // queries and parts
-	Line int
+	Open int // most queries and parts
+	Line int // line of the element in the file
 }
 
-// Guard is how a change is watched.
+// Guard configures how a change of the configuration is watched.
 type Guard struct {
-	Probation time.Duration
-	Auto      bool // a change that service did not fall under is confirmed by itself
+	Probation time.Duration // how long a change is watched
+	Auto      bool          // confirm a change at the end of its probation if service has not regressed
 	Limits    guard.Limits
 }
 
-// Coordinator is what a coordinator is told.
+// Coordinator configures the coordinator of layout changes.
 type Coordinator struct {
-	Listen, Log, Layout string
-	Measure             string
-	Poll, Timeout       time.Duration
+	Listen, Log, Layout string        // endpoint of its admin socket; paths of its log and of the first layout
+	Measure             string        // class whose p99 latency bounds the rate of copies
+	Poll, Timeout       time.Duration // of requests to gatherers and searchers
 	Limits              reshard.Limits
 	Gatherers           []Peer
 	Searchers           []Peer
 }
 
-// Peer is a gatherer or searcher, and the endpoint of its admin socket.
+// Peer names a gatherer or searcher and the endpoint of its admin socket.
 type Peer struct{ Name, Endpoint string }
 
-// Form returns the form of the files, of which deploy/eiderwinch.xsd is made.
+// Form returns the form of operators' files, from which deploy/eiderwinch.xsd is
+// printed.
 func Form() *xmlform.Form {
 	endpoint := func(doc string, required bool) xmlform.Attribute {
 		return xmlform.Attribute{Name: "endpoint", Kind: xmlform.Endpoint, Required: required, Doc: doc}
 	}
-	peer := []xmlform.Attribute{
+	process := []xmlform.Attribute{
 		{Name: "name", Kind: xmlform.Name, Required: true, Doc: "its name; of a searcher, its id in discovery"},
 		endpoint("its admin socket", true),
 	}
@@ -189,14 +190,14 @@
 			"seed": {Doc: "another gatherer, by which this one finds the fleet", Attributes: []xmlform.Attribute{
 				{Name: "addr", Kind: xmlform.Text, Required: true, Doc: "its numeric address and port"},
 			}},
-			"gatherer": {Doc: "a gatherer that follows this coordinator", Attributes: peer},
-			"searcher": {Doc: "a searcher of the layout's fleet", Attributes: peer},
+			"gatherer": {Doc: "a gatherer that follows this coordinator", Attributes: process},
+			"searcher": {Doc: "a searcher of the layout's fleet", Attributes: process},
 		},
 	}
 }
 
-// Read reads a file, whose name is for messages only. The error joins all its
-// faults, each an xmlform.Fault.
+// Read reads an operators' file, whose name is used only in messages. The error joins
+// all faults of the file, each an xmlform.Fault.
 func Read(file string, r io.Reader) (*File, error) {
 	faults := &xmlform.Faults{File: file}
 	root := Form().Read(r, faults)
@@ -207,7 +208,7 @@
 	if n := root.Child("admin"); n != nil {
 		f.Admin = n.Text("endpoint")
 	}
-	f.live(root, faults)
+	f.readLive(root, faults)
 	if n := root.Child("signing"); n != nil {
 		if f.Signing = n.Text("keys"); n.Sound && f.Signing == "" {
 			faults.Add(n.Line, n.Name, `keys=""`, "the name of a file")
@@ -228,14 +229,14 @@
 			faults.Add(n.Line, n.Name, `file=""`, "the name of a file")
 		}
 		if f.Follow && root.Child("admin") == nil {
-			faults.Add(n.Line, n.Name, "follow without an admin socket", "the element admin: epochs come over it")
+			faults.Add(n.Line, n.Name, "follow without an admin socket", "the element admin: a coordinator sends epochs over its socket")
 		}
 	}
 	if n := root.Child("coordinator"); n != nil {
-		f.Coordinator = coordinator(n, faults)
+		f.Coordinator = readCoordinator(n, faults)
 	}
 	if n := root.Child("fleet"); n != nil {
-		f.Fleet = fleet(n, faults)
+		f.Fleet = readFleet(n, faults)
 	}
 	if err := faults.Err(); err != nil {
 		return nil, err
@@ -243,44 +244,44 @@
 	return f, nil
 }
 
-// fleet reads how a view of the fleet is kept.
-func fleet(n *xmlform.Node, faults *xmlform.Faults) *Fleet {
+// readFleet reads the element fleet.
+func readFleet(n *xmlform.Node, faults *xmlform.Faults) *Fleet {
 	f := &Fleet{
 		Name: n.Text("name"), Listen: n.Text("listen"), Keys: n.Text("keys"), Key: n.Text("key"), Wide: n.Text("links") == "wan",
 		Advertise: n.Text("advertise"), Lease: n.Span("lease"), Line: n.Line,
 	}
-	address := func(n *xmlform.Node, key, value string) {
+	checkAddress := func(n *xmlform.Node, key, value string) {
 		if at, err := netip.ParseAddrPort(value); n.Sound && (err != nil || at.Addr().IsUnspecified()) {
 			faults.Add(n.Line, n.Name, fmt.Sprintf("%s=%.80q", key, value), "a numeric address that others can reach, and a port")
 		}
 	}
-	address(n, "listen", f.Listen)
+	checkAddress(n, "listen", f.Listen)
 	if n.Sound && f.Keys == "" {
 		faults.Add(n.Line, n.Name, `keys=""`, "the name of a file")
 	}
 	if f.Advertise != "" {
-		address(n, "advertise", f.Advertise)
+		checkAddress(n, "advertise", f.Advertise)
 	}
-	slots, lines := make(map[int]string), make(map[string]int)
+	slots, lineOf := make(map[int]string), make(map[string]int)
 	for _, s := range n.Children {
 		addr := s.Text("addr")
-		address(s, "addr", addr)
+		checkAddress(s, "addr", addr)
 		if s.Name == "seed" {
 			f.Seeds = append(f.Seeds, addr)
 			continue
 		}
 		number := int(s.Number("number"))
 		if _, ok := slots[number]; ok && s.Sound {
-			faults.Add(s.Line, s.Name, fmt.Sprintf("a further slot %d", number), "one of it")
+			faults.Add(s.Line, s.Name, fmt.Sprintf("a second slot %d", number), "each number once")
 		}
-		if line, ok := lines[addr]; ok && s.Sound {
-			faults.Add(s.Line, s.Name, fmt.Sprintf("addr=%.80q, which stands in line %d too", addr, line), "an address of its own")
+		if line, ok := lineOf[addr]; ok && s.Sound {
+			faults.Add(s.Line, s.Name, fmt.Sprintf("addr=%.80q, which is on line %d too", addr, line), "a different address for each slot")
 		}
-		slots[number], lines[addr] = addr, s.Line
+		slots[number], lineOf[addr] = addr, s.Line
 	}
 	for i := range len(slots) {
 		if _, ok := slots[i]; !ok && n.Sound {
-			faults.Add(n.Line, n.Name, fmt.Sprintf("%d slots without number %d", len(slots), i), "each from 0 on")
+			faults.Add(n.Line, n.Name, fmt.Sprintf("%d slots without number %d", len(slots), i), "consecutive numbers from 0")
 			break
 		}
 		f.Slots = append(f.Slots, slots[i])
@@ -288,8 +289,8 @@
 	return f
 }
 
-// live reads what can change while queries run.
-func (f *File) live(root *xmlform.Node, faults *xmlform.Faults) {
+// readLive reads the settings that can change while queries run.
+func (f *File) readLive(root *xmlform.Node, faults *xmlform.Faults) {
 	l := &f.Live
 	if n := root.Child("log"); n != nil {
 		l.Log = n.Text("level")
@@ -307,17 +308,18 @@
 		}
 		c := Class{n.Text("name"), n.Span("within"), int(n.Number("attempts")), int(n.Number("open")), n.Line}
 		if line, ok := seen[c.Name]; ok {
-			faults.Add(n.Line, n.Name, fmt.Sprintf("class %q, which stands in line %d too", c.Name, line), "one of it")
+			faults.Add(n.Line, n.Name, fmt.Sprintf("class %q, which is on line %d too", c.Name, line), "each class once")
 		}
 		seen[c.Name] = n.Line
 		if n.Number("copies") != 1 {
-			faults.Add(n.Line, n.Name, fmt.Sprintf("copies=%d", n.Number("copies")), "1: the rules allow one attempt of a part out at a time")
+			faults.Add(n.Line, n.Name, fmt.Sprintf("copies=%d", n.Number("copies")), "1: the rules allow only one attempt of a part in flight")
 		}
 		l.Classes = append(l.Classes, c)
 	}
 }
 
-// Fit tells all in which a file does not fit the platform's configuration.
+// Fit checks a file against the platform's configuration. The error joins everything
+// in which they contradict each other.
 func (f *File) Fit(file string, c config.Settings) error {
 	faults := &xmlform.Faults{File: file}
 	for _, own := range f.Live.Classes {
@@ -349,7 +351,7 @@
 		faults.Add(p.Line, "pools", fmt.Sprintf("multiplex=%d", p.Multiplex), fmt.Sprintf("at most the platform's, %d", l.Multiplex))
 	}
 	if p.Idle > l.ConnIdle {
-		faults.Add(p.Line, "pools", fmt.Sprintf("idle=%v", p.Idle), fmt.Sprintf("at most conn_idle, %v: searchers close connections then", l.ConnIdle))
+		faults.Add(p.Line, "pools", fmt.Sprintf("idle=%v", p.Idle), fmt.Sprintf("at most conn_idle, %v, after which searchers close connections", l.ConnIdle))
 	}
 	if open := f.Live.Admission.Open; l.MaxOpen > 0 && open > l.MaxOpen {
 		faults.Add(f.Live.Admission.Line, "admission", fmt.Sprintf("open=%d", open), fmt.Sprintf("at most max_open, %d", l.MaxOpen))
@@ -357,7 +359,8 @@
 	return faults.Err()
 }
 
-func coordinator(n *xmlform.Node, faults *xmlform.Faults) *Coordinator {
+// readCoordinator reads the element coordinator.
+func readCoordinator(n *xmlform.Node, faults *xmlform.Faults) *Coordinator {
 	c := &Coordinator{
 		Listen: n.Text("endpoint"), Log: n.Text("log"), Layout: n.Text("layout"), Measure: n.Text("measure"),
 		Poll: n.Span("poll"), Timeout: n.Span("timeout"),
@@ -367,8 +370,8 @@
 			RateMost: n.Float("rows"), RateLeast: n.Float("rows-least"),
 		},
 	}
-	// News of how far a copy is must be younger than LagFresh at the cut-over, and
-	// comes once in a poll.
+	// At the cut-over the last report of a copy's progress must be younger than
+	// LagFresh, and reports arrive once in each poll interval.
 	c.Limits.LagFresh = max(time.Second, 2*c.Poll)
 	if n.Sound {
 		for _, name := range []string{"log", "layout"} {
@@ -390,7 +393,7 @@
 		}
 		name := p.Text("name")
 		if line, ok := seen[name]; ok {
-			faults.Add(p.Line, p.Name, fmt.Sprintf("name %q, which stands in line %d too", name, line), "a name of its own")
+			faults.Add(p.Line, p.Name, fmt.Sprintf("name %q, which is on line %d too", name, line), "a different name for each")
 		}
 		seen[name] = p.Line
 		peer := Peer{name, p.Text("endpoint")}
--- a/internal/format/settings/settings_test.go
+++ b/internal/format/settings/settings_test.go
@@ -11,7 +11,8 @@
 	"eiderwinch/internal/format/config"
 )
 
-const full = `<eiderwinch xmlns="urn:eiderwinch:operators:1">
+// validFile is a file without faults, which the tests change in one place each.
+const validFile = `<eiderwinch xmlns="urn:eiderwinch:operators:1">
   <admin endpoint="unix:/run/e/admin.sock"/>
   <layout file="layout.xml" follow="true"/>
   <coordinator endpoint="unix:/run/e/co.sock" log="changes.db" layout="layout.xml" poll="2s" rows="500">
@@ -27,8 +28,8 @@
 </eiderwinch>
 `
 
-func TestAFileIsReadAsItStands(t *testing.T) {
-	f, err := Read("e.xml", strings.NewReader(full))
+func TestRead(t *testing.T) {
+	f, err := Read("e.xml", strings.NewReader(validFile))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -55,28 +56,29 @@
 		{`rows="500"`, `rows="100"`, `found rows-least=200, want at most rows=100`},
 		{`poll="2s"`, `poll="10s" timeout="15s"`, `want less than gatherer-lost=20s together`},
 		{`poll="2s"`, `gatherer-lost="5s"`, `from 13s to 10m0s`},
-		{`name="s1"`, `name="g0"`, `e.xml:7: <searcher>: found name "g0", which stands in line 5 too`},
+		{`name="s1"`, `name="g0"`, `e.xml:7: <searcher>: found name "g0", which is on line 5 too`},
 		{`<gatherer name="g0" endpoint="unix:/run/e/admin.sock"/>`, ``, `e.xml:4: <coordinator>: found no gatherer`},
 		{`listen="127.0.0.1:7300"`, `listen="localhost:7300"`, `found listen="localhost:7300", want a numeric address`},
 		{`listen="127.0.0.1:7300"`, `listen="0.0.0.0:7300"`, `that others can reach`},
 		{`addr="127.0.0.1:7301"`, `addr="127.0.0.1"`, `<seed>: found addr="127.0.0.1"`},
 		{`keys="keys.xml"`, `keys=""`, `<fleet>: found keys=""`},
-		{`number="1"`, `number="2"`, `<fleet>: found 2 slots without number 1, want each from 0 on`},
-		{`number="1"`, `number="0"`, `found a further slot 0, want one of it`},
-		{`number="0" addr="127.0.0.1:7301"`, `number="0" addr="127.0.0.1:7300"`, `which stands in line 11 too, want an address of its own`},
+		{`number="1"`, `number="2"`, `<fleet>: found 2 slots without number 1, want consecutive numbers from 0`},
+		{`number="1"`, `number="0"`, `found a second slot 0, want each number once`},
+		{`number="0" addr="127.0.0.1:7301"`, `number="0" addr="127.0.0.1:7300"`, `which is on line 11 too, want a different address for each slot`},
 		{`listen="127.0.0.1:7300"`, `listen="127.0.0.1:7300" advertise="there"`, `found advertise="there"`},
 		{`links="wan"`, `links="van"`, `want lan or wan`},
 		{`</eiderwinch>`, `<admin endpoint="127.0.0.1:0"/></eiderwinch>`, `found a further admin in eiderwinch`},
 	} {
-		text := strings.Replace(full, c.old, c.new, 1)
+		text := strings.Replace(validFile, c.old, c.new, 1)
 		if _, err := Read("e.xml", strings.NewReader(text)); err == nil || !strings.Contains(err.Error(), c.want) {
 			t.Errorf("%s for %s: have %v, want %s", c.new, c.old, err, c.want)
 		}
 	}
 }
 
-// The file under deploy/ names nothing: all is off on the platform.
-func TestTheFilesUnderDeploy(t *testing.T) {
+// The operators' file that is deployed names no element, so every feature is off on the
+// platform. The schema next to it must be the one that the form prints.
+func TestDeployedFiles(t *testing.T) {
 	text, err := os.ReadFile("../../../deploy/eiderwinch.xml")
 	if err != nil {
 		t.Fatal(err)
@@ -94,14 +96,15 @@
 	}
 	var b bytes.Buffer
 	if err := form.Schema(&b); err != nil || b.String() != string(schema) {
-		t.Errorf("deploy/eiderwinch.xsd is not what the form says (%v): print it with eiderwinch schema operators", err)
+		t.Errorf("deploy/eiderwinch.xsd is not what the form says (%v): print it with eiderwinch config schema operators", err)
 	}
 }
 
-// FuzzRead holds the reader to an error or a file that can be formatted, read again
-// to the same, and compared with itself.
+// FuzzRead checks that the reader either returns an error or a file that can be
+// formatted, that the formatted text reads as the same file, and that formatting it
+// again changes nothing.
 func FuzzRead(f *testing.F) {
-	f.Add(full)
+	f.Add(validFile)
 	f.Add(`<eiderwinch xmlns="urn:eiderwinch:operators:1"><class name="a" within="1s" open="3"/><guard slower="2"/></eiderwinch>`)
 	f.Add("<eiderwinch")
 	f.Fuzz(func(t *testing.T, text string) {
@@ -115,9 +118,9 @@
 		}
 		again, err := Read("e.xml", bytes.NewReader(b.Bytes()))
 		if err != nil {
-			t.Fatalf("formatted it can't be read: %v\n%s", err, b.String())
+			t.Fatalf("cannot read the formatted file: %v\n%s", err, b.String())
 		}
-		for _, f := range []*File{file, again} { // lines may differ
+		for _, f := range []*File{file, again} { // line numbers may differ
 			f.Live.Pools.Line, f.Live.Admission.Line = 0, 0
 			if f.Fleet != nil {
 				f.Fleet.Line = 0
@@ -127,7 +130,7 @@
 			}
 		}
 		if !reflect.DeepEqual(file, again) {
-			t.Fatalf("%+v became %+v", file, again)
+			t.Fatalf("the formatted file differs: %+v became %+v", file, again)
 		}
 		if err := Form().Format("e.xml", b.Bytes(), &c); err != nil || c.String() != b.String() {
 			t.Fatalf("formatted twice: %v\n%s\n%s", err, b.String(), c.String())
@@ -135,9 +138,10 @@
 	})
 }
 
-// Slots that do not fit the platform's settings would have two gatherers use one.
-func TestSlotsFitTheFleet(t *testing.T) {
-	f, err := Read("e.xml", strings.NewReader(full))
+// If a file lists other slots than the platform's settings imply, two gatherers can use
+// the same slot.
+func TestSlotsMustMatchThePlatform(t *testing.T) {
+	f, err := Read("e.xml", strings.NewReader(validFile))
 	if err != nil {
 		t.Fatal(err)
 	}
