--- a/internal/format/settings/settings.go
+++ b/internal/format/settings/settings.go
@@ -114,7 +114,7 @@
 	}
 	return &xmlform.Form{
 		Namespace: Namespace, Root: "eiderwinch", Depth: 3,
-		Doc:   "The operators' file of eiderwinch. All is off that it does not name. See docs/operate-layout.md.",
+		Doc:   "The operators' file of eiderwinch. Features that it does not name are off. See docs/operate-layout.md.",
 		Order: []string{"eiderwinch", "admin", "log", "class", "pools", "admission", "guard", "history", "signing", "layout", "coordinator", "gatherer", "searcher", "fleet", "seed", "slot"},
 		Elements: map[string]xmlform.Element{
 			"eiderwinch": {Doc: "the whole file", Children: []xmlform.Child{
@@ -123,71 +123,71 @@
 				{Name: "fleet", Most: 1},
 			}},
 			"log": {Doc: "what a gatherer logs; can change while it runs", Attributes: []xmlform.Attribute{
-				{Name: "level", Kind: xmlform.Choice, Values: []string{"debug", "info", "warn", "error"}, Default: "info", Doc: "the least level that is logged"},
+				{Name: "level", Kind: xmlform.Choice, Values: []string{"debug", "info", "warn", "error"}, Default: "info", Doc: "the lowest level that is logged"},
 			}},
-			"class": {Doc: "own limits of a class of queries; can change while they run, and each query keeps those that it was taken under", Attributes: []xmlform.Attribute{
-				{Name: "name", Kind: xmlform.Name, Required: true, Doc: "the class, as the platform's configuration has it"},
-				{Name: "within", Kind: xmlform.Span, Least: 0.01, Most: 3600, Doc: "a query is answered or given up within this; at most the class's deadline, which holds where it is not given"},
-				{Name: "attempts", Kind: xmlform.Count, Least: 1, Most: 16, Doc: "attempts of each part, one after the other; at most the platform's attempts_cap, which holds where it is not given"},
-				{Name: "copies", Kind: xmlform.Count, Least: 1, Most: 2, Default: "1", Doc: "attempts of a part out at once; the rules allow 1 only"},
-				{Name: "open", Kind: xmlform.Count, Least: 1, Most: 1e6, Doc: "queries at once; further ones are refused at once. Without it only what is open in all counts"},
+			"class": {Doc: "limits of a class of queries; can change while queries run, and each query keeps the limits that it was admitted under", Attributes: []xmlform.Attribute{
+				{Name: "name", Kind: xmlform.Name, Required: true, Doc: "name of the class in the platform's configuration"},
+				{Name: "within", Kind: xmlform.Span, Least: 0.01, Most: 3600, Doc: "longest time until a query is answered or given up; at most the class's deadline, which applies where it is not given"},
+				{Name: "attempts", Kind: xmlform.Count, Least: 1, Most: 16, Doc: "most attempts of each part, one after the other; at most the platform's attempts_cap, which applies where it is not given"},
+				{Name: "copies", Kind: xmlform.Count, Least: 1, Most: 2, Default: "1", Doc: "attempts of a part in flight at once; the rules allow only 1"},
+				{Name: "open", Kind: xmlform.Count, Least: 1, Most: 1e6, Doc: "most queries open at once; further ones are refused immediately. Without it only the limit on all open queries and parts applies"},
 			}},
 			"pools": {Doc: "connections to searchers; can change while queries run", Attributes: []xmlform.Attribute{
-				{Name: "multiplex", Kind: xmlform.Count, Least: 1, Most: 1024, Unit: "parts", Doc: "parts that one connection carries at once; at most the platform's multiplex"},
-				{Name: "connect-timeout", Kind: xmlform.Span, Least: 0.001, Most: 10, Doc: "a call waits so long for a connection"},
-				{Name: "idle", Kind: xmlform.Span, Least: 0.1, Most: 3600, Doc: "a connection is closed that was idle for so long; at most the platform's conn_idle, after which searchers close it"},
+				{Name: "multiplex", Kind: xmlform.Count, Least: 1, Most: 1024, Unit: "parts", Doc: "most parts that one connection carries at once; at most the platform's multiplex"},
+				{Name: "connect-timeout", Kind: xmlform.Span, Least: 0.001, Most: 10, Doc: "longest time that a call waits for a connection"},
+				{Name: "idle", Kind: xmlform.Span, Least: 0.1, Most: 3600, Doc: "a connection that has been idle this long is closed; at most the platform's conn_idle, after which searchers close it"},
 			}},
-			"admission": {Doc: "what clients may hold at once; can change while queries run", Attributes: []xmlform.Attribute{
-				{Name: "open", Kind: xmlform.Count, Least: 1, Most: 1e6, Unit: "queries and parts", Doc: "more are refused at once; at most the platform's max_open"},
+			"admission": {Doc: "limit on what clients may hold at once; can change while queries run", Attributes: []xmlform.Attribute{
+				{Name: "open", Kind: xmlform.Count, Least: 1, Most: 1e6, Unit: "queries and parts", Doc: "most queries and parts open at once; further ones are refused immediately; at most the platform's max_open"},
 			}},
 			"signing": {Doc: "configurations must be signed to be staged", Attributes: []xmlform.Attribute{
-				{Name: "keys", Kind: xmlform.Text, Required: true, Doc: "a file after deploy/keys.xsd, read anew each time; from the directory of this file on, where it is not absolute"},
+				{Name: "keys", Kind: xmlform.Text, Required: true, Doc: "a file that follows deploy/keys.xsd, read again at each check; a relative path starts at the directory of this file"},
 			}},
-			"history": {Doc: "where changes of the configuration are written down; without it they are in memory, and gone at a restart", Attributes: []xmlform.Attribute{
-				{Name: "file", Kind: xmlform.Text, Required: true, Doc: "a file on a disk that lasts; from the directory of this file on, where it is not absolute"},
+			"history": {Doc: "where changes of the configuration are recorded; without it they are kept in memory and lost at a restart", Attributes: []xmlform.Attribute{
+				{Name: "file", Kind: xmlform.Text, Required: true, Doc: "a file on a disk that survives restarts; a relative path starts at the directory of this file"},
 			}},
 			"guard": {Doc: "how a change of the configuration is watched", Attributes: []xmlform.Attribute{
-				{Name: "probation", Kind: xmlform.Span, Default: "30s", Least: 1, Most: 86400, Doc: "a change is watched for so long"},
-				{Name: "auto", Kind: xmlform.Flag, Default: "true", Doc: "at the end of the probation a change under which service did not fall is confirmed; else it is undone where nobody has confirmed it"},
-				{Name: "chance", Kind: xmlform.Factor, Default: "0.001", Least: 1e-9, Most: 0.5, Doc: "the chance of undoing a change that changed nothing, in one probation"},
-				{Name: "points", Kind: xmlform.Share, Default: "0.05", Doc: "the share of a class's queries that must fare worse than before"},
-				{Name: "slower", Kind: xmlform.Factor, Default: "1.5", Least: 1, Most: 1000, Doc: "p99 over what it was"},
+				{Name: "probation", Kind: xmlform.Span, Default: "30s", Least: 1, Most: 86400, Doc: "how long a change is watched"},
+				{Name: "auto", Kind: xmlform.Flag, Default: "true", Doc: "whether a change is confirmed at the end of its probation if service has not regressed; otherwise it is undone unless it has been confirmed by then"},
+				{Name: "chance", Kind: xmlform.Factor, Default: "0.001", Least: 1e-9, Most: 0.5, Doc: "the probability of undoing a change that had no effect, in one probation"},
+				{Name: "points", Kind: xmlform.Share, Default: "0.05", Doc: "the rise in the share of a class's queries that fare badly from which on service counts as regressed"},
+				{Name: "slower", Kind: xmlform.Factor, Default: "1.5", Least: 1, Most: 1000, Doc: "the ratio of p99 latency to its value before the change from which on service counts as regressed"},
 			}},
-			"admin": {Doc: "a gatherer's admin socket", Attributes: []xmlform.Attribute{endpoint("where it listens; on the machine itself only, since it has no passwords", true)}},
+			"admin": {Doc: "a gatherer's admin socket", Attributes: []xmlform.Attribute{endpoint("where it listens; only on the machine itself, because it has no passwords", true)}},
 			"layout": {Doc: "the layout that a gatherer binds its queries to", Attributes: []xmlform.Attribute{
-				{Name: "file", Kind: xmlform.Text, Required: true, Doc: "a layout after deploy/layout.xsd; from the directory of this file on, where it is not absolute"},
-				{Name: "follow", Kind: xmlform.Flag, Default: "false", Doc: "take epochs from a coordinator over the admin socket, and write each to the file before it is taken up"},
+				{Name: "file", Kind: xmlform.Text, Required: true, Doc: "a layout that follows deploy/layout.xsd; a relative path starts at the directory of this file"},
+				{Name: "follow", Kind: xmlform.Flag, Default: "false", Doc: "take epochs from a coordinator over the admin socket, and write each to the file before it takes effect"},
 			}},
 			"coordinator": {Doc: "changes layouts while queries run: eiderwinch coordinate", Attributes: []xmlform.Attribute{
 				endpoint("its admin socket, for layout status, apply and abort", true),
 				{Name: "log", Kind: xmlform.Text, Required: true, Doc: "the file of its durable log"},
-				{Name: "layout", Kind: xmlform.Text, Required: true, Doc: "the layout that a new log begins with; its list of searchers holds for an old one too"},
-				{Name: "measure", Kind: xmlform.Text, Default: "search", Doc: "the safe class whose p99 copies yield to"},
-				{Name: "poll", Kind: xmlform.Span, Default: "200ms", Least: 0.01, Most: 10, Doc: "gatherers and searchers are asked so often"},
-				{Name: "timeout", Kind: xmlform.Span, Default: "2s", Least: 0.05, Most: 60, Doc: "and have so long to answer; three misses in a row mean that a searcher is down"},
+				{Name: "layout", Kind: xmlform.Text, Required: true, Doc: "the layout that a new log begins with; its list of searchers also applies to an existing log"},
+				{Name: "measure", Kind: xmlform.Text, Default: "search", Doc: "the safe class whose p99 latency is measured; copies slow down when it rises"},
+				{Name: "poll", Kind: xmlform.Span, Default: "200ms", Least: 0.01, Most: 10, Doc: "interval at which gatherers and searchers are polled"},
+				{Name: "timeout", Kind: xmlform.Span, Default: "2s", Least: 0.05, Most: 60, Doc: "time that they have to answer a poll; three misses in a row mean that a searcher is down"},
 				{Name: "per-searcher", Kind: xmlform.Count, Default: "2", Least: 1, Most: 64, Doc: "changes that copy from or to one searcher at once"},
 				{Name: "per-zone", Kind: xmlform.Count, Default: "8", Least: 1, Most: 1024, Doc: "changes that copy from or to one data centre at once"},
-				{Name: "queued", Kind: xmlform.Count, Default: "64", Least: 1, Most: 64, Doc: "changes that are not over; more are refused"},
-				{Name: "lag", Kind: xmlform.Span, Default: "50ms", Least: 0.001, Most: 10, Doc: "new holders may be so far behind at the cut-over"},
-				{Name: "fill-within", Kind: xmlform.Span, Default: "30m", Least: 1, Most: 86400, Doc: "a change is undone that is not cut over so long after its start"},
-				{Name: "gatherer-lost", Kind: xmlform.Span, Default: "20s", Least: 13, Most: 600, Doc: "a gatherer not heard of for so long has no open query left; above the longest deadline, 12 s, and a second for its last answer"},
-				{Name: "rows", Kind: xmlform.Factor, Default: "20000", Least: 1, Most: 1e9, Unit: "rows a second to each new holder", Doc: "copies are never faster"},
-				{Name: "rows-least", Kind: xmlform.Factor, Default: "200", Least: 1, Most: 1e9, Unit: "rows a second to each new holder", Doc: "copies are never slower: they would not end"},
+				{Name: "queued", Kind: xmlform.Count, Default: "64", Least: 1, Most: 64, Doc: "most changes that have not ended; further ones are refused"},
+				{Name: "lag", Kind: xmlform.Span, Default: "50ms", Least: 0.001, Most: 10, Doc: "how far new holders may be behind at the cut-over"},
+				{Name: "fill-within", Kind: xmlform.Span, Default: "30m", Least: 1, Most: 86400, Doc: "a change that has not been cut over this long after its start is undone"},
+				{Name: "gatherer-lost", Kind: xmlform.Span, Default: "20s", Least: 13, Most: 600, Doc: "a gatherer from which nothing was received for this long has no open query left; must exceed the longest deadline, 12 s, plus a second for its last answer"},
+				{Name: "rows", Kind: xmlform.Factor, Default: "20000", Least: 1, Most: 1e9, Unit: "rows a second to each new holder", Doc: "highest rate of copies"},
+				{Name: "rows-least", Kind: xmlform.Factor, Default: "200", Least: 1, Most: 1e9, Unit: "rows a second to each new holder", Doc: "lowest rate of copies; slower ones would never end"},
 			}, Children: []xmlform.Child{{Name: "gatherer", Least: 1}, {Name: "searcher", Least: 1}}},
-			"fleet": {Doc: "the view that gatherers keep of each other; each is known by LB_NAME. Takes effect at a start", Attributes: []xmlform.Attribute{
-				{Name: "name", Kind: xmlform.Name, Required: true, Doc: "of the fleet: messages of another one are dropped"},
+			"fleet": {Doc: "the membership view that gatherers keep of each other; each is identified by LB_NAME. Takes effect at a start", Attributes: []xmlform.Attribute{
+				{Name: "name", Kind: xmlform.Name, Required: true, Doc: "name of the fleet; messages of other fleets are dropped"},
 				{Name: "listen", Kind: xmlform.Text, Required: true, Doc: "numeric address and port, for UDP and TCP, at which the others reach this gatherer"},
-				{Name: "keys", Kind: xmlform.Text, Required: true, Doc: "a file after deploy/keys.xsd, read at the start; from the directory of this file on, where it is not absolute"},
-				{Name: "key", Kind: xmlform.Name, Required: true, Doc: "the key in it, of algorithm blake3, that messages are sealed with; all that hold are taken"},
-				{Name: "links", Kind: xmlform.Choice, Values: []string{"lan", "wan"}, Default: "lan", Doc: "lan: links of some milliseconds, a crash is known in some 2 s; wan: of a hundred, with some loss, and all is known five times later"},
-				{Name: "advertise", Kind: xmlform.Text, Doc: "where the others reach this gatherer, if not at listen"},
-				{Name: "lease", Kind: xmlform.Span, Default: "1s", Least: 0.05, Most: 60, Doc: "with slots: so long a refused connection shows that a gatherer is gone. A gatherer that starts sends cold searchers nothing for a little longer and rules.overload_for; the same in all files"},
+				{Name: "keys", Kind: xmlform.Text, Required: true, Doc: "a file that follows deploy/keys.xsd, read at the start; a relative path starts at the directory of this file"},
+				{Name: "key", Kind: xmlform.Name, Required: true, Doc: "name of the key in it, of algorithm blake3, that seals messages; messages sealed with any valid key in it are accepted"},
+				{Name: "links", Kind: xmlform.Choice, Values: []string{"lan", "wan"}, Default: "lan", Doc: "lan: latencies of a few milliseconds, a crash is detected after about 2 s; wan: about a hundred milliseconds and some loss, and everything is detected five times later"},
+				{Name: "advertise", Kind: xmlform.Text, Doc: "address at which the others reach this gatherer, if not at listen"},
+				{Name: "lease", Kind: xmlform.Span, Default: "1s", Least: 0.05, Most: 60, Doc: "with slots: how long a refused connection shows that a gatherer is gone. A gatherer that starts sends nothing to cold searchers for a little longer than this and rules.overload_for together; must be the same in all files"},
 			}, Children: []xmlform.Child{{Name: "seed", Most: 64}, {Name: "slot", Most: 4096}}},
-			"slot": {Doc: "the address of one gatherer by its number: its part of what cold searchers can do is used by the next one while its host refuses connections to that address. All of balancers, the own one at listen, the same in all files", Attributes: []xmlform.Attribute{
+			"slot": {Doc: "the address of one gatherer by its number: while its host refuses connections to that address, the next gatherer uses its share of what cold searchers can do. There must be one for each of balancers, this gatherer's own at listen, the same in all files", Attributes: []xmlform.Attribute{
 				{Name: "number", Kind: xmlform.Number, Required: true, Most: 4095, Doc: "its my_number in the platform's configuration"},
-				{Name: "addr", Kind: xmlform.Text, Required: true, Doc: "its numeric address and port; no other process may ever listen there, and nothing on the way may refuse for it"},
+				{Name: "addr", Kind: xmlform.Text, Required: true, Doc: "its numeric address and port; no other process may ever listen there, and nothing on the network path may refuse connections on its behalf"},
 			}},
-			"seed": {Doc: "another gatherer, by which this one finds the fleet", Attributes: []xmlform.Attribute{
+			"seed": {Doc: "another gatherer, through which this one joins the fleet", Attributes: []xmlform.Attribute{
 				{Name: "addr", Kind: xmlform.Text, Required: true, Doc: "its numeric address and port"},
 			}},
 			"gatherer": {Doc: "a gatherer that follows this coordinator", Attributes: process},
