--- a/internal/trial/standin/custodian.go
+++ b/internal/trial/standin/custodian.go
@@ -13,32 +13,34 @@
 	"eiderwinch/internal/layout"
 )
 
-// Custodian is the side of a searcher that a coordinator of layouts talks to:
-// PUT /v1/custody with an order, answered with a report, on a Unix socket. It
-// fills the searcher's shelves of a Warehouse, and clears them. It is written from
-// docs/operate-layout.md and shares no code with the coordinator.
+// Custodian is the endpoint of a fake searcher through which a coordinator of layouts
+// assigns segments: it handles PUT /v1/custody on a Unix socket, whose request is an
+// order and whose response is a report. It fills and drops the segments that the
+// searcher holds in a Warehouse. It is written from docs/operate-layout.md and shares
+// no code with the coordinator.
 //
-// What it has been told outlives Close, as it would on a searcher's disk.
+// The last order is kept over Close and Open, as it would be on a searcher's disk.
 type Custodian struct {
 	searcher string
 	store    *Warehouse
 	path     string
 
-	mu     sync.Mutex
-	srv    *http.Server
-	done   chan struct{} // closed once the server and the copies have ended
-	stop   context.CancelFunc
-	last   order
-	copied map[fill]bool
-	late   int // orders passed over
+	mu          sync.Mutex
+	srv         *http.Server
+	done        chan struct{} // closed when the server and the copy loop have ended
+	stop        context.CancelFunc
+	lastOrder   order
+	copied      map[fillID]bool
+	staleOrders int // orders ignored as not newer than the last, or of another log
 }
 
-// fill is one copy, by what makes it one.
-type fill struct {
+// fillID identifies the copying of rows into a segment on behalf of a job.
+type fillID struct {
 	Job     uint64
 	Segment layout.SegmentID
 }
 
+// order is what the coordinator requests: the segments to drop and to fill.
 type order struct {
 	Log    string             `json:"log"`
 	Term   uint64             `json:"term"`
@@ -55,32 +57,36 @@
 	} `json:"fills"`
 }
 
-type progress struct {
+// fillProgress is the state of one fill in a report.
+type fillProgress struct {
 	Job     uint64           `json:"job"`
 	Segment layout.SegmentID `json:"segment"`
 	Copied  bool             `json:"copied"`
 	Behind  int64            `json:"behind_ms"`
 }
 
+// report is the response to an order.
 type report struct {
 	Log    string             `json:"log"`
 	Term   uint64             `json:"term"`
 	Number uint64             `json:"number"`
 	Held   []layout.SegmentID `json:"held"`
-	Fills  []progress         `json:"fills"`
+	Fills  []fillProgress     `json:"fills"`
 }
 
-const copyEvery = 20 * time.Millisecond
+// copyInterval is the time between two batches of copied rows.
+const copyInterval = 20 * time.Millisecond
 
-// NewCustodian returns the custodian of a searcher, which is to be opened.
+// NewCustodian returns the assignment endpoint of a searcher, to listen on a Unix
+// socket at path. It does not listen until Open is called.
 func NewCustodian(searcher string, store *Warehouse, path string) *Custodian {
-	return &Custodian{searcher: searcher, store: store, path: path, copied: make(map[fill]bool)}
+	return &Custodian{searcher: searcher, store: store, path: path, copied: make(map[fillID]bool)}
 }
 
-// Endpoint is where it listens.
+// Endpoint returns the address that c listens on.
 func (c *Custodian) Endpoint() string { return "unix:" + c.path }
 
-// Open lets it take orders.
+// Open starts listening for orders and copying rows.
 func (c *Custodian) Open() error {
 	if err := os.Remove(c.path); err != nil && !errors.Is(err, os.ErrNotExist) {
 		return err
@@ -100,14 +106,14 @@
 	go func() {
 		defer close(done)
 		copies := make(chan struct{})
-		go func() { defer close(copies); c.copy(ctx) }()
-		_ = srv.Serve(l) // until Close
+		go func() { defer close(copies); c.copyLoop(ctx) }()
+		_ = srv.Serve(l) // returns after Close
 		<-copies
 	}()
 	return nil
 }
 
-// Close kills it.
+// Close stops listening and copying, as if the process had crashed.
 func (c *Custodian) Close() error {
 	c.mu.Lock()
 	srv, stop, done := c.srv, c.stop, c.done
@@ -122,11 +128,12 @@
 	return err
 }
 
-// Late is how many orders were passed over, since a newer one had come.
+// Late returns the number of orders that were ignored because they were not newer than
+// the last one, or belonged to another log.
 func (c *Custodian) Late() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.late
+	return c.staleOrders
 }
 
 func (c *Custodian) serve(w http.ResponseWriter, r *http.Request) {
@@ -135,41 +142,42 @@
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	_ = json.NewEncoder(w).Encode(c.take(o)) // where it fails, whoever asked has left
+	_ = json.NewEncoder(w).Encode(c.apply(o)) // an error means that the client has disconnected
 }
 
-// take carries out an order, unless it is not newer than the last.
-func (c *Custodian) take(o order) report {
+// apply carries out an order, unless it is not newer than the last one or belongs to
+// another log.
+func (c *Custodian) apply(o order) report {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	ours := c.last.Log == "" || o.Log == c.last.Log
-	if ours && (o.Term > c.last.Term || o.Term == c.last.Term && o.Number > c.last.Number) {
+	sameLog := c.lastOrder.Log == "" || o.Log == c.lastOrder.Log
+	if sameLog && (o.Term > c.lastOrder.Term || o.Term == c.lastOrder.Term && o.Number > c.lastOrder.Number) {
 		for _, id := range o.Drops {
 			c.store.Drop(c.searcher, id)
 		}
-		wanted := make(map[fill]bool)
+		wanted := make(map[fillID]bool)
 		for _, f := range o.Fills {
-			wanted[fill{f.Job, f.Segment}] = c.copied[fill{f.Job, f.Segment}]
+			wanted[fillID{f.Job, f.Segment}] = c.copied[fillID{f.Job, f.Segment}]
 		}
 		for f := range c.copied {
 			if _, ok := wanted[f]; !ok {
-				c.store.Unfollow(c.searcher, f.Segment, f.Job)
+				c.store.StopFollowing(c.searcher, f.Segment, f.Job)
 			}
 		}
-		c.copied, c.last = wanted, o
+		c.copied, c.lastOrder = wanted, o
 	} else {
-		c.late++
+		c.staleOrders++
 	}
-	r := report{Log: c.last.Log, Term: c.last.Term, Number: c.last.Number, Held: c.store.Held(c.searcher)}
-	for _, f := range c.last.Fills {
-		r.Fills = append(r.Fills, progress{Job: f.Job, Segment: f.Segment, Copied: c.copied[fill{f.Job, f.Segment}]})
+	r := report{Log: c.lastOrder.Log, Term: c.lastOrder.Term, Number: c.lastOrder.Number, Held: c.store.Held(c.searcher)}
+	for _, f := range c.lastOrder.Fills {
+		r.Fills = append(r.Fills, fillProgress{Job: f.Job, Segment: f.Segment, Copied: c.copied[fillID{f.Job, f.Segment}]})
 	}
 	return r
 }
 
-// copy carries on with the fills of the last order.
-func (c *Custodian) copy(ctx context.Context) {
-	t := time.NewTicker(copyEvery)
+// copyLoop copies rows for the fills of the last order until ctx ends.
+func (c *Custodian) copyLoop(ctx context.Context) {
+	t := time.NewTicker(copyInterval)
 	defer t.Stop()
 	for {
 		select {
@@ -178,13 +186,13 @@
 		case <-t.C:
 		}
 		c.mu.Lock()
-		for _, f := range c.last.Fills {
-			id := fill{f.Job, f.Segment}
+		for _, f := range c.lastOrder.Fills {
+			id := fillID{f.Job, f.Segment}
 			if c.copied[id] {
 				continue
 			}
-			most := max(int(c.last.Rows*copyEvery.Seconds()), 1)
-			done, _ := c.store.Fill(c.searcher, f.Segment, f.Job, Range{From: f.From, To: f.To}, f.Sources, f.Holders, most)
+			maxRows := max(int(c.lastOrder.Rows*copyInterval.Seconds()), 1)
+			done, _ := c.store.Fill(c.searcher, f.Segment, f.Job, Range{From: f.From, To: f.To}, f.Sources, f.Holders, maxRows)
 			c.copied[id] = done
 		}
 		c.mu.Unlock()
--- a/internal/trial/standin/discovery.go
+++ b/internal/trial/standin/discovery.go
@@ -12,7 +12,7 @@
 	"time"
 )
 
-// Member is a searcher as discovery lists it.
+// Member is an entry of the member list that discovery serves.
 type Member struct {
 	ID      string  `json:"id"`
 	Addr    string  `json:"host_port"`
@@ -24,39 +24,40 @@
 	UpSince int64   `json:"up_since_ms"`
 }
 
-// The phases of a Member.
+// The values of Member.Phase.
 const (
 	Ready       = "Ready"
 	Terminating = "Terminating"
 	Gone        = "Gone"
 )
 
-// Discovery is a loopback discovery. Its methods may be called from any goroutine.
+// Discovery is a fake discovery on loopback. Its methods are safe for concurrent use.
 type Discovery struct {
-	srv  *Server
-	stop chan struct{}
-
-	mu       sync.Mutex
-	members  map[string]entry
-	revision int64
-	news     chan struct{} // closed at the next change
-	silent   chan struct{} // closed at the end of a silence; nil where there is none
-	deaf     int64         // watches opened up to that number are told nothing any more
-	watches  int64
-	indent   bool
+	srv    *Server
+	closed chan struct{} // closed by Close
+
+	mu           sync.Mutex
+	members      map[string]listedMember
+	revision     int64
+	changed      chan struct{} // closed and replaced at each change
+	silenceEnded chan struct{} // closed by Speak; nil if discovery is not silenced
+	mutedUpTo    int64         // watches with a number up to this one receive nothing more
+	watchCount   int64         // watches opened so far
+	indent       bool          // whether lists are written over several lines
 }
 
-type entry struct {
+type listedMember struct {
 	Member
-	revision int64 // of its last change
+	revision int64 // at the member's last change
 }
 
-// heartbeat is how often a watch without changes carries an empty line.
-const heartbeat = 2 * time.Second
+// heartbeatInterval is the time between the empty lines that a watch without changes
+// receives.
+const heartbeatInterval = 2 * time.Second
 
-// NewDiscovery starts a Discovery that lists nobody.
+// NewDiscovery starts a Discovery with an empty member list.
 func NewDiscovery() (*Discovery, error) {
-	d := &Discovery{members: make(map[string]entry), news: make(chan struct{}), stop: make(chan struct{})}
+	d := &Discovery{members: make(map[string]listedMember), changed: make(chan struct{}), closed: make(chan struct{})}
 	var err error
 	if d.srv, err = Listen(d.serve); err != nil {
 		return nil, err
@@ -64,89 +65,94 @@
 	return d, nil
 }
 
-// Addr is where it listens.
+// Addr returns the address that d listens on.
 func (d *Discovery) Addr() string { return d.srv.Addr() }
 
-// Close ends it.
+// Close stops d and closes its connections. It may be called more than once.
 func (d *Discovery) Close() error {
 	d.mu.Lock()
 	select {
-	case <-d.stop:
+	case <-d.closed:
 	default:
-		close(d.stop)
+		close(d.closed)
 	}
 	d.mu.Unlock()
 	return d.srv.Close()
 }
 
-// Tell publishes changes as one revision.
+// Tell adds or replaces members of the list in one revision and notifies the open
+// watches.
 func (d *Discovery) Tell(members ...Member) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.revision++
 	for _, m := range members {
-		d.members[m.ID] = entry{m, d.revision}
+		d.members[m.ID] = listedMember{m, d.revision}
 	}
-	close(d.news)
-	d.news = make(chan struct{})
+	close(d.changed)
+	d.changed = make(chan struct{})
 }
 
 // Break resets all connections.
 func (d *Discovery) Break() { d.srv.Break() }
 
-// Silence has nothing said until Speak: what is asked hangs, watches that are open bring nothing.
+// Silence stops all responses until Speak: requests hang, and open watches receive
+// nothing.
 func (d *Discovery) Silence() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.silent = make(chan struct{})
+	d.silenceEnded = make(chan struct{})
 }
 
-// Speak ends a silence.
+// Speak resumes responses after Silence.
 func (d *Discovery) Speak() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	close(d.silent)
-	d.silent = nil
+	close(d.silenceEnded)
+	d.silenceEnded = nil
 }
 
-// Deafen has the watches that are open told nothing any more, not even that nothing changes.
+// Deafen stops sending to the watches that are open now. They stay open but no longer
+// receive updates or heartbeats.
 func (d *Discovery) Deafen() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.deaf = d.watches
+	d.mutedUpTo = d.watchCount
 }
 
-// Indent has lists written over several lines from now on.
+// Indent makes discovery write lists over several lines from now on.
 func (d *Discovery) Indent() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.indent = true
 }
 
-// spoken waits for the end of a silence; false where d ends first.
-func (d *Discovery) spoken() bool {
+// awaitSpeak waits until responses are no longer silenced. It returns false if d is
+// closed first.
+func (d *Discovery) awaitSpeak() bool {
 	d.mu.Lock()
-	silent := d.silent
+	silenceEnded := d.silenceEnded
 	d.mu.Unlock()
-	if silent == nil {
+	if silenceEnded == nil {
 		return true
 	}
 	select {
-	case <-silent:
+	case <-silenceEnded:
 		return true
-	case <-d.stop:
+	case <-d.closed:
 		return false
 	}
 }
 
-// List is the whole list as JSON, in the form of the platform's discovery.
+// List returns the whole member list as JSON, in the format of the platform's discovery.
 func (d *Discovery) List() []byte {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.since(0, true)
 }
 
-// since returns what has changed after a revision. The caller holds mu.
+// since returns the members that have changed after a revision, as JSON. A complete
+// list omits those that are gone. The caller holds mu.
 func (d *Discovery) since(revision int64, complete bool) []byte {
 	list := []Member{}
 	for _, e := range d.members {
@@ -170,7 +176,7 @@
 		text, err = json.MarshalIndent(u, "", "    ")
 	}
 	if err != nil {
-		panic(err) // numbers and text can be marshalled
+		panic(err) // can't happen: numbers and strings can always be marshalled
 	}
 	return text
 }
@@ -182,7 +188,7 @@
 		if err != nil {
 			return
 		}
-		if !d.spoken() {
+		if !d.awaitSpeak() {
 			return
 		}
 		switch {
@@ -199,46 +205,46 @@
 	}
 }
 
-// watch writes one line a change until the connection or d ends.
+// watch writes one line for each change until the connection or d is closed.
 func (d *Discovery) watch(c net.Conn, from int64) {
 	if _, err := fmt.Fprint(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"); err != nil {
 		return
 	}
-	line := func(text []byte) error {
+	writeLine := func(text []byte) error {
 		_, err := fmt.Fprintf(c, "%x\r\n%s\n\r\n", len(text)+1, text)
 		return err
 	}
 	d.mu.Lock()
-	d.watches++
-	number := d.watches
+	d.watchCount++
+	number := d.watchCount
 	d.mu.Unlock()
-	tick := time.NewTicker(heartbeat)
+	tick := time.NewTicker(heartbeatInterval)
 	defer tick.Stop()
 	for first := true; ; first = false {
 		d.mu.Lock()
-		text, revision, news := d.since(from, first && from == 0), d.revision, d.news
-		deaf := number <= d.deaf
+		text, revision, changed := d.since(from, first && from == 0), d.revision, d.changed
+		muted := number <= d.mutedUpTo
 		d.mu.Unlock()
-		if deaf {
-			<-d.stop
+		if muted {
+			<-d.closed
 			return
 		}
 		if first || revision > from {
-			if line(text) != nil {
+			if writeLine(text) != nil {
 				return
 			}
 			from = revision
 		}
 		select {
-		case <-news:
-			if !d.spoken() {
+		case <-changed:
+			if !d.awaitSpeak() {
 				return
 			}
 		case <-tick.C:
-			if !d.spoken() || line(nil) != nil {
+			if !d.awaitSpeak() || writeLine(nil) != nil {
 				return
 			}
-		case <-d.stop:
+		case <-d.closed:
 			return
 		}
 	}
--- a/internal/trial/standin/searcher.go
+++ b/internal/trial/standin/searcher.go
@@ -12,79 +12,80 @@
 	"time"
 )
 
-// Part is one part of a call, as a searcher reads it.
+// Part is one part of a call, as parsed by a searcher.
 type Part struct {
-	ID    string // query id, dot, shard; ".b" behind it at a second step
-	Shard int
-	Wait  time.Duration // how long the gatherer will wait
-	Key   string        // idempotency key; empty in classes without
-	From  []int         // second step: the shards that were in
-	Text  string
-	List  string // the list of fields as it came
+	ID        string // query id, dot, shard; with the suffix ".b" in a second step
+	Shard     int
+	WaitLimit time.Duration // how long the gatherer waits for the answer
+	Key       string        // idempotency key; empty for classes without keys
+	Answered  []int         // second step: the shards that answered the first step
+	Text      string
+	Fields    string // the list of fields as received
 }
 
-// Second tells that the part belongs to a second step.
-func (p Part) Second() bool { return strings.HasSuffix(p.ID, ".b") }
+// IsSecondStep reports whether the part belongs to a second step.
+func (p Part) IsSecondStep() bool { return strings.HasSuffix(p.ID, ".b") }
 
-// End is how a part ends.
+// End is the outcome of a part.
 type End string
 
-// The ends of parts.
+// The outcomes of parts.
 const (
 	Served  End = "served"
-	Broke   End = "broke"
-	Skipped End = "skipped" // never ran
+	Broke   End = "broke"   // failed
+	Skipped End = "skipped" // not run
 )
 
-// Answer is what a searcher gives for a part.
+// Answer is a searcher's answer to a part.
 type Answer struct {
 	End   End
 	Score int64
 	Value string
 }
 
-// Work decides what a part's answer is and how long it takes. It is called
-// from many goroutines.
+// Work computes the answer to a part and how long serving it takes. Its method is
+// called from several goroutines at once.
 type Work interface {
+	// Do runs a part at the searcher with the given id.
 	Do(searcher string, p Part) (Answer, time.Duration)
 }
 
-// SearcherOptions is how a Searcher behaves.
+// SearcherOptions configures a Searcher.
 type SearcherOptions struct {
-	ID    string
-	Work  Work
-	Slots int           // parts served at once; 4 where it is 0, as on the platform's two cores
-	Queue int           // parts that wait beyond those; more are skipped; 64 where it is 0
-	Call  time.Duration // what a call costs beside its parts
+	ID       string
+	Work     Work
+	Slots    int           // parts served at once; 0 means 4, as on the platform's two cores
+	Queue    int           // parts that may wait for a slot; further ones are skipped; 0 means 64
+	CallCost time.Duration // time that a call takes in addition to its parts
 }
 
-// Searcher is a loopback searcher. All its methods may be called from any goroutine.
+// Searcher is a fake searcher on loopback. Its methods are safe for concurrent use.
 type Searcher struct {
-	opts SearcherOptions
-	srv  *Server
-	room chan struct{} // one for each part in work or waiting
-	slot chan struct{} // one for each part in work
-	stop chan struct{} // closed when it ends
+	opts     SearcherOptions
+	srv      *Server
+	admitted chan struct{} // semaphore: parts that are served or wait for a slot
+	running  chan struct{} // semaphore: parts that are served
+	closed   chan struct{} // closed by Close
 
 	mu       sync.Mutex
 	draining bool
 	counts   Counts
 }
 
-// Counts are what a Searcher has seen.
+// Counts holds the counters of a Searcher.
 type Counts struct {
-	Calls, Parts, Cancels      int
-	Served, Broke, SkippedFull int
-	AfterDrain                 int // parts that came while it drained
+	Calls, Parts, Cancels  int
+	Served, Broke, Skipped int
+	AfterDrain             int // parts received while draining
 }
 
 const (
 	defaultSlots = 4
 	defaultQueue = 64
-	maxRest      = 1 << 20 // bytes of a frame: the longest call is a few texts of 64 KiB
+	maxFrameSize = 1 << 20 // bytes after the length field; the longest call has a few texts of 64 KiB
 )
 
-// NewSearcher starts a Searcher on a loopback port of its own.
+// NewSearcher starts a Searcher on a free loopback port.
 func NewSearcher(o SearcherOptions) (*Searcher, error) {
 	if o.Slots == 0 {
 		o.Slots = defaultSlots
@@ -93,7 +94,7 @@
 		o.Queue = defaultQueue
 	}
 	s := &Searcher{
-		opts: o, room: make(chan struct{}, o.Slots+o.Queue), slot: make(chan struct{}, o.Slots), stop: make(chan struct{}),
+		opts: o, admitted: make(chan struct{}, o.Slots+o.Queue), running: make(chan struct{}, o.Slots), closed: make(chan struct{}),
 	}
 	var err error
 	if s.srv, err = Listen(s.serve); err != nil {
@@ -102,104 +103,108 @@
 	return s, nil
 }
 
-// Addr is where it listens.
+// Addr returns the address that s listens on.
 func (s *Searcher) Addr() string { return s.srv.Addr() }
 
-// ID is its id in discovery.
+// ID returns the searcher's id in discovery.
 func (s *Searcher) ID() string { return s.opts.ID }
 
-// Drain makes it turn away what comes from now on.
+// Drain makes the searcher skip all parts that it receives from now on.
 func (s *Searcher) Drain() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.draining = true
 }
 
-// Counts are what it has seen so far.
+// Counts returns the counters so far.
 func (s *Searcher) Counts() Counts {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.counts
 }
 
-func (s *Searcher) count(f func(*Counts)) {
+func (s *Searcher) updateCounts(f func(*Counts)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	f(&s.counts)
 }
 
-// Close kills it: open connections break and new ones are refused.
+// Close stops the searcher as if it had crashed: open connections are closed and
+// new ones are refused.
 func (s *Searcher) Close() error {
 	s.mu.Lock()
 	select {
-	case <-s.stop:
+	case <-s.closed:
 	default:
-		close(s.stop)
+		close(s.closed)
 	}
 	s.mu.Unlock()
 	return s.srv.Close()
 }
 
-// link is one connection from a gatherer.
-type link struct {
+// gathererConn is a connection from a gatherer.
+type gathererConn struct {
 	conn net.Conn
-	mu   sync.Mutex // of writes
+	mu   sync.Mutex // guards writes
 
-	waiting sync.Map // id of a part -> chan struct{} that a cancel closes
+	cancelByPart sync.Map // part id -> chan struct{}, closed by a cancel frame
 }
 
-func (l *link) write(rest string) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	WriteFrame(l.conn, rest)
+func (g *gathererConn) write(body string) {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	WriteFrame(g.conn, body)
 }
 
-// WriteFrame writes a frame in one piece. Where that fails, the reader ends the connection.
-func WriteFrame(w io.Writer, rest string) {
-	b := binary.BigEndian.AppendUint32(make([]byte, 0, 4+len(rest)), uint32(len(rest)))
-	_, _ = w.Write(append(b, rest...))
+// WriteFrame writes a frame, whose body starts with its letter, in one call to
+// Write. An error is ignored because the connection's reader then fails too and
+// ends the connection.
+func WriteFrame(w io.Writer, body string) {
+	b := binary.BigEndian.AppendUint32(make([]byte, 0, 4+len(body)), uint32(len(body)))
+	_, _ = w.Write(append(b, body...))
 }
 
 func (s *Searcher) serve(c net.Conn) {
-	l := &link{conn: c}
+	g := &gathererConn{conn: c}
 	var parts sync.WaitGroup
 	defer parts.Wait()
 	for {
-		letter, rest, err := ReadFrame(c)
+		letter, payload, err := ReadFrame(c)
 		if err != nil {
-			if errors.Is(err, errFrame) {
-				l.write("e" + err.Error())
+			if errors.Is(err, errMalformedFrame) {
+				g.write("e" + err.Error())
 			}
 			return
 		}
 		switch letter {
 		case 'p':
-			l.write("pserved")
+			g.write("pserved")
 		case 'l':
-			l.write("l-")
+			g.write("l-")
 		case 'c':
-			s.count(func(n *Counts) { n.Cancels++ })
-			if c, ok := l.waiting.LoadAndDelete(rest); ok {
+			s.updateCounts(func(n *Counts) { n.Cancels++ })
+			if c, ok := g.cancelByPart.LoadAndDelete(payload); ok {
 				close(c.(chan struct{}))
 			}
 		case 'q':
-			list, err := ParseCall(rest)
+			list, err := ParseCall(payload)
 			if err != nil {
-				l.write("e" + err.Error())
+				g.write("e" + err.Error())
 				return
 			}
-			s.take(l, list, &parts)
+			s.acceptCall(g, list, &parts)
 		default:
-			l.write("eunknown letter")
+			g.write("eunknown letter")
 			return
 		}
 	}
 }
 
-// take takes in a call. Its own cost is borne by its first part.
-func (s *Searcher) take(l *link, list []Part, parts *sync.WaitGroup) {
-	cost := s.opts.Call
-	s.count(func(n *Counts) { n.Calls++; n.Parts += len(list) })
+// acceptCall starts serving the parts of a call, and skips those for which there is no
+// room, or all of them while draining. The cost of the call is added to the first part that is not skipped.
+func (s *Searcher) acceptCall(g *gathererConn, list []Part, parts *sync.WaitGroup) {
+	cost := s.opts.CallCost
+	s.updateCounts(func(n *Counts) { n.Calls++; n.Parts += len(list) })
 	for _, p := range list {
 		s.mu.Lock()
 		draining := s.draining
@@ -207,80 +212,81 @@
 			s.counts.AfterDrain++
 		}
 		s.mu.Unlock()
-		full := draining
+		skip := draining
 		if !draining {
 			select {
-			case s.room <- struct{}{}:
+			case s.admitted <- struct{}{}:
 			default:
-				full = true
+				skip = true
 			}
 		}
-		if full {
-			s.answer(l, p, Answer{End: Skipped})
+		if skip {
+			s.answer(g, p, Answer{End: Skipped})
 			continue
 		}
-		gone := make(chan struct{})
-		l.waiting.Store(p.ID, gone)
+		cancelled := make(chan struct{})
+		g.cancelByPart.Store(p.ID, cancelled)
 		parts.Add(1)
 		go func(cost time.Duration) {
 			defer parts.Done()
-			defer func() { <-s.room }()
-			s.work(l, p, cost, gone)
+			defer func() { <-s.admitted }()
+			s.servePart(g, p, cost, cancelled)
 		}(cost)
 		cost = 0
 	}
 }
 
-// work waits for a slot and serves a part. A cancel ends it while it waits.
-func (s *Searcher) work(l *link, p Part, cost time.Duration, gone chan struct{}) {
-	defer l.waiting.CompareAndDelete(p.ID, gone)
+// servePart waits for a slot and serves a part. A cancel only has an effect while the
+// part waits.
+func (s *Searcher) servePart(g *gathererConn, p Part, cost time.Duration, cancelled chan struct{}) {
+	defer g.cancelByPart.CompareAndDelete(p.ID, cancelled)
 	select {
-	case s.slot <- struct{}{}:
-	case <-gone:
+	case s.running <- struct{}{}:
+	case <-cancelled:
 		return
-	case <-s.stop:
+	case <-s.closed:
 		return
 	}
-	defer func() { <-s.slot }()
-	a, takes := s.opts.Work.Do(s.opts.ID, p)
-	if takes += cost; takes > 0 {
-		t := time.NewTimer(takes)
+	defer func() { <-s.running }()
+	a, duration := s.opts.Work.Do(s.opts.ID, p)
+	if duration += cost; duration > 0 {
+		t := time.NewTimer(duration)
 		defer t.Stop()
 		select {
 		case <-t.C:
-		case <-s.stop:
+		case <-s.closed:
 			return
 		}
 	}
-	s.answer(l, p, a)
+	s.answer(g, p, a)
 }
 
-func (s *Searcher) answer(l *link, p Part, a Answer) {
-	s.count(func(n *Counts) {
+func (s *Searcher) answer(g *gathererConn, p Part, a Answer) {
+	s.updateCounts(func(n *Counts) {
 		switch a.End {
 		case Served:
 			n.Served++
 		case Broke:
 			n.Broke++
 		default:
-			n.SkippedFull++
+			n.Skipped++
 		}
 	})
-	l.write(fmt.Sprintf("a%s %s %d -\n%s", p.ID, a.End, a.Score, a.Value))
+	g.write(fmt.Sprintf("a%s %s %d -\n%s", p.ID, a.End, a.Score, a.Value))
 }
 
-// errFrame marks what a gatherer has sent wrong.
-var errFrame = errors.New("malformed frame")
+// errMalformedFrame is wrapped by the errors about malformed frames and calls.
+var errMalformedFrame = errors.New("malformed frame")
 
-// ReadFrame reads one frame: its letter, and what follows that.
-func ReadFrame(r io.Reader) (letter byte, rest string, err error) {
+// ReadFrame reads one frame and returns its letter, which is its type, and the payload.
+func ReadFrame(r io.Reader) (letter byte, payload string, err error) {
 	var size [4]byte
 	if _, err := io.ReadFull(r, size[:]); err != nil {
 		return 0, "", err
 	}
 	n := binary.BigEndian.Uint32(size[:])
-	if n == 0 || n > maxRest {
-		return 0, "", fmt.Errorf("%w: length %d", errFrame, n)
+	if n == 0 || n > maxFrameSize {
+		return 0, "", fmt.Errorf("%w: length %d", errMalformedFrame, n)
 	}
 	b := make([]byte, n)
 	if _, err := io.ReadFull(r, b); err != nil {
@@ -289,55 +295,56 @@
 	return b[0], string(b[1:]), nil
 }
 
-// ParseCall reads the parts of a call: for each a line "ID SHARD LIST LENGTH"
-// and so many bytes.
-func ParseCall(rest string) ([]Part, error) {
+// ParseCall parses the payload of a call. Each part is a line "ID SHARD LIST LENGTH"
+// followed by a text of LENGTH bytes.
+func ParseCall(payload string) ([]Part, error) {
 	var list []Part
-	for rest != "" {
-		line, after, ok := strings.Cut(rest, "\n")
+	for payload != "" {
+		line, after, ok := strings.Cut(payload, "\n")
 		f := strings.Split(line, " ")
 		if !ok || len(f) != 4 {
-			return nil, fmt.Errorf("%w: part line %.60q", errFrame, line)
+			return nil, fmt.Errorf("%w: part line %.60q", errMalformedFrame, line)
 		}
-		p := Part{ID: f[0], List: f[2]}
+		p := Part{ID: f[0], Fields: f[2]}
 		n, err := strconv.Atoi(f[3])
 		if err != nil || n < 0 || n > len(after) {
-			return nil, fmt.Errorf("%w: text length %.20q", errFrame, f[3])
+			return nil, fmt.Errorf("%w: text length %.20q", errMalformedFrame, f[3])
 		}
 		if p.Shard, err = strconv.Atoi(f[1]); err != nil {
-			return nil, fmt.Errorf("%w: shard %.20q", errFrame, f[1])
+			return nil, fmt.Errorf("%w: shard %.20q", errMalformedFrame, f[1])
 		}
-		if err := p.list(f[2]); err != nil {
+		if err := p.parseFields(f[2]); err != nil {
 			return nil, err
 		}
-		p.Text, rest = after[:n], after[n:]
+		p.Text, payload = after[:n], after[n:]
 		list = append(list, p)
 	}
 	return list, nil
 }
 
-func (p *Part) list(text string) error {
+// parseFields parses the list of fields of a part.
+func (p *Part) parseFields(text string) error {
 	for _, field := range strings.Split(text, ",") {
 		key, value, ok := strings.Cut(field, "=")
 		if !ok {
-			return fmt.Errorf("%w: list field %.40q", errFrame, field)
+			return fmt.Errorf("%w: list field %.40q", errMalformedFrame, field)
 		}
 		switch key {
 		case "d":
 			ms, err := strconv.Atoi(value)
 			if err != nil || ms < 1 {
-				return fmt.Errorf("%w: d is %.20q", errFrame, value)
+				return fmt.Errorf("%w: d is %.20q", errMalformedFrame, value)
 			}
-			p.Wait = time.Duration(ms) * time.Millisecond
+			p.WaitLimit = time.Duration(ms) * time.Millisecond
 		case "k":
 			p.Key = value
 		case "from":
 			for _, s := range strings.Split(value, "+") {
 				shard, err := strconv.Atoi(s)
 				if err != nil {
-					return fmt.Errorf("%w: from is %.40q", errFrame, value)
+					return fmt.Errorf("%w: from is %.40q", errMalformedFrame, value)
 				}
-				p.From = append(p.From, shard)
+				p.Answered = append(p.Answered, shard)
 			}
 		}
 	}
--- a/internal/trial/standin/standin.go
+++ b/internal/trial/standin/standin.go
@@ -1,8 +1,8 @@
-// Package standin plays the parties round a gatherer on loopback: searchers
-// that hold rows and remember reservations, and discovery. It is written from
-// the protocol's description alone and shares no parser with the gatherer, so
-// that a fault in one is not hidden by the same fault in the other. The demo,
-// experiments and tests run against it.
+// Package standin provides fakes, on loopback, of the processes that a gatherer
+// talks to: searchers that hold rows and remember reservations, and discovery.
+// It is written from the protocol's description alone and shares no parser with
+// the gatherer, so that a fault in one is not hidden by the same fault in the
+// other. The demo, experiments and tests run against it.
 package standin
 
 import (
@@ -12,73 +12,77 @@
 	"sync"
 )
 
-// Server accepts connections and ends them all when it is closed.
+// Server accepts connections and closes all of them when it is closed itself.
 type Server struct {
 	listener net.Listener
 	serve    func(net.Conn)
 
-	mu     sync.Mutex
-	conns  map[net.Conn]struct{}
-	closed bool
-	done   sync.WaitGroup
+	mu      sync.Mutex
+	conns   map[net.Conn]struct{}
+	closed  bool
+	running sync.WaitGroup // the accept loop and the connections' handlers
 }
 
-// maxConns bounds what one stand-in holds; a searcher of the platform accepts 860 to 1,700.
+// maxConns bounds the open connections of one fake; a searcher of the platform accepts 860 to 1,700.
 const maxConns = 1700
 
-// Listen serves connections on a loopback port of its own.
+// Listen starts a Server on a free loopback port. It runs serve in a goroutine of
+// its own for each connection, which is closed when serve returns.
 func Listen(serve func(net.Conn)) (*Server, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		return nil, fmt.Errorf("stand-in: %w", err)
+		return nil, fmt.Errorf("fake server: %w", err)
 	}
 	s := &Server{listener: l, serve: serve, conns: make(map[net.Conn]struct{})}
-	s.done.Add(1)
+	s.running.Add(1)
 	go s.accept()
 	return s, nil
 }
 
-// Addr is where it listens.
+// Addr returns the address that s listens on.
 func (s *Server) Addr() string { return s.listener.Addr().String() }
 
 func (s *Server) accept() {
-	defer s.done.Done()
+	defer s.running.Done()
 	for {
 		c, err := s.listener.Accept()
 		if err != nil {
 			return
 		}
-		if !s.enter(c) {
+		if !s.register(c) {
 			_ = c.Close()
 			continue
 		}
 		go func() {
-			defer s.done.Done()
-			defer s.leave(c)
+			defer s.running.Done()
+			defer s.unregister(c)
 			s.serve(c)
 		}()
 	}
 }
 
-func (s *Server) enter(c net.Conn) bool {
+// register adds an accepted connection. It returns false if s is closed or has
+// maxConns connections.
+func (s *Server) register(c net.Conn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.closed || len(s.conns) >= maxConns {
 		return false
 	}
 	s.conns[c] = struct{}{}
-	s.done.Add(1)
+	s.running.Add(1)
 	return true
 }
 
-func (s *Server) leave(c net.Conn) {
+// unregister closes a connection and removes it.
+func (s *Server) unregister(c net.Conn) {
 	_ = c.Close()
 	s.mu.Lock()
 	delete(s.conns, c)
 	s.mu.Unlock()
 }
 
-// Break ends all open connections, with a reset.
+// Break resets all open connections.
 func (s *Server) Break() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -90,7 +94,8 @@
 	}
 }
 
-// Close refuses new connections, breaks the open ones and waits for their ends.
+// Close stops accepting connections, closes the open ones and waits until their
+// handlers have returned.
 func (s *Server) Close() error {
 	s.mu.Lock()
 	s.closed = true
@@ -99,7 +104,7 @@
 	}
 	s.mu.Unlock()
 	err := s.listener.Close()
-	s.done.Wait()
+	s.running.Wait()
 	if errors.Is(err, net.ErrClosed) {
 		return nil
 	}
--- a/internal/trial/standin/standin_test.go
+++ b/internal/trial/standin/standin_test.go
@@ -22,20 +22,20 @@
 	return c
 }
 
-func say(c net.Conn, rest string) {
-	_, _ = c.Write(append(binary.BigEndian.AppendUint32(nil, uint32(len(rest))), rest...))
+func sendFrame(c net.Conn, body string) {
+	_, _ = c.Write(append(binary.BigEndian.AppendUint32(nil, uint32(len(body))), body...))
 }
 
-func hear(t *testing.T, c net.Conn) string {
+func receiveFrame(t *testing.T, c net.Conn) string {
 	t.Helper()
-	letter, rest, err := ReadFrame(c)
+	letter, payload, err := ReadFrame(c)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return string(letter) + rest
+	return string(letter) + payload
 }
 
-func deployment(t *testing.T) *Deployment {
+func newDeployment(t *testing.T) *Deployment {
 	t.Helper()
 	d, err := NewDeployment(DeploymentOptions{Seed: 7, Service: time.Millisecond})
 	if err != nil {
@@ -49,20 +49,20 @@
 	return d
 }
 
-func TestASearcherAnswersACall(t *testing.T) {
-	d := deployment(t)
+func TestSearcherAnswersCall(t *testing.T) {
+	d := newDeployment(t)
 	c := dial(t, d.Searchers[0].Addr())
-	say(c, "qt.0 0 d=100 5\ntotalt.1 1 d=100 4\nfind")
-	first, second := hear(t, c), hear(t, c)
+	sendFrame(c, "qt.0 0 d=100 5\ntotalt.1 1 d=100 4\nfind")
+	first, second := receiveFrame(t, c), receiveFrame(t, c)
 	if both := first + second; !strings.Contains(both, "at.0 served") || !strings.Contains(both, "at.1 served") {
-		t.Errorf("have %q and %q", first, second)
+		t.Errorf("got %q and %q", first, second)
 	}
-	say(c, "qt.0.b 0 d=100,from=1+2,whole=1 4\nfind") // segment 0 was not in
-	if got := hear(t, c); !strings.HasPrefix(got, "at.0.b broke") {
-		t.Errorf("a second step at another segment: %q", got)
+	sendFrame(c, "qt.0.b 0 d=100,from=1+2,whole=1 4\nfind") // shard 0 did not answer the first step
+	if got := receiveFrame(t, c); !strings.HasPrefix(got, "at.0.b broke") {
+		t.Errorf("second step at a shard without an answer in the first: %q", got)
 	}
-	say(c, "p")
-	if got := hear(t, c); got != "pserved" {
+	sendFrame(c, "p")
+	if got := receiveFrame(t, c); got != "pserved" {
 		t.Errorf("probe: %q", got)
 	}
 	if n := d.Searchers[0].Counts(); n.Calls != 2 || n.Parts != 3 || n.Served != 2 || n.Broke != 1 {
@@ -70,64 +70,65 @@
 	}
 }
 
-func TestWhatASearcherCannotReadEndsTheConnection(t *testing.T) {
-	d := deployment(t)
-	for _, rest := range []string{"z", "qt.0 0 d=100 99\nfind", "qt.0 x d=100 4\nfind", "qt.0 0 d=0 4\nfind", "qt.0 0 odd 4\nfind"} {
+func TestMalformedFramesCloseConnection(t *testing.T) {
+	d := newDeployment(t)
+	for _, body := range []string{"z", "qt.0 0 d=100 99\nfind", "qt.0 x d=100 4\nfind", "qt.0 0 d=0 4\nfind", "qt.0 0 odd 4\nfind"} {
 		c := dial(t, d.Searchers[0].Addr())
-		say(c, rest)
-		if got := hear(t, c); !strings.HasPrefix(got, "e") {
-			t.Errorf("%q: have %q", rest, got)
+		sendFrame(c, body)
+		if got := receiveFrame(t, c); !strings.HasPrefix(got, "e") {
+			t.Errorf("%q: got %q", body, got)
 		}
 		if _, err := c.Read(make([]byte, 1)); err != io.EOF {
-			t.Errorf("%q: the connection stays: %v", rest, err)
+			t.Errorf("%q: the connection stays open: %v", body, err)
 		}
 	}
 }
 
-func TestAReservationRepeatedIsMadeOnceAtAnyHolder(t *testing.T) {
-	d := deployment(t)
+func TestRepeatedReservationIsMadeOnceAtAnyHolder(t *testing.T) {
+	d := newDeployment(t)
 	var answers []string
 	for i, s := range []int{0, 4, 8} { // the holders of segment 0
 		c := dial(t, d.Searchers[s].Addr())
-		say(c, fmt.Sprintf("qt%d.0 0 d=100,k=key 7\nreserve", i))
-		_, value, _ := strings.Cut(hear(t, c), "\n")
+		sendFrame(c, fmt.Sprintf("qt%d.0 0 d=100,k=key 7\nreserve", i))
+		_, value, _ := strings.Cut(receiveFrame(t, c), "\n")
 		answers = append(answers, value)
 	}
 	if answers[0] != answers[1] || answers[1] != answers[2] {
-		t.Errorf("have %q", answers)
+		t.Errorf("got %q", answers)
 	}
-	runs, dropped := d.Stock.Ledger()
+	runs, dropped := d.Stock.Runs()
 	if len(runs) != 3 || runs[0].Repeat || !runs[1].Repeat || !runs[2].Repeat || dropped != 0 || len(d.Stock.Doubled()) != 0 {
-		t.Errorf("ledger %+v", runs)
+		t.Errorf("runs %+v", runs)
 	}
 }
 
-// The audit must see a reservation that was made twice.
-func TestADoubledReservationIsSeen(t *testing.T) {
-	s := NewStock(StockOptions{Segments: 1, Window: time.Nanosecond})
+// Guards against an audit that misses a key under which two reservations were made, here
+// because its window had ended.
+func TestDoubledReservationIsReported(t *testing.T) {
+	s := NewSharedCatalogue(SharedCatalogueOptions{Segments: 1, Window: time.Nanosecond})
 	for range 2 {
 		s.Do("s", Part{ID: "t.0", Key: "key", Text: "reserve"})
 	}
 	if got := s.Doubled(); len(got) != 1 || got[0] != "0/key" {
-		t.Errorf("have %v", got)
+		t.Errorf("got %v", got)
 	}
 }
 
-func TestADrainingSearcherSkips(t *testing.T) {
-	d := deployment(t)
+func TestDrainingSearcherSkipsParts(t *testing.T) {
+	d := newDeployment(t)
 	c := dial(t, d.Searchers[0].Addr())
 	d.Searchers[0].Drain()
-	say(c, "qt.0 0 d=100 4\nfind")
-	if got := hear(t, c); !strings.HasPrefix(got, "at.0 skipped") {
-		t.Errorf("have %q", got)
+	sendFrame(c, "qt.0 0 d=100 4\nfind")
+	if got := receiveFrame(t, c); !strings.HasPrefix(got, "at.0 skipped") {
+		t.Errorf("got %q", got)
 	}
 	if n := d.Searchers[0].Counts(); n.AfterDrain != 1 {
 		t.Errorf("counts %+v", n)
 	}
 }
 
-func TestDiscoveryTellsChanges(t *testing.T) {
-	d := deployment(t)
+func TestDiscoverySendsChanges(t *testing.T) {
+	d := newDeployment(t)
 	c := dial(t, d.Discovery.Addr())
 	fmt.Fprint(c, "GET /catalog/members HTTP/1.1\r\nHost: d\r\n\r\nGET /catalog/members?watch=1&from=1 HTTP/1.1\r\nHost: d\r\n\r\n")
 	var got strings.Builder
--- a/internal/trial/standin/warehouse.go
+++ b/internal/trial/standin/warehouse.go
@@ -13,159 +13,163 @@
 	"eiderwinch/internal/layout"
 )
 
-// Warehouse is a catalogue whose segments change: each searcher has shelves of
-// its own, one for each segment that it holds, with the rows of its keys and the
-// reservations made on them. It is a Work; a searcher that has no full shelf of a
-// segment turns its parts away, which proves that they never ran.
+// Warehouse is a catalogue whose segments change. Each searcher has its own replica of each
+// segment that it holds, with the segment's rows and the reservations made on them.
+// It implements Work. A searcher without a complete replica of a segment skips its parts,
+// which shows that they were not run.
 //
-// A reservation is made on every shelf of its segment, as searchers that replicate
-// one do. A shelf that was filled from other segments follows them, and they it,
-// until that is ended: what happens between copy and cut-over, and at old holders
-// after it, reaches the heirs, and the other way round.
+// A reservation is made at all replicas of its segment, as by searchers that replicate it.
+// A replica that was filled from other segments and the replicas of those exchange their
+// reservations until StopFollowing: a reservation made between copy and cut-over, or
+// at the old holders afterwards, reaches the successors, and the reverse.
 type Warehouse struct {
 	opts WarehouseOptions
 
-	mu      sync.Mutex
-	rng     *rand.Rand
-	keys    []layout.Key
-	shelves map[place]*shelf
-	runs    []Run
-	dropped int
+	mu          sync.Mutex
+	rng         *rand.Rand
+	keys        []layout.Key
+	held        map[heldKey]*heldSegment
+	runs        []Run
+	droppedRuns int
 }
 
-// WarehouseOptions is what a Warehouse holds and how long work on it takes.
+// WarehouseOptions configures the content of a Warehouse and its service times.
 type WarehouseOptions struct {
-	Keys    int // rows; 600 where it is 0
-	Stock   int // of each row; 1,000,000 where it is 0
-	Service time.Duration
+	Keys    int           // rows; 0 means 600
+	Stock   int           // of each row; 0 means 1,000,000
+	Service time.Duration // median time to serve a part; 0 means 6 ms
 	Seed    uint64
-	MaxRuns int // reservations in the ledger; 1,000,000 where it is 0
+	MaxRuns int // most reservations that are recorded; 0 means 1,000,000
 }
 
-type place struct {
+// heldKey identifies a searcher's replica of a segment.
+type heldKey struct {
 	searcher string
 	segment  layout.SegmentID
 }
 
-type shelf struct {
-	keys Range
-	rows map[layout.Key]int // what is left
-	made map[string]string  // reservations by idempotency key: what was answered
-	full bool               // all rows are there
-	job  uint64             // that it was filled for; 0 from the beginning on
+// heldSegment is a searcher's replica of a segment.
+type heldSegment struct {
+	keys         Range
+	rows         map[layout.Key]int // remaining stock
+	reservations map[string]string  // idempotency key -> answer
+	complete     bool               // whether all rows have been copied
+	job          uint64             // job that it was filled for; 0 for the initial layout
 
-	follows []layout.SegmentID // what it was filled from, until Unfollow
+	followed []layout.SegmentID // segments that it was filled from; nil after StopFollowing
 }
 
-// Range is the keys of a shelf.
+// Range is the key range of a segment.
 type Range = layout.Range
 
-// NewWarehouse puts all rows on the shelves of a layout's holders.
+// NewWarehouse returns a Warehouse in which the holders of each segment of a layout have
+// a complete replica of it.
 func NewWarehouse(o WarehouseOptions, l *layout.Layout) *Warehouse {
-	count := func(n *int, def int) {
-		if *n == 0 {
-			*n = def
+	setDefault := func(value *int, defaultValue int) {
+		if *value == 0 {
+			*value = defaultValue
 		}
 	}
-	count(&o.Keys, 600)
-	count(&o.Stock, 1_000_000)
-	count(&o.MaxRuns, 1_000_000)
+	setDefault(&o.Keys, 600)
+	setDefault(&o.Stock, 1_000_000)
+	setDefault(&o.MaxRuns, 1_000_000)
 	if o.Service == 0 {
 		o.Service = defaultService
 	}
-	w := &Warehouse{opts: o, rng: rand.New(rand.NewPCG(o.Seed, 3)), shelves: make(map[place]*shelf)}
+	w := &Warehouse{opts: o, rng: rand.New(rand.NewPCG(o.Seed, 3)), held: make(map[heldKey]*heldSegment)}
 	for i := range o.Keys {
 		w.keys = append(w.keys, ItemKey(i))
 	}
 	for s := range l.Serving() {
 		for _, h := range s.Holders {
-			at := &shelf{keys: s.Keys, rows: make(map[layout.Key]int), made: make(map[string]string), full: true}
+			held := &heldSegment{keys: s.Keys, rows: make(map[layout.Key]int), reservations: make(map[string]string), complete: true}
 			for _, k := range w.keys {
 				if s.Keys.Holds(k) {
-					at.rows[k] = o.Stock
+					held.rows[k] = o.Stock
 				}
 			}
-			w.shelves[place{h, s.ID}] = at
+			w.held[heldKey{h, s.ID}] = held
 		}
 	}
 	return w
 }
 
-// ItemKey is the key of a row.
+// ItemKey returns the key of row i.
 func ItemKey(i int) layout.Key { return layout.Key(fmt.Sprintf("k%05d", i)) }
 
-// Keys are the rows' keys, in order.
+// Keys returns the keys of all rows, in order.
 func (w *Warehouse) Keys() []layout.Key { return w.keys }
 
 // Do implements Work. "scan FROM TO" lists the keys from FROM to TO that lie in
-// the segment, "reserve KEY" takes one off.
+// the segment, "reserve KEY" takes one off the stock of a row.
 func (w *Warehouse) Do(searcher string, p Part) (Answer, time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	at := w.shelves[place{searcher, layout.SegmentID(p.Shard)}]
-	if at == nil || !at.full {
+	held := w.held[heldKey{searcher, layout.SegmentID(p.Shard)}]
+	if held == nil || !held.complete {
 		return Answer{End: Skipped}, 0
 	}
-	if p.Second() && !slices.Contains(p.From, p.Shard) {
+	if p.IsSecondStep() && !slices.Contains(p.Answered, p.Shard) {
 		return Answer{End: Broke}, 0
 	}
-	takes := time.Duration(float64(w.opts.Service) * math.Exp(defaultSpread*w.rng.NormFloat64()))
+	duration := time.Duration(float64(w.opts.Service) * math.Exp(defaultSpread*w.rng.NormFloat64()))
 	f := strings.Fields(p.Text)
 	switch {
 	case len(f) == 3 && f[0] == "scan":
 		wanted := Range{From: layout.Key(f[1]), To: layout.Key(f[2])}
 		var found []string
-		for k := range at.rows {
+		for k := range held.rows {
 			if wanted.Holds(k) {
 				found = append(found, string(k))
 			}
 		}
 		slices.Sort(found)
-		return Answer{End: Served, Score: int64(len(found)), Value: strings.Join(found, " ")}, takes
+		return Answer{End: Served, Score: int64(len(found)), Value: strings.Join(found, " ")}, duration
 	case len(f) == 2 && f[0] == "reserve":
-		value, ok := w.reserve(searcher, at, p, layout.Key(f[1]))
+		value, ok := w.reserve(searcher, held, p, layout.Key(f[1]))
 		if !ok {
 			return Answer{End: Broke}, 0
 		}
-		return Answer{End: Served, Score: 1, Value: value}, takes
+		return Answer{End: Served, Score: 1, Value: value}, duration
 	}
 	return Answer{End: Broke}, 0
 }
 
-// reserve takes one off a row, once for each idempotency key that the shelf knows.
-// A shelf whose keys are others does nothing and answers nothing.
-func (w *Warehouse) reserve(searcher string, at *shelf, p Part, k layout.Key) (value string, ok bool) {
-	if !at.keys.Holds(k) {
-		return "", true // asked for a segment that was split: the other heir has the row
+// reserve takes one off the stock of a row. An idempotency key that the replica knows gets
+// the earlier answer. A replica whose range does not contain the row's key does nothing and
+// answers with an empty value.
+func (w *Warehouse) reserve(searcher string, held *heldSegment, p Part, k layout.Key) (value string, ok bool) {
+	if !held.keys.Holds(k) {
+		return "", true // the query names a segment that was split: the other successor has the row
 	}
-	left, ok := at.rows[k]
+	left, ok := held.rows[k]
 	if !ok || p.Key == "" {
 		return "", false
 	}
-	value, known := at.made[p.Key]
+	value, known := held.reservations[p.Key]
 	if len(w.runs) < w.opts.MaxRuns {
 		w.runs = append(w.runs, Run{Part: p.ID, Shard: p.Shard, Searcher: searcher, Key: p.Key, Repeat: known, At: time.Now()})
 	} else {
-		w.dropped++
+		w.droppedRuns++
 	}
 	if known {
 		return value, true
 	}
 	value = strconv.Itoa(left - 1)
-	here := layout.SegmentID(p.Shard)
-	for o, other := range w.shelves {
-		if o.segment != here && !slices.Contains(other.follows, here) && !slices.Contains(at.follows, o.segment) {
+	segment := layout.SegmentID(p.Shard)
+	for key, other := range w.held {
+		if key.segment != segment && !slices.Contains(other.followed, segment) && !slices.Contains(held.followed, key.segment) {
 			continue
 		}
 		if _, holds := other.rows[k]; holds {
 			other.rows[k] = left - 1
-			other.made[p.Key] = value
+			other.reservations[p.Key] = value
 		}
 	}
 	return value, true
 }
 
-// Doubled are the idempotency keys under which more than one reservation was made.
+// Doubled returns the idempotency keys for which more than one reservation was made.
 func (w *Warehouse) Doubled() (doubled []string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -180,7 +184,8 @@
 	return doubled
 }
 
-// Ran is how many reservations were asked, and how many of them were repeats.
+// Ran returns the number of reservations requested, and how many of those recorded were
+// repeats.
 func (w *Warehouse) Ran() (runs, repeats int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -189,56 +194,58 @@
 			repeats++
 		}
 	}
-	return len(w.runs) + w.dropped, repeats
+	return len(w.runs) + w.droppedRuns, repeats
 }
 
-// Fill puts the next rows on a shelf that is being filled, at the most so many,
-// from any full shelf of the sources. A shelf of another job is cleared first. It tells whether all are there now; ok is
-// false where no source has them.
-func (w *Warehouse) Fill(searcher string, segment layout.SegmentID, job uint64, keys Range, sources []layout.SegmentID, from []string, most int) (done, ok bool) {
+// Fill copies up to maxRows further rows into a searcher's replica of a segment, from any
+// complete replica of a source segment at the searchers in from. A replica that belongs to
+// another job is replaced by an empty one first. Fill reports in done whether all rows have
+// been copied; ok is false if no source has the next row.
+func (w *Warehouse) Fill(searcher string, segment layout.SegmentID, job uint64, keys Range, sources []layout.SegmentID, from []string, maxRows int) (done, ok bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	at := w.shelves[place{searcher, segment}]
-	if at == nil || at.job != job {
-		at = &shelf{job: job, keys: keys, rows: make(map[layout.Key]int), made: make(map[string]string), follows: sources}
-		w.shelves[place{searcher, segment}] = at
+	held := w.held[heldKey{searcher, segment}]
+	if held == nil || held.job != job {
+		held = &heldSegment{job: job, keys: keys, rows: make(map[layout.Key]int), reservations: make(map[string]string), followed: sources}
+		w.held[heldKey{searcher, segment}] = held
 	}
-	if at.full {
+	if held.complete {
 		return true, true
 	}
 	for _, k := range w.keys {
-		if _, there := at.rows[k]; there || !keys.Holds(k) {
+		if _, there := held.rows[k]; there || !keys.Holds(k) {
 			continue
 		}
-		if most--; most < 0 {
+		if maxRows--; maxRows < 0 {
 			return false, true
 		}
-		src := w.source(k, sources, from)
-		if src == nil {
+		source := w.source(k, sources, from)
+		if source == nil {
 			return false, false
 		}
-		at.rows[k] = src.rows[k]
+		held.rows[k] = source.rows[k]
 	}
-	// The reservations come along last, in one go: from here on the shelf hears of new ones.
+	// The reservations are copied last and all at once: from here on the replica receives new ones.
 	for _, s := range sources {
 		for _, h := range from {
-			if src := w.shelves[place{h, s}]; src != nil && src.full && src != at {
-				for id, value := range src.made {
-					at.made[id] = value
+			if source := w.held[heldKey{h, s}]; source != nil && source.complete && source != held {
+				for id, value := range source.reservations {
+					held.reservations[id] = value
 				}
 			}
 		}
 	}
-	at.full = true
+	held.complete = true
 	return true, true
 }
 
-func (w *Warehouse) source(k layout.Key, sources []layout.SegmentID, from []string) *shelf {
+// source returns a complete replica that has a row, or nil.
+func (w *Warehouse) source(k layout.Key, sources []layout.SegmentID, from []string) *heldSegment {
 	for _, s := range sources {
 		for _, h := range from {
-			if src := w.shelves[place{h, s}]; src != nil && src.full {
-				if _, holds := src.rows[k]; holds {
-					return src
+			if source := w.held[heldKey{h, s}]; source != nil && source.complete {
+				if _, holds := source.rows[k]; holds {
+					return source
 				}
 			}
 		}
@@ -246,49 +253,50 @@
 	return nil
 }
 
-// Drop clears a shelf.
+// Drop removes a searcher's replica of a segment.
 func (w *Warehouse) Drop(searcher string, segment layout.SegmentID) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	delete(w.shelves, place{searcher, segment})
+	delete(w.held, heldKey{searcher, segment})
 }
 
-// Unfollow ends that a shelf follows what it was filled from for a job.
-func (w *Warehouse) Unfollow(searcher string, segment layout.SegmentID, job uint64) {
+// StopFollowing ends the exchange of reservations between a replica that was filled for a
+// job and the segments that it was filled from.
+func (w *Warehouse) StopFollowing(searcher string, segment layout.SegmentID, job uint64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if at := w.shelves[place{searcher, segment}]; at != nil && at.job == job {
-		at.follows = nil
+	if held := w.held[heldKey{searcher, segment}]; held != nil && held.job == job {
+		held.followed = nil
 	}
 }
 
-// Held are the segments of which a searcher has a shelf, full or not.
+// Held returns the segments of which a searcher has a replica, complete or not.
 func (w *Warehouse) Held(searcher string) (out []layout.SegmentID) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	for p := range w.shelves {
-		if p.searcher == searcher {
-			out = append(out, p.segment)
+	for key := range w.held {
+		if key.searcher == searcher {
+			out = append(out, key.segment)
 		}
 	}
 	slices.Sort(out)
 	return out
 }
 
-// Wipe clears all shelves of a searcher that has lost its disk.
+// Wipe removes all replicas of a searcher, as if it had lost its disk.
 func (w *Warehouse) Wipe(searcher string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	for p := range w.shelves {
-		if p.searcher == searcher {
-			delete(w.shelves, p)
+	for key := range w.held {
+		if key.searcher == searcher {
+			delete(w.held, key)
 		}
 	}
 }
 
-// Shelves is how many there are.
-func (w *Warehouse) Shelves() int {
+// HeldCount returns the number of replicas of all segments.
+func (w *Warehouse) HeldCount() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return len(w.shelves)
+	return len(w.held)
 }
--- a/internal/trial/testpeer/testpeer.go
+++ b/internal/trial/testpeer/testpeer.go
@@ -1,6 +1,6 @@
-// Package testpeer hands the parties round a gatherer to a test, which decides
-// what each says and when: searchers, discovery and clients on loopback sockets.
-// Its searchers read as those of package standin do, which decide for themselves.
+// Package testpeer provides searchers, discovery and clients on loopback sockets whose
+// messages a test scripts: the test decides what each of them sends, and when. The searchers
+// parse frames with package standin, whose own searchers answer by themselves.
 package testpeer
 
 import (
@@ -16,37 +16,39 @@
 	"eiderwinch/internal/trial/standin"
 )
 
-// Patience is how long a test waits for what must come; only a failing test uses it up.
+// Patience bounds each wait of a test for something that must happen. Only a failing test
+// waits that long.
 const Patience = 20 * time.Second
 
-// Get receives from a channel, or ends the test.
+// Get receives a value from a channel. It fails the test if none arrives within Patience.
 func Get[T any](t testing.TB, from <-chan T, what string) T {
 	t.Helper()
 	select {
 	case v := <-from:
 		return v
 	case <-time.After(Patience):
-		t.Fatalf("%s did not come", what)
+		t.Fatalf("timed out waiting for %s", what)
 		panic("not reached")
 	}
 }
 
-// Until waits until something is so, or ends the test.
-func Until(t testing.TB, what string, is func() bool) {
+// Until waits until a condition holds. It fails the test if that takes longer than Patience.
+func Until(t testing.TB, what string, condition func() bool) {
 	t.Helper()
-	for end := time.Now().Add(Patience); !is(); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(Patience); !condition(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("%s: not so after %v", what, Patience)
+			t.Fatalf("%s: condition does not hold after %v", what, Patience)
 		}
 	}
 }
 
-// KeyFile is the text of a key file with one shared secret that holds.
+// KeyFile returns the text of a key file with one valid shared secret.
 func KeyFile(name string) string {
 	return fmt.Sprintf(`<keys xmlns="urn:eiderwinch:keys:1"><key name=%q algorithm="blake3" value="%s=" from="2020-01-01T00:00:00Z" until="9000-01-01T00:00:00Z"/></keys>`,
 		name, strings.Repeat("A", 43))
 }
 
+// listen serves connections on a loopback port until the test ends.
 func listen(t testing.TB, serve func(net.Conn)) string {
 	s, err := standin.Listen(serve)
 	if err != nil {
@@ -56,22 +58,23 @@
 	return s.Addr()
 }
 
-// Searcher takes frames and leaves it to the test to answer.
+// Searcher is a searcher that passes what it receives to the test, which sends the answers.
 type Searcher struct {
 	Addr    string
 	Parts   chan Part
-	Cancels chan string
-	Ends    chan struct{} // one for each connection that the gatherer has closed
+	Cancels chan string   // ids of cancelled parts
+	Ends    chan struct{} // receives a value for each connection that has ended
 }
 
-// Part is one part that has arrived. Call numbers the frames of a connection.
+// Part is a part that a Searcher has received. Call is the number of its frame on the
+// connection, from 0.
 type Part struct {
 	ID, List, Text string
 	Shard, Call    int
 	Conn           net.Conn
 }
 
-// NewSearcher starts a Searcher.
+// NewSearcher starts a Searcher that runs until the test ends.
 func NewSearcher(t testing.TB) *Searcher {
 	s := &Searcher{Parts: make(chan Part, 100), Cancels: make(chan string, 100), Ends: make(chan struct{}, 100)}
 	s.Addr = listen(t, s.serve)
@@ -81,52 +84,52 @@
 func (s *Searcher) serve(c net.Conn) {
 	defer func() { s.Ends <- struct{}{} }()
 	for call := 0; ; call++ {
-		letter, rest, err := standin.ReadFrame(c)
+		letter, payload, err := standin.ReadFrame(c)
 		if err != nil {
 			return
 		}
 		if letter == 'c' {
-			s.Cancels <- rest
+			s.Cancels <- payload
 			continue
 		}
-		parts, err := standin.ParseCall(rest)
+		parts, err := standin.ParseCall(payload)
 		if err != nil {
 			panic("malformed call: " + err.Error())
 		}
 		for _, p := range parts {
-			s.Parts <- Part{p.ID, p.List, p.Text, p.Shard, call, c}
+			s.Parts <- Part{p.ID, p.Fields, p.Text, p.Shard, call, c}
 		}
 	}
 }
 
-// Answer answers a part.
+// Answer sends the answer to the part.
 func (p Part) Answer(end string, score int, value string) {
 	p.Write(fmt.Sprintf("a%s %s %d -\n%s", p.ID, end, score, value))
 }
 
-// Write sends a frame.
-func (p Part) Write(rest string) { standin.WriteFrame(p.Conn, rest) }
+// Write sends a frame on the part's connection.
+func (p Part) Write(body string) { standin.WriteFrame(p.Conn, body) }
 
-// Raw sends bytes that need not be a frame.
+// Raw sends bytes on the part's connection, which need not form a frame.
 func (p Part) Raw(text string) { _, _ = io.WriteString(p.Conn, text) }
 
-// Discovery hands the watches that are opened to the test.
+// Discovery is a discovery that passes the open watches to the test, which writes to them.
 type Discovery struct {
 	Addr    string
 	Watches chan *Watch
 
-	whole chan string // holds the answer to those who ask for the whole list
+	list chan string // holds the response to requests for the whole member list
 }
 
-// Watch is one open watch.
+// Watch is an open watch of a Discovery.
 type Watch struct {
-	From string // the revision asked from
+	From string // the revision in the request
 	Conn net.Conn
 }
 
-// NewDiscovery starts a Discovery.
+// NewDiscovery starts a Discovery that runs until the test ends.
 func NewDiscovery(t testing.TB) *Discovery {
-	d := &Discovery{Watches: make(chan *Watch, 100), whole: make(chan string, 1)}
+	d := &Discovery{Watches: make(chan *Watch, 100), list: make(chan string, 1)}
 	ended := make(chan struct{})
 	d.Addr = listen(t, func(c net.Conn) {
 		in := bufio.NewReader(c)
@@ -134,9 +137,9 @@
 		if err == nil && r.URL.Path == "/catalog/members" && r.URL.RawQuery == "" {
 			var list string
 			select {
-			case list = <-d.whole:
-				d.whole <- list
-			case <-ended: // it was asked and never told: the listener waits for its connections
+			case list = <-d.list:
+				d.list <- list
+			case <-ended: // Tell was never called; closing the listener waits for its connections
 				return
 			}
 			fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(list), list)
@@ -151,30 +154,31 @@
 		case d.Watches <- &Watch{r.URL.Query().Get("from"), c}:
 		case <-ended:
 		}
-		<-ended // the test has it until then
+		<-ended // the test uses the connection until then
 	})
-	t.Cleanup(func() { close(ended) }) // before the listener's own
+	t.Cleanup(func() { close(ended) }) // runs before the cleanup of the listener, which waits for the connections
 	return d
 }
 
-// Tell answers those who ask for the whole list, or have asked for it, from now on.
-func (d *Discovery) Tell(list string) { d.whole <- list }
+// Tell sets the response to requests for the whole member list, including those that
+// already wait for it. A second call blocks.
+func (d *Discovery) Tell(list string) { d.list <- list }
 
-// Send writes a line.
+// Send sends a line to the watch.
 func (w *Watch) Send(line string) { fmt.Fprintf(w.Conn, "%x\r\n%s\n\r\n", len(line)+1, line) }
 
-// Member is a searcher in a list.
+// Member returns an entry of a member list, in JSON.
 func Member(id, addr, phase string, upSinceMS int64) string {
 	return fmt.Sprintf(`{"id":%q,"host_port":%q,"locality":"a","flavor":"m","cell":0,"phase":%q,"size":1,"up_since_ms":%d}`,
 		id, addr, phase, upSinceMS)
 }
 
-// List is a list, or changes to one.
+// List returns a member list in JSON, or an update of one if complete is false.
 func List(revision int, complete bool, members ...string) string {
 	return fmt.Sprintf(`{"revision":%d,"complete":%t,"members":[%s]}`, revision, complete, strings.Join(members, ","))
 }
 
-// Query is the text of a request for a query of so many parts.
+// Query returns the text of an HTTP request for a query of the given number of parts.
 func Query(class, trace string, expires time.Duration, parts int) string {
 	var list []string
 	for i := range parts {
@@ -185,14 +189,15 @@
 		"X-Expires-In-Ms: %d\r\nContent-Length: %d\r\n\r\n%s", class, class, trace, expires.Milliseconds(), len(body), body)
 }
 
-// Client is one client connection.
+// Client is a client's connection to a gatherer.
 type Client struct {
 	net.Conn
-	t   testing.TB
-	buf *bufio.Reader
+	t  testing.TB
+	in *bufio.Reader
 }
 
-// NewClient connects to a gatherer.
+// NewClient connects to a gatherer. The connection has a deadline of Patience and is closed
+// when the test ends.
 func NewClient(t testing.TB, addr string) *Client {
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
@@ -203,7 +208,7 @@
 	return &Client{c, t, bufio.NewReader(c)}
 }
 
-// Say writes text as it is.
+// Say sends text unchanged.
 func (c *Client) Say(text string) *Client {
 	if _, err := io.WriteString(c, text); err != nil {
 		c.t.Fatal(err)
@@ -211,10 +216,10 @@
 	return c
 }
 
-// Hear reads one answer.
+// Hear reads one response and returns it with its body.
 func (c *Client) Hear() (*http.Response, string) {
 	c.t.Helper()
-	r, err := http.ReadResponse(c.buf, nil)
+	r, err := http.ReadResponse(c.in, nil)
 	if err != nil {
 		c.t.Fatal(err)
 	}
@@ -225,22 +230,24 @@
 	return r, string(b)
 }
 
-// Closed waits until the gatherer has closed the connection.
+// Closed waits until the gatherer has closed the connection, and fails the test if it sends
+// anything before.
 func (c *Client) Closed() {
 	c.t.Helper()
-	if b, err := io.ReadAll(c.buf); len(b) > 0 || err != nil {
-		c.t.Errorf("instead of an end: %q, %v", b, err)
+	if b, err := io.ReadAll(c.in); len(b) > 0 || err != nil {
+		c.t.Errorf("want the connection closed, got %q, %v", b, err)
 	}
 }
 
-// CloseWrite ends the way from the client to the gatherer.
+// CloseWrite closes the client's sending direction of the connection.
 func (c *Client) CloseWrite() { _ = c.Conn.(*net.TCPConn).CloseWrite() }
 
-// Reset ends the connection as a process that has died does.
+// Reset resets the connection, as when the client's process dies.
 func (c *Client) Reset() {
 	_ = c.Conn.(*net.TCPConn).SetLinger(0)
 	c.Close()
 }
 
-// ReadAhead bounds what waits on the client's side until it is heard.
+// ReadAhead sets the size of the socket's receive buffer: it bounds the data that the
+// client has received but not yet read.
 func (c *Client) ReadAhead(bytes int) { _ = c.Conn.(*net.TCPConn).SetReadBuffer(bytes) }
