--- a/internal/trial/ask/ask.go
+++ b/internal/trial/ask/ask.go
@@ -1,5 +1,5 @@
-// Package ask asks a gatherer one query over HTTP and reads its answer, as branch
-// counters do. The demo, the soaks and the load tool ask through it.
+// Package ask is an HTTP client that sends one query to a gatherer and reads its answer, as
+// branch counters do. The demo, the soaks and the load tool use it.
 package ask
 
 import (
@@ -13,35 +13,36 @@
 	"time"
 )
 
-// Query is what is asked. Its segments have equal weights.
+// Query is a query to a gatherer. Its segments have equal weights.
 type Query struct {
 	Class, Trace string
-	Key          string        // idempotency key; empty: none
-	Expires      time.Duration // how long its client waits; 0: it does not say
-	Epoch        uint64        // of the layout that its client knows; 0: it does not say
+	Key          string        // idempotency key; empty if none
+	Expires      time.Duration // how long its client waits; not sent if 0
+	Epoch        uint64        // epoch of the layout that its client knows; not sent if 0
 	Segments     []int
 	Statement    string
-	About        string // the key that it is about; empty: none
-	Tenant       string // whose it is; empty: nobody's
+	About        string // key of the user that it is about, sent as a cookie; empty if none
+	Tenant       string // empty if none
 }
 
-// Answer is what came of it. Where there is an error, it holds what was known by then.
+// Answer is the outcome of a query. After an error it holds what was known by then.
 type Answer struct {
-	Sent, Done time.Time // Done is zero where there was no answer
-	Status     int       // 0 where there was none
-	Full       bool
+	Sent, Done time.Time // Done is zero if there was no response
+	Status     int       // HTTP status; 0 if there was no response
+	Full       bool      // whether the answer is whole
 	Pieces     []Piece
-	Epoch      uint64 // that it was answered in; 0: it does not say
-	Generation uint64 // of the settings that it was taken under; 0: it does not say
+	Epoch      uint64 // epoch of the layout that it was answered in; 0 if not given
+	Generation uint64 // generation of the configuration that the query was accepted under; 0 if not given
 }
 
-// Piece is one searcher's value.
+// Piece is the value of one segment, from one searcher.
 type Piece struct {
 	Tablet int    `json:"tablet"`
 	Cell   string `json:"cell"`
 }
 
-// Do asks a gatherer at an address. An answer other than 200 is no error.
+// Do sends a query to the gatherer at an address and reads the answer. A status other than
+// 200 is not an error.
 func Do(ctx context.Context, client *http.Client, addr string, q Query) (a Answer, err error) {
 	type tablet struct {
 		Tablet   int     `json:"tablet"`
@@ -54,11 +55,11 @@
 	for _, s := range q.Segments {
 		body.Tablets = append(body.Tablets, tablet{s, 1 / float64(len(q.Segments))})
 	}
-	text, err := json.Marshal(body)
+	requestBody, err := json.Marshal(body)
 	if err != nil {
 		return a, err
 	}
-	r, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+addr+"/"+q.Class, bytes.NewReader(text))
+	r, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+addr+"/"+q.Class, bytes.NewReader(requestBody))
 	if err != nil {
 		return a, err
 	}
@@ -85,20 +86,20 @@
 		return a, err
 	}
 	defer resp.Body.Close()
-	answer, err := io.ReadAll(resp.Body)
+	responseBody, err := io.ReadAll(resp.Body)
 	a.Done, a.Status = time.Now(), resp.StatusCode
 	a.Generation, _ = strconv.ParseUint(resp.Header.Get("X-Config-Generation"), 10, 64)
 	a.Epoch, _ = strconv.ParseUint(resp.Header.Get("X-Layout-Epoch"), 10, 64)
 	if err != nil || a.Status != http.StatusOK {
 		return a, err
 	}
-	got := struct {
+	parsed := struct {
 		Full   bool    `json:"full"`
 		Pieces []Piece `json:"pieces"`
 	}{}
-	if err := json.Unmarshal(answer, &got); err != nil {
-		return a, fmt.Errorf("the answer can't be read: %w", err)
+	if err := json.Unmarshal(responseBody, &parsed); err != nil {
+		return a, fmt.Errorf("parse the answer: %w", err)
 	}
-	a.Full, a.Pieces = got.Full, got.Pieces
+	a.Full, a.Pieces = parsed.Full, parsed.Pieces
 	return a, nil
 }
--- a/internal/trial/load/load.go
+++ b/internal/trial/load/load.go
@@ -1,7 +1,7 @@
-// Package load puts queries on a gatherer at random times that are drawn before, and
-// asks each at its time whether earlier ones were answered or not. Times are counted
-// from when a query was to be asked, not from when it was: a client that waits for
-// answers hides the very moments in which it had to wait (coordinated omission; G. Tene).
+// Package load generates load on a gatherer. It draws random send times in advance and sends
+// each query at its time, whether or not earlier ones have been answered. Latency is measured
+// from the planned send time, not from the actual one: a client that waits for answers before
+// it sends hides the stalls during which it waited (coordinated omission; G. Tene).
 package load
 
 import (
@@ -20,14 +20,14 @@
 
 // Class is one class of queries.
 type Class struct {
-	Name  string
-	Share float64 // of all queries
-	Parts int
-	Ask   string // the statement; %d is put in for a number
-	Keyed bool   // carries an idempotency key
+	Name      string
+	Share     float64 // of all queries, in proportion to the sum over the classes
+	Parts     int     // of each query
+	Statement string  // contains %d, which is replaced by a number, if Keyed
+	Keyed     bool    // queries carry an idempotency key
 }
 
-// Usual are the classes of the stand-in deployment.
+// Usual returns the classes of the fake deployment (package standin).
 func Usual() []Class {
 	return []Class{
 		{"report", 0.1, 6, "find item", false},
@@ -36,67 +36,68 @@
 	}
 }
 
-// Options is what is asked, and how.
+// Options configures a run.
 type Options struct {
 	Addr     string
-	Rate     float64 // queries a second, of all classes; a Poisson process
+	Rate     float64 // queries per second over all classes, as a Poisson process
 	Duration time.Duration
 	Segments int
 	Classes  []Class
-	Open     int // queries open at once; those that would be more are not asked, and counted; 2,000 where it is 0
+	Open     int // most open queries; further ones are not sent but counted in Report.Unasked; 0 means 2,000
 	Timeout  time.Duration
 	Seed     uint64
 }
 
 const defaultOpen = 2000
 
-// Report is how one class fared.
+// Report holds the results of one class.
 type Report struct {
 	Class                                  string
 	Asked, Whole, Partial, Refused, Failed int
-	Unasked                                int           // since Options.Open were open
-	Behind                                 time.Duration // the most that a query was asked late
+	Unasked                                int           // not sent because Options.Open queries were open
+	Behind                                 time.Duration // longest delay of a query's sending after its planned time
 
-	times *hdrhistogram.Histogram
-	mu    sync.Mutex
+	latencies *hdrhistogram.Histogram // in microseconds
+	mu        sync.Mutex
 }
 
-// Quantile is the time within which a share of the answers, whole or partial, came,
-// counted from when they were to be asked.
+// Quantile returns the latency that a share q of the answered queries, whole or partial, did
+// not exceed, counted from their planned send times.
 func (r *Report) Quantile(q float64) time.Duration {
-	return time.Duration(r.times.ValueAtQuantile(100*q)) * time.Microsecond
+	return time.Duration(r.latencies.ValueAtQuantile(100*q)) * time.Microsecond
 }
 
 const (
-	most   = 120_000_000 // microseconds
-	digits = 3
+	maxLatencyMicros  = 120_000_000 // longer latencies are recorded as this one
+	significantDigits = 3           // of recorded latencies
 )
 
-// Run asks until the time is over, or ctx ends, and waits for the answers.
+// Run sends queries until o.Duration has passed or ctx ends, and waits for the answers. It
+// returns a report for each class.
 func Run(ctx context.Context, o Options) ([]*Report, error) {
 	if !(o.Rate > 0) || o.Duration <= 0 || o.Segments < 1 || len(o.Classes) == 0 {
-		return nil, fmt.Errorf("load: found %v a second for %v on %d segments in %d classes, want all above 0", o.Rate, o.Duration, o.Segments, len(o.Classes))
+		return nil, fmt.Errorf("load: found rate %v, duration %v, %d segments and %d classes, want all above 0", o.Rate, o.Duration, o.Segments, len(o.Classes))
 	}
 	if o.Open <= 0 {
 		o.Open = defaultOpen
 	}
 	rng := rand.New(rand.NewPCG(o.Seed, 5))
 	reports := make([]*Report, len(o.Classes))
-	sum := 0.0
+	totalShare := 0.0
 	for i, c := range o.Classes {
 		if c.Parts < 1 || c.Parts > o.Segments {
-			return nil, fmt.Errorf("load: class %q: found %d parts, want 1 to the %d segments", c.Name, c.Parts, o.Segments)
+			return nil, fmt.Errorf("load: class %q: found %d parts, want 1 to %d, the number of segments", c.Name, c.Parts, o.Segments)
 		}
-		reports[i] = &Report{Class: c.Name, times: hdrhistogram.New(1, most, digits)}
-		sum += c.Share
+		reports[i] = &Report{Class: c.Name, latencies: hdrhistogram.New(1, maxLatencyMicros, significantDigits)}
+		totalShare += c.Share
 	}
 	client := &http.Client{
 		Transport: &http.Transport{MaxIdleConnsPerHost: o.Open, MaxConnsPerHost: 0}, Timeout: o.Timeout,
 	}
 	defer client.CloseIdleConnections()
-	room := make(chan struct{}, o.Open)
-	var open sync.WaitGroup
-	defer open.Wait()
+	slots := make(chan struct{}, o.Open)
+	var pending sync.WaitGroup
+	defer pending.Wait()
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	at := time.Now()
@@ -105,11 +106,11 @@
 		if at.After(end) {
 			return reports, nil
 		}
-		i, x := 0, rng.Float64()*sum
-		for x -= o.Classes[0].Share; x >= 0 && i < len(o.Classes)-1; x -= o.Classes[i].Share {
+		i, remaining := 0, rng.Float64()*totalShare
+		for remaining -= o.Classes[0].Share; remaining >= 0 && i < len(o.Classes)-1; remaining -= o.Classes[i].Share {
 			i++
 		}
-		id, first := rng.Uint64(), rng.IntN(o.Segments)
+		id, firstSegment := rng.Uint64(), rng.IntN(o.Segments)
 		timer.Reset(time.Until(at))
 		select {
 		case <-ctx.Done():
@@ -118,40 +119,40 @@
 		}
 		r := reports[i]
 		select {
-		case room <- struct{}{}:
+		case slots <- struct{}{}:
 		default:
 			r.mu.Lock()
 			r.Unasked++
 			r.mu.Unlock()
 			continue
 		}
-		open.Add(1)
+		pending.Add(1)
 		planned := at
 		go func() {
-			defer open.Done()
-			defer func() { <-room }()
-			r.ask(client, o, o.Classes[i], id, first, planned)
+			defer pending.Done()
+			defer func() { <-slots }()
+			r.send(client, o, o.Classes[i], id, firstSegment, planned)
 		}()
 	}
 }
 
-// ask asks one query.
-func (r *Report) ask(client *http.Client, o Options, c Class, id uint64, first int, planned time.Time) {
+// send sends one query, waits for its answer and records the result.
+func (r *Report) send(client *http.Client, o Options, c Class, id uint64, firstSegment int, planned time.Time) {
 	name := strconv.FormatUint(id, 36)
-	q := ask.Query{Class: c.Name, Trace: "l" + name, Statement: c.Ask}
+	q := ask.Query{Class: c.Name, Trace: "l" + name, Statement: c.Statement}
 	if c.Keyed {
-		q.Key, q.Statement = "k"+name, fmt.Sprintf(c.Ask, id%1000)
+		q.Key, q.Statement = "k"+name, fmt.Sprintf(c.Statement, id%1000)
 	}
 	for i := range c.Parts {
-		q.Segments = append(q.Segments, (first+i)%o.Segments)
+		q.Segments = append(q.Segments, (firstSegment+i)%o.Segments)
 	}
-	behind := time.Since(planned)
+	delay := time.Since(planned)
 	a, err := ask.Do(context.Background(), client, o.Addr, q)
-	took := time.Since(planned)
+	latency := time.Since(planned)
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.Asked++
-	r.Behind = max(r.Behind, behind)
+	r.Behind = max(r.Behind, delay)
 	switch {
 	case err != nil:
 		r.Failed++
@@ -167,5 +168,5 @@
 		r.Failed++
 		return
 	}
-	_ = r.times.RecordValue(min(max(took.Microseconds(), 1), most)) // within its bounds
+	_ = r.latencies.RecordValue(min(max(latency.Microseconds(), 1), maxLatencyMicros)) // can't fail: within the histogram's bounds
 }
--- a/internal/trial/load/load_test.go
+++ b/internal/trial/load/load_test.go
@@ -10,17 +10,18 @@
 	"time"
 )
 
-// Queries are asked whether earlier ones are answered or not, and the wait counts
-// from when each was to be asked.
-func TestAStallIsNotHidden(t *testing.T) {
-	const first = 20
-	var asked atomic.Int32
-	opened := make(chan struct{})
+// Guards against coordinated omission: the server answers nothing until the 20th query
+// has arrived. Queries must be sent although earlier ones are unanswered, and the stall must
+// show in the latencies, which count from the planned send times.
+func TestStallIsCountedInLatency(t *testing.T) {
+	const releaseAt = 20
+	var received atomic.Int32
+	released := make(chan struct{})
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-		if asked.Add(1) == first {
-			close(opened) // all before wait for this one: a client that waited for them would never ask it
+		if received.Add(1) == releaseAt {
+			close(released) // the earlier queries wait for this one: a client that waits for their answers never sends it
 		}
-		<-opened
+		<-released
 		_, _ = w.Write([]byte(`{"full":true}`))
 	}))
 	defer s.Close()
@@ -29,25 +30,27 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	n, slow := 0, time.Duration(0)
+	answers, slowest := 0, time.Duration(0)
 	for _, r := range reports {
-		n += r.Whole
-		slow = max(slow, r.Quantile(1))
+		answers += r.Whole
+		slowest = max(slowest, r.Quantile(1))
 		if r.Asked != r.Whole || r.Unasked > 0 {
-			t.Errorf("%s: %d asked, %d whole, %d not asked", r.Class, r.Asked, r.Whole, r.Unasked)
+			t.Errorf("%s: %d sent, %d whole, %d not sent", r.Class, r.Asked, r.Whole, r.Unasked)
 		}
 	}
-	// 20 queries at 200 a second: the first waited some 0.1 s.
-	if n < first || slow < 20*time.Millisecond {
-		t.Errorf("%d answers, the slowest after %v", n, slow)
+	// 20 queries at 200 per second: the first one waits for about 0.1 s.
+	if answers < releaseAt || slowest < 20*time.Millisecond {
+		t.Errorf("%d answers, the slowest after %v", answers, slowest)
 	}
 }
 
-func TestOutcomesAndTheBoundAreCounted(t *testing.T) {
-	var n atomic.Int32
-	hold := make(chan struct{})
+// Guards against outcomes counted under the wrong name, and against queries above
+// Options.Open that are sent or not counted.
+func TestOutcomesAndUnsentQueriesAreCounted(t *testing.T) {
+	var received atomic.Int32
+	release := make(chan struct{})
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		switch n.Add(1) {
+		switch received.Add(1) {
 		case 1:
 			_, _ = w.Write([]byte(`{"full":false}`))
 		case 2:
@@ -55,28 +58,28 @@
 		case 3:
 			w.WriteHeader(http.StatusBadGateway)
 		default:
-			<-hold
+			<-release
 		}
 	}))
 	defer s.Close()
 	ctx, stop := context.WithCancel(context.Background())
 	go func() {
-		for n.Load() < 4 {
+		for received.Load() < 4 {
 			time.Sleep(time.Millisecond)
 		}
-		time.Sleep(50 * time.Millisecond) // more come, and find no room
+		time.Sleep(50 * time.Millisecond) // further queries come due, while the limit is reached
 		stop()
-		close(hold)
+		close(release)
 	}()
 	reports, err := Run(ctx, Options{Addr: strings.TrimPrefix(s.URL, "http://"), Rate: 500, Duration: time.Hour, Segments: 4, Open: 1,
-		Classes: []Class{{Name: "search", Share: 1, Parts: 4, Ask: "find x"}}, Seed: 1})
+		Classes: []Class{{Name: "search", Share: 1, Parts: 4, Statement: "find x"}}, Seed: 1})
 	if err != nil {
 		t.Fatal(err)
 	}
 	if r := reports[0]; r.Partial < 1 || r.Refused != 1 || r.Failed < 1 || r.Unasked == 0 {
-		t.Errorf("have %+v", r)
+		t.Errorf("got %+v", r)
 	}
 	if _, err := Run(ctx, Options{Rate: 1, Duration: 1, Segments: 3, Classes: Usual()}); err == nil {
-		t.Error("six parts of three segments were taken")
+		t.Error("accepted classes with six parts on three segments")
 	}
 }
