--- a/internal/trial/rig/history.go
+++ b/internal/trial/rig/history.go
@@ -12,164 +12,169 @@
 	"eiderwinch/internal/admin"
 )
 
-// life is one process of a gatherer.
-type life struct{ Gatherer, Start int }
+// processID identifies one process of a gatherer by the gatherer's number and the count of its starts so far.
+type processID struct{ Gatherer, Start int }
 
-func (l life) String() string { return fmt.Sprintf("g%d-%d", l.Gatherer, l.Start) }
+func (id processID) String() string { return fmt.Sprintf("g%d-%d", id.Gatherer, id.Start) }
 
-// lifeOf reads who asked from a query's name; -1 where it is none of the rig's.
-func lifeOf(trace string) life {
-	var l life
-	if _, err := fmt.Sscanf(trace, "g%d-%d-", &l.Gatherer, &l.Start); err != nil {
-		return life{-1, -1}
+// processOf returns the process whose client sent the query with a trace. Both numbers are -1 if the trace is not one
+// of the test cluster's.
+func processOf(trace string) processID {
+	var id processID
+	if _, err := fmt.Sscanf(trace, "g%d-%d-", &id.Gatherer, &id.Start); err != nil {
+		return processID{-1, -1}
 	}
-	return l
+	return id
 }
 
-// Entry is one line of a history.
+// Entry is one line of a history file.
 type Entry struct {
-	MS   int64  `json:"ms"`  // since the rig's start
-	Who  string `json:"who"` // a process as gNUMBER-START, rig or audit
+	MS   int64  `json:"ms"`  // since the start of the test cluster
+	Who  string `json:"who"` // a process as gNUMBER-START, "rig" or "audit"
 	What string `json:"what,omitempty"`
 
-	// Of what a process said when it was asked; once a second where nothing has changed.
+	// The state that a process reported when it was polled. Written on each change, else once a second.
 	Counted int    `json:"counted,omitempty"`
 	Digest  string `json:"digest,omitempty"`
 	Slots   int    `json:"slots,omitempty"`
-	Bytes   int    `json:"bytes,omitempty"` // that it has sent to the others so far
+	Bytes   int    `json:"bytes,omitempty"` // sent to the other gatherers so far
 
-	// Of a fleet that has settled, or has not in time.
+	// How long the fleet took to converge, or that it did not in time.
 	Kind   Kind   `json:"kind,omitempty"`
 	When   string `json:"when,omitempty"`
 	TookMS int64  `json:"took_ms,omitempty"`
 }
 
-// ReadHistory reads the lines of a history.
-func ReadHistory(r io.Reader) (list []Entry, err error) {
-	s := bufio.NewScanner(r)
-	for line := 1; s.Scan(); line++ {
-		var e Entry
-		if err := json.Unmarshal(s.Bytes(), &e); err != nil {
+// ReadHistory reads a history file: one JSON object per line.
+func ReadHistory(r io.Reader) (entries []Entry, err error) {
+	scanner := bufio.NewScanner(r)
+	for line := 1; scanner.Scan(); line++ {
+		var entry Entry
+		if err := json.Unmarshal(scanner.Bytes(), &entry); err != nil {
 			return nil, fmt.Errorf("history: line %d: %w", line, err)
 		}
-		list = append(list, e)
+		entries = append(entries, entry)
 	}
-	return list, s.Err()
+	return entries, scanner.Err()
 }
 
-// promise is that a process has used a slot, or may use it, until then.
-type promise struct {
-	by    life
-	until time.Time
+// slotUse records that a process has used a slot, or may have used it, until a time.
+type slotUse struct {
+	process processID
+	until   time.Time
 }
 
-// history is what was seen of a run, by those who were asked and not only by those who answer for it.
+// history records what clients, searchers and polls of the gatherers observe in a run. The audit relies on it rather
+// than on the gatherers' own account alone.
 type history struct {
-	mu       sync.Mutex
-	began    time.Time
-	out      io.Writer
-	last     map[int]Entry // of each gatherer: what was noted of its view last
-	promises map[int][]promise
-	faults   []string
-	views    int // changes of a view that were seen
-	held     int // most slots that were held at once, as polls have it
+	mu           sync.Mutex
+	started      time.Time
+	out          io.Writer
+	lastEntries  map[int]Entry     // by gatherer: the last entry written of its view
+	slotUses     map[int][]slotUse // by slot
+	violations   []string
+	viewChanges  int // observed changes of a gatherer's view
+	maxHeldSlots int // most slots that other gatherers than their owners used at once, as polls report it
 
 	Queries
 }
 
-// Queries are what clients asked and how it ended.
+// Queries counts the queries that clients sent, by how they ended.
 type Queries struct {
 	Asked, Answered, Refused, Failed int
-	Died                             int // their gatherer was killed or stopped meanwhile
-	Lost                             int // no answer though it lived
+	Died                             int // no answer, and their gatherer was killed or stopped meanwhile
+	Lost                             int // no answer although their gatherer ran all the time
 	Cold                             int // of Answered: those that need the cold searcher
 }
 
-// mostFaults bounds what is kept of what went wrong.
-const mostFaults = 50
+// maxViolations bounds the violations that are kept.
+const maxViolations = 50
 
 func newHistory(out io.Writer) *history {
-	return &history{began: time.Now(), out: out, last: make(map[int]Entry), promises: make(map[int][]promise)}
+	return &history{started: time.Now(), out: out, lastEntries: make(map[int]Entry), slotUses: make(map[int][]slotUse)}
 }
 
-// note writes a line. The caller holds mu.
-func (h *history) note(who, format string, args ...any) {
-	h.write(Entry{Who: who, What: fmt.Sprintf(format, args...)})
+// recordTextLocked writes an entry with a text. The caller holds mu.
+func (h *history) recordTextLocked(who, format string, args ...any) {
+	h.recordEntryLocked(Entry{Who: who, What: fmt.Sprintf(format, args...)})
 }
 
-// write writes a line. The caller holds mu.
-func (h *history) write(e Entry) {
-	e.MS = time.Since(h.began).Milliseconds()
+// recordEntryLocked writes an entry with the current time. The caller holds mu.
+func (h *history) recordEntryLocked(e Entry) {
+	e.MS = time.Since(h.started).Milliseconds()
 	if b, err := json.Marshal(e); err == nil {
 		_, _ = h.out.Write(append(b, '\n'))
 	}
 }
 
-func (h *history) say(who, format string, args ...any) {
+// recordText writes an entry with a text.
+func (h *history) recordText(who, format string, args ...any) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.note(who, format, args...)
+	h.recordTextLocked(who, format, args...)
 }
 
-// fault books that something is not as it must be.
-func (h *history) fault(format string, args ...any) {
+// recordViolationLocked records a violation of what must hold in every run. The caller holds mu.
+func (h *history) recordViolationLocked(format string, args ...any) {
 	text := fmt.Sprintf(format, args...)
-	h.note("audit", "%s", text)
-	if len(h.faults) < mostFaults {
-		h.faults = append(h.faults, text)
+	h.recordTextLocked("audit", "%s", text)
+	if len(h.violations) < maxViolations {
+		h.violations = append(h.violations, text)
 	}
 }
 
-// seen takes in what a process said of its fleet when asked; it was so at some time from asked to now.
-func (h *history) seen(who life, slots int, s admin.FleetState, asked, now time.Time) {
+// recordState records and audits the state of the fleet that a process reported. It held at some time between asked
+// and now.
+func (h *history) recordState(process processID, slots int, state admin.FleetState, asked, now time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	last := h.last[who.Gatherer]
-	e := Entry{MS: now.Sub(h.began).Milliseconds(), Who: who.String(), Counted: s.Counted, Digest: s.Digest, Bytes: s.Counts.View.SentBytes}
-	if s.Share != nil {
-		e.Slots = s.Share.Slots
+	last := h.lastEntries[process.Gatherer]
+	e := Entry{MS: now.Sub(h.started).Milliseconds(), Who: process.String(), Counted: state.Counted, Digest: state.Digest, Bytes: state.Counts.View.SentBytes}
+	if state.Share != nil {
+		e.Slots = state.Share.Slots
 	}
 	changed := last.Who != e.Who || last.Digest != e.Digest
 	if changed {
-		h.views++
+		h.viewChanges++
 	}
 	if changed || last.Slots != e.Slots || e.MS-last.MS >= 1000 {
-		h.last[who.Gatherer] = e
-		h.write(e)
+		h.lastEntries[process.Gatherer] = e
+		h.recordEntryLocked(e)
 	}
-	if s.Share == nil {
+	if state.Share == nil {
 		return
 	}
-	for n := range s.Share.Slots {
-		slot := (who.Gatherer - n + slots) % slots
-		list := slices.DeleteFunc(h.promises[slot], func(p promise) bool { return p.by == who || now.Sub(p.until) > window })
-		for _, p := range list {
-			// A later process of a place knows nothing of what those before it did; others must.
-			if p.by.Gatherer != who.Gatherer {
-				h.fault("slot %d is used by %v, and was by %v, or may be, until %v before that", slot, who, p.by, now.Sub(p.until))
+	for n := range state.Share.Slots {
+		slot := (process.Gatherer - n + slots) % slots
+		uses := slices.DeleteFunc(h.slotUses[slot], func(u slotUse) bool { return u.process == process || now.Sub(u.until) > limitWindow })
+		for _, u := range uses {
+			// Earlier processes of the same gatherer don't count: a restarted process doesn't know what they used. Other
+			// gatherers have to know.
+			if u.process.Gatherer != process.Gatherer {
+				h.recordViolationLocked("slot %d is used by %v, but %v used it, or may have, until %v before", slot, process, u.process, now.Sub(u.until))
 			}
 		}
 		until := asked
-		if s.Share.Until.After(until) {
-			until = s.Share.Until
+		if state.Share.Until.After(until) {
+			until = state.Share.Until
 		}
-		h.promises[slot] = append(list, promise{who, until})
+		h.slotUses[slot] = append(uses, slotUse{process, until})
 	}
 	held := 0
-	for slot, list := range h.promises {
-		if slices.ContainsFunc(list, func(p promise) bool { return p.by.Gatherer != slot && p.until.After(now) }) {
+	for slot, uses := range h.slotUses {
+		if slices.ContainsFunc(uses, func(u slotUse) bool { return u.process.Gatherer != slot && u.until.After(now) }) {
 			held++
 		}
 	}
-	h.held = max(h.held, held)
+	h.maxHeldSlots = max(h.maxHeldSlots, held)
 }
 
-// ended books that a process is no more: it uses nothing.
-func (h *history) ended(who life) {
+// recordEnd records that a process has ended, so that it uses no slot any more.
+func (h *history) recordEnd(process processID) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.note(who.String(), "ended")
-	for slot := range h.promises {
-		h.promises[slot] = slices.DeleteFunc(h.promises[slot], func(p promise) bool { return p.by == who })
+	h.recordTextLocked(process.String(), "ended")
+	for slot := range h.slotUses {
+		h.slotUses[slot] = slices.DeleteFunc(h.slotUses[slot], func(u slotUse) bool { return u.process == process })
 	}
 }
--- a/internal/trial/rig/network.go
+++ b/internal/trial/rig/network.go
@@ -10,68 +10,73 @@
 	"time"
 )
 
-// Link is what lies between two gatherers, one way. The zero value is a sound one.
+// Link describes the network from one gatherer to another. The zero value is a link without faults.
 type Link struct {
-	Cut         bool
-	Loss, Twice float64       // shares of the datagrams that get lost, or come twice
-	Delay       time.Duration // of each
-	Jitter      time.Duration // and up to so much more, by chance: they overtake each other
-	Rate        int           // bytes a second; what comes beyond them is lost; 0: no bound
+	Partitioned             bool          // nothing passes
+	LossRate, DuplicateRate float64       // shares of the datagrams and streams lost, or delivered twice
+	Delay                   time.Duration // of each message
+	Jitter                  time.Duration // upper bound of a random further delay, which reorders messages
+	BytesPerSecond          int           // what exceeds it is lost; 0: unlimited
 }
 
-// Bounds of a network's relays.
+// Addresses and bounds of a network's relays.
 const (
-	port      = 7300
-	longest   = 4 << 20 // bytes of a stream, as the gatherers take them
-	hold      = 3 * time.Second
-	firstNet  = 64 // second bytes of the loopback addresses that rigs take
-	lastNet   = 191
-	mostNodes = 200
+	port           = 7300
+	maxStreamBytes = 4 << 20         // bytes of a stream, as much as the gatherers accept
+	streamTimeout  = 3 * time.Second // of a relayed stream
+	firstOctet     = 64              // to lastOctet: second bytes of the loopback addresses of test clusters
+	lastOctet      = 191
+	maxGatherers   = 200
 )
 
-// network relays what gatherers send each other, so that faults can come between. Each gatherer
-// listens at an address of its own, by which a relay can tell who sends; the others know it by the
-// address of its front. For the connections that show whether a slot's host refuses, each pair has a
-// listener of its own, which is there unless the gatherer is not and the pair can reach each other.
+// network relays what gatherers send each other, so that faults can be injected. Each gatherer listens at an address of
+// its own, by which a relay identifies the sender; the other gatherers know it by the address of its relay.
+//
+// A gatherer checks whether the host of another's slot refuses connections. For this each ordered pair of gatherers has
+// a slot listener. It is closed, so that connections are refused, only while the other gatherer's process is down and no
+// partition separates the pair: across a partition connections are accepted, but nothing comes back.
 type network struct {
-	octet int
-	n     int
-	lock  net.Listener // this octet is taken
+	octet     int
+	size      int          // number of gatherers
+	octetLock net.Listener // reserves octet among the test clusters of this machine
 
-	mu    sync.Mutex
-	rng   *rand.Rand
-	links [][]Link
-	spent [][]spending
-	dead  []bool
-	slots [][]net.Listener // nil: refused
-	over  bool
+	mu            sync.Mutex
+	rng           *rand.Rand
+	links         [][]Link         // by sender and receiver
+	traffic       [][]traffic      // by sender and receiver
+	down          []bool           // by gatherer: no process runs
+	slotListeners [][]net.Listener // by connecting gatherer and slot; nil: connections are refused
+	closed        bool
 
-	fronts []*front
-	done   sync.WaitGroup
+	relays     []*relay
+	goroutines sync.WaitGroup
 }
 
-type spending struct {
+// traffic counts the bytes sent over a link in the current second.
+type traffic struct {
 	since time.Time
 	bytes int
 }
 
-// front is where the others reach a gatherer.
-type front struct {
-	w    *network
-	to   int
-	udp  *net.UDPConn
-	tcp  *net.TCPListener
-	back []*net.UDPConn // by sender: what the gatherer answers comes there
+// relay forwards what the other gatherers send to one gatherer.
+type relay struct {
+	network *network
+	to      int // the gatherer that it forwards to
+	udp     *net.UDPConn
+	tcp     *net.TCPListener
+	replies []*net.UDPConn // by sender: receives what the gatherer answers to it
 }
 
+// newNetwork starts the relays of n gatherers, none of which runs yet. The seed decides which datagrams links drop,
+// duplicate and delay.
 func newNetwork(n int, seed uint64) (*network, error) {
-	if n < 1 || n > mostNodes {
-		return nil, fmt.Errorf("rig: %d gatherers, want 1 to %d", n, mostNodes)
+	if n < 1 || n > maxGatherers {
+		return nil, fmt.Errorf("rig: %d gatherers, want 1 to %d", n, maxGatherers)
 	}
-	w := &network{n: n, rng: rand.New(rand.NewPCG(seed, 0x6e6574)), dead: make([]bool, n)}
+	w := &network{size: n, rng: rand.New(rand.NewPCG(seed, 0x6e6574)), down: make([]bool, n)}
 	var err error
-	for w.octet = firstNet; w.octet <= lastNet; w.octet++ { // other rigs may run beside this one
-		if w.lock, err = net.Listen("tcp", fmt.Sprintf("127.%d.255.1:%d", w.octet, port)); err == nil {
+	for w.octet = firstOctet; w.octet <= lastOctet; w.octet++ { // other test clusters may run at the same time
+		if w.octetLock, err = net.Listen("tcp", fmt.Sprintf("127.%d.255.1:%d", w.octet, port)); err == nil {
 			break
 		}
 	}
@@ -79,82 +84,85 @@
 		return nil, fmt.Errorf("rig: no loopback addresses left: %w", err)
 	}
 	for range n {
-		w.links, w.spent, w.slots = append(w.links, make([]Link, n)), append(w.spent, make([]spending, n)), append(w.slots, make([]net.Listener, n))
+		w.links, w.traffic, w.slotListeners = append(w.links, make([]Link, n)), append(w.traffic, make([]traffic, n)), append(w.slotListeners, make([]net.Listener, n))
 	}
 	for i := range n {
-		w.dead[i] = true
-		f, err := w.newFront(i)
+		w.down[i] = true
+		r, err := w.newRelay(i)
 		if err != nil {
 			w.close()
 			return nil, fmt.Errorf("rig: %w", err)
 		}
-		w.fronts = append(w.fronts, f)
+		w.relays = append(w.relays, r)
 	}
 	return w, nil
 }
 
-// own is where a gatherer listens itself, and slot where one of them connects to see whether another is there.
-func (w *network) own(i int) string { return fmt.Sprintf("127.%d.0.%d:%d", w.octet, i+1, port) }
-func (w *network) slot(i, j int) string {
+// listenAddr returns the address at which a gatherer itself listens.
+func (w *network) listenAddr(i int) string { return fmt.Sprintf("127.%d.0.%d:%d", w.octet, i+1, port) }
+
+// slotAddr returns the address to which gatherer i connects to check whether the host of slot j refuses connections.
+func (w *network) slotAddr(i, j int) string {
 	return fmt.Sprintf("127.%d.%d.%d:%d", w.octet, i+1, j+1, port)
 }
 
-// queries is where a gatherer takes queries.
-func (w *network) queries(i int) string { return fmt.Sprintf("127.%d.254.%d:%d", w.octet, i+1, port) }
+// queryAddr returns the address at which a gatherer takes queries.
+func (w *network) queryAddr(i int) string { return fmt.Sprintf("127.%d.254.%d:%d", w.octet, i+1, port) }
 
-// sender tells who has an address; -1 where nobody does.
+// sender returns the gatherer that has an address, or -1 if none has it.
 func (w *network) sender(a netip.Addr) int {
 	b := a.Unmap().As4()
-	if i := int(b[3]) - 1; int(b[1]) == w.octet && b[2] == 0 && i >= 0 && i < w.n {
+	if i := int(b[3]) - 1; int(b[1]) == w.octet && b[2] == 0 && i >= 0 && i < w.size {
 		return i
 	}
 	return -1
 }
 
-func (w *network) newFront(to int) (*front, error) {
-	f := &front{w: w, to: to, back: make([]*net.UDPConn, w.n)}
-	at := netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, byte(w.octet), 253, byte(to + 1)}), port)
+// newRelay starts the relay of a gatherer.
+func (w *network) newRelay(to int) (*relay, error) {
+	r := &relay{network: w, to: to, replies: make([]*net.UDPConn, w.size)}
+	addr := netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, byte(w.octet), 253, byte(to + 1)}), port)
 	var err error
-	if f.udp, err = net.ListenUDP("udp4", net.UDPAddrFromAddrPort(at)); err != nil {
+	if r.udp, err = net.ListenUDP("udp4", net.UDPAddrFromAddrPort(addr)); err != nil {
 		return nil, err
 	}
-	if f.tcp, err = net.ListenTCP("tcp4", net.TCPAddrFromAddrPort(at)); err != nil {
+	if r.tcp, err = net.ListenTCP("tcp4", net.TCPAddrFromAddrPort(addr)); err != nil {
 		return nil, err
 	}
-	for i := range w.n {
-		if f.back[i], err = net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, byte(w.octet), 252, byte(to+1))}); err != nil {
+	for i := range w.size {
+		if r.replies[i], err = net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, byte(w.octet), 252, byte(to+1))}); err != nil {
 			return nil, err
 		}
-		w.done.Add(1)
-		go f.answers(i)
+		w.goroutines.Add(1)
+		go r.relayReplies(i)
 	}
-	w.done.Add(2)
-	go f.datagrams()
-	go f.streams()
-	return f, nil
+	w.goroutines.Add(2)
+	go r.relayDatagrams()
+	go r.relayStreams()
+	return r, nil
 }
 
-// pass lets a message through from one to another as their link is, or does not.
-func (w *network) pass(from, to, bytes int, deliver func()) {
+// forward delivers a message between two gatherers as the link between them allows: once, twice, late or not at all.
+func (w *network) forward(from, to, bytes int, deliver func()) {
 	w.mu.Lock()
-	l, s := w.links[from][to], &w.spent[from][to]
-	if now := time.Now(); now.Sub(s.since) > time.Second {
-		*s = spending{since: now}
+	l, t := w.links[from][to], &w.traffic[from][to]
+	if now := time.Now(); now.Sub(t.since) > time.Second {
+		*t = traffic{since: now}
 	}
-	s.bytes += bytes
+	t.bytes += bytes
 	times := 1
 	switch {
-	case w.over || l.Cut || w.rng.Float64() < l.Loss || l.Rate > 0 && s.bytes > l.Rate:
+	case w.closed || l.Partitioned || w.rng.Float64() < l.LossRate || l.BytesPerSecond > 0 && t.bytes > l.BytesPerSecond:
 		times = 0
-	case w.rng.Float64() < l.Twice:
+	case w.rng.Float64() < l.DuplicateRate:
 		times = 2
 	}
-	var waits []time.Duration
+	var delays []time.Duration
 	for range times {
-		waits = append(waits, l.Delay+time.Duration(w.rng.Float64()*float64(l.Jitter)))
+		delays = append(delays, l.Delay+time.Duration(w.rng.Float64()*float64(l.Jitter)))
 	}
 	w.mu.Unlock()
-	for _, d := range waits {
+	for _, d := range delays {
 		if d == 0 {
 			deliver()
 		} else {
@@ -163,153 +171,156 @@
 	}
 }
 
-func (f *front) datagrams() {
-	defer f.w.done.Done()
-	own := netip.MustParseAddrPort(f.w.own(f.to))
+// relayDatagrams forwards the datagrams that other gatherers send to this one.
+func (r *relay) relayDatagrams() {
+	defer r.network.goroutines.Done()
+	own := netip.MustParseAddrPort(r.network.listenAddr(r.to))
 	for buf := make([]byte, 1<<16); ; {
-		k, at, err := f.udp.ReadFromUDPAddrPort(buf)
+		n, addr, err := r.udp.ReadFromUDPAddrPort(buf)
 		if err != nil {
 			return
 		}
-		if from := f.w.sender(at.Addr()); from >= 0 {
-			data := append([]byte(nil), buf[:k]...)
-			f.w.pass(from, f.to, k, func() { _, _ = f.back[from].WriteToUDPAddrPort(data, own) })
+		if from := r.network.sender(addr.Addr()); from >= 0 {
+			data := append([]byte(nil), buf[:n]...)
+			r.network.forward(from, r.to, n, func() { _, _ = r.replies[from].WriteToUDPAddrPort(data, own) })
 		}
 	}
 }
 
-// answers carries back what a gatherer says to one that it knows by this front only.
-func (f *front) answers(to int) {
-	defer f.w.done.Done()
-	own := netip.MustParseAddrPort(f.w.own(to))
+// relayReplies forwards what the gatherer replies to datagrams that one of the others sent through this relay.
+func (r *relay) relayReplies(to int) {
+	defer r.network.goroutines.Done()
+	own := netip.MustParseAddrPort(r.network.listenAddr(to))
 	for buf := make([]byte, 1<<16); ; {
-		k, _, err := f.back[to].ReadFromUDPAddrPort(buf)
+		n, _, err := r.replies[to].ReadFromUDPAddrPort(buf)
 		if err != nil {
 			return
 		}
-		data := append([]byte(nil), buf[:k]...)
-		f.w.pass(f.to, to, k, func() { _, _ = f.udp.WriteToUDPAddrPort(data, own) })
+		data := append([]byte(nil), buf[:n]...)
+		r.network.forward(r.to, to, n, func() { _, _ = r.udp.WriteToUDPAddrPort(data, own) })
 	}
 }
 
-func (f *front) streams() {
-	defer f.w.done.Done()
+// relayStreams forwards the streams that other gatherers send to this one. Each is read whole before it is forwarded.
+func (r *relay) relayStreams() {
+	defer r.network.goroutines.Done()
 	for {
-		c, err := f.tcp.AcceptTCP()
+		c, err := r.tcp.AcceptTCP()
 		if err != nil {
 			return
 		}
-		f.w.done.Add(1)
+		r.network.goroutines.Add(1)
 		go func() {
-			defer f.w.done.Done()
+			defer r.network.goroutines.Done()
 			defer c.Close()
-			_ = c.SetDeadline(time.Now().Add(hold))
-			data, err := io.ReadAll(io.LimitReader(c, longest))
-			from := f.w.sender(c.RemoteAddr().(*net.TCPAddr).AddrPort().Addr())
+			_ = c.SetDeadline(time.Now().Add(streamTimeout))
+			data, err := io.ReadAll(io.LimitReader(c, maxStreamBytes))
+			from := r.network.sender(c.RemoteAddr().(*net.TCPAddr).AddrPort().Addr())
 			if err != nil || from < 0 {
 				return
 			}
-			f.w.pass(from, f.to, len(data), func() {
-				to, err := net.DialTimeout("tcp", f.w.own(f.to), hold)
+			r.network.forward(from, r.to, len(data), func() {
+				to, err := net.DialTimeout("tcp", r.network.listenAddr(r.to), streamTimeout)
 				if err != nil {
 					return
 				}
 				defer to.Close()
-				_ = to.SetDeadline(time.Now().Add(hold))
+				_ = to.SetDeadline(time.Now().Add(streamTimeout))
 				_, _ = to.Write(data)
 			})
 		}()
 	}
 }
 
-// set changes the links for which change returns true, and what is refused.
-func (w *network) set(change func(from, to int) (Link, bool)) error {
+// setLinks replaces the links for which change returns true, and updates the slot listeners accordingly.
+func (w *network) setLinks(change func(from, to int) (Link, bool)) error {
 	w.mu.Lock()
-	for i := range w.n {
-		for j := range w.n {
+	for i := range w.size {
+		for j := range w.size {
 			if l, ok := change(i, j); ok && i != j {
 				w.links[i][j] = l
 			}
 		}
 	}
 	w.mu.Unlock()
-	return w.refuse()
+	return w.updateSlotListeners()
 }
 
-// alive tells that a gatherer's process is about to start, or has surely ended.
-func (w *network) alive(i int, is bool) error {
+// setRunning records that a gatherer's process is about to start, or has certainly ended.
+func (w *network) setRunning(i int, running bool) error {
 	w.mu.Lock()
-	w.dead[i] = !is
+	w.down[i] = !running
 	w.mu.Unlock()
-	return w.refuse()
+	return w.updateSlotListeners()
 }
 
-// refuse opens and closes the listeners of slots as it ought to be.
-func (w *network) refuse() error {
+// updateSlotListeners opens and closes the slot listeners to match the links and the gatherers that run.
+func (w *network) updateSlotListeners() error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	for i := range w.n {
-		for j := range w.n {
-			refused := w.dead[j] && !w.links[i][j].Cut && !w.links[j][i].Cut
-			switch l := w.slots[i][j]; {
-			case i == j || w.over:
+	for i := range w.size {
+		for j := range w.size {
+			refused := w.down[j] && !w.links[i][j].Partitioned && !w.links[j][i].Partitioned
+			switch l := w.slotListeners[i][j]; {
+			case i == j || w.closed:
 			case refused && l != nil:
 				_ = l.Close()
-				w.slots[i][j] = nil
+				w.slotListeners[i][j] = nil
 			case !refused && l == nil:
-				l, err := net.Listen("tcp", w.slot(i, j))
+				l, err := net.Listen("tcp", w.slotAddr(i, j))
 				if err != nil {
 					return fmt.Errorf("rig: %w", err)
 				}
-				w.slots[i][j] = l
-				w.done.Add(1)
-				go w.take(l, i, j)
+				w.slotListeners[i][j] = l
+				w.goroutines.Add(1)
+				go w.serveSlot(l, i, j)
 			}
 		}
 	}
 	return nil
 }
 
-// take accepts one's connections to another's slot: that they stand is all they tell, but for what
-// is asked and answered over them.
-func (w *network) take(l net.Listener, from, to int) {
-	defer w.done.Done()
+// serveSlot accepts the connections of one gatherer to another's slot. They are forwarded to the other gatherer, unless
+// a partition separates the two: then they only stay open.
+func (w *network) serveSlot(l net.Listener, from, to int) {
+	defer w.goroutines.Done()
 	for {
 		c, err := l.Accept()
 		if err != nil {
 			return
 		}
-		w.done.Add(1)
+		w.goroutines.Add(1)
 		go func() {
-			defer w.done.Done()
+			defer w.goroutines.Done()
 			defer c.Close()
-			_ = c.SetDeadline(time.Now().Add(hold))
+			_ = c.SetDeadline(time.Now().Add(streamTimeout))
 			w.mu.Lock()
-			cut := w.links[from][to].Cut || w.links[to][from].Cut
+			partitioned := w.links[from][to].Partitioned || w.links[to][from].Partitioned
 			w.mu.Unlock()
-			if cut {
+			if partitioned {
 				_, _ = io.Copy(io.Discard, c)
 				return
 			}
-			o, err := net.DialTimeout("tcp", w.own(to), hold)
+			upstream, err := net.DialTimeout("tcp", w.listenAddr(to), streamTimeout)
 			if err != nil {
 				return
 			}
-			defer o.Close()
-			_ = o.SetDeadline(time.Now().Add(hold))
+			defer upstream.Close()
+			_ = upstream.SetDeadline(time.Now().Add(streamTimeout))
 			go func() {
-				_, _ = io.Copy(o, c)
-				_ = o.(*net.TCPConn).CloseWrite()
+				_, _ = io.Copy(upstream, c)
+				_ = upstream.(*net.TCPConn).CloseWrite()
 			}()
-			_, _ = io.Copy(c, o)
+			_, _ = io.Copy(c, upstream)
 		}()
 	}
 }
 
+// close ends all relays and waits for their goroutines.
 func (w *network) close() {
 	w.mu.Lock()
-	w.over = true
-	for _, row := range w.slots {
+	w.closed = true
+	for _, row := range w.slotListeners {
 		for _, l := range row {
 			if l != nil {
 				_ = l.Close()
@@ -317,12 +328,12 @@
 		}
 	}
 	w.mu.Unlock()
-	for _, f := range w.fronts {
-		_, _ = f.udp.Close(), f.tcp.Close()
-		for _, b := range f.back {
-			_ = b.Close()
+	for _, r := range w.relays {
+		_, _ = r.udp.Close(), r.tcp.Close()
+		for _, conn := range r.replies {
+			_ = conn.Close()
 		}
 	}
-	_ = w.lock.Close()
-	w.done.Wait()
+	_ = w.octetLock.Close()
+	w.goroutines.Wait()
 }
--- a/internal/trial/rig/plan.go
+++ b/internal/trial/rig/plan.go
@@ -9,42 +9,43 @@
 	"time"
 )
 
-// Kind is what goes wrong.
+// Kind is a kind of fault.
 type Kind string
 
 // The kinds of faults among gatherers.
 const (
-	Kill    Kind = "kill"    // one dies, and is started again after For
-	Most    Kind = "most"    // seven in ten die at once, and are started again after For
-	Restart Kind = "restart" // all are killed and started again one by one, within For
-	Flap    Kind = "flap"    // one dies and starts again and again, for For
-	Join    Kind = "join"    // all but three die; then they start at once, and one of the three, which they know, dies for For
-	Stop    Kind = "stop"    // one is stopped for For and goes on with old beliefs
-	Halves  Kind = "halves"  // two halves can't reach each other for For
-	Oneway  Kind = "oneway"  // nothing comes through from one to another for For
-	Hermit  Kind = "hermit"  // one pair can't reach each other for For
-	Loss    Kind = "loss"    // a fifth of all datagrams is lost for For
-	Unruly  Kind = "unruly"  // datagrams are late, overtake each other and come twice for For
-	Thin    Kind = "thin"    // each pair has 8 KB a second for For
+	Kill    Kind = "kill"    // one is killed, and restarted after For
+	Most    Kind = "most"    // seven in ten are killed at once, and restarted after For
+	Restart Kind = "restart" // all are killed and restarted one by one, within For
+	Flap    Kind = "flap"    // one is killed and restarted repeatedly, for For
+	Join    Kind = "join"    // all but the three seeds are killed and restarted at once, while a seed is killed for For
+	Stop    Kind = "stop"    // one is stopped (SIGSTOP) for For and continues with an outdated view
+	Halves  Kind = "halves"  // a partition into two halves, for For
+	Oneway  Kind = "oneway"  // nothing passes from one gatherer to another, for For; the other direction works
+	Hermit  Kind = "hermit"  // a partition between the two gatherers of one pair, for For
+	Loss    Kind = "loss"    // a fifth of all messages is lost, for For
+	Unruly  Kind = "unruly"  // messages are delayed, reordered and duplicated, for For
+	Thin    Kind = "thin"    // each direction of each pair carries 8 KB a second, for For
 )
 
+// kinds returns all kinds of faults.
 func kinds() []Kind {
 	return []Kind{Kill, Most, Restart, Flap, Join, Stop, Halves, Oneway, Hermit, Loss, Unruly, Thin}
 }
 
-// Step is one fault of a plan. The next comes once all have settled again.
+// Step is one fault of a plan. The next step begins once the fleet has converged again.
 type Step struct {
 	Kind  Kind          `json:"kind"`
-	First int           `json:"first"` // the gatherer that it strikes, and the next ones
+	First int           `json:"first"` // the first gatherer affected; further ones follow by number
 	For   time.Duration `json:"for_ns"`
 }
 
-// NewPlan draws a plan of about so long from a seed: each kind once in an order by chance, then again.
-// With span, a fault lasts about so long, and a cut into halves six times that.
+// NewPlan draws a plan of about the given length from a seed: each kind once in a random order, then again. A fault
+// lasts about span, a partition into halves six times as long.
 func NewPlan(seed uint64, gatherers int, length, span time.Duration) (steps []Step) {
 	rng := rand.New(rand.NewPCG(seed, 0x706c616e))
 	kinds := kinds()
-	const settle = 2 * time.Second // what a step takes beside its fault, about
+	const settle = 2 * time.Second // approximate time that a step takes besides its fault
 	for at := time.Duration(0); ; {
 		rng.Shuffle(len(kinds), func(i, j int) { kinds[i], kinds[j] = kinds[j], kinds[i] })
 		for _, k := range kinds {
--- a/internal/trial/rig/rig.go
+++ b/internal/trial/rig/rig.go
@@ -1,11 +1,11 @@
-// Package rig starts several processes of the built program on loopback, as a fleet of gatherers
-// before stand-in searchers and a stand-in discovery, and puts faults between them: relays cut,
-// lose, delay, double and thin what gatherers send each other, processes are stopped, killed and
-// started again. It ends only what it has started. One history is kept by those who are asked:
-// clients, searchers and whoever asks the gatherers, not by the gatherers alone.
+// Package rig runs a test cluster on loopback: several processes of the built program, as a fleet of gatherers, with
+// fake searchers and a fake discovery. It injects faults between the gatherers: relays partition, drop, delay, duplicate and
+// throttle what they send each other, and processes are stopped, killed and restarted. It ends only processes that it
+// has started. One history of the run is recorded from the outside, by the clients, the searchers and the polls of the
+// gatherers, so that the audit doesn't rely on the gatherers alone.
 //
-// A plan of faults comes from a seed or a file. Times are real, so a run is not the same to the
-// byte; what is audited must hold in every run.
+// A plan of faults comes from a seed or a file. Runs take place in real time, so the same plan doesn't give exactly the
+// same run; what is audited must hold in every run.
 package rig
 
 import (
@@ -30,69 +30,71 @@
 	"eiderwinch/internal/trial/standin"
 )
 
-// Config is what a Rig is told.
+// Config configures a Rig.
 type Config struct {
-	Program   string // the built one
+	Program   string // path of the built program
 	Dir       string // for files, logs and history.jsonl
 	Gatherers int
 	Seed      uint64
 	Keys      string        // text of a key file with a key named k
-	Lease     time.Duration // see package share; 0: limits are not divided
-	Settle    time.Duration // a fleet that has not settled so long after a fault is a fault itself
+	Lease     time.Duration // lease of a slot, see package share; 0: limits are not divided
+	Settle    time.Duration // a fleet that has not converged this long after a fault counts as a violation
 }
 
-// What the searchers are like. One of them, alone in its cell, is started anew so often that it is
-// always cold: what its queries get is what the fleet's shares make of it.
+// Parameters of the searchers, the gatherers and the clients. One searcher, alone in its cell, restarts so often that it
+// is always cold: how many parts reach it depends on how the fleet divides the limit at cold searchers.
 const (
-	coldFor   = 10 * time.Second
-	coldAnew  = 7 * time.Second
-	window    = time.Second // in which the limits at a cold searcher count
-	multiple  = 2.0
-	coldShare = 0.2
-	takes     = 20 * time.Millisecond // a part
-	turns     = 4                     // the module gives out so many times what one core surely can do, see turnsUsed and turnsQuick
-
-	seeds    = 3                     // gatherers that all know, the first ones
-	seedDies = 50 * time.Millisecond // after others have begun to start by it
-
-	aim      = time.Second
-	deadline = 2 * time.Second
-	pollFor  = 100 * time.Millisecond
-	startFor = 20 * time.Second
-	answerIn = 20 * time.Second // after which a query is lost
+	coldDuration        = 10 * time.Second // after a start
+	coldRestartInterval = 7 * time.Second  // the cold searcher's restarts; less than coldDuration
+	limitWindow         = time.Second      // to which the limits at a cold searcher apply
+	fallMultiple        = 2.0
+	startCapacity       = 0.2
+	partDuration        = 20 * time.Millisecond // of a searcher, for a part
+	// The decision module grants a cold searcher up to this multiple of what one core can certainly do: twice as much
+	// since most shares go unused, and twice that if the searcher answers as quickly as others.
+	coldGrantFactor = 4
+
+	seedCount     = 3                     // the first gatherers, which all have as seeds
+	seedKillDelay = 50 * time.Millisecond // after the others have begun to join by the seed
+
+	aim           = time.Second
+	deadline      = 2 * time.Second
+	pollInterval  = 100 * time.Millisecond
+	startTimeout  = 20 * time.Second
+	answerTimeout = 20 * time.Second // a query without an answer by then is lost
 )
 
-// Rig is a running fleet.
+// Rig is a running test cluster.
 type Rig struct {
-	cfg       Config
-	net       *network
-	discovery *standin.Discovery
-	searchers []*searcher
-	cold      *searcher
-	gatherers []*gatherer
-	history   *history
-	file      *os.File
-	ctx       context.Context
-	stop      context.CancelFunc
-	done      sync.WaitGroup
+	cfg        Config
+	network    *network
+	discovery  *standin.Discovery
+	searchers  []*searcher
+	cold       *searcher
+	gatherers  []*gatherer
+	history    *history
+	file       *os.File
+	ctx        context.Context
+	stop       context.CancelFunc
+	goroutines sync.WaitGroup
 }
 
-// gatherer is one place of the fleet.
+// gatherer is one member of the fleet. Its process changes with each restart.
 type gatherer struct {
-	r      *Rig
-	number int
-	ops    string
-	admin  *admin.Client
-
-	mu      sync.Mutex
-	cmd     *exec.Cmd // nil: none runs
-	life    life
-	exited  chan struct{}
-	stopped bool // by SIGSTOP
-	upset   int  // how often it was killed, or stopped
+	rig           *Rig
+	number        int
+	operatorsFile string // path of the operators' file
+	admin         *admin.Client
+
+	mu            sync.Mutex
+	cmd           *exec.Cmd     // nil: no process runs
+	process       processID     // the current process, or the last one
+	exited        chan struct{} // closed when the current process has ended
+	stopped       bool          // by SIGSTOP
+	interruptions int           // number of kills and signals so far
 }
 
-// New starts a fleet and its clients.
+// New starts a test cluster and its clients.
 func New(cfg Config) (r *Rig, err error) {
 	r = &Rig{cfg: cfg}
 	r.ctx, r.stop = context.WithCancel(context.Background())
@@ -105,14 +107,14 @@
 		return r, err
 	}
 	r.history = newHistory(r.file)
-	if r.net, err = newNetwork(cfg.Gatherers, cfg.Seed); err != nil {
+	if r.network, err = newNetwork(cfg.Gatherers, cfg.Seed); err != nil {
 		return r, err
 	}
 	if r.discovery, err = standin.NewDiscovery(); err != nil {
 		return r, err
 	}
-	for i := range 3 { // the last is the cold one, alone in its cell
-		s, err := newSearcher(fmt.Sprint("s-0", i), i/2, takes)
+	for i := range 3 { // the last is the cold searcher, alone in its cell
+		s, err := newSearcher(fmt.Sprint("s-0", i), i/2, partDuration)
 		if err != nil {
 			return r, err
 		}
@@ -124,40 +126,42 @@
 		return r, err
 	}
 	for i := range cfg.Gatherers {
-		g := &gatherer{r: r, number: i}
-		if err := g.write(); err != nil {
+		g := &gatherer{rig: r, number: i}
+		if err := g.writeFiles(); err != nil {
 			return r, err
 		}
 		r.gatherers = append(r.gatherers, g)
 	}
-	if err := r.each(r.gatherers, (*gatherer).start); err != nil {
+	if err := r.forEach(r.gatherers, (*gatherer).start); err != nil {
 		return r, err
 	}
-	r.begin(func() { r.every(coldAnew, func() { r.discovery.Tell(r.cold.member(true)) }) })
+	r.spawn(func() { r.repeat(coldRestartInterval, func() { r.discovery.Tell(r.cold.member(true)) }) })
 	for _, g := range r.gatherers {
-		r.begin(func() { r.every(pollFor, g.poll) })
+		r.spawn(func() { r.repeat(pollInterval, g.poll) })
 		for k := range 4 {
-			r.begin(func() { g.ask(k) })
+			r.spawn(func() { g.runClient(k) })
 		}
 	}
 	return r, nil
 }
 
-func (r *Rig) begin(f func()) {
-	r.done.Add(1)
+// spawn runs a function in a goroutine that Close waits for.
+func (r *Rig) spawn(f func()) {
+	r.goroutines.Add(1)
 	go func() {
-		defer r.done.Done()
+		defer r.goroutines.Done()
 		f()
 	}()
 }
 
-func (r *Rig) every(d time.Duration, f func()) {
+// repeat calls a function periodically until the test cluster stops.
+func (r *Rig) repeat(d time.Duration, f func()) {
 	for r.sleep(d) {
 		f()
 	}
 }
 
-// sleep tells whether the rig still runs after d.
+// sleep waits for d, and reports whether the test cluster still runs then.
 func (r *Rig) sleep(d time.Duration) bool {
 	select {
 	case <-r.ctx.Done():
@@ -167,8 +171,8 @@
 	}
 }
 
-// each does something with gatherers at once.
-func (r *Rig) each(list []*gatherer, f func(*gatherer) error) error {
+// forEach calls a function for all gatherers of a list at once, and waits for them.
+func (r *Rig) forEach(list []*gatherer, f func(*gatherer) error) error {
 	errs := make([]error, len(list))
 	var done sync.WaitGroup
 	for i, g := range list {
@@ -182,55 +186,56 @@
 	return errors.Join(errs...)
 }
 
-// write writes a gatherer's files.
-func (g *gatherer) write() error {
-	w, dir := g.r.net, g.r.cfg.Dir
-	g.ops = filepath.Join(dir, fmt.Sprintf("g%d.xml", g.number))
+// writeFiles writes the gatherer's configuration files.
+func (g *gatherer) writeFiles() error {
+	network, dir := g.rig.network, g.rig.cfg.Dir
+	g.operatorsFile = filepath.Join(dir, fmt.Sprintf("g%d.xml", g.number))
 	endpoint := fmt.Sprintf("unix:%s/g%d", dir, g.number)
 	g.admin = admin.NewClient(endpoint, time.Second, nil)
 	var text strings.Builder
 	fmt.Fprintf(&text, `<eiderwinch xmlns="urn:eiderwinch:operators:1"><admin endpoint=%q/><fleet name="rig" listen=%q advertise=%q keys="keys.xml" key="k" lease=%q>`,
-		endpoint, w.own(g.number), w.fronts[g.number].tcp.Addr(), cmp.Or(g.r.cfg.Lease, share.DefaultLease))
-	for i := range min(seeds, w.n) {
-		fmt.Fprintf(&text, "<seed addr=%q/>", w.fronts[i].tcp.Addr())
+		endpoint, network.listenAddr(g.number), network.relays[g.number].tcp.Addr(), cmp.Or(g.rig.cfg.Lease, share.DefaultLease))
+	for i := range min(seedCount, network.size) {
+		fmt.Fprintf(&text, "<seed addr=%q/>", network.relays[i].tcp.Addr())
 	}
-	for j := range w.n {
-		addr := w.slot(g.number, j)
+	for j := range network.size {
+		addr := network.slotAddr(g.number, j)
 		if j == g.number {
-			addr = w.own(j)
+			addr = network.listenAddr(j)
 		}
-		if g.r.cfg.Lease > 0 {
+		if g.rig.cfg.Lease > 0 {
 			fmt.Fprintf(&text, "<slot number=\"%d\" addr=%q/>", j, addr)
 		}
 	}
 	text.WriteString("</fleet></eiderwinch>")
-	known := g.r.discovery.List()
+	known := g.rig.discovery.List()
 	config := fmt.Sprintf(`{"name":"g%d","listen":%q,"discovery":%q,"limits":{"memory_mb":128,"sockets":256},"known":%s,"settings":{`+
 		`"membership_mode":"pushed","tick":5000000,"balancers":%d,"my_number":%d,"domain":{"places":2,"in_a_row":1,"shards":2,"per_call":4,"call_cost":1000000},`+
 		`"classes":[{"name":"search","aim":%d,"deadline":%d,"effect":"safe","worth":1}],"policy_limits":{"cancel":true,"attempts_cap":4},`+
 		`"rules":{"cold":%d,"start_capacity":%v,"fall_multiple":%v,"overload_for":%d}}}`,
-		g.number, w.queries(g.number), g.r.discovery.Addr(), known, w.n, g.number, aim, deadline, coldFor, coldShare, multiple, window)
-	return errors.Join(os.WriteFile(g.ops, []byte(text.String()), 0o600), os.WriteFile(g.config(), []byte(config), 0o600))
+		g.number, network.queryAddr(g.number), g.rig.discovery.Addr(), known, network.size, g.number, aim, deadline, coldDuration, startCapacity, fallMultiple, limitWindow)
+	return errors.Join(os.WriteFile(g.operatorsFile, []byte(text.String()), 0o600), os.WriteFile(g.configFile(), []byte(config), 0o600))
 }
 
-func (g *gatherer) config() string {
-	return filepath.Join(g.r.cfg.Dir, fmt.Sprintf("g%d.json", g.number))
+// configFile returns the path of the gatherer's configuration file.
+func (g *gatherer) configFile() string {
+	return filepath.Join(g.rig.cfg.Dir, fmt.Sprintf("g%d.json", g.number))
 }
 
-// start starts a process where none runs, and waits until it serves.
+// start starts a process unless one runs, and waits until it serves.
 func (g *gatherer) start() error {
 	g.mu.Lock()
 	if g.cmd != nil {
 		g.mu.Unlock()
 		return nil
 	}
-	if err := g.r.net.alive(g.number, true); err != nil {
+	if err := g.rig.network.setRunning(g.number, true); err != nil {
 		g.mu.Unlock()
 		return err
 	}
-	g.life = life{g.number, g.life.Start + 1}
-	g.cmd = exec.Command(g.r.cfg.Program, "serve", "--file", g.ops)
-	g.cmd.Env = append(os.Environ(), "LB_CONFIG="+g.config(), "LB_LISTEN=", "LB_DISCOVERY=", "LB_NAME=")
+	g.process = processID{g.number, g.process.Start + 1}
+	g.cmd = exec.Command(g.rig.cfg.Program, "serve", "--file", g.operatorsFile)
+	g.cmd.Env = append(os.Environ(), "LB_CONFIG="+g.configFile(), "LB_LISTEN=", "LB_DISCOVERY=", "LB_NAME=")
 	out, err := g.cmd.StderrPipe()
 	if err == nil {
 		err = g.cmd.Start()
@@ -240,19 +245,19 @@
 		g.mu.Unlock()
 		return err
 	}
-	serving, exited, cmd, who := make(chan struct{}), make(chan struct{}), g.cmd, g.life
+	serving, exited, cmd, process := make(chan struct{}), make(chan struct{}), g.cmd, g.process
 	g.exited, g.stopped = exited, false
 	g.mu.Unlock()
-	g.r.history.say(who.String(), "starts")
+	g.rig.history.recordText(process.String(), "starts")
 	go func() {
 		defer close(exited)
-		log, err := os.Create(filepath.Join(g.r.cfg.Dir, who.String()+".log"))
+		log, err := os.Create(filepath.Join(g.rig.cfg.Dir, process.String()+".log"))
 		if err != nil {
 			log = nil
 		}
 		first := true
 		for s := bufio.NewScanner(out); s.Scan(); {
-			_, _ = fmt.Fprintln(log, s.Text()) // a nil file takes nothing
+			_, _ = fmt.Fprintln(log, s.Text()) // a write to a nil file does nothing
 			if first && strings.Contains(s.Text(), "msg=serving") {
 				first = false
 				close(serving)
@@ -264,105 +269,109 @@
 	case <-serving:
 		return nil
 	case <-exited:
-		return fmt.Errorf("rig: %v ended before it served, see its log", who)
-	case <-time.After(startFor):
-		return fmt.Errorf("rig: %v does not serve after %v", who, startFor)
+		return fmt.Errorf("rig: %v exited before it served, see its log", process)
+	case <-time.After(startTimeout):
+		return fmt.Errorf("rig: %v did not serve within %v", process, startTimeout)
 	}
 }
 
-// kill ends the process at once. Its host refuses connections only once it is gone.
+// kill kills the process. Its host refuses connections only after the process has ended.
 func (g *gatherer) kill() error {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.cmd == nil {
 		return nil
 	}
-	g.upset++
+	g.interruptions++
 	_ = g.cmd.Process.Kill()
 	<-g.exited
 	g.cmd, g.stopped = nil, false
-	g.r.history.ended(g.life)
-	return g.r.net.alive(g.number, false)
+	g.rig.history.recordEnd(g.process)
+	return g.rig.network.setRunning(g.number, false)
 }
 
+// signal sends a signal to the process, if one runs.
 func (g *gatherer) signal(s syscall.Signal) error {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.cmd == nil {
 		return nil
 	}
-	g.upset++
+	g.interruptions++
 	g.stopped = s == syscall.SIGSTOP
-	g.r.history.say(g.life.String(), "%v", s)
+	g.rig.history.recordText(g.process.String(), "%v", s)
 	return g.cmd.Process.Signal(s)
 }
 
-// running returns the process that runs and is not stopped.
-func (g *gatherer) running() (l life, upset int, ok bool) {
+// running returns the current process and the number of interruptions so far; ok reports whether the process runs and
+// is not stopped.
+func (g *gatherer) running() (process processID, interruptions int, ok bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.life, g.upset, g.cmd != nil && !g.stopped
+	return g.process, g.interruptions, g.cmd != nil && !g.stopped
 }
 
-// state asks the gatherer what it says of its fleet.
-func (g *gatherer) state() (s admin.FleetState, ok bool) {
-	who, _, ok := g.running()
+// fetchState polls the gatherer for the state of its fleet, and records it.
+func (g *gatherer) fetchState() (state admin.FleetState, ok bool) {
+	process, _, ok := g.running()
 	asked := time.Now()
-	if !ok || g.admin.Do(g.r.ctx, http.MethodGet, "/v1/fleet", nil, &s) != nil {
-		return s, false
+	if !ok || g.admin.Do(g.rig.ctx, http.MethodGet, "/v1/fleet", nil, &state) != nil {
+		return state, false
 	}
 	now := time.Now()
-	if again, _, ok := g.running(); !ok || again != who {
-		return s, false
+	if again, _, ok := g.running(); !ok || again != process {
+		return state, false
 	}
-	g.r.history.seen(who, g.r.net.n, s, asked, now)
-	return s, true
+	g.rig.history.recordState(process, g.rig.network.size, state, asked, now)
+	return state, true
 }
 
-func (g *gatherer) poll() { g.state() }
+// poll records the gatherer's state.
+func (g *gatherer) poll() { g.fetchState() }
 
-// ask asks the gatherer one query after another, of every second client the cold searcher's.
-func (g *gatherer) ask(number int) {
-	client := &http.Client{Timeout: answerIn, Transport: &http.Transport{MaxIdleConnsPerHost: 1}}
+// runClient runs one of the gatherer's clients, which sends one query after another. Clients with an odd number ask the cold
+// searcher.
+func (g *gatherer) runClient(number int) {
+	client := &http.Client{Timeout: answerTimeout, Transport: &http.Transport{MaxIdleConnsPerHost: 1}}
 	defer client.CloseIdleConnections()
-	var with life // whose connection it has
-	// A larger fleet is asked no more than one of five: it has the same searchers.
-	pause := time.Duration(10+5*number) * time.Millisecond * time.Duration(max(g.r.net.n, 5)) / 5
-	for i := 0; g.r.sleep(pause); i++ {
-		who, upset, ok := g.running()
+	var connected processID // the process to which its connection leads
+	// A fleet of more than five gets no more queries than one of five: the number of searchers is the same.
+	interval := time.Duration(10+5*number) * time.Millisecond * time.Duration(max(g.rig.network.size, 5)) / 5
+	for i := 0; g.rig.sleep(interval); i++ {
+		process, interruptions, ok := g.running()
 		if !ok {
 			continue
 		}
-		if with != who { // it has ended with its process
+		if connected != process { // the old connection ended with its process
 			client.CloseIdleConnections()
-			with = who
+			connected = process
 		}
 		shard := number % 2
-		a, err := ask.Do(g.r.ctx, client, g.r.net.queries(g.number), ask.Query{
-			Class: "search", Trace: fmt.Sprintf("%v-%d-%d", who, number, i), Expires: deadline, Segments: []int{shard}, Statement: "q",
+		answer, err := ask.Do(g.rig.ctx, client, g.rig.network.queryAddr(g.number), ask.Query{
+			Class: "search", Trace: fmt.Sprintf("%v-%d-%d", process, number, i), Expires: deadline, Segments: []int{shard}, Statement: "q",
 		})
 		switch {
-		case g.r.ctx.Err() != nil:
+		case g.rig.ctx.Err() != nil:
 			return
-		case errors.Is(err, syscall.ECONNREFUSED): // it does not listen yet: nothing was asked
+		case errors.Is(err, syscall.ECONNREFUSED): // the gatherer doesn't listen yet, so it got no query
 			continue
 		}
-		again, upsetNow, _ := g.running()
-		g.r.history.answer(a.Status, shard == 1, again != who || upset != upsetNow, err)
+		again, interruptionsNow, _ := g.running()
+		g.rig.history.recordAnswer(answer.Status, shard == 1, again != process || interruptions != interruptionsNow, err)
 	}
 }
 
-// answer books how a query has ended.
-func (h *history) answer(status int, cold, upset bool, err error) {
+// recordAnswer records how a query has ended. interrupted says that its gatherer was killed or stopped meanwhile.
+func (h *history) recordAnswer(status int, cold, interrupted bool, err error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.Asked++
 	switch {
-	case err != nil && upset:
+	case err != nil && interrupted:
 		h.Died++
 	case err != nil:
 		h.Lost++
-		h.fault("a query has no answer: %v", err)
+		h.recordViolationLocked("query without an answer: %v", err)
 	case status == http.StatusOK:
 		h.Answered++
 		if cold {
@@ -375,31 +384,32 @@
 	}
 }
 
-// settled waits until all that run count just each other, and returns how long that took.
-func (r *Rig) settled() (time.Duration, error) {
-	began := time.Now()
+// waitConverged waits until the views of all running gatherers agree and contain exactly these gatherers, and returns how
+// long that took.
+func (r *Rig) waitConverged() (time.Duration, error) {
+	started := time.Now()
 	for {
-		want, same, first := 0, true, ""
+		want, same, digest := 0, true, ""
 		var states []admin.FleetState
 		for _, g := range r.gatherers {
 			if _, _, ok := g.running(); !ok {
 				continue
 			}
 			want++
-			s, ok := g.state()
-			same = same && ok && (first == "" || s.Digest == first)
-			first = s.Digest
+			s, ok := g.fetchState()
+			same = same && ok && (digest == "" || s.Digest == digest)
+			digest = s.Digest
 			states = append(states, s)
 		}
 		for _, s := range states {
 			same = same && s.Counted == want
 		}
-		took := time.Since(began)
+		took := time.Since(started)
 		if same {
 			return took, nil
 		}
 		if took > r.cfg.Settle {
-			return took, fmt.Errorf("not settled after %v: %d gatherers", took, want)
+			return took, fmt.Errorf("fleet not converged after %v: %d gatherers run", took, want)
 		}
 		if !r.sleep(20 * time.Millisecond) {
 			return took, r.ctx.Err()
@@ -407,19 +417,19 @@
 	}
 }
 
-// Close ends all that the rig has started.
+// Close ends all processes and goroutines of the test cluster.
 func (r *Rig) Close() error {
 	r.stop()
-	err := r.each(r.gatherers, (*gatherer).kill)
-	r.done.Wait()
-	if r.net != nil {
-		r.net.close()
+	err := r.forEach(r.gatherers, (*gatherer).kill)
+	r.goroutines.Wait()
+	if r.network != nil {
+		r.network.close()
 	}
 	if r.discovery != nil {
 		err = errors.Join(err, r.discovery.Close())
 	}
 	for _, s := range r.searchers {
-		err = errors.Join(err, s.srv.Close())
+		err = errors.Join(err, s.server.Close())
 	}
 	for _, g := range r.gatherers {
 		g.admin.Close()
@@ -430,152 +440,153 @@
 	return err
 }
 
-// Settled is how long a fleet took after faults of a kind.
+// Settled holds how long the fleet took to converge after faults of one kind.
 type Settled struct {
 	Kind  Kind
-	When  string // what had happened: "struck" or "over"
+	When  string // "struck": after the fault began; "over": after it ended
 	Times []time.Duration
 }
 
-// Report is what a run has shown.
+// Report is the result of a run.
 type Report struct {
 	Queries
 	Steps   int
 	Settled []Settled
-	Views   int // changes of a gatherer's view that were seen
-	Quiet   int // of these, while nothing was wrong and all had settled
-	Held    int // most slots of gone gatherers that were held at once
-	// Parts that came to the cold searcher, most of them in one window beside what the module's
-	// rule allows the whole fleet there.
+	Views   int // observed changes of a gatherer's view
+	Quiet   int // of Views: those without a fault, in a fleet that had converged
+	Held    int // most slots of absent gatherers that others used at once
+	// Parts that reached the cold searcher, the most of them in one window, and how many the decision module's rule
+	// allows the whole fleet in that window.
 	Parts, Most int
 	Allowed     float64
 	Faults      []string
 }
 
-// add books a time.
-func (r *Report) add(k Kind, when string, d time.Duration) {
-	i := slices.IndexFunc(r.Settled, func(s Settled) bool { return s.Kind == k && s.When == when })
+// addTime adds a time that the fleet took to converge.
+func (r *Report) addTime(kind Kind, when string, took time.Duration) {
+	i := slices.IndexFunc(r.Settled, func(s Settled) bool { return s.Kind == kind && s.When == when })
 	if i < 0 {
 		i = len(r.Settled)
-		r.Settled = append(r.Settled, Settled{Kind: k, When: when})
+		r.Settled = append(r.Settled, Settled{Kind: kind, When: when})
 	}
-	r.Settled[i].Times = append(r.Settled[i].Times, d)
+	r.Settled[i].Times = append(r.Settled[i].Times, took)
 }
 
-// quiet is how long the fleet is looked at between two faults.
-const quiet = 500 * time.Millisecond
+// quietPeriod is how long the fleet is observed without a fault before each step.
+const quietPeriod = 500 * time.Millisecond
 
-// Play strikes with the faults of a plan, one after the other, each once the fleet has settled after
-// the one before.
+// Play injects the faults of a plan, one after the other. Each begins after the fleet has converged, or failed to in
+// time, after the one before. The test cluster stops at the end.
 func (r *Rig) Play(plan []Step) (*Report, error) {
-	out := &Report{}
-	settle := func(k Kind, when string) {
-		took, err := r.settled()
-		out.add(k, when, took)
+	report := &Report{}
+	waitConverged := func(k Kind, when string) {
+		took, err := r.waitConverged()
+		report.addTime(k, when, took)
 		r.history.mu.Lock()
 		defer r.history.mu.Unlock()
-		r.history.write(Entry{Who: "rig", What: "settled", Kind: k, When: when, TookMS: took.Milliseconds()})
+		r.history.recordEntryLocked(Entry{Who: "rig", What: "settled", Kind: k, When: when, TookMS: took.Milliseconds()})
 		if err != nil {
-			r.history.fault("%s %s: %v", k, when, err)
+			r.history.recordViolationLocked("%s %s: %v", k, when, err)
 		}
 	}
-	settle("start", "over")
-	for _, s := range plan {
-		before := r.history.changes()
-		r.sleep(quiet)
-		out.Quiet += r.history.changes() - before
-		out.Steps++
-		r.history.say("rig", "%s of %d for %v", s.Kind, s.First, s.For)
-		if err := r.strike(s, func() { settle(s.Kind, "struck") }); err != nil {
-			return out, err
+	waitConverged("start", "over")
+	for _, step := range plan {
+		before := r.history.viewChangeCount()
+		r.sleep(quietPeriod)
+		report.Quiet += r.history.viewChangeCount() - before
+		report.Steps++
+		r.history.recordText("rig", "%s of %d for %v", step.Kind, step.First, step.For)
+		if err := r.inject(step, func() { waitConverged(step.Kind, "struck") }); err != nil {
+			return report, err
 		}
-		r.history.say("rig", "%s is over", s.Kind)
-		settle(s.Kind, "over")
+		r.history.recordText("rig", "%s is over", step.Kind)
+		waitConverged(step.Kind, "over")
 	}
 	r.stop()
-	r.done.Wait()
-	r.count(out)
-	return out, nil
+	r.goroutines.Wait()
+	r.summarize(report)
+	return report, nil
 }
 
-func (h *history) changes() int {
+// viewChangeCount returns how many changes of views were observed so far.
+func (h *history) viewChangeCount() int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.views
+	return h.viewChanges
 }
 
-// strike lets a fault happen and end. settle is called where the fleet is to settle meanwhile.
-func (r *Rig) strike(s Step, settle func()) error {
+// inject injects a fault and ends it. It calls waitConverged during the fault if the fleet should converge meanwhile.
+func (r *Rig) inject(step Step, waitConverged func()) error {
 	n := len(r.gatherers)
-	at := func(i int) *gatherer { return r.gatherers[(s.First+i)%n] }
-	several := func(many int) (list []*gatherer) {
-		for i := range many {
-			list = append(list, at(i))
+	member := func(i int) *gatherer { return r.gatherers[(step.First+i)%n] }
+	members := func(count int) (list []*gatherer) {
+		for i := range count {
+			list = append(list, member(i))
 		}
 		return list
 	}
-	wait := func(began time.Time) { r.sleep(max(time.Until(began.Add(s.For)), 0)) }
-	began := time.Now()
-	link := func(l Link, which func(i, j int) bool) error {
-		err := r.net.set(func(i, j int) (Link, bool) { return l, which(i, j) })
-		wait(began)
-		return errors.Join(err, r.net.set(func(int, int) (Link, bool) { return Link{}, true }))
+	wait := func(begun time.Time) { r.sleep(max(time.Until(begun.Add(step.For)), 0)) }
+	begun := time.Now()
+	withLinks := func(link Link, affected func(i, j int) bool) error {
+		err := r.network.setLinks(func(i, j int) (Link, bool) { return link, affected(i, j) })
+		wait(begun)
+		return errors.Join(err, r.network.setLinks(func(int, int) (Link, bool) { return Link{}, true }))
 	}
 	all := func(int, int) bool { return true }
-	place := func(i int) int { return (i - s.First + n) % n }
-	switch s.Kind {
+	position := func(i int) int { return (i - step.First + n) % n }
+	switch step.Kind {
 	case Kill, Most:
-		struck := several(1)
-		if s.Kind == Most {
-			struck = several(n * 7 / 10)
+		targets := members(1)
+		if step.Kind == Most {
+			targets = members(n * 7 / 10)
 		}
-		err := r.each(struck, (*gatherer).kill)
-		settle()
-		wait(began)
-		return errors.Join(err, r.each(struck, (*gatherer).start))
+		err := r.forEach(targets, (*gatherer).kill)
+		waitConverged()
+		wait(begun)
+		return errors.Join(err, r.forEach(targets, (*gatherer).start))
 	case Restart, Flap:
-		times, who := n, at
-		if s.Kind == Flap {
-			times, who = max(int(s.For/time.Second), 2), func(int) *gatherer { return at(0) }
+		times, target := n, member
+		if step.Kind == Flap {
+			times, target = max(int(step.For/time.Second), 2), func(int) *gatherer { return member(0) }
 		}
 		var errs []error
 		for i := range times {
-			errs = append(errs, who(i).kill(), who(i).start())
-			r.sleep(max(time.Until(began.Add(s.For/time.Duration(times)*time.Duration(i+1))), 0))
+			errs = append(errs, target(i).kill(), target(i).start())
+			r.sleep(max(time.Until(begun.Add(step.For/time.Duration(times)*time.Duration(i+1))), 0))
 		}
 		return errors.Join(errs...)
 	case Join:
-		seed, others := r.gatherers[0], r.gatherers[min(seeds, n-1):]
-		errs := []error{r.each(others, (*gatherer).kill)}
+		seed, others := r.gatherers[0], r.gatherers[min(seedCount, n-1):]
+		errs := []error{r.forEach(others, (*gatherer).kill)}
 		started := make(chan error, 1)
-		go func() { started <- r.each(others, (*gatherer).start) }()
-		r.sleep(seedDies)
+		go func() { started <- r.forEach(others, (*gatherer).start) }()
+		r.sleep(seedKillDelay)
 		errs = append(errs, seed.kill(), <-started)
-		wait(began)
+		wait(begun)
 		return errors.Join(append(errs, seed.start())...)
 	case Stop:
-		err := at(0).signal(syscall.SIGSTOP)
-		settle()
-		wait(began)
-		return errors.Join(err, at(0).signal(syscall.SIGCONT))
+		err := member(0).signal(syscall.SIGSTOP)
+		waitConverged()
+		wait(begun)
+		return errors.Join(err, member(0).signal(syscall.SIGCONT))
 	case Halves:
-		return link(Link{Cut: true}, func(i, j int) bool { return (place(i) < n/2) != (place(j) < n/2) })
+		return withLinks(Link{Partitioned: true}, func(i, j int) bool { return (position(i) < n/2) != (position(j) < n/2) })
 	case Oneway:
-		return link(Link{Cut: true}, func(i, j int) bool { return place(i) == 0 && place(j) == 1 })
+		return withLinks(Link{Partitioned: true}, func(i, j int) bool { return position(i) == 0 && position(j) == 1 })
 	case Hermit:
-		return link(Link{Cut: true}, func(i, j int) bool { return place(i)+place(j) == 1 })
+		return withLinks(Link{Partitioned: true}, func(i, j int) bool { return position(i)+position(j) == 1 })
 	case Loss:
-		return link(Link{Loss: 0.2}, all)
+		return withLinks(Link{LossRate: 0.2}, all)
 	case Unruly:
-		return link(Link{Delay: 2 * time.Millisecond, Jitter: 15 * time.Millisecond, Twice: 0.1}, all)
+		return withLinks(Link{Delay: 2 * time.Millisecond, Jitter: 15 * time.Millisecond, DuplicateRate: 0.1}, all)
 	case Thin:
-		return link(Link{Rate: 8 << 10}, all)
+		return withLinks(Link{BytesPerSecond: 8 << 10}, all)
 	}
-	return fmt.Errorf("rig: unknown fault %q", s.Kind)
+	return fmt.Errorf("rig: unknown fault %q", step.Kind)
 }
 
-// count audits what came to the cold searcher, and sums up.
-func (r *Rig) count(out *Report) {
+// summarize audits the parts that reached the cold searcher, and fills in the report.
+func (r *Rig) summarize(report *Report) {
 	h := r.history
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -583,25 +594,25 @@
 	parts := r.cold.parts
 	r.cold.mu.Unlock()
 	for i, p := range parts {
-		if p.who.Gatherer < 0 || p.who.Gatherer >= len(r.gatherers) {
-			h.fault("the cold searcher got a part that no client asked for")
+		if p.sender.Gatherer < 0 || p.sender.Gatherer >= len(r.gatherers) {
+			h.recordViolationLocked("the cold searcher got a part of a query that no client sent")
 			continue
 		}
-		n, last := 0, p.at
+		n, lastArrival := 0, p.at
 		for _, q := range parts[i:] {
-			if q.at.Sub(p.at) >= window || q.start != p.start {
+			if q.at.Sub(p.at) >= limitWindow || q.searcherStart != p.searcherStart {
 				break
 			}
-			n, last = n+1, q.at
+			n, lastArrival = n+1, q.at
 		}
-		age := float64(last.Sub(p.start)) / float64(coldFor)
-		allowed := (coldShare + (1-coldShare)*min(age, 1)) * multiple * turns * float64(window) / float64(takes)
-		if n > out.Most {
-			out.Most, out.Allowed = n, allowed
+		age := float64(lastArrival.Sub(p.searcherStart)) / float64(coldDuration)
+		allowed := (startCapacity + (1-startCapacity)*min(age, 1)) * fallMultiple * coldGrantFactor * float64(limitWindow) / float64(partDuration)
+		if n > report.Most {
+			report.Most, report.Allowed = n, allowed
 		}
-		if float64(n) > 2*allowed { // a window may lie across two turns
-			h.fault("the cold searcher got %d parts in %v, want %.0f at most in a turn", n, window, allowed)
+		if float64(n) > 2*allowed { // a window may overlap two turns
+			h.recordViolationLocked("the cold searcher got %d parts in %v, want %.0f at most in a turn", n, limitWindow, allowed)
 		}
 	}
-	out.Parts, out.Queries, out.Views, out.Held, out.Faults = len(parts), h.Queries, h.views, h.held, h.faults
+	report.Parts, report.Queries, report.Views, report.Held, report.Faults = len(parts), h.Queries, h.viewChanges, h.maxHeldSlots, h.violations
 }
--- a/internal/trial/rig/searcher.go
+++ b/internal/trial/rig/searcher.go
@@ -10,39 +10,41 @@
 	"eiderwinch/internal/trial/standin"
 )
 
-// searcher answers each part after a while and notes who sent it.
+// searcher is a fake searcher that answers each part after a fixed time and records which process sent it.
 type searcher struct {
-	srv   *standin.Server
-	id    string
-	cell  int
-	takes time.Duration
+	server       *standin.Server
+	id           string
+	cell         int
+	partDuration time.Duration
 
 	mu      sync.Mutex
-	started time.Time // of its last start; zero: long ago
+	started time.Time // its last start; zero: long ago
 	parts   []arrival
 }
 
-// arrival is a part that has come.
+// arrival is a part that the searcher received.
 type arrival struct {
-	at    time.Time
-	who   life
-	start time.Time // of the searcher then
+	at            time.Time
+	sender        processID
+	searcherStart time.Time // the searcher's last start before it
 }
 
-func newSearcher(id string, cell int, takes time.Duration) (*searcher, error) {
-	s := &searcher{id: id, cell: cell, takes: takes}
+// newSearcher starts a searcher of a cell that takes the given time for each part.
+func newSearcher(id string, cell int, partDuration time.Duration) (*searcher, error) {
+	searcher := &searcher{id: id, cell: cell, partDuration: partDuration}
 	var err error
-	s.srv, err = standin.Listen(s.serve)
-	return s, err
+	searcher.server, err = standin.Listen(searcher.serve)
+	return searcher, err
 }
 
+// serve answers the calls on a connection until it is closed.
 func (s *searcher) serve(c net.Conn) {
 	for {
 		letter, rest, err := standin.ReadFrame(c)
 		if err != nil {
 			return
 		}
-		if letter == 'c' { // a cancel: what it does is done in no time
+		if letter == 'c' { // a cancel: ignored, since a part's work is over shortly anyway
 			continue
 		}
 		parts, err := standin.ParseCall(rest)
@@ -53,22 +55,22 @@
 		for _, p := range parts {
 			trace, _, _ := strings.Cut(p.ID, ".")
 			s.mu.Lock()
-			s.parts = append(s.parts, arrival{now, lifeOf(trace), s.started})
+			s.parts = append(s.parts, arrival{now, processOf(trace), s.started})
 			s.mu.Unlock()
 			text := fmt.Sprintf("a%s served 1 -\nv", p.ID)
-			time.AfterFunc(s.takes, func() { standin.WriteFrame(c, text) })
+			time.AfterFunc(s.partDuration, func() { standin.WriteFrame(c, text) })
 		}
 	}
 }
 
-// member is the searcher as discovery lists it, after a start where one is wanted.
-func (s *searcher) member(anew bool) standin.Member {
+// member returns the searcher's entry of the member list. With restarted, the searcher counts as just started.
+func (s *searcher) member(restarted bool) standin.Member {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if anew {
+	if restarted {
 		s.started = time.Now()
 	}
-	m := standin.Member{ID: s.id, Addr: s.srv.Addr(), Zone: "a", Cell: s.cell, Phase: standin.Ready, Size: 1}
+	m := standin.Member{ID: s.id, Addr: s.server.Addr(), Zone: "a", Cell: s.cell, Phase: standin.Ready, Size: 1}
 	if !s.started.IsZero() {
 		m.UpSince = s.started.UnixMilli()
 	}
