--- a/internal/trial/faults/plan.go
+++ b/internal/trial/faults/plan.go
@@ -1,5 +1,5 @@
-// Package faults makes system calls of a child process fail. It traces the process with ptrace(2), so that
-// a built program is tested unchanged, the Go runtime's own calls included.
+// Package faults makes system calls of a child process fail. It traces the process with ptrace(2), so that a built
+// program is tested unchanged and the calls of the Go runtime are covered as well.
 package faults
 
 import (
@@ -9,10 +9,11 @@
 	"time"
 )
 
-// Target restricts a fault to calls on one kind of descriptor, which is the call's first argument.
+// Target restricts a fault to calls whose first argument is a descriptor of one kind. It is the prefix of what the
+// descriptor's link in /proc/PID/fd points to.
 type Target string
 
-// The kinds of descriptors. Any also holds for calls without one.
+// The kinds of descriptors. Any also matches calls without a descriptor.
 const (
 	Any     Target = ""
 	Socket  Target = "socket:"
@@ -20,50 +21,52 @@
 	File    Target = "/"
 )
 
-// Fault says which calls fail, and how.
+// Fault describes which system calls fail, and how.
 type Fault struct {
-	Call   string        // name of the system call, see calls
-	Errno  syscall.Errno // 0: the call is made, but moves one byte at the most
+	Call   string        // name of the system call, a key of syscallNumbers
+	Errno  syscall.Errno // 0: the call is made, but transfers one byte at most
 	Target Target
-	Path   string        // File: the path ends in this
-	Rate   float64       // share of the calls that fail; 0 means all of them
-	After  time.Duration // since the start of the process
-	For    time.Duration // from then on; 0 means until its end
-	Most   int           // calls that fail at the most; 0 means no bound
+	Path   string        // for File: a suffix of the path
+	Rate   float64       // share of the calls that fail; 0: all
+	After  time.Duration // begin of the fault, since the start of the process
+	For    time.Duration // length of the fault; 0: until the process ends
+	Most   int           // bound of the calls that fail; 0: unlimited
 }
 
-// Plan is what happens to one process. The seed decides which calls fail where a rate is given.
+// Plan lists the faults of one process. The seed decides which calls fail if a fault has a rate. For each call the first
+// fault that applies is used.
 type Plan struct {
 	Seed   uint64
 	Faults []Fault
 }
 
-// numbers are the system calls that can be made to fail, on amd64.
-var numbers = map[string]uint64{
+// syscallNumbers holds the system calls that can be made to fail, with their numbers on amd64.
+var syscallNumbers = map[string]uint64{
 	"read": 0, "write": 1, "close": 3, "poll": 7, "ioctl": 16, "pread64": 17, "pwrite64": 18, "writev": 20,
 	"socket": 41, "connect": 42, "shutdown": 48, "bind": 49, "listen": 50, "getsockopt": 55, "fcntl": 72,
 	"fsync": 74, "fdatasync": 75, "ftruncate": 77, "epoll_wait": 232, "epoll_ctl": 233, "openat": 257,
 	"epoll_pwait": 281, "accept4": 288, "eventfd2": 290, "epoll_create1": 291,
 }
 
-// firstIsDescriptor tells whether the first argument of a call is a descriptor.
-func firstIsDescriptor(call uint64) bool {
+// takesDescriptor reports whether the first argument of a system call is a descriptor.
+func takesDescriptor(call uint64) bool {
 	switch call {
-	case numbers["poll"], numbers["socket"], numbers["openat"], numbers["eventfd2"], numbers["epoll_create1"]:
+	case syscallNumbers["poll"], syscallNumbers["socket"], syscallNumbers["openat"], syscallNumbers["eventfd2"], syscallNumbers["epoll_create1"]:
 		return false
 	}
 	return true
 }
 
-var errPlan = errors.New("invalid fault plan")
+var errInvalidPlan = errors.New("invalid fault plan")
 
-func (p Plan) check() error {
+// validate checks the names of the calls and the rates.
+func (p Plan) validate() error {
 	for i, f := range p.Faults {
-		if _, ok := numbers[f.Call]; !ok {
-			return fmt.Errorf("%w: faults[%d].Call: found %q, want a known system call", errPlan, i, f.Call)
+		if _, ok := syscallNumbers[f.Call]; !ok {
+			return fmt.Errorf("%w: faults[%d].Call: found %q, want a known system call", errInvalidPlan, i, f.Call)
 		}
 		if f.Rate < 0 || f.Rate > 1 {
-			return fmt.Errorf("%w: faults[%d].Rate: found %v, want 0 to 1", errPlan, i, f.Rate)
+			return fmt.Errorf("%w: faults[%d].Rate: found %v, want 0 to 1", errInvalidPlan, i, f.Rate)
 		}
 	}
 	return nil
--- a/internal/trial/faults/trace_linux_amd64.go
+++ b/internal/trial/faults/trace_linux_amd64.go
@@ -14,28 +14,31 @@
 	"time"
 )
 
-// planVariable holds the JSON of a Plan for a tracer.
+// planVariable is the environment variable that passes a Plan in JSON to the tracer.
 const planVariable = "EIDERWINCH_FAULT_PLAN"
 
-// A tracer built with the race detector would sleep for a second at its exit, after the program's.
+// Setting for a tracer built with the race detector: without it the tracer would sleep for a second before it exits,
+// after the traced program has ended.
 const (
 	raceVariable = "GORACE"
-	exitAtOnce   = "atexit_sleep_ms=0"
+	noExitDelay  = "atexit_sleep_ms=0"
 )
 
+// Options of ptrace(2) and wait4(2) that package syscall lacks for use here, and the tracer's own codes.
 const (
-	traceSysGood = 0x1      // PTRACE_O_TRACESYSGOOD
-	traceClone   = 0x8      // PTRACE_O_TRACECLONE
-	exitKill     = 0x100000 // PTRACE_O_EXITKILL
-	syscallStop  = syscall.SIGTRAP | 0x80
-	noCall       = ^uint64(0)
-	waitAll      = 0x40000000 // __WALL: threads as well
-	exitTracer   = 125
+	traceSysGood     = 0x1      // PTRACE_O_TRACESYSGOOD
+	traceClone       = 0x8      // PTRACE_O_TRACECLONE
+	exitKill         = 0x100000 // PTRACE_O_EXITKILL
+	syscallStop      = syscall.SIGTRAP | 0x80
+	noSyscall        = ^uint64(0) // number of a call that the kernel does not make
+	waitAll          = 0x40000000 // __WALL: wait for threads as well
+	exitTracerFailed = 125        // exit code if the tracer itself fails
 )
 
-// Command returns a command that runs a program under a plan. The calling binary must call Main first thing.
+// Command returns a command that runs a program under a plan. It starts the calling binary again as the tracer, so that
+// binary must call Main before anything else.
 func Command(plan Plan, path string, args ...string) (*exec.Cmd, error) {
-	if err := plan.check(); err != nil {
+	if err := plan.validate(); err != nil {
 		return nil, err
 	}
 	text, err := json.Marshal(plan)
@@ -47,12 +50,12 @@
 		return nil, err
 	}
 	cmd := exec.Command(self, append([]string{path}, args...)...)
-	cmd.Env = append(os.Environ(), planVariable+"="+string(text), raceVariable+"="+os.Getenv(raceVariable)+" "+exitAtOnce)
+	cmd.Env = append(os.Environ(), planVariable+"="+string(text), raceVariable+"="+os.Getenv(raceVariable)+" "+noExitDelay)
 	return cmd, nil
 }
 
-// Main runs the tracer and exits with the program's code where this process was started by Command. Else
-// it returns at once.
+// Main runs the tracer and exits with the program's exit code if this process was started by Command. Otherwise it
+// returns at once.
 func Main() {
 	text := os.Getenv(planVariable)
 	if text == "" {
@@ -62,7 +65,7 @@
 	var plan Plan
 	if err := json.Unmarshal([]byte(text), &plan); err != nil {
 		fmt.Fprintln(os.Stderr, "faults:", err)
-		os.Exit(exitTracer)
+		os.Exit(exitTracerFailed)
 	}
 	code, err := trace(plan, os.Args[1:])
 	if err != nil {
@@ -73,21 +76,22 @@
 
 // thread is one thread of the traced process.
 type thread struct {
-	inCall bool
-	result *int64  // of a call that is not made
-	count  *uint64 // third argument of a call that was shortened, as it was
+	inCall         bool
+	injectedResult *int64  // to be returned from a call that is not made
+	originalCount  *uint64 // the original third argument of a call that was shortened
 }
 
-// tracer traces one process. It belongs to one operating system thread.
+// tracer traces one process. All of it must run on one operating system thread, as ptrace(2) requires.
 type tracer struct {
-	plan     Plan
-	process  int
-	started  time.Time
-	random   *rand.Rand
-	injected []int // by fault
-	threads  map[int]*thread
+	plan        Plan
+	pid         int
+	started     time.Time
+	rng         *rand.Rand
+	faultCounts []int // by fault of the plan: calls that failed so far
+	threads     map[int]*thread
 }
 
+// trace runs a program under a plan and returns its exit code. It forwards signals to the program.
 func trace(plan Plan, argv []string) (int, error) {
 	runtime.LockOSThread()
 	signals := make(chan os.Signal, 16)
@@ -96,33 +100,34 @@
 	cmd.Stdin, cmd.Stdout, cmd.Stderr = os.Stdin, os.Stdout, os.Stderr
 	cmd.SysProcAttr = &syscall.SysProcAttr{Ptrace: true, Pdeathsig: syscall.SIGKILL}
 	if err := cmd.Start(); err != nil {
-		return exitTracer, err
+		return exitTracerFailed, err
 	}
 	t := &tracer{
-		plan: plan, process: cmd.Process.Pid, random: rand.New(rand.NewPCG(plan.Seed, 0)),
-		injected: make([]int, len(plan.Faults)), threads: make(map[int]*thread),
+		plan: plan, pid: cmd.Process.Pid, rng: rand.New(rand.NewPCG(plan.Seed, 0)),
+		faultCounts: make([]int, len(plan.Faults)), threads: make(map[int]*thread),
 	}
 	var status syscall.WaitStatus
-	if _, err := syscall.Wait4(t.process, &status, waitAll, nil); err != nil {
-		return exitTracer, err
+	if _, err := syscall.Wait4(t.pid, &status, waitAll, nil); err != nil {
+		return exitTracerFailed, err
 	}
-	if err := syscall.PtraceSetOptions(t.process, traceSysGood|traceClone|exitKill); err != nil {
-		return exitTracer, err
+	if err := syscall.PtraceSetOptions(t.pid, traceSysGood|traceClone|exitKill); err != nil {
+		return exitTracerFailed, err
 	}
 	t.started = time.Now()
 	go func() {
 		for s := range signals {
-			_ = syscall.Kill(t.process, s.(syscall.Signal))
+			_ = syscall.Kill(t.pid, s.(syscall.Signal))
 		}
 	}()
-	if err := syscall.PtraceSyscall(t.process, 0); err != nil {
-		return exitTracer, err
+	if err := syscall.PtraceSyscall(t.pid, 0); err != nil {
+		return exitTracerFailed, err
 	}
-	return t.follow()
+	return t.run()
 }
 
-// follow runs the process until its end, and returns its exit code.
-func (t *tracer) follow() (int, error) {
+// run resumes the process at each of its stops until it ends, and returns its exit code, or 128 plus the number of the
+// signal that ended it.
+func (t *tracer) run() (int, error) {
 	for {
 		var status syscall.WaitStatus
 		id, err := syscall.Wait4(-1, &status, waitAll, nil)
@@ -130,11 +135,11 @@
 			continue
 		}
 		if err != nil {
-			return exitTracer, err
+			return exitTracerFailed, err
 		}
 		if status.Exited() || status.Signaled() {
 			delete(t.threads, id)
-			if id == t.process {
+			if id == t.pid {
 				t.report()
 				if status.Signaled() {
 					return 128 + int(status.Signal()), nil
@@ -143,58 +148,60 @@
 			}
 			continue
 		}
-		deliver := t.stopped(id, status)
-		_ = syscall.PtraceSyscall(id, deliver) // fails where the thread was killed meanwhile
+		sig := t.handleStop(id, status)
+		_ = syscall.PtraceSyscall(id, sig) // fails if the thread was killed meanwhile
 	}
 }
 
-// stopped deals with a thread that has stopped, and returns the signal to deliver to it.
-func (t *tracer) stopped(id int, status syscall.WaitStatus) int {
-	known := t.threads[id]
-	if known == nil {
-		known = &thread{}
-		t.threads[id] = known
+// handleStop handles the stop of a thread, and returns the signal to deliver to it.
+func (t *tracer) handleStop(id int, status syscall.WaitStatus) int {
+	stopped := t.threads[id]
+	if stopped == nil {
+		stopped = &thread{}
+		t.threads[id] = stopped
 	}
 	switch s := status.StopSignal(); s {
 	case syscallStop:
-		t.syscall(id, known)
-	case syscall.SIGTRAP, syscall.SIGSTOP: // of ptrace itself
+		t.handleSyscall(id, stopped)
+	case syscall.SIGTRAP, syscall.SIGSTOP: // caused by ptrace itself
 	default:
 		return int(s)
 	}
 	return 0
 }
 
-// syscall is called at the entry of each system call and at its exit.
-func (t *tracer) syscall(id int, at *thread) {
-	at.inCall = !at.inCall
-	if at.inCall {
-		t.entry(id, at)
+// handleSyscall handles the entry to a system call and the exit from it. At the exit it sets the result of a call that
+// failed, and restores the argument of one that was shortened.
+func (t *tracer) handleSyscall(id int, stopped *thread) {
+	stopped.inCall = !stopped.inCall
+	if stopped.inCall {
+		t.handleEntry(id, stopped)
 		return
 	}
-	if at.result == nil && at.count == nil {
+	if stopped.injectedResult == nil && stopped.originalCount == nil {
 		return
 	}
 	var regs syscall.PtraceRegs
 	if syscall.PtraceGetRegs(id, &regs) != nil {
 		return
 	}
-	if at.result != nil {
-		regs.Rax = uint64(*at.result)
+	if stopped.injectedResult != nil {
+		regs.Rax = uint64(*stopped.injectedResult)
 	}
-	if at.count != nil {
-		regs.Rdx = *at.count
+	if stopped.originalCount != nil {
+		regs.Rdx = *stopped.originalCount
 	}
-	at.result, at.count = nil, nil
+	stopped.injectedResult, stopped.originalCount = nil, nil
 	_ = syscall.PtraceSetRegs(id, &regs)
 }
 
-func (t *tracer) entry(id int, at *thread) {
+// handleEntry applies a fault, if one is chosen, to a system call that is about to be made.
+func (t *tracer) handleEntry(id int, stopped *thread) {
 	var regs syscall.PtraceRegs
 	if syscall.PtraceGetRegs(id, &regs) != nil {
 		return
 	}
-	fault := t.choose(&regs)
+	fault := t.chooseFault(&regs)
 	switch {
 	case fault == nil:
 		return
@@ -202,45 +209,45 @@
 		return
 	case fault.Errno == 0:
 		count := regs.Rdx
-		at.count, regs.Rdx = &count, 1
+		stopped.originalCount, regs.Rdx = &count, 1
 	default:
 		result := -int64(fault.Errno)
-		at.result, regs.Orig_rax = &result, noCall
+		stopped.injectedResult, regs.Orig_rax = &result, noSyscall
 	}
 	_ = syscall.PtraceSetRegs(id, &regs)
 }
 
-// choose returns the fault that strikes a call; nil if none does.
-func (t *tracer) choose(regs *syscall.PtraceRegs) *Fault {
-	since := time.Since(t.started)
+// chooseFault returns the fault to apply to a system call, or nil.
+func (t *tracer) chooseFault(regs *syscall.PtraceRegs) *Fault {
+	elapsed := time.Since(t.started)
 	for i := range t.plan.Faults {
 		f := &t.plan.Faults[i]
 		switch {
-		case numbers[f.Call] != regs.Orig_rax,
-			since < f.After, f.For > 0 && since > f.After+f.For,
-			f.Most > 0 && t.injected[i] >= f.Most,
-			f.Rate > 0 && t.random.Float64() >= f.Rate,
-			!t.meets(f, regs):
+		case syscallNumbers[f.Call] != regs.Orig_rax,
+			elapsed < f.After, f.For > 0 && elapsed > f.After+f.For,
+			f.Most > 0 && t.faultCounts[i] >= f.Most,
+			f.Rate > 0 && t.rng.Float64() >= f.Rate,
+			!t.matchesTarget(f, regs):
 			continue
 		}
-		t.injected[i]++
+		t.faultCounts[i]++
 		return f
 	}
 	return nil
 }
 
-// meets tells whether a call is on a descriptor of the fault's kind.
-func (t *tracer) meets(f *Fault, regs *syscall.PtraceRegs) bool {
-	if f.Target == Any || !firstIsDescriptor(regs.Orig_rax) {
+// matchesTarget reports whether a system call is on a descriptor of the fault's target.
+func (t *tracer) matchesTarget(f *Fault, regs *syscall.PtraceRegs) bool {
+	if f.Target == Any || !takesDescriptor(regs.Orig_rax) {
 		return true
 	}
-	to, err := os.Readlink("/proc/" + strconv.Itoa(t.process) + "/fd/" + strconv.Itoa(int(int32(regs.Rdi))))
-	return err == nil && strings.HasPrefix(to, string(f.Target)) && strings.HasSuffix(to, f.Path)
+	target, err := os.Readlink("/proc/" + strconv.Itoa(t.pid) + "/fd/" + strconv.Itoa(int(int32(regs.Rdi))))
+	return err == nil && strings.HasPrefix(target, string(f.Target)) && strings.HasSuffix(target, f.Path)
 }
 
-// report tells on standard error how often each fault has struck.
+// report writes to standard error how often each fault was applied.
 func (t *tracer) report() {
 	for i, f := range t.plan.Faults {
-		fmt.Fprintf(os.Stderr, "faults: %s %s %d: %d times\n", f.Call, f.Target, f.Errno, t.injected[i])
+		fmt.Fprintf(os.Stderr, "faults: %s %s %d: %d times\n", f.Call, f.Target, f.Errno, t.faultCounts[i])
 	}
 }
