--- a/internal/trial/soak/audit.go
+++ b/internal/trial/soak/audit.go
@@ -14,63 +14,64 @@
 	"eiderwinch/internal/trial/ask"
 )
 
-// audit judges answers by what must be true of them, whatever the gatherers
-// think. It knows every epoch that was published.
+// audit checks answers against invariants, without relying on the gatherers. It knows every epoch that was published.
 type audit struct {
-	mu     sync.Mutex
-	epochs map[layout.Epoch]*layout.Layout
-	keys   []layout.Key
-	report *Report
-	ops    []porcupine.Operation // reservations
-	start  time.Time
+	mu           sync.Mutex
+	epochs       map[layout.Epoch]*layout.Layout
+	keys         []layout.Key // of all rows
+	report       *Report
+	reservations []porcupine.Operation
+	start        time.Time
 }
 
-// mostFaults bounds the faults that are kept in words.
-const mostFaults = 20
+// maxViolations bounds the violations whose texts are kept.
+const maxViolations = 20
 
-func (a *audit) fault(count *int, format string, args ...any) {
+// recordViolationLocked counts a violation and keeps its text. The caller holds mu.
+func (a *audit) recordViolationLocked(count *int, format string, args ...any) {
 	*count++
-	if len(a.report.Faults) < mostFaults {
+	if len(a.report.Faults) < maxViolations {
 		a.report.Faults = append(a.report.Faults, fmt.Sprintf(format, args...))
 	}
 }
 
-func (a *audit) publish(l *layout.Layout) {
+// addLayout adds a layout to the published ones.
+func (a *audit) addLayout(l *layout.Layout) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.epochs[l.Epoch()] = l
 }
 
-// query is one that was asked, and what came back.
+// query is a query that was sent, with its answer.
 type query struct {
-	class    string
-	trace    string
-	segments []layout.SegmentID
-	known    layout.Epoch // that the client knew
-	keys     layout.Range // what a scan asks for
-	id       string       // its idempotency key
+	class          string
+	trace          string
+	segments       []layout.SegmentID
+	knownEpoch     layout.Epoch // of the layout that the client knew
+	keyRange       layout.Range // of a scan
+	idempotencyKey string
 
-	sent, done time.Time
-	status     int
-	full       bool
-	epoch      layout.Epoch
-	generation uint64 // of the settings; 0 where they can't change
-	pieces     []ask.Piece
-	err        error
+	sent, received time.Time
+	status         int
+	whole          bool
+	epoch          layout.Epoch
+	generation     uint64 // of the configuration; 0 if it can't change
+	pieces         []ask.Piece
+	err            error
 }
 
-// judge looks at one answer, of which something else may be known to be wrong.
-func (a *audit) judge(q *query, wrong string) {
+// check audits one answer. wrong says what another check found wrong with it, if anything.
+func (a *audit) check(q *query, wrong string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	r := a.report
 	r.Asked++
 	switch {
 	case wrong != "":
-		a.fault(&r.Mixed, "%s %s: %s", q.class, q.trace, wrong)
+		a.recordViolationLocked(&r.Mixed, "%s %s: %s", q.class, q.trace, wrong)
 		return
 	case q.err != nil:
-		a.fault(&r.Lost, "%s %s: %v", q.class, q.trace, q.err)
+		a.recordViolationLocked(&r.Lost, "%s %s: %v", q.class, q.trace, q.err)
 		return
 	case q.status == 503 || q.status == 429:
 		r.Refused++
@@ -78,98 +79,98 @@
 	case q.status != 200:
 		r.Failed++
 		return
-	case !q.full:
+	case !q.whole:
 		r.Partial++
 		return
 	}
 	r.Whole++
 	l := a.epochs[q.epoch]
 	if l == nil {
-		a.fault(&r.Mixed, "%s %s: epoch %d was never published", q.class, q.trace, q.epoch)
+		a.recordViolationLocked(&r.Mixed, "%s %s: epoch %d was never published", q.class, q.trace, q.epoch)
 		return
 	}
 	seen := make(map[layout.SegmentID]bool)
 	for _, p := range q.pieces {
 		id := layout.SegmentID(p.Tablet)
 		if s := l.Segment(id); s == nil || s.State != layout.Serving || seen[id] {
-			a.fault(&r.Mixed, "%s %s: segment %d does not serve in epoch %d, or stands there twice", q.class, q.trace, id, q.epoch)
+			a.recordViolationLocked(&r.Mixed, "%s %s: segment %d does not serve in epoch %d, or answered twice", q.class, q.trace, id, q.epoch)
 			return
 		}
 		seen[id] = true
 	}
 	if q.class == "search" {
-		a.scan(q, l)
+		a.checkScan(q, l)
 	}
 }
 
-// scan checks that a whole answer has every key once, each from the segment that
-// holds it in the answer's epoch.
-func (a *audit) scan(q *query, l *layout.Layout) {
+// checkScan checks that a whole answer has every key exactly once, each from the segment that holds it in the answer's
+// epoch.
+func (a *audit) checkScan(q *query, l *layout.Layout) {
 	r := a.report
-	got := make(map[layout.Key]bool)
+	found := make(map[layout.Key]bool)
 	for _, p := range q.pieces {
 		for _, k := range strings.Fields(p.Cell) {
 			key := layout.Key(k)
 			if l.Find(key).ID != layout.SegmentID(p.Tablet) {
-				a.fault(&r.Mixed, "search %s: key %s comes from segment %d, but epoch %d has it in %d",
+				a.recordViolationLocked(&r.Mixed, "search %s: key %s comes from segment %d, but in epoch %d it belongs to segment %d",
 					q.trace, k, p.Tablet, q.epoch, l.Find(key).ID)
 				return
 			}
-			if got[key] {
-				a.fault(&r.Mixed, "search %s: key %s comes twice", q.trace, k)
+			if found[key] {
+				a.recordViolationLocked(&r.Mixed, "search %s: key %s occurs twice", q.trace, k)
 				return
 			}
-			got[key] = true
+			found[key] = true
 		}
 	}
 	for _, k := range a.keys {
-		if q.keys.Holds(k) && !got[k] {
-			a.fault(&r.NotWhole, "search %s in epoch %d: marked whole, but key %s is missing", q.trace, q.epoch, k)
+		if q.keyRange.Holds(k) && !found[k] {
+			a.recordViolationLocked(&r.NotWhole, "search %s in epoch %d: marked whole, but key %s is missing", q.trace, q.epoch, k)
 			return
 		}
 	}
 }
 
-// left is what a reservation's answer says is left of its row; -1 if that is not
-// known. Where its segment was split all heirs are asked, and one has the row.
-func (q *query) left() int {
+// remaining returns the stock of the row after a reservation, as its answer says, or -1 if that is unknown. If the row's
+// segment was split, all its successors are asked, and one of them has the row.
+func (q *query) remaining() int {
 	if q.err != nil || q.status != 200 {
 		return -1
 	}
-	var said []string
+	var values []string
 	for _, p := range q.pieces {
 		if p.Cell != "" {
-			said = append(said, p.Cell)
+			values = append(values, p.Cell)
 		}
 	}
-	if len(said) != 1 {
+	if len(values) != 1 {
 		return -1
 	}
-	n, err := strconv.Atoi(said[0])
+	n, err := strconv.Atoi(values[0])
 	if err != nil {
 		return -1
 	}
 	return n
 }
 
-// reserved books a reservation with all its tries: from the first one's start to
-// the last one's end. One without an answer may have been made, at any time.
-func (a *audit) reserved(client int, item layout.Key, began, ended time.Time, left int) {
+// recordReservation records a reservation with all its tries, from the start of the first to the end of the last. One
+// without an answer (remaining is -1) may have been made at any time, or not at all.
+func (a *audit) recordReservation(client int, item layout.Key, started, ended time.Time, remaining int) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.ops = append(a.ops, porcupine.Operation{
-		ClientId: client, Input: item, Output: left, Call: began.Sub(a.start).Nanoseconds(), Return: ended.Sub(a.start).Nanoseconds(),
+	a.reservations = append(a.reservations, porcupine.Operation{
+		ClientId: client, Input: item, Output: remaining, Call: started.Sub(a.start).Nanoseconds(), Return: ended.Sub(a.start).Nanoseconds(),
 	})
 }
 
-// linearizeFor is how long the check of reservations may take.
-const linearizeFor = 30 * time.Second
+// linearizeTimeout bounds the duration of the check of reservations.
+const linearizeTimeout = 30 * time.Second
 
-// linearizable tells whether the reservations of each row could have been made
-// one after the other: each takes one off, and says how many are left.
-func (a *audit) linearizable(stock int, end time.Time) porcupine.CheckResult {
+// checkReservations checks whether the reservations of each row are linearizable: each takes one from the stock and
+// returns what remains.
+func (a *audit) checkReservations(stock int, end time.Time) porcupine.CheckResult {
 	a.mu.Lock()
-	ops := slices.Clone(a.ops)
+	ops := slices.Clone(a.reservations)
 	a.mu.Unlock()
 	for i := range ops {
 		if ops[i].Output == -1 {
@@ -190,16 +191,16 @@
 		},
 		Init: func() []any { return []any{stock} },
 		Step: func(state, _, output any) []any {
-			left := state.(int) - 1
+			remaining := state.(int) - 1
 			switch output.(int) {
 			case -1:
-				return []any{state, left}
-			case left:
-				return []any{left}
+				return []any{state, remaining}
+			case remaining:
+				return []any{remaining}
 			}
 			return nil
 		},
 		Equal: func(a, b any) bool { return a == b },
 	}
-	return porcupine.CheckOperationsTimeout(model.ToModel(), ops, linearizeFor)
+	return porcupine.CheckOperationsTimeout(model.ToModel(), ops, linearizeTimeout)
 }
--- a/internal/trial/soak/config.go
+++ b/internal/trial/soak/config.go
@@ -31,45 +31,47 @@
 	"eiderwinch/internal/trial/standin"
 )
 
-// ConfigOptions is how the configuration of a gatherer is changed under load.
+// ConfigOptions configures RunConfig.
 type ConfigOptions struct {
-	Warm    time.Duration // load without changes first, so that the guard knows what is usual
+	Warm    time.Duration // load without changes at first, from which the regression guard learns what is typical
 	Changes time.Duration
-	Every   time.Duration // a change is asked for so often; each fourth is bad
-	Rate    float64       // queries a second
-	Row     int           // changes one after the other at the end, without load
+	Every   time.Duration // interval between changes; each fourth change is bad
+	Rate    float64       // queries per second
+	Row     int           // number of changes in sequence at the end, without load
 	Seed    uint64
-	Dir     string // for history and sockets
-	Out     io.Writer
+	Dir     string    // for the configuration history and sockets
+	Out     io.Writer // for progress messages
 }
 
-// ConfigReport is what was seen.
+// ConfigReport is the result of RunConfig.
 type ConfigReport struct {
-	Report                             // of the queries; Mixed are those of a generation that was not in force
-	Applied, Confirmed, Busy, Late int // changes put in force, confirmed, refused while another was under way, refused as stale
+	Report                             // of the queries; Mixed also counts answers of a generation that was not in force
+	Applied, Confirmed, Busy, Late int // changes applied, confirmed, refused because another was in progress, refused as stale
 	Bad, BadUndone, BadStayed      int
 	GoodUndone                     int
 	Generations                    int
-	Recovery                       []float64 // seconds from the apply of a bad change until the old one was in force again
-	Reasons                        []string  // why bad changes were undone
-	Row                            Row
+	Recovery                       []float64 // seconds from the apply of a bad change until the former configuration was in force again
+	Reasons                        []string  // why changes were undone
+	Row                            ResourceUse
 }
 
-// Row is what changes one after the other left behind.
-type Row struct {
+// ResourceUse shows what a sequence of changes leaves behind: what the process uses after three tenths of the changes
+// (Before) and after all of them (After).
+type ResourceUse struct {
 	Changes                       int
 	HeapBefore, HeapAfter         uint64 // bytes
-	FilesBefore, FilesAfter       int    // descriptors
+	FilesBefore, FilesAfter       int    // open file descriptors
 	RoutinesBefore, RoutinesAfter int
 }
 
-// Worst and Median are of Recovery.
-func (r ConfigReport) Worst() float64 { return r.at(1) }
+// Worst returns the maximum of Recovery.
+func (r ConfigReport) Worst() float64 { return r.quantile(1) }
 
-// Median is the middle of Recovery.
-func (r ConfigReport) Median() float64 { return r.at(0.5) }
+// Median returns the median of Recovery.
+func (r ConfigReport) Median() float64 { return r.quantile(0.5) }
 
-func (r ConfigReport) at(q float64) float64 {
+// quantile returns a quantile of Recovery, or 0 if it is empty.
+func (r ConfigReport) quantile(q float64) float64 {
 	s := slices.Sorted(slices.Values(r.Recovery))
 	if len(s) == 0 {
 		return 0
@@ -77,14 +79,14 @@
 	return s[int(q*float64(len(s)-1))]
 }
 
-// mostRecovery is how long a bad change may be in force.
-const mostRecovery = 10 * time.Second
+// maxRecovery bounds how long a bad change may be in force.
+const maxRecovery = 10 * time.Second
 
-// Err is nil if all that must hold held.
+// Err returns an error if an invariant was violated.
 func (r ConfigReport) Err() error {
 	errs := []error{r.Report.Err()}
-	if r.BadStayed > 0 || r.Bad != r.BadUndone || r.Worst() > mostRecovery.Seconds() {
-		errs = append(errs, fmt.Errorf("%d bad changes, %d undone, %d confirmed, the worst in force for %.1f s", r.Bad, r.BadUndone, r.BadStayed, r.Worst()))
+	if r.BadStayed > 0 || r.Bad != r.BadUndone || r.Worst() > maxRecovery.Seconds() {
+		errs = append(errs, fmt.Errorf("%d bad changes, %d undone, %d confirmed, the longest in force for %.1f s", r.Bad, r.BadUndone, r.BadStayed, r.Worst()))
 	}
 	if r.GoodUndone > 0 {
 		errs = append(errs, fmt.Errorf("%d good changes were undone: %v", r.GoodUndone, r.Reasons))
@@ -92,28 +94,29 @@
 	return errors.Join(errs...)
 }
 
-// watched is a gatherer whose generations the audit is told of.
-type watched struct {
+// auditedNode is a gatherer that records its generations for the audit.
+type auditedNode struct {
 	*netio.Node
 	run *configRun
 }
 
-// Apply tells the audit before and after.
-func (w *watched) Apply(ctx context.Context, l netio.Live) error {
-	r := w.run
+// Apply applies a configuration. Before that it records that the generation may be in force, and afterwards that the
+// earlier ones no longer are.
+func (n *auditedNode) Apply(ctx context.Context, l netio.Live) error {
+	r := n.run
 	if l.Layout != nil {
-		r.audit.publish(l.Layout)
+		r.audit.addLayout(l.Layout)
 	}
 	r.mu.Lock()
-	r.spans = append(r.spans, span{gen: l.Core.Generation, from: time.Now()})
+	r.periods = append(r.periods, activePeriod{generation: l.Core.Generation, from: time.Now()})
 	r.mu.Unlock()
-	err := w.Node.Apply(ctx, l)
+	err := n.Node.Apply(ctx, l)
 	now := time.Now()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for i := range r.spans[:len(r.spans)-1] {
-		if r.spans[i].to.IsZero() {
-			r.spans[i].to = now
+	for i := range r.periods[:len(r.periods)-1] {
+		if r.periods[i].to.IsZero() {
+			r.periods[i].to = now
 		}
 	}
 	if l.Layout != nil {
@@ -122,78 +125,79 @@
 	return err
 }
 
-// span is when a generation may have been in force; to is zero while it is.
-type span struct {
-	gen      uint64
-	from, to time.Time
+// activePeriod is the time in which a generation may have been in force; to is zero while it is.
+type activePeriod struct {
+	generation uint64
+	from, to   time.Time
 }
 
-// configRun is one run.
+// configRun is the state of one run of RunConfig.
 type configRun struct {
 	run
-	opts    ConfigOptions
-	keeper  *keeper.Keeper
-	client  *admin.Client
-	base    string // the operators' file without what changes
-	dead    string // a searcher that takes connections and answers nothing
-	spans   []span
-	out     *ConfigReport
-	mu      sync.Mutex // of spans
-	changes int
-	bad     sync.WaitGroup // bad changes that are not over
+	options           ConfigOptions
+	keeper            *keeper.Keeper
+	client            *admin.Client
+	operatorsFormat   string // the operators' file, with a verb in place of the settings that change
+	hungSearcher      string // a searcher that accepts connections and never answers
+	periods           []activePeriod
+	report            *ConfigReport
+	mu                sync.Mutex // guards periods
+	changes           int
+	pendingBadChanges sync.WaitGroup // bad changes whose outcome is still awaited
 }
 
-// RunConfig runs load and changes to their end, or until ctx ends.
+// RunConfig changes the configuration of a gatherer under load as the options say, or until ctx ends, and reports what
+// the audit found.
 func RunConfig(ctx context.Context, o ConfigOptions) (report ConfigReport, err error) {
-	r := &configRun{opts: o, out: &report}
+	r := &configRun{options: o, report: &report}
 	r.run = run{
 		Options: Options{Rate: o.Rate, Seed: o.Seed, Dir: o.Dir, Out: o.Out},
-		rng:     &lockedRand{r: rand.New(rand.NewPCG(o.Seed, 4))}, report: &report.Report,
+		rng:     &lockedRand{source: rand.New(rand.NewPCG(o.Seed, 4))}, report: &report.Report,
 		custodians: make(map[string]*standin.Custodian),
 	}
-	r.search.Store(newWindow())
+	r.searchLatencies.Store(newLatencyWindow())
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
-	end, err := r.begin(ctx)
+	end, err := r.launch(ctx)
 	if err != nil {
 		return report, errors.Join(err, end())
 	}
-	r.judge = r.generation
-	loaded, unload := context.WithCancel(ctx)
-	var loads sync.WaitGroup
-	loads.Add(1)
-	go func() { defer loads.Done(); r.load(loaded) }()
+	r.extraCheck = r.checkGeneration
+	loadCtx, stopLoad := context.WithCancel(ctx)
+	var loadDone sync.WaitGroup
+	loadDone.Add(1)
+	go func() { defer loadDone.Done(); r.generateLoad(loadCtx) }()
 	sleep(ctx, o.Warm)
-	for begun := time.Now(); time.Since(begun) < o.Changes && ctx.Err() == nil; r.changes++ {
+	for started := time.Now(); time.Since(started) < o.Changes && ctx.Err() == nil; r.changes++ {
 		next := time.Now().Add(o.Every)
-		r.change(ctx)
+		r.submitChange(ctx)
 		sleep(ctx, time.Until(next))
 	}
-	r.bad.Wait() // without load the guard has nothing to go by
-	unload()
-	loads.Wait()
+	r.pendingBadChanges.Wait() // before the load stops: without load the guard can't detect a regression
+	stopLoad()
+	loadDone.Wait()
 	r.queries.Wait()
-	rowErr := r.row(ctx)
+	sequenceErr := r.runSequence(ctx)
 	s, statusErr := r.status(context.Background())
 	report.Confirmed, report.Generations = s.Counts.Confirmed, int(s.InForce)
-	err = errors.Join(rowErr, statusErr, end())
+	err = errors.Join(sequenceErr, statusErr, end())
 	c := r.nodes[0].counters
 	report.Taken = c.Taken
 	report.Ended = c.Whole + c.Partial + c.Refused + c.Failed + c.Gone
 	report.Translated = c.Translated
-	report.Held = int(r.held.Load())
+	report.Held = int(r.heldQueries.Load())
 	report.Doubled = len(r.store.Doubled())
 	report.Reserved, report.Repeated = r.store.Ran()
-	report.Linearizable = string(r.audit.linearizable(stock, time.Now()))
+	report.Linearizable = string(r.audit.checkReservations(initialStock, time.Now()))
 	return report, err
 }
 
-// begin starts all parties; end ends them.
-func (r *configRun) begin(ctx context.Context) (end func() error, err error) {
-	var ends []func() error
+// launch starts the deployment and the gatherer. end stops what was started, also after an error.
+func (r *configRun) launch(ctx context.Context) (end func() error, err error) {
+	var closers []func() error
 	end = func() error {
 		var errs []error
-		for _, f := range slices.Backward(ends) {
+		for _, f := range slices.Backward(closers) {
 			errs = append(errs, f())
 		}
 		return errors.Join(errs...)
@@ -201,60 +205,59 @@
 	if err := r.deploy(); err != nil {
 		return end, err
 	}
-	ends = append(ends, func() error { return r.run.close() })
-	hung, err := r.hang()
+	closers = append(closers, func() error { return r.run.close() })
+	hungListener, err := r.addHungSearcher()
 	if err != nil {
 		return end, err
 	}
-	ends = append(ends, hung.Close)
-	platform, err := r.world.Config("g0", "127.0.0.1:0")
+	closers = append(closers, hungListener.Close)
+	platform, err := r.deployment.Config("g0", "127.0.0.1:0")
 	if err != nil {
 		return end, err
 	}
-	r.base = `<eiderwinch xmlns="urn:eiderwinch:operators:1">%s<guard probation="60s"/></eiderwinch>`
+	r.operatorsFormat = `<eiderwinch xmlns="urn:eiderwinch:operators:1">%s<guard probation="60s"/></eiderwinch>`
 	var text bytes.Buffer
-	if err := layoutfile.Write(&text, r.world.First(), r.fleet); err != nil {
+	if err := layoutfile.Write(&text, r.deployment.First(), r.fleet); err != nil {
 		return end, err
 	}
-	boot, err := bundle.Check(bundle.Bundle{Platform: platform, Operators: fmt.Appendf(nil, r.base, ""), Layout: text.Bytes()}, bundle.Names{})
+	initial, err := bundle.Check(bundle.Bundle{Platform: platform, Operators: fmt.Appendf(nil, r.operatorsFormat, ""), Layout: text.Bytes()}, bundle.Names{})
 	if err != nil {
 		return end, err
 	}
 	log := slog.New(slog.DiscardHandler)
-	live := daemon.Live(boot, 1)
+	initialLive := daemon.Live(initial, 1)
 	n := &node{counters: stats.New(), ended: make(chan error, 1)}
-	n.Node = daemon.New(boot.Config, daemon.Options{Layout: boot.Layout, Live: &live, Record: true}, n.counters, log)
-	r.spans = []span{{gen: 1, from: time.Now()}}
+	n.Node = daemon.New(initial.Config, daemon.Options{Layout: initial.Layout, Live: &initialLive, Record: true}, n.counters, log)
+	r.periods = []activePeriod{{generation: 1, from: time.Now()}}
 	if err := r.serve(n); err != nil {
 		return end, err
 	}
-	h, err := history.Open(filepath.Join(r.Dir, "history.db"))
+	configHistory, err := history.Open(filepath.Join(r.Dir, "history.db"))
 	if err != nil {
 		return end, err
 	}
-	ends = append(ends, h.Close)
-	m := change.New(boot.Hash, change.Limits{})
-	base, _ := m.Base()
-	if err := h.Begin(base, boot.Bundle); err != nil {
+	closers = append(closers, configHistory.Close)
+	machine := change.New(initial.Hash, change.Limits{})
+	baseGeneration, _ := machine.Base()
+	if err := configHistory.Begin(baseGeneration, initial.Bundle); err != nil {
 		return end, err
 	}
 	ctx, stop := context.WithCancel(ctx)
-	r.keeper = keeper.Start(ctx, keeper.Options{Node: &watched{n.Node, r}, Boot: boot, Machine: m, History: h, Live: daemon.Live, Logger: log})
-	ends = append(ends, func() error { stop(); return r.keeper.Wait() })
-	g := &admin.Gatherer{Name: "g0", Node: n.Node, Keeper: r.keeper.Handle}
-	socket, err := admin.Serve("unix:"+filepath.Join(r.Dir, "admin.sock"), g.Handler())
+	r.keeper = keeper.Start(ctx, keeper.Options{Node: &auditedNode{n.Node, r}, Boot: initial, Machine: machine, History: configHistory, Live: daemon.Live, Logger: log})
+	closers = append(closers, func() error { stop(); return r.keeper.Wait() })
+	gatherer := &admin.Gatherer{Name: "g0", Node: n.Node, Keeper: r.keeper.Handle}
+	socket, err := admin.Serve("unix:"+filepath.Join(r.Dir, "admin.sock"), gatherer.Handler())
 	if err != nil {
 		return end, err
 	}
-	ends = append(ends, socket.Close)
+	closers = append(closers, socket.Close)
 	r.client = admin.NewClient(socket.Endpoint(), 10*time.Second, nil)
-	ends = append(ends, func() error { r.client.Close(); return nil })
+	closers = append(closers, func() error { r.client.Close(); return nil })
 	return end, nil
 }
 
-// hang lists a searcher that is ready as discovery has it, takes connections, and
-// answers nothing.
-func (r *configRun) hang() (net.Listener, error) {
+// addHungSearcher adds a searcher that discovery lists as ready and that accepts connections, but never answers.
+func (r *configRun) addHungSearcher() (net.Listener, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
@@ -271,36 +274,39 @@
 			}()
 		}
 	}()
-	r.dead = "s-hung"
-	r.fleet.Zones[r.dead] = "verona"
-	r.world.Discovery.Tell(standin.Member{ID: r.dead, Addr: l.Addr().String(), Zone: "verona", Kind: "std", Phase: standin.Ready, Size: 1})
+	r.hungSearcher = "s-hung"
+	r.fleet.Zones[r.hungSearcher] = "verona"
+	r.deployment.Discovery.Tell(standin.Member{ID: r.hungSearcher, Addr: l.Addr().String(), Zone: "verona", Kind: "std", Phase: standin.Ready, Size: 1})
 	return l, nil
 }
 
-// generation tells what is wrong with the generation of an answer.
-func (r *configRun) generation(q *query) string {
+// checkGeneration returns what is wrong with the generation of an answer, or "".
+func (r *configRun) checkGeneration(q *query) string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if q.generation == 0 {
-		return "it tells no generation"
+		return "the answer has no generation"
 	}
-	for _, s := range r.spans {
-		if s.gen == q.generation && !s.from.After(q.done) && (s.to.IsZero() || !s.to.Before(q.sent)) {
+	for _, p := range r.periods {
+		if p.generation == q.generation && !p.from.After(q.received) && (p.to.IsZero() || !p.to.Before(q.sent)) {
 			return ""
 		}
 	}
-	return fmt.Sprintf("generation %d was not in force from when it was asked until its answer", q.generation)
+	return fmt.Sprintf("generation %d was not in force at any time between the query and its answer", q.generation)
 }
 
-func (r *configRun) do(ctx context.Context, method, path string, in, out any) error {
+// call sends a request to the gatherer's configuration endpoint.
+func (r *configRun) call(ctx context.Context, method, path string, in, out any) error {
 	return r.client.Do(ctx, method, "/v1/config"+path, in, out)
 }
 
+// status returns the status of the configuration manager.
 func (r *configRun) status(ctx context.Context) (s keeper.Status, err error) {
-	return s, r.do(ctx, http.MethodGet, "", nil, &s)
+	return s, r.call(ctx, http.MethodGet, "", nil, &s)
 }
 
-// good and bad are what changes are made of.
+// proposal returns the next change. Each fourth is bad. The bad ones are, in turn: a segment whose only holder never
+// answers, searches within 10 ms, one open search at most, and three admitted queries at most.
 func (r *configRun) proposal() (p keeper.Proposal, bad bool) {
 	i := r.changes
 	inner := ""
@@ -310,18 +316,18 @@
 		inner = fmt.Sprintf(inner, map[int]int{0: 500 + i, 1: 8 + i%20, 2: 900 + i%90, 3: 8 + i%4}[i%5%4])
 	case i%16 == 3:
 		bad = true
-		// Holders that are listed and take connections: no check sees it.
+		// The holder is listed and accepts connections, so that no check rejects the layout.
 		l := r.latest.Load()
 		segment := slices.Collect(l.Serving())[r.rng.intn(len(slices.Collect(l.Serving())))]
 		var text bytes.Buffer
-		next, err := layout.Restore(l.Epoch()+1, l.NextID(), withHolders(l, segment.ID, []string{r.dead}), nil)
+		next, err := layout.Restore(l.Epoch()+1, l.NextID(), withHolders(l, segment.ID, []string{r.hungSearcher}), nil)
 		if err == nil {
 			fleet := r.fleet
 			fleet.Replicas = 1
 			err = layoutfile.Write(&text, next, fleet)
 		}
 		if err != nil {
-			panic(err) // it is made of one that is in force
+			panic(err) // derived from a layout that is in force
 		}
 		p.Bundle.Layout = text.Bytes()
 	case i%16 == 7:
@@ -331,11 +337,12 @@
 	default:
 		bad, inner = true, `<admission open="3"/>`
 	}
-	p.Operators = fmt.Appendf(nil, r.base, inner)
+	p.Operators = fmt.Appendf(nil, r.operatorsFormat, inner)
 	p.Note = fmt.Sprint("change ", i)
 	return p, bad
 }
 
+// withHolders returns the segments of a layout with the holders of one replaced.
 func withHolders(l *layout.Layout, id layout.SegmentID, holders []string) (out []layout.Segment) {
 	for s := range l.Segments() {
 		c := *s
@@ -347,57 +354,57 @@
 	return out
 }
 
-// change asks for the next change. Good ones are confirmed after a second, bad
-// ones are left to the guard.
-func (r *configRun) change(ctx context.Context) {
+// submitChange stages and applies the next change. A good one is confirmed after a second, a bad one is left for the
+// guard to undo.
+func (r *configRun) submitChange(ctx context.Context) {
 	p, bad := r.proposal()
 	var s keeper.Staged
-	if err := r.do(ctx, http.MethodPost, "", p, &s); err != nil {
-		fmt.Fprintln(r.Out, "not staged:", err)
+	if err := r.call(ctx, http.MethodPost, "", p, &s); err != nil {
+		fmt.Fprintln(r.Out, "change was not staged:", err)
 		return
 	}
 	path := fmt.Sprintf("/%d/", s.Tx)
-	begun := time.Now()
-	if err := r.do(ctx, http.MethodPost, path+"apply", keeper.Application{}, nil); err != nil {
+	applied := time.Now()
+	if err := r.call(ctx, http.MethodPost, path+"apply", keeper.Application{}, nil); err != nil {
 		if strings.Contains(err.Error(), "under way") {
-			r.out.Busy++
+			r.report.Busy++
 		} else {
-			r.out.Late++
+			r.report.Late++
 		}
-		_ = r.do(ctx, http.MethodPost, path+"undo", keeper.Withdrawal{Reason: "refused"}, nil)
+		_ = r.call(ctx, http.MethodPost, path+"undo", keeper.Withdrawal{Reason: "refused"}, nil)
 		return
 	}
-	r.out.Applied++
+	r.report.Applied++
 	if !bad {
-		sleep(ctx, min(time.Second, r.opts.Every/2))
-		if err := r.do(ctx, http.MethodPost, path+"confirm", nil, nil); err != nil {
-			r.out.GoodUndone++
-			r.reason(ctx, s.Tx)
+		sleep(ctx, min(time.Second, r.options.Every/2))
+		if err := r.call(ctx, http.MethodPost, path+"confirm", nil, nil); err != nil {
+			r.report.GoodUndone++
+			r.recordReason(ctx, s.Tx)
 		}
 		return
 	}
-	r.out.Bad++
-	r.bad.Add(1)
+	r.report.Bad++
+	r.pendingBadChanges.Add(1)
 	go func() {
-		defer r.bad.Done()
+		defer r.pendingBadChanges.Done()
 		for ctx.Err() == nil {
 			time.Sleep(20 * time.Millisecond)
-			st, err := r.status(ctx)
+			status, err := r.status(ctx)
 			if err != nil {
 				continue
 			}
-			for _, t := range st.Transactions {
+			for _, t := range status.Transactions {
 				if t.Tx != s.Tx || !t.Over {
 					continue
 				}
 				if t.State == change.Undone.String() {
 					r.mu.Lock()
-					r.out.BadUndone++
-					r.out.Recovery = append(r.out.Recovery, time.Since(begun).Seconds())
-					r.out.Reasons = append(r.out.Reasons, t.Reason)
+					r.report.BadUndone++
+					r.report.Recovery = append(r.report.Recovery, time.Since(applied).Seconds())
+					r.report.Reasons = append(r.report.Reasons, t.Reason)
 					r.mu.Unlock()
 				} else {
-					r.out.BadStayed++
+					r.report.BadStayed++
 				}
 				return
 			}
@@ -405,59 +412,60 @@
 	}()
 }
 
-// row makes changes one after the other and looks at what they leave behind.
-func (r *configRun) row(ctx context.Context) error {
-	if r.opts.Row == 0 {
+// runSequence applies and confirms changes in sequence, and measures the heap, descriptors and goroutines they leave
+// behind.
+func (r *configRun) runSequence(ctx context.Context) error {
+	if r.options.Row == 0 {
 		return nil
 	}
 	wait := func(what string, done func() bool) error {
-		for end := time.Now().Add(mostRecovery); !done(); time.Sleep(time.Millisecond) {
+		for end := time.Now().Add(maxRecovery); !done(); time.Sleep(time.Millisecond) {
 			if time.Now().After(end) || ctx.Err() != nil {
-				return fmt.Errorf("%s did not come about", what)
+				return fmt.Errorf("timed out waiting for %s", what)
 			}
 		}
 		return nil
 	}
-	look := func() (heap uint64, files, routines int) {
+	measure := func() (heap uint64, files, goroutines int) {
 		r.run.client.CloseIdleConnections()
 		runtime.GC()
 		var m runtime.MemStats
 		runtime.ReadMemStats(&m)
-		list, _ := os.ReadDir("/proc/self/fd") // where there is none it stays at 0
+		list, _ := os.ReadDir("/proc/self/fd") // 0 on systems without it
 		return m.HeapAlloc, len(list), runtime.NumGoroutine()
 	}
-	one := func(i int) error {
+	applyOne := func(i int) error {
 		var s keeper.Staged
-		p := keeper.Proposal{Bundle: bundle.Bundle{Operators: fmt.Appendf(nil, r.base, fmt.Sprintf(`<class name="search" open="%d"/>`, 1000+i))}}
-		if err := r.do(ctx, http.MethodPost, "", p, &s); err != nil {
+		p := keeper.Proposal{Bundle: bundle.Bundle{Operators: fmt.Appendf(nil, r.operatorsFormat, fmt.Sprintf(`<class name="search" open="%d"/>`, 1000+i))}}
+		if err := r.call(ctx, http.MethodPost, "", p, &s); err != nil {
 			return err
 		}
 		path := fmt.Sprintf("/%d/", s.Tx)
-		if err := r.do(ctx, http.MethodPost, path+"apply", keeper.Application{}, nil); err != nil {
+		if err := r.call(ctx, http.MethodPost, path+"apply", keeper.Application{}, nil); err != nil {
 			return err
 		}
-		return wait("a confirm", func() bool { return r.do(ctx, http.MethodPost, path+"confirm", nil, nil) == nil })
+		return wait("a confirmation", func() bool { return r.call(ctx, http.MethodPost, path+"confirm", nil, nil) == nil })
 	}
-	row := &r.out.Row
-	for i := range r.opts.Row {
-		if i == r.opts.Row*3/10 { // from here on all that is kept is full
-			row.HeapBefore, row.FilesBefore, row.RoutinesBefore = look()
+	use := &r.report.Row
+	for i := range r.options.Row {
+		if i == r.options.Row*3/10 { // bounded histories are full from here on
+			use.HeapBefore, use.FilesBefore, use.RoutinesBefore = measure()
 		}
-		if err := one(i); err != nil {
-			return fmt.Errorf("change %d in a row: %w", i, err)
+		if err := applyOne(i); err != nil {
+			return fmt.Errorf("change %d of the sequence: %w", i, err)
 		}
-		row.Changes++
+		use.Changes++
 	}
-	row.HeapAfter, row.FilesAfter, row.RoutinesAfter = look()
+	use.HeapAfter, use.FilesAfter, use.RoutinesAfter = measure()
 	return nil
 }
 
-// reason keeps why a transaction was undone.
-func (r *configRun) reason(ctx context.Context, tx change.Tx) {
+// recordReason records why the transaction of a good change was undone.
+func (r *configRun) recordReason(ctx context.Context, tx change.Tx) {
 	s, _ := r.status(ctx)
 	for _, t := range s.Transactions {
 		if t.Tx == tx {
-			r.out.Reasons = append(r.out.Reasons, "good: "+t.Reason)
+			r.report.Reasons = append(r.report.Reasons, "good: "+t.Reason)
 		}
 	}
 }
--- a/internal/trial/soak/soak.go
+++ b/internal/trial/soak/soak.go
@@ -1,6 +1,5 @@
-// Package soak runs a deployment on loopback whose segments are split, merged
-// and moved while queries run and searchers and the coordinator are killed, and
-// audits every answer.
+// Package soak runs deployments on loopback under load and audits every answer. Run has segments split, merged and moved
+// while searchers and the coordinator are killed; RunConfig changes the configuration of a gatherer.
 package soak
 
 import (
@@ -34,42 +33,42 @@
 	"eiderwinch/internal/trial/standin"
 )
 
-// Options is what is run.
+// Options configures Run.
 type Options struct {
-	Rounds  int           // each a quiet window and one with changes; at least 1
+	Rounds  int           // each has a quiet window and one with changes; at least 1
 	Quiet   time.Duration // length of a quiet window
 	Changes time.Duration // length of one with changes
-	Every   time.Duration // a change is asked for so often
-	Rate    float64       // queries a second
+	Every   time.Duration // interval between changes
+	Rate    float64       // queries per second
 	Seed    uint64
-	Dir     string    // for the coordinator's log
-	Out     io.Writer // progress
+	Dir     string    // for the coordinator's log and sockets
+	Out     io.Writer // for progress messages
 }
 
-// Report is what was seen.
+// Report is the result of a soak run.
 type Report struct {
 	Asked, Whole, Partial, Refused, Failed int
-	Lost                                   int // queries without any answer
-	Mixed                                  int // answers not of one epoch
-	NotWhole                               int // marked whole, but not
+	Lost                                   int // queries without an answer
+	Mixed                                  int // answers that mix epochs, or are wrong in another way
+	NotWhole                               int // answers marked whole that lack a key
 	Doubled                                int // reservations made more than once
-	Taken, Ended                           int // by the gatherers' counters
-	Held                                   int // queries not asked since too many were open
+	Taken, Ended                           int // queries, by the gatherers' counters
+	Held                                   int // queries not sent because too many were open
 	Linearizable                           string
-	Reserved, Repeated                     int // reservations run at searchers, and known there already
+	Reserved, Repeated                     int // reservations made at searchers, and repeats that they recognized
 
 	Jobs                            reshard.Counts
-	Splits, Merges, Moves           int // done
+	Splits, Merges, Moves           int // completed
 	SearcherKills, CoordinatorKills int
-	Orders, Missed, LateOrders      int // of the coordinator to searchers: given, failed, and passed over as older
-	Slowed                          int // times copies were slowed down for queries
+	Orders, Missed, LateOrders      int // orders of the coordinator to searchers: sent, failed, and ignored as outdated
+	Slowed                          int // how often copies of rows were slowed down in favour of queries
 	Epochs                          layout.Epoch
 	Translated                      int
 	QuietP99, ChangeP99, Ratio      []float64 // of searches, in ms, by round
 	Faults                          []string
 }
 
-// MedianRatio is the median over the rounds of p99 with changes over p99 without.
+// MedianRatio returns the median over the rounds of the ratio of p99 with changes to p99 without.
 func (r Report) MedianRatio() float64 {
 	s := slices.Sorted(slices.Values(r.Ratio))
 	if len(s) == 0 {
@@ -78,59 +77,61 @@
 	return s[len(s)/2]
 }
 
-// Err is nil if all that must hold held.
+// Err returns an error if an invariant was violated.
 func (r Report) Err() error {
 	switch {
 	case r.Lost+r.Mixed+r.NotWhole+r.Doubled > 0 || r.Taken != r.Ended || r.Linearizable != string(porcupine.Ok):
 		return fmt.Errorf("%d lost, %d mixed, %d not whole, %d doubled, %d taken and %d ended, reservations: %s; %v",
 			r.Lost, r.Mixed, r.NotWhole, r.Doubled, r.Taken, r.Ended, r.Linearizable, r.Faults)
 	case r.Whole == 0:
-		return errors.New("nothing was answered")
+		return errors.New("no query was answered whole")
 	}
 	return nil
 }
 
+// Parameters of the deployment, the load and the faults.
 const (
-	gatherers = 2
-	replicas  = 3
-	segments  = 6                      // at the start
-	mostOpen  = 500                    // queries of ours at once
-	learnMost = 400 * time.Millisecond // what the coordinator and its peers say is so late at the most
-	delayed   = 0.2                    // share of that which is late
-	missed    = 0.1                    // share of questions, and of answers, which get lost
-	downFor   = time.Second            // a killed searcher
-	tryFor    = 2 * time.Second        // a reservation is tried again within its window of 2.5 s
-	queryTime = 4 * time.Second
-	stock     = 1_000_000
+	gathererCount   = 2
+	replicaCount    = 3
+	segmentCount    = 6                      // of the first layout
+	maxOpen         = 500                    // queries at once
+	maxMessageDelay = 400 * time.Millisecond // bound of the delay of a message between the coordinator and its peers
+	delayRate       = 0.2                    // share of the messages that are delayed
+	lossRate        = 0.1                    // share of the requests, and of the responses, that are lost
+	downTime        = time.Second            // of a killed searcher
+	retryPeriod     = 2 * time.Second        // a reservation is retried this long, which lies within its repeat window of 2.5 s
+	queryTimeout    = 4 * time.Second
+	initialStock    = 1_000_000
 )
 
-// run is one soak.
+// run is the state of one soak run.
 type run struct {
 	Options
-	rng        *lockedRand
-	world      *standin.Deployment
-	ids        []string // of searchers, those of one zone in a row
-	fleet      layout.Fleet
-	store      *standin.Warehouse
-	nodes      []*node
-	audit      *audit
-	client     *http.Client
-	latest     atomic.Pointer[layout.Layout] // as it was published last
-	known      atomic.Pointer[layout.Layout] // as clients know it, seconds late
-	co         atomic.Pointer[coordinator.Coordinator]
-	stopCo     context.CancelFunc
-	report     *Report
-	judge      func(*query) string // what is wrong with an answer beside what the audit sees; may be nil
-	kinds      map[reshard.JobID]layout.ChangeKind
-	mu         sync.Mutex // of report's counts of changes and kills, and kinds
-	custodians map[string]*standin.Custodian
-	search     atomic.Pointer[window]
-	queries    sync.WaitGroup
-	open       atomic.Int64
-	held       atomic.Int64
-	traces     atomic.Int64
-}
-
+	rng               *lockedRand
+	deployment        *standin.Deployment
+	searcherIDs       []string // grouped by zone
+	fleet             layout.Fleet
+	store             *standin.Warehouse
+	nodes             []*node
+	audit             *audit
+	client            *http.Client
+	latest            atomic.Pointer[layout.Layout] // as published last
+	known             atomic.Pointer[layout.Layout] // as clients know it, up to two seconds later
+	coordinator       atomic.Pointer[coordinator.Coordinator]
+	cancelCoordinator context.CancelFunc
+	report            *Report
+	extraCheck        func(*query) string // additional check, returns what is wrong with an answer; may be nil
+	jobKinds          map[reshard.JobID]layout.ChangeKind
+	mu                sync.Mutex // guards jobKinds and the report's counts of changes and kills
+	custodians        map[string]*standin.Custodian
+	searchLatencies   atomic.Pointer[latencyWindow]
+	queries           sync.WaitGroup
+	openQueries       atomic.Int64
+	heldQueries       atomic.Int64
+	traceCount        atomic.Int64
+}
+
+// node is a gatherer of the deployment.
 type node struct {
 	*netio.Node
 	counters *stats.Counters
@@ -138,41 +139,44 @@
 	ended    chan error
 }
 
-// window is a histogram of search times in microseconds.
-type window struct {
-	mu sync.Mutex
-	h  *hdrhistogram.Histogram
+// latencyWindow is a histogram of the latencies of searches, in microseconds.
+type latencyWindow struct {
+	mu        sync.Mutex
+	histogram *hdrhistogram.Histogram
 }
 
-func newWindow() *window { return &window{h: hdrhistogram.New(1, 20_000_000, 3)} }
+func newLatencyWindow() *latencyWindow {
+	return &latencyWindow{histogram: hdrhistogram.New(1, 20_000_000, 3)}
+}
 
-func (w *window) record(d time.Duration) {
+func (w *latencyWindow) record(d time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	_ = w.h.RecordValue(d.Microseconds())
+	_ = w.histogram.RecordValue(d.Microseconds())
 }
 
-func (w *window) p99() float64 {
+// p99 returns the 99th percentile in milliseconds.
+func (w *latencyWindow) p99() float64 {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return float64(w.h.ValueAtQuantile(99)) / 1000
+	return float64(w.histogram.ValueAtQuantile(99)) / 1000
 }
 
-// lockedRand is a source for many goroutines.
+// lockedRand is a source of random numbers for several goroutines.
 type lockedRand struct {
-	mu sync.Mutex
-	r  *rand.Rand
+	mu     sync.Mutex
+	source *rand.Rand
 }
 
-func (l *lockedRand) float() float64 { l.mu.Lock(); defer l.mu.Unlock(); return l.r.Float64() }
-func (l *lockedRand) intn(n int) int { l.mu.Lock(); defer l.mu.Unlock(); return l.r.IntN(n) }
-func (l *lockedRand) exp() float64   { l.mu.Lock(); defer l.mu.Unlock(); return l.r.ExpFloat64() }
+func (l *lockedRand) float() float64 { l.mu.Lock(); defer l.mu.Unlock(); return l.source.Float64() }
+func (l *lockedRand) intn(n int) int { l.mu.Lock(); defer l.mu.Unlock(); return l.source.IntN(n) }
+func (l *lockedRand) exp() float64   { l.mu.Lock(); defer l.mu.Unlock(); return l.source.ExpFloat64() }
 
-// Run runs a soak to its end, or until ctx ends.
+// Run changes layouts under load as the options say, or until ctx ends, and reports what the audit found.
 func Run(ctx context.Context, o Options) (report Report, err error) {
 	r := &run{
-		Options: o, rng: &lockedRand{r: rand.New(rand.NewPCG(o.Seed, 4))}, report: &report,
-		custodians: make(map[string]*standin.Custodian), kinds: make(map[reshard.JobID]layout.ChangeKind),
+		Options: o, rng: &lockedRand{source: rand.New(rand.NewPCG(o.Seed, 4))}, report: &report,
+		custodians: make(map[string]*standin.Custodian), jobKinds: make(map[reshard.JobID]layout.ChangeKind),
 	}
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
@@ -180,11 +184,11 @@
 		return report, errors.Join(err, r.close())
 	}
 	for round := range max(o.Rounds, 1) {
-		quiet, change := newWindow(), newWindow()
-		r.search.Store(quiet)
-		r.pass(ctx, o.Quiet, false)
-		r.search.Store(change)
-		r.pass(ctx, o.Changes, true)
+		quiet, change := newLatencyWindow(), newLatencyWindow()
+		r.searchLatencies.Store(quiet)
+		r.runWindow(ctx, o.Quiet, false)
+		r.searchLatencies.Store(change)
+		r.runWindow(ctx, o.Changes, true)
 		report.QuietP99, report.ChangeP99 = append(report.QuietP99, quiet.p99()), append(report.ChangeP99, change.p99())
 		report.Ratio = append(report.Ratio, change.p99()/quiet.p99())
 		fmt.Fprintf(o.Out, "round %d: p99 of searches %.1f ms without changes, %.1f ms with; epoch %d\n",
@@ -195,7 +199,7 @@
 	}
 	stop()
 	r.queries.Wait()
-	report.Held = int(r.held.Load())
+	report.Held = int(r.heldQueries.Load())
 	err = r.close()
 	for _, n := range r.nodes {
 		c := n.counters
@@ -205,17 +209,18 @@
 	}
 	report.Doubled = len(r.store.Doubled())
 	report.Reserved, report.Repeated = r.store.Ran()
-	report.Linearizable = string(r.audit.linearizable(stock, time.Now()))
+	report.Linearizable = string(r.audit.checkReservations(initialStock, time.Now()))
 	report.Epochs = r.latest.Load().Epoch()
 	return report, err
 }
 
+// start starts the deployment, its gatherers and the coordinator.
 func (r *run) start() error {
 	if err := r.deploy(); err != nil {
 		return err
 	}
-	for i := range gatherers {
-		text, err := r.world.Config("g"+strconv.Itoa(i), "127.0.0.1:0")
+	for i := range gathererCount {
+		text, err := r.deployment.Config("g"+strconv.Itoa(i), "127.0.0.1:0")
 		if err != nil {
 			return err
 		}
@@ -224,7 +229,7 @@
 			return err
 		}
 		n := &node{counters: stats.New(), ended: make(chan error, 1)}
-		n.Node = daemon.New(cfg, daemon.Options{Layout: r.world.First(), Record: true}, n.counters, slog.New(slog.DiscardHandler))
+		n.Node = daemon.New(cfg, daemon.Options{Layout: r.deployment.First(), Record: true}, n.counters, slog.New(slog.DiscardHandler))
 		if err := r.serve(n); err != nil {
 			return err
 		}
@@ -234,10 +239,10 @@
 			return err
 		}
 	}
-	return r.coordinate()
+	return r.startCoordinator()
 }
 
-// serve starts a gatherer.
+// serve starts a gatherer and waits until it serves.
 func (r *run) serve(n *node) error {
 	go func() { n.ended <- n.Node.Run() }()
 	select {
@@ -249,37 +254,37 @@
 	return nil
 }
 
-// deploy starts searchers, discovery and the audit.
+// deploy starts the searchers, discovery and the audit.
 func (r *run) deploy() error {
-	world, err := standin.NewDeployment(standin.DeploymentOptions{Seed: r.Seed, Work: func(first *layout.Layout) standin.Work {
-		r.store = standin.NewWarehouse(standin.WarehouseOptions{Seed: r.Seed, Stock: stock}, first)
+	deployment, err := standin.NewDeployment(standin.DeploymentOptions{Seed: r.Seed, Work: func(first *layout.Layout) standin.Work {
+		r.store = standin.NewWarehouse(standin.WarehouseOptions{Seed: r.Seed, Stock: initialStock}, first)
 		return r.store
 	}, Layout: func(ids []string, zones []string) *layout.Layout {
 		var list []layout.Segment
-		for i := range segments {
+		for i := range segmentCount {
 			s := layout.Segment{ID: layout.SegmentID(i), Keys: layout.Range{From: standin.ItemKey(i * 100), To: standin.ItemKey((i + 1) * 100)}}
-			for z := range replicas { // the searchers of one zone stand in a row
-				s.Holders = append(s.Holders, ids[z*len(ids)/replicas+i%(len(ids)/replicas)])
+			for z := range replicaCount { // ids is grouped by zone
+				s.Holders = append(s.Holders, ids[z*len(ids)/replicaCount+i%(len(ids)/replicaCount)])
 			}
 			list = append(list, s)
 		}
-		list[0].Keys.From, list[segments-1].Keys.To = "", ""
+		list[0].Keys.From, list[segmentCount-1].Keys.To = "", ""
 		first, err := layout.First(list...)
 		if err != nil {
-			panic(err) // it is written down above
+			panic(err) // the segments above are fixed
 		}
 		return first
 	}})
 	if err != nil {
 		return err
 	}
-	r.world, r.fleet = world, world.Fleet(replicas)
-	r.ids = slices.Sorted(maps.Keys(r.fleet.Zones))
-	first := world.First()
+	r.deployment, r.fleet = deployment, deployment.Fleet(replicaCount)
+	r.searcherIDs = slices.Sorted(maps.Keys(r.fleet.Zones))
+	first := deployment.First()
 	r.latest.Store(first)
 	r.known.Store(first)
 	r.audit = &audit{epochs: map[layout.Epoch]*layout.Layout{1: first}, keys: r.store.Keys(), report: r.report, start: time.Now()}
-	for _, id := range r.ids {
+	for _, id := range r.searcherIDs {
 		c := standin.NewCustodian(id, r.store, filepath.Join(r.Dir, id+".sock"))
 		r.custodians[id] = c
 		if err := c.Open(); err != nil {
@@ -290,61 +295,61 @@
 	return nil
 }
 
-// coordinate starts the coordinator, the first time or after a kill.
-func (r *run) coordinate() error {
+// startCoordinator starts the coordinator, for the first time or after a kill.
+func (r *run) startCoordinator() error {
 	var gatherers, searchers []coordinator.Peer
 	for i, n := range r.nodes {
 		gatherers = append(gatherers, coordinator.Peer{Name: "g" + strconv.Itoa(i), Endpoint: n.admin.Endpoint()})
 	}
-	for _, id := range r.ids {
+	for _, id := range r.searcherIDs {
 		searchers = append(searchers, coordinator.Peer{Name: id, Endpoint: r.custodians[id].Endpoint()})
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	c, err := coordinator.Start(ctx, coordinator.Options{
-		Log: filepath.Join(r.Dir, "changes.db"), First: r.world.First(), Fleet: r.fleet,
+		Log: filepath.Join(r.Dir, "changes.db"), First: r.deployment.First(), Fleet: r.fleet,
 		Limits:    reshard.Limits{Gatherer: 3 * time.Second},
 		Gatherers: gatherers, Searchers: searchers, Measure: "search", Timeout: time.Second,
-		Wrap:      func(t http.RoundTripper) http.RoundTripper { return &flaky{t, r.rng} },
-		Published: r.publish, Ended: r.ended, Logger: slog.New(slog.DiscardHandler),
+		Wrap:      func(t http.RoundTripper) http.RoundTripper { return &lossyTransport{t, r.rng} },
+		Published: r.onPublished, Ended: r.recordJob, Logger: slog.New(slog.DiscardHandler),
 	})
 	if err != nil {
 		stop()
 		return err
 	}
-	r.stopCo = stop
-	r.co.Store(c)
+	r.cancelCoordinator = stop
+	r.coordinator.Store(c)
 	return nil
 }
 
-// flaky loses and delays what the coordinator and its peers say to each other.
-type flaky struct {
+// lossyTransport delays and drops messages between the coordinator and its peers.
+type lossyTransport struct {
 	http.RoundTripper
 	rng *lockedRand
 }
 
-var errLost = errors.New("lost on its way")
+var errDropped = errors.New("message dropped by the test's transport")
 
-func (f *flaky) RoundTrip(r *http.Request) (*http.Response, error) {
-	delay := time.Duration(f.rng.float() * float64(learnMost))
-	if f.rng.float() >= delayed {
+func (t *lossyTransport) RoundTrip(r *http.Request) (*http.Response, error) {
+	delay := time.Duration(t.rng.float() * float64(maxMessageDelay))
+	if t.rng.float() >= delayRate {
 		delay = 0
 	}
 	if !sleep(r.Context(), delay) {
 		return nil, r.Context().Err()
 	}
-	if f.rng.float() < missed { // the question
-		return nil, errLost
+	if t.rng.float() < lossRate { // the request
+		return nil, errDropped
 	}
-	resp, err := f.RoundTripper.RoundTrip(r)
-	if err == nil && f.rng.float() < missed { // the answer
-		return nil, errors.Join(errLost, resp.Body.Close())
+	resp, err := t.RoundTripper.RoundTrip(r)
+	if err == nil && t.rng.float() < lossRate { // the response
+		return nil, errors.Join(errDropped, resp.Body.Close())
 	}
 	return resp, err
 }
 
-// endCoordinator ends it where it stands.
-func (r *run) endCoordinator() error {
-	c := r.co.Load()
+// stopCoordinator stops the coordinator at once, without letting it finish anything.
+func (r *run) stopCoordinator() error {
+	c := r.coordinator.Load()
 	if c == nil {
 		return nil
 	}
@@ -353,11 +358,12 @@
 		r.report.Orders += s.Custody.Orders
 		r.report.Missed += s.Custody.Misses
 	}
-	r.stopCo()
+	r.cancelCoordinator()
 	return c.Wait()
 }
 
-func (r *run) ended(e reshard.Ended) {
+// recordJob counts a job that has ended.
+func (r *run) recordJob(e reshard.Ended) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if e.Phase != reshard.Done {
@@ -365,7 +371,7 @@
 		return
 	}
 	r.report.Jobs.Done++
-	switch r.kinds[e.Job] {
+	switch r.jobKinds[e.Job] {
 	case layout.Split:
 		r.report.Splits++
 	case layout.Merge:
@@ -375,35 +381,36 @@
 	}
 }
 
-// publish is told of each epoch before any gatherer is.
-func (r *run) publish(l *layout.Layout) {
+// onPublished is called with each new layout before any gatherer gets it. Clients learn of it up to two seconds later.
+func (r *run) onPublished(l *layout.Layout) {
 	if l.Epoch() < r.latest.Load().Epoch() {
 		return
 	}
-	r.audit.publish(l)
+	r.audit.addLayout(l)
 	r.latest.Store(l)
 	time.AfterFunc(time.Duration(r.rng.float()*2*float64(time.Second)), func() { r.known.Store(l) })
 }
 
-// pass lets a window go by: queries run, one searcher is killed, and with
-// changes these are asked for and the coordinator is killed as well.
-func (r *run) pass(ctx context.Context, length time.Duration, changes bool) {
+// runWindow runs load for one window and kills one searcher meanwhile. With changes, it also submits changes and kills
+// the coordinator.
+func (r *run) runWindow(ctx context.Context, length time.Duration, changes bool) {
 	ctx, stop := context.WithTimeout(ctx, length)
 	defer stop()
-	var all sync.WaitGroup
-	do := func(f func(context.Context)) {
-		all.Add(1)
-		go func() { defer all.Done(); f(ctx) }()
+	var tasks sync.WaitGroup
+	spawn := func(f func(context.Context)) {
+		tasks.Add(1)
+		go func() { defer tasks.Done(); f(ctx) }()
 	}
-	do(r.load)
-	do(func(ctx context.Context) { r.killSearcher(ctx, length/3) })
+	spawn(r.generateLoad)
+	spawn(func(ctx context.Context) { r.killSearcher(ctx, length/3) })
 	if changes {
-		do(r.change)
-		do(func(ctx context.Context) { r.killCoordinator(ctx, length/2) })
+		spawn(r.submitChanges)
+		spawn(func(ctx context.Context) { r.killCoordinator(ctx, length/2) })
 	}
-	all.Wait()
+	tasks.Wait()
 }
 
+// sleep waits for d, and reports whether ctx had not ended before.
 func sleep(ctx context.Context, d time.Duration) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
@@ -415,50 +422,50 @@
 	}
 }
 
-// killSearcher kills one, which comes back with its shelves.
+// killSearcher kills one searcher and restarts it. The searcher keeps its rows.
 func (r *run) killSearcher(ctx context.Context, after time.Duration) {
 	if !sleep(ctx, after) {
 		return
 	}
-	i := r.rng.intn(len(r.ids))
-	id := r.ids[i]
-	if err := errors.Join(r.custodians[id].Close(), r.world.Kill(i)); err != nil {
-		fmt.Fprintln(r.Out, "a searcher was not killed cleanly:", err)
+	i := r.rng.intn(len(r.searcherIDs))
+	id := r.searcherIDs[i]
+	if err := errors.Join(r.custodians[id].Close(), r.deployment.Kill(i)); err != nil {
+		fmt.Fprintln(r.Out, "searcher was not killed cleanly:", err)
 	}
 	r.mu.Lock()
 	r.report.SearcherKills++
 	r.mu.Unlock()
-	time.Sleep(downFor) // it comes back though the window is over
-	if err := errors.Join(r.world.Restart(i), r.custodians[id].Open()); err != nil {
-		fmt.Fprintln(r.Out, "a searcher did not come back:", err)
+	time.Sleep(downTime) // not bound to ctx: the searcher is restarted even if the window has ended
+	if err := errors.Join(r.deployment.Restart(i), r.custodians[id].Open()); err != nil {
+		fmt.Fprintln(r.Out, "searcher did not restart:", err)
 	}
 }
 
-// killCoordinator ends the coordinator where it stands and starts another from its log.
+// killCoordinator stops the coordinator at once and starts another from its log.
 func (r *run) killCoordinator(ctx context.Context, after time.Duration) {
 	if !sleep(ctx, after) {
 		return
 	}
-	if err := r.endCoordinator(); err != nil {
-		fmt.Fprintln(r.Out, "the coordinator had ended:", err)
+	if err := r.stopCoordinator(); err != nil {
+		fmt.Fprintln(r.Out, "coordinator had ended:", err)
 	}
 	r.report.CoordinatorKills++
-	if err := r.coordinate(); err != nil {
-		fmt.Fprintln(r.Out, "the coordinator did not come up:", err)
+	if err := r.startCoordinator(); err != nil {
+		fmt.Fprintln(r.Out, "coordinator did not start:", err)
 	}
 }
 
-// change asks for one change after the other.
-func (r *run) change(ctx context.Context) {
+// submitChanges submits changes periodically until ctx ends.
+func (r *run) submitChanges(ctx context.Context) {
 	for i := 0; ; i++ {
-		if c, ok := r.choose(layout.ChangeKind(i % 3)); ok {
-			id, err := r.co.Load().Submit(c)
+		if c, ok := r.drawChange(layout.ChangeKind(i % 3)); ok {
+			id, err := r.coordinator.Load().Submit(c)
 			r.mu.Lock()
 			r.report.Jobs.Submitted++
 			if err != nil {
 				r.report.Jobs.Refused++
 			} else {
-				r.kinds[id] = c.Kind
+				r.jobKinds[id] = c.Kind
 			}
 			r.mu.Unlock()
 		}
@@ -468,8 +475,8 @@
 	}
 }
 
-// choose makes up a change of the layout as it is.
-func (r *run) choose(k layout.ChangeKind) (layout.Change, bool) {
+// drawChange draws a change of the given kind to the latest layout. It reports false if the layout doesn't allow one.
+func (r *run) drawChange(k layout.ChangeKind) (layout.Change, bool) {
 	l := r.latest.Load()
 	list := slices.Collect(l.Serving())
 	i := r.rng.intn(len(list))
@@ -481,41 +488,41 @@
 				keys = append(keys, key)
 			}
 		}
-		if len(keys) < 4 || len(list) > 2*segments {
+		if len(keys) < 4 || len(list) > 2*segmentCount {
 			return layout.Change{}, false
 		}
-		return layout.Change{Kind: k, Segments: []layout.SegmentID{list[i].ID}, At: keys[len(keys)/2], Share: 0.5, Holders: [][]string{r.holders(), r.holders()}}, true
+		return layout.Change{Kind: k, Segments: []layout.SegmentID{list[i].ID}, At: keys[len(keys)/2], Share: 0.5, Holders: [][]string{r.drawHolders(), r.drawHolders()}}, true
 	case layout.Merge:
-		if len(list) < segments/2 || i == 0 {
+		if len(list) < segmentCount/2 || i == 0 {
 			return layout.Change{}, false
 		}
-		return layout.Change{Kind: k, Segments: []layout.SegmentID{list[i-1].ID, list[i].ID}, Holders: [][]string{r.holders()}}, true
+		return layout.Change{Kind: k, Segments: []layout.SegmentID{list[i-1].ID, list[i].ID}, Holders: [][]string{r.drawHolders()}}, true
 	default:
-		return layout.Change{Kind: k, Segments: []layout.SegmentID{list[i].ID}, Holders: [][]string{r.holders()}}, true
+		return layout.Change{Kind: k, Segments: []layout.SegmentID{list[i].ID}, Holders: [][]string{r.drawHolders()}}, true
 	}
 }
 
-// holders are one searcher of each zone.
-func (r *run) holders() (out []string) {
-	n := len(r.ids) / replicas
-	for z := range replicas {
-		out = append(out, r.ids[z*n+r.rng.intn(n)])
+// drawHolders draws one searcher of each zone.
+func (r *run) drawHolders() (out []string) {
+	n := len(r.searcherIDs) / replicaCount
+	for z := range replicaCount {
+		out = append(out, r.searcherIDs[z*n+r.rng.intn(n)])
 	}
 	return out
 }
 
-// load asks queries at random times, whether answers come or not.
-func (r *run) load(ctx context.Context) {
+// generateLoad sends queries at random times, whether or not earlier ones have been answered (an open loop).
+func (r *run) generateLoad(ctx context.Context) {
 	for i := 0; sleep(ctx, time.Duration(r.rng.exp()/r.Options.Rate*float64(time.Second))); i++ {
-		if r.open.Load() >= mostOpen {
-			r.held.Add(1)
+		if r.openQueries.Load() >= maxOpen {
+			r.heldQueries.Add(1)
 			continue
 		}
-		r.open.Add(1)
+		r.openQueries.Add(1)
 		r.queries.Add(1)
 		go func() {
 			defer r.queries.Done()
-			defer r.open.Add(-1)
+			defer r.openQueries.Add(-1)
 			switch x := r.rng.float(); {
 			case x < 0.6:
 				r.scan("search", 3)
@@ -528,81 +535,82 @@
 	}
 }
 
-func (r *run) trace() string { return "q" + strconv.FormatInt(r.traces.Add(1), 10) }
+// nextTrace returns a unique name for a query.
+func (r *run) nextTrace() string { return "q" + strconv.FormatInt(r.traceCount.Add(1), 10) }
 
-// scan asks for the keys of some neighbours, as the client knows them.
-func (r *run) scan(class string, most int) {
+// scan queries the keys of up to the given number of neighbouring segments, as the client knows them.
+func (r *run) scan(class string, maxSegments int) {
 	l := r.known.Load()
 	list := slices.Collect(l.Serving())
 	i := r.rng.intn(len(list))
-	list = list[i:min(i+most, len(list))]
-	q := &query{class: class, trace: r.trace(), known: l.Epoch(), keys: layout.Range{From: list[0].Keys.From, To: list[len(list)-1].Keys.To}}
+	list = list[i:min(i+maxSegments, len(list))]
+	q := &query{class: class, trace: r.nextTrace(), knownEpoch: l.Epoch(), keyRange: layout.Range{From: list[0].Keys.From, To: list[len(list)-1].Keys.To}}
 	for _, s := range list {
 		q.segments = append(q.segments, s.ID)
 	}
-	from, to := q.keys.From, q.keys.To
+	from, to := q.keyRange.From, q.keyRange.To
 	if from == "" {
 		from = "a"
 	}
 	if to == "" {
 		to = "z"
 	}
-	r.post(q, fmt.Sprintf("scan %s %s", from, to))
+	r.send(q, fmt.Sprintf("scan %s %s", from, to))
 	if class == "search" && q.status == http.StatusOK {
-		r.search.Load().record(q.done.Sub(q.sent))
+		r.searchLatencies.Load().record(q.received.Sub(q.sent))
 	}
-	r.look(q)
+	r.check(q)
 }
 
-// reserve takes one of a row, with the same key again where it is not told that
-// it has, as long as that is harmless.
+// reserve reserves one of a row. Until an answer confirms it, it tries again with the same idempotency key, as long as
+// that can't reserve twice.
 func (r *run) reserve() {
 	keys := r.store.Keys()
-	item := keys[r.rng.intn(len(keys))]
-	id := "r" + r.trace()
-	began := time.Now()
+	key := keys[r.rng.intn(len(keys))]
+	id := "r" + r.nextTrace()
+	started := time.Now()
 	for {
 		l := r.known.Load()
-		q := &query{class: "reserve", trace: r.trace(), known: l.Epoch(), id: id, segments: []layout.SegmentID{l.Find(item).ID}}
-		r.post(q, "reserve "+string(item))
-		r.look(q)
-		if left := q.left(); left >= 0 || time.Since(began) >= tryFor {
-			r.audit.reserved(0, item, began, time.Now(), left)
+		q := &query{class: "reserve", trace: r.nextTrace(), knownEpoch: l.Epoch(), idempotencyKey: id, segments: []layout.SegmentID{l.Find(key).ID}}
+		r.send(q, "reserve "+string(key))
+		r.check(q)
+		if remaining := q.remaining(); remaining >= 0 || time.Since(started) >= retryPeriod {
+			r.audit.recordReservation(0, key, started, time.Now(), remaining)
 			return
 		}
 		time.Sleep(100 * time.Millisecond)
 	}
 }
 
-// look judges an answer.
-func (r *run) look(q *query) {
-	what := ""
-	if r.judge != nil && q.err == nil {
-		what = r.judge(q)
+// check audits an answer.
+func (r *run) check(q *query) {
+	wrong := ""
+	if r.extraCheck != nil && q.err == nil {
+		wrong = r.extraCheck(q)
 	}
-	r.audit.judge(q, what)
+	r.audit.check(q, wrong)
 }
 
-// post asks one query and reads its answer.
-func (r *run) post(q *query, statement string) {
+// send sends one query and stores its answer in it.
+func (r *run) send(q *query, statement string) {
 	var segments []int
 	for _, s := range q.segments {
 		segments = append(segments, int(s))
 	}
 	node := r.nodes[r.rng.intn(len(r.nodes))]
-	a, err := ask.Do(context.Background(), r.client, node.Addr(), ask.Query{
-		Class: q.class, Trace: q.trace, Key: q.id, Expires: queryTime, Epoch: uint64(q.known), Segments: segments, Statement: statement,
+	answer, err := ask.Do(context.Background(), r.client, node.Addr(), ask.Query{
+		Class: q.class, Trace: q.trace, Key: q.idempotencyKey, Expires: queryTimeout, Epoch: uint64(q.knownEpoch), Segments: segments, Statement: statement,
 	})
-	q.sent, q.done, q.status, q.err = a.Sent, a.Done, a.Status, err
-	q.full, q.pieces, q.generation = a.Full, a.Pieces, a.Generation
-	if a.Status == http.StatusOK {
-		q.epoch = layout.Epoch(a.Epoch)
+	q.sent, q.received, q.status, q.err = answer.Sent, answer.Done, answer.Status, err
+	q.whole, q.pieces, q.generation = answer.Full, answer.Pieces, answer.Generation
+	if answer.Status == http.StatusOK {
+		q.epoch = layout.Epoch(answer.Epoch)
 	}
 }
 
-// close ends all parties.
+// close stops the whole deployment.
 func (r *run) close() error {
-	errs := []error{r.endCoordinator()}
+	errs := []error{r.stopCoordinator()}
 	for _, c := range r.custodians {
 		errs = append(errs, c.Close())
 		r.report.LateOrders += c.Late()
@@ -617,8 +625,8 @@
 		n.Drain()
 		errs = append(errs, <-n.ended)
 	}
-	if r.world != nil {
-		errs = append(errs, r.world.Close())
+	if r.deployment != nil {
+		errs = append(errs, r.deployment.Close())
 	}
 	return errors.Join(errs...)
 }
--- a/internal/trial/soak/soak_test.go
+++ b/internal/trial/soak/soak_test.go
@@ -10,7 +10,8 @@
 	"eiderwinch/internal/trial/ask"
 )
 
-// TestChangesUnderLoad is the short form of `eiderwinch layout soak`.
+// TestChangesUnderLoad is a short run of what `eiderwinch layout soak` runs: splits, merges and moves under load, with
+// kills of searchers and the coordinator, must not lose, mix, truncate or duplicate anything.
 func TestChangesUnderLoad(t *testing.T) {
 	t.Parallel()
 	r, err := Run(context.Background(), Options{
@@ -24,12 +25,13 @@
 		t.Error(err)
 	}
 	if r.Splits+r.Merges+r.Moves == 0 || r.Translated == 0 || r.CoordinatorKills != 1 || r.SearcherKills != 2 {
-		t.Errorf("it did not do what it is for: %+v", r)
+		t.Errorf("the run lacks changes or kills that it has to cover: %+v", r)
 	}
 	t.Logf("%+v", r)
 }
 
-// TestConfigurationChangesUnderLoad is the short form of `eiderwinch config soak`.
+// TestConfigurationChangesUnderLoad is a short run of what `eiderwinch config soak` runs: good changes must be confirmed
+// and bad ones undone in time, and each answer must be of one configuration that was in force.
 func TestConfigurationChangesUnderLoad(t *testing.T) {
 	t.Parallel()
 	r, err := RunConfig(context.Background(), ConfigOptions{
@@ -42,13 +44,14 @@
 		t.Error(err)
 	}
 	if r.Bad == 0 || r.Confirmed == 0 || r.Generations < 3 {
-		t.Errorf("it did not do what it is for: %+v", r)
+		t.Errorf("the run lacks changes that it has to cover: %+v", r)
 	}
 	t.Logf("%+v", r)
 }
 
-// The audit must see what it is there to see.
-func TestTheAuditSeesWhatIsWrong(t *testing.T) {
+// The audit must detect answers that lack a key, repeat a segment, take a key from the wrong segment, or belong to a
+// segment or epoch that was never published.
+func TestAuditDetectsWrongAnswers(t *testing.T) {
 	l, err := layout.First(
 		layout.Segment{ID: 0, Keys: layout.Range{To: "k2"}, Holders: []string{"a"}},
 		layout.Segment{ID: 1, Keys: layout.Range{From: "k2"}, Holders: []string{"a"}})
@@ -60,39 +63,58 @@
 		pieces []ask.Piece
 		count  func(*Report) int
 	}{
-		"in order":            {1, []ask.Piece{{Tablet: 0, Cell: "k1"}, {Tablet: 1, Cell: "k2 k3"}}, func(r *Report) int { return r.Whole - r.Mixed - r.NotWhole }},
-		"a key is missing":    {1, []ask.Piece{{Tablet: 0, Cell: "k1"}, {Tablet: 1, Cell: "k2"}}, func(r *Report) int { return r.NotWhole }},
-		"a segment twice":     {1, []ask.Piece{{Tablet: 0, Cell: "k1"}, {Tablet: 0, Cell: "k1"}, {Tablet: 1, Cell: "k2 k3"}}, func(r *Report) int { return r.Mixed }},
-		"a key from another":  {1, []ask.Piece{{Tablet: 0, Cell: "k1 k2"}, {Tablet: 1, Cell: "k3"}}, func(r *Report) int { return r.Mixed }},
-		"a segment of before": {1, []ask.Piece{{Tablet: 0, Cell: "k1"}, {Tablet: 7, Cell: "k2 k3"}}, func(r *Report) int { return r.Mixed }},
-		"an unknown epoch":    {2, []ask.Piece{{Tablet: 0, Cell: "k1"}, {Tablet: 1, Cell: "k2 k3"}}, func(r *Report) int { return r.Mixed }},
+		"a correct answer":   {1, []ask.Piece{{Tablet: 0, Cell: "k1"}, {Tablet: 1, Cell: "k2 k3"}}, func(r *Report) int { return r.Whole - r.Mixed - r.NotWhole }},
+		"a key is missing":   {1, []ask.Piece{{Tablet: 0, Cell: "k1"}, {Tablet: 1, Cell: "k2"}}, func(r *Report) int { return r.NotWhole }},
+		"a segment twice":    {1, []ask.Piece{{Tablet: 0, Cell: "k1"}, {Tablet: 0, Cell: "k1"}, {Tablet: 1, Cell: "k2 k3"}}, func(r *Report) int { return r.Mixed }},
+		"a key from another": {1, []ask.Piece{{Tablet: 0, Cell: "k1 k2"}, {Tablet: 1, Cell: "k3"}}, func(r *Report) int { return r.Mixed }},
+		"a former segment":   {1, []ask.Piece{{Tablet: 0, Cell: "k1"}, {Tablet: 7, Cell: "k2 k3"}}, func(r *Report) int { return r.Mixed }},
+		"an unknown epoch":   {2, []ask.Piece{{Tablet: 0, Cell: "k1"}, {Tablet: 1, Cell: "k2 k3"}}, func(r *Report) int { return r.Mixed }},
 	} {
 		r := new(Report)
 		a := &audit{epochs: map[layout.Epoch]*layout.Layout{1: l}, keys: []layout.Key{"k1", "k2", "k3"}, report: r}
-		a.judge(&query{class: "search", status: 200, full: true, epoch: c.epoch, pieces: c.pieces}, "")
+		a.check(&query{class: "search", status: 200, whole: true, epoch: c.epoch, pieces: c.pieces}, "")
 		if c.count(r) != 1 {
-			t.Errorf("%s: %+v", name, r)
+			t.Errorf("%s: got report %+v", name, r)
 		}
 	}
 }
 
-func TestReservationsOutOfOrderAreSeen(t *testing.T) {
+// The audit must accept histories of reservations that are linearizable, also with unanswered ones, and reject others.
+func TestAuditDetectsNonLinearizableReservations(t *testing.T) {
 	now := time.Unix(1000, 0)
 	at := func(ms int) time.Time { return now.Add(time.Duration(ms) * time.Millisecond) }
 	for name, c := range map[string]struct {
-		book func(*audit)
-		want string
+		record func(*audit)
+		want   string
 	}{
-		"one after the other": {func(a *audit) { a.reserved(0, "k", at(0), at(1), 9); a.reserved(0, "k", at(2), at(3), 8) }, "Ok"},
-		"at the same time":    {func(a *audit) { a.reserved(0, "k", at(0), at(5), 8); a.reserved(0, "k", at(1), at(3), 9) }, "Ok"},
-		"the wrong way round": {func(a *audit) { a.reserved(0, "k", at(0), at(1), 8); a.reserved(0, "k", at(2), at(3), 9) }, "Illegal"},
-		"made twice":          {func(a *audit) { a.reserved(0, "k", at(0), at(1), 9); a.reserved(0, "k", at(2), at(3), 7) }, "Illegal"},
-		"one without answer":  {func(a *audit) { a.reserved(0, "k", at(0), at(1), -1); a.reserved(0, "k", at(2), at(3), 8) }, "Ok"},
-		"and not made":        {func(a *audit) { a.reserved(0, "k", at(0), at(1), -1); a.reserved(0, "k", at(2), at(3), 9) }, "Ok"},
+		"one after the other": {func(a *audit) {
+			a.recordReservation(0, "k", at(0), at(1), 9)
+			a.recordReservation(0, "k", at(2), at(3), 8)
+		}, "Ok"},
+		"at the same time": {func(a *audit) {
+			a.recordReservation(0, "k", at(0), at(5), 8)
+			a.recordReservation(0, "k", at(1), at(3), 9)
+		}, "Ok"},
+		"in the wrong order": {func(a *audit) {
+			a.recordReservation(0, "k", at(0), at(1), 8)
+			a.recordReservation(0, "k", at(2), at(3), 9)
+		}, "Illegal"},
+		"made twice": {func(a *audit) {
+			a.recordReservation(0, "k", at(0), at(1), 9)
+			a.recordReservation(0, "k", at(2), at(3), 7)
+		}, "Illegal"},
+		"one without answer": {func(a *audit) {
+			a.recordReservation(0, "k", at(0), at(1), -1)
+			a.recordReservation(0, "k", at(2), at(3), 8)
+		}, "Ok"},
+		"one not made": {func(a *audit) {
+			a.recordReservation(0, "k", at(0), at(1), -1)
+			a.recordReservation(0, "k", at(2), at(3), 9)
+		}, "Ok"},
 	} {
 		a := &audit{report: new(Report), start: now}
-		c.book(a)
-		if got := string(a.linearizable(10, at(10))); got != c.want {
+		c.record(a)
+		if got := string(a.checkReservations(10, at(10))); got != c.want {
 			t.Errorf("%s: %s, want %s", name, got, c.want)
 		}
 	}
