--- a/internal/trial/steady/steady.go
+++ b/internal/trial/steady/steady.go
@@ -1,5 +1,5 @@
-// Package steady runs a package's tests so that its random ones give the same
-// verdict every time.
+// Package steady runs the tests of a package with a fixed seed for property-based
+// tests, so that each execution of them checks the same inputs.
 package steady
 
 import (
@@ -8,9 +8,9 @@
 	"testing"
 )
 
-// Main is for TestMain. Long runs with other seeds: go test -rapid.seed=0
-// -rapid.checks=10000.
+// Main runs the tests with a fixed seed of rapid; call it from TestMain. For long runs
+// with random seeds use go test -rapid.seed=0 -rapid.checks=10000.
 func Main(m *testing.M) {
-	_ = flag.Set("rapid.seed", "1") // the command line wins: Run parses it later
+	_ = flag.Set("rapid.seed", "1") // the command line takes precedence: Run parses it later
 	os.Exit(m.Run())
 }
