--- a/internal/trial/emulator/client.go
+++ b/internal/trial/emulator/client.go
@@ -9,150 +9,153 @@
 	"eiderwinch/internal/gatherer"
 )
 
-// client is one that asks a query, and asks again where it is refused.
+// client asks one query, and asks it again when it is refused.
 type client struct {
-	w      *world
-	class  int
-	id     uint64
-	node   *node
-	trace  string
-	key    string
-	first  int    // of its segments
-	about  string // its key
-	tenant int    // -1 where there are none
-	tries  int
-	asked  time.Time // its first try
-	query  uint64
-	over   bool // the try at hand is over
-	slot   int  // its place among the open ones
+	sim            *simulation
+	class          int
+	id             uint64
+	node           *node
+	trace          string
+	idempotencyKey string
+	firstSegment   int    // its parts go to consecutive segments, from this one on
+	subject        string // the key that the query is about; empty if there is none
+	tenant         int    // -1 if the scenario has no tenants
+	tries          int
+	askedAt        time.Time // time of the first try
+	queryID        uint64
+	ended          bool // the current try has ended
+	openIndex      int  // index in Result.open
 }
 
-func newClient(w *world, class int) *client {
+func newClient(sim *simulation, class int) *client {
 	c := &client{
-		w: w, class: class, id: w.asked, key: "k" + strconv.FormatUint(w.asked, 10),
-		first: w.rng.IntN(w.Cells * w.PerCell), asked: w.now, tenant: w.drawTenant(),
+		sim: sim, class: class, id: sim.queryCount, idempotencyKey: "k" + strconv.FormatUint(sim.queryCount, 10),
+		firstSegment: sim.rng.IntN(sim.Cells * sim.SegmentsPerCell), askedAt: sim.now, tenant: sim.drawTenant(),
 	}
-	if w.Keys > 0 {
-		about := 1 + w.rng.IntN(w.Keys)
-		if w.focus > 0 && w.rng.Float64() < w.focus {
-			about, c.first = 0, 0 // queries about one key need the same segments
+	if sim.Keys > 0 {
+		subject := 1 + sim.rng.IntN(sim.Keys)
+		if sim.hotKeyShare > 0 && sim.rng.Float64() < sim.hotKeyShare {
+			subject, c.firstSegment = 0, 0 // queries about one key need the same segments
 		}
-		c.about = "a" + strconv.Itoa(about)
+		c.subject = "a" + strconv.Itoa(subject)
 	}
 	return c
 }
 
-// frontNotes is how long the front goes on sending to a gatherer that is gone.
-const frontNotes = 2 * time.Second
+// frontEndDetectionDelay is how long the front end keeps sending queries to a gatherer that has died.
+const frontEndDetectionDelay = 2 * time.Second
 
-// front picks any gatherer but those that it has noted to be gone; any at all where all are.
-func (w *world) front() *node {
-	var list []*node
-	for _, n := range w.nodes {
-		if !n.down || w.now.Sub(n.downAt) < frontNotes {
-			list = append(list, n)
+// chooseNode picks a random gatherer as the front end does: among those that it does not know to be dead,
+// or among all if it knows all to be dead.
+func (sim *simulation) chooseNode() *node {
+	var candidates []*node
+	for _, n := range sim.nodes {
+		if !n.down || sim.now.Sub(n.downAt) < frontEndDetectionDelay {
+			candidates = append(candidates, n)
 		}
 	}
-	if len(list) == 0 {
-		list = w.nodes
+	if len(candidates) == 0 {
+		candidates = sim.nodes
 	}
-	return list[w.rng.IntN(len(list))]
+	return candidates[sim.rng.IntN(len(candidates))]
 }
 
-// ask sends the query to any gatherer that the front knows.
+// ask sends the query to a gatherer that the front end chooses.
 func (c *client) ask() {
-	w := c.w
+	sim := c.sim
 	c.tries++
-	c.over = false
-	c.node = w.front()
+	c.ended = false
+	c.node = sim.chooseNode()
 	c.trace = strconv.Itoa(c.class) + "-" + strconv.FormatUint(c.id, 10) + "-" + strconv.Itoa(c.tries)
 	if c.tries == 1 {
-		w.result.ask(c)
+		sim.result.recordQuery(c)
 	}
-	n, life := c.node, c.node.life
-	w.after(w.Near, func() {
-		if n.life != life || n.down {
-			c.broken()
+	n, process := c.node, c.node.process
+	sim.after(sim.NearDelay, func() {
+		if n.process != process || n.down {
+			c.gathererDied()
 			return
 		}
-		k := w.Classes[c.class]
-		left := k.Deadline - w.now.Sub(c.asked)
+		spec := sim.Classes[c.class]
+		left := spec.Deadline - sim.now.Sub(c.askedAt)
 		if left <= 0 {
-			c.end(failed)
+			c.finish(failed)
 			return
 		}
-		a := gatherer.Ask{Trace: c.trace, Class: k.Name, Key: c.key, Expires: left, Repeat: c.tries > 1, Text: "q", About: c.about}
+		a := gatherer.Ask{Trace: c.trace, Class: spec.Name, Key: c.idempotencyKey, Expires: left, Repeat: c.tries > 1, Text: "q", About: c.subject}
 		if c.tenant >= 0 {
 			a.Tenant = tenantName(c.tenant)
 		}
-		for i := range k.Parts {
-			a.Parts = append(a.Parts, gatherer.AskPart{Shard: (c.first + i) % (w.Cells * w.PerCell), Weight: 1 / float64(k.Parts)})
+		for i := range spec.Parts {
+			a.Parts = append(a.Parts, gatherer.AskPart{Shard: (c.firstSegment + i) % (sim.Cells * sim.SegmentsPerCell), Weight: 1 / float64(spec.Parts)})
 		}
-		w.result.enter(c)
-		id, err := n.core.Take(w.now, a, c)
+		sim.result.addOpen(c)
+		id, err := n.core.Take(sim.now, a, c)
 		if err != nil {
-			w.result.breach("query %s was not taken: %v", c.trace, err)
-			c.end(failed)
+			sim.result.addBreach("query %s was not accepted: %v", c.trace, err)
+			c.finish(failed)
 			return
 		}
-		c.query = id
-		n.arm()
+		c.queryID = id
+		n.scheduleRun()
 	})
 }
 
 // Reply implements gatherer.Client.
 func (c *client) Reply(r gatherer.Reply) {
-	if c.over {
-		c.w.result.breach("query %s was answered twice", c.trace)
+	if c.ended {
+		c.sim.result.addBreach("query %s was answered twice", c.trace)
 		return
 	}
-	c.over = true
-	c.w.result.leave(c)
-	c.w.after(c.w.Near, func() { c.heard(r) })
+	c.ended = true
+	c.sim.result.removeOpen(c)
+	c.sim.after(c.sim.NearDelay, func() { c.receive(r) })
 }
 
-// Left implements gatherer.Client. Who leaves here is told at once.
+// Left implements gatherer.Client. It is always false: in this model the core learns at once that a client
+// has left.
 func (*client) Left() bool { return false }
 
-// heard is when the answer is there.
-func (c *client) heard(r gatherer.Reply) {
+// receive handles the gatherer's answer once it has reached the client.
+func (c *client) receive(r gatherer.Reply) {
 	switch {
 	case r.Verdict == gatherer.Answered && r.Whole:
-		c.end(whole)
+		c.finish(whole)
 	case r.Verdict == gatherer.Answered:
-		c.end(partial)
-	case r.Verdict == gatherer.Refused && c.again(r.RetryAfter):
+		c.finish(partial)
+	case r.Verdict == gatherer.Refused && c.tryAgain(r.RetryAfter):
 	case r.Verdict == gatherer.Refused:
-		c.end(refused)
+		c.finish(refused)
 	default:
-		c.end(failed)
+		c.finish(failed)
 	}
 }
 
-// again asks once more where there are tries and time left.
-func (c *client) again(wait time.Duration) bool {
-	w := c.w
-	deadline := w.Classes[c.class].Deadline
+// tryAgain schedules another try after wait, or after a default wait if it is 0. It returns false if the
+// client has no tries or no time left.
+func (c *client) tryAgain(wait time.Duration) bool {
+	sim := c.sim
+	deadline := sim.Classes[c.class].Deadline
 	if wait == 0 {
 		wait = 100 * time.Millisecond
 	}
-	if c.tries >= w.Tries || w.now.Add(wait).Sub(c.asked) >= deadline {
+	if c.tries >= sim.Tries || sim.now.Add(wait).Sub(c.askedAt) >= deadline {
 		return false
 	}
-	w.after(wait, c.ask)
+	sim.after(wait, c.ask)
 	return true
 }
 
-// broken is when its gatherer died: a keyed query is not repeated, since it may have
-// been carried out, and nobody tells.
-func (c *client) broken() {
-	c.over = true
-	c.w.result.leave(c)
-	c.end(failed)
+// gathererDied fails the query when its gatherer has died. The client does not ask again: a keyed
+// query may have been executed, and nobody can tell the client whether it was.
+func (c *client) gathererDied() {
+	c.ended = true
+	c.sim.result.removeOpen(c)
+	c.finish(failed)
 }
 
-func (c *client) end(o outcome) { c.w.result.end(c, o) }
+func (c *client) finish(o outcome) { c.sim.result.recordOutcome(c, o) }
 
-func sortFlights(list []*flight) {
-	slices.SortFunc(list, func(a, b *flight) int { return cmp.Compare(a.id, b.id) })
+func sortAttempts(list []*pendingAttempt) {
+	slices.SortFunc(list, func(a, b *pendingAttempt) int { return cmp.Compare(a.partID, b.partID) })
 }
--- a/internal/trial/emulator/emulator_test.go
+++ b/internal/trial/emulator/emulator_test.go
@@ -16,7 +16,7 @@
 		t.Fatal(err)
 	}
 	if r.Breaches > 0 {
-		t.Errorf("%s, seed %d: %d breaches: %v", s.Name, seed, r.Breaches, r.Faults)
+		t.Errorf("%s, seed %d: %d breaches: %v", s.Name, seed, r.Breaches, r.BreachMessages)
 	}
 	return r
 }
@@ -30,7 +30,8 @@
 	return nil
 }
 
-func TestACalmMinuteIsServed(t *testing.T) {
+// Guards against queries that miss their aim without any fault.
+func TestStockServiceIsServedInTime(t *testing.T) {
 	r := run(t, Scenario{Name: "calm", Duration: 20 * time.Second}, 1)
 	for _, c := range r.Classes {
 		if c.InTimeShare() < 0.99 || c.Asked == 0 {
@@ -41,103 +42,104 @@
 	t.Logf("%d events, %d turns", r.Events, r.Turns)
 }
 
-func TestTheSameSeedGivesTheSameRun(t *testing.T) {
+// Guards against runs that depend on more than the scenario and the seed, such as the order of a map.
+func TestSameSeedGivesSameRun(t *testing.T) {
 	s := Scenario{Name: "mixed", Duration: 10 * time.Second, Faults: []Fault{
-		{Kind: Crash, At: 2 * time.Second, For: 2 * time.Second, Many: 2}, {Kind: Cut, At: 5 * time.Second, For: time.Second, Zone: 1},
-		{Kind: Restart, At: 7 * time.Second, For: time.Second, Many: 2},
+		{Kind: Crash, At: 2 * time.Second, For: 2 * time.Second, Count: 2}, {Kind: Partition, At: 5 * time.Second, For: time.Second, Zone: 1},
+		{Kind: Restart, At: 7 * time.Second, For: time.Second, Count: 2},
 	}}
 	a, b, c := run(t, s, 1), run(t, s, 1), run(t, s, 2)
 	if a.Digest != b.Digest || a.Events != b.Events || a.Turns != b.Turns {
 		t.Errorf("seed 1 gives %s with %d events, and %s with %d", a.Digest, a.Events, b.Digest, b.Events)
 	}
 	if a.Digest == c.Digest {
-		t.Error("another seed gives the same run")
+		t.Error("a different seed gives the same run")
 	}
 }
 
-// TestEachFaultDoesWhatItSays holds each fault to what must come of it.
-func TestEachFaultDoesWhatItSays(t *testing.T) {
+// Guards against a fault that has no effect, which would make the experiments with it meaningless.
+func TestEachFaultAffectsAStockService(t *testing.T) {
 	at := 4 * time.Second
 	base := Scenario{Duration: 14 * time.Second}
 	calm := run(t, base, 3)
 	for name, c := range map[string]struct {
 		fault Fault
-		holds func(r *Result) bool
+		shows func(r *Result) bool
 	}{
-		"crash":   {Fault{Kind: Crash, At: at, For: 5 * time.Second, Many: 4}, func(r *Result) bool { return r.Load[0][6] == 0 && r.Load[0][2] > 0 }},
-		"pause":   {Fault{Kind: Pause, At: at, For: 3 * time.Second, Many: 3}, func(r *Result) bool { return r.class("search").P99 > calm.class("search").P99 }},
-		"slow":    {Fault{Kind: Slow, At: at, For: 8 * time.Second, Many: 1, Factor: 20}, func(r *Result) bool { return r.Load[0][10] < calm.Load[0][10] }},
-		"drain":   {Fault{Kind: Drain, At: at, For: 4 * time.Second, Many: 2}, func(r *Result) bool { return r.Load[0][6] == 0 }},
-		"cut":     {Fault{Kind: Cut, At: at, For: 2 * time.Second, Zone: 1}, func(r *Result) bool { return r.class("search").P99 > calm.class("search").P99 }},
-		"flood":   {Fault{Kind: Flood, At: at, For: 5 * time.Second, Class: "search", Factor: 3}, func(r *Result) bool { return r.class("search").Asked > calm.class("search").Asked*3/2 }},
-		"restart": {Fault{Kind: Restart, At: at, For: time.Second, Many: 3}, func(r *Result) bool { return r.class("search").Failed > 0 }},
+		"crash":   {Fault{Kind: Crash, At: at, For: 5 * time.Second, Count: 4}, func(r *Result) bool { return r.Load[0][6] == 0 && r.Load[0][2] > 0 }},
+		"pause":   {Fault{Kind: Pause, At: at, For: 3 * time.Second, Count: 3}, func(r *Result) bool { return r.class("search").P99 > calm.class("search").P99 }},
+		"slow":    {Fault{Kind: Slow, At: at, For: 8 * time.Second, Count: 1, Factor: 20}, func(r *Result) bool { return r.Load[0][10] < calm.Load[0][10] }},
+		"drain":   {Fault{Kind: Drain, At: at, For: 4 * time.Second, Count: 2}, func(r *Result) bool { return r.Load[0][6] == 0 }},
+		"cut":     {Fault{Kind: Partition, At: at, For: 2 * time.Second, Zone: 1}, func(r *Result) bool { return r.class("search").P99 > calm.class("search").P99 }},
+		"flood":   {Fault{Kind: ClassLoad, At: at, For: 5 * time.Second, Class: "search", Factor: 3}, func(r *Result) bool { return r.class("search").Asked > calm.class("search").Asked*3/2 }},
+		"restart": {Fault{Kind: Restart, At: at, For: time.Second, Count: 3}, func(r *Result) bool { return r.class("search").Failed > 0 }},
 	} {
 		s := base
 		s.Name, s.Faults = name, []Fault{c.fault}
-		if r := run(t, s, 3); !c.holds(r) {
-			t.Errorf("%s: it shows nothing: %+v", name, *r.class("search"))
+		if r := run(t, s, 3); !c.shows(r) {
+			t.Errorf("fault %s has no effect: %+v", name, *r.class("search"))
 		}
 	}
 }
 
-// The audit must see what it is there to see.
-func TestBreachesAreSeen(t *testing.T) {
+// Guards against a run that breaks a rule and counts no breach, and against invalid scenarios that are accepted.
+func TestBreachesAreDetected(t *testing.T) {
 	s := Scenario{Name: "odd", Duration: 5 * time.Second}
 	if _, err := Run(Scenario{Searchers: 2, Cells: 3}, 1); err == nil || !strings.Contains(err.Error(), "a searcher for each cell") {
 		t.Errorf("too few searchers: %v", err)
 	}
-	if _, err := Run(Scenario{Faults: []Fault{{Kind: "odd"}, {Kind: Slow, Many: 1}}}, 1); err == nil || !strings.Contains(err.Error(), "factor 0") {
-		t.Errorf("odd faults: %v", err)
+	if _, err := Run(Scenario{Faults: []Fault{{Kind: "odd"}, {Kind: Slow, Count: 1}}}, 1); err == nil || !strings.Contains(err.Error(), "factor 0") {
+		t.Errorf("invalid faults: %v", err)
 	}
-	w, err := newWorld(s, 1)
+	sim, err := newSimulation(s, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	breaches := func(what, want string) {
+	checkBreach := func(what, want string) {
 		t.Helper()
-		if n := len(w.result.Faults); n != 1 || !strings.Contains(w.result.Faults[0], want) {
-			t.Errorf("%s: %v", what, w.result.Faults)
+		if n := len(sim.result.BreachMessages); n != 1 || !strings.Contains(sim.result.BreachMessages[0], want) {
+			t.Errorf("%s: %v", what, sim.result.BreachMessages)
 		}
-		w.result.Faults = nil
+		sim.result.BreachMessages = nil
 	}
-	f := &flight{class: 2, key: "k"}
-	w.searchers[0].run(f)
-	w.now = w.now.Add(2 * time.Second)
-	w.searchers[0].run(f) // within its window: it is known there
-	w.now = w.now.Add(time.Second)
-	w.searchers[0].run(f)
-	breaches("a reservation after its window", "made twice, 3s apart")
-	n := w.nodes[0]
+	p := &pendingAttempt{class: 2, idempotencyKey: "k"}
+	sim.searchers[0].recordEffect(p)
+	sim.now = sim.now.Add(2 * time.Second)
+	sim.searchers[0].recordEffect(p) // within its repeat window: the searchers still know the key
+	sim.now = sim.now.Add(time.Second)
+	sim.searchers[0].recordEffect(p)
+	checkBreach("a reservation after its window", "made twice, 3s apart")
+	n := sim.nodes[0]
 	a, b := &gatherer.Attempt{Searcher: "s-0000", Trace: "1-1-1"}, &gatherer.Attempt{Searcher: "s-0000", Trace: "1-1-1"}
-	n.Call(w.now, []*gatherer.Attempt{a})
-	n.Call(w.now, []*gatherer.Attempt{b})
-	breaches("two attempts of one part", "has two attempts out")
-	n.leaving["s-0000"] = w.now.Add(-501 * time.Millisecond)
-	n.links["s-0000"].send(n.flights[a])
-	breaches("a part to one that drains", "after its drain was told")
-	c := newClient(w, 1)
+	n.Call(sim.now, []*gatherer.Attempt{a})
+	n.Call(sim.now, []*gatherer.Attempt{b})
+	checkBreach("two attempts of one part", "has two attempts in flight")
+	n.drainingSince["s-0000"] = sim.now.Add(-501 * time.Millisecond)
+	n.conns["s-0000"].send(n.pending[a])
+	checkBreach("a part for a searcher that is draining", "after notice of its drain")
+	c := newClient(sim, 1)
 	c.Reply(gatherer.Reply{})
 	c.Reply(gatherer.Reply{})
-	breaches("two answers", "was answered twice")
+	checkBreach("two answers", "was answered twice")
 }
 
-// scaled is the usual deployment so many times over.
-func scaled(times int, d time.Duration) Scenario {
-	s := Scenario{Name: "scaled", Duration: d, Gatherers: 3 * times, Searchers: 12 * times, Classes: Usual()}
+// scaled returns the stock deployment, enlarged by a factor.
+func scaled(factor int, d time.Duration) Scenario {
+	s := Scenario{Name: "scaled", Duration: d, Gatherers: 3 * factor, Searchers: 12 * factor, Classes: StockClasses()}
 	for i := range s.Classes {
-		s.Classes[i].Rate *= float64(times)
+		s.Classes[i].Rate *= float64(factor)
 	}
 	return s
 }
 
 func BenchmarkSize(b *testing.B) {
-	for _, times := range []int{1, 10, 25, 100} {
-		b.Run(fmt.Sprintf("%d gatherers", 3*times), func(b *testing.B) {
-			s := scaled(times, 5*time.Second)
+	for _, factor := range []int{1, 10, 25, 100} {
+		b.Run(fmt.Sprintf("%d gatherers", 3*factor), func(b *testing.B) {
+			s := scaled(factor, 5*time.Second)
 			for range b.N {
 				r, err := Run(s, 1)
 				if err != nil || r.Breaches > 0 {
-					b.Fatal(err, r.Faults)
+					b.Fatal(err, r.BreachMessages)
 				}
 				b.ReportMetric(float64(r.Turns), "turns")
 				b.ReportMetric(float64(r.Events), "events")
--- a/internal/trial/emulator/experiment.go
+++ b/internal/trial/emulator/experiment.go
@@ -7,10 +7,10 @@
 	"eiderwinch/internal/format/xmlform"
 )
 
-// Namespace names the form of scenario files.
+// Namespace is the XML namespace of scenario files.
 const Namespace = "urn:eiderwinch:scenario:1"
 
-// Form returns the form of scenario files, of which deploy/scenario.xsd is made.
+// Form returns the form of scenario files. deploy/scenario.xsd is generated from it.
 func Form() *xmlform.Form {
 	span := func(name, def string, least, most float64, doc string) xmlform.Attribute {
 		return xmlform.Attribute{Name: name, Kind: xmlform.Span, Default: def, Least: least, Most: most, Doc: doc}
@@ -45,10 +45,10 @@
 				count("tries", "2", 16, "of a client, the first included"),
 				count("attempts", "4", 16, "of a part"),
 				span("lag", "200ms", 0.001, 6, "of discovery, on average"),
-				choice("layout", "of the segments: sets of three searchers hold the same three, or in a ring two begin at each searcher and the next holds them as well", sets, ring),
-				choice("answers", "whole: classes of a stock service, which need all parts, one of them with a second step; partial: batches, and wide reports that may be answered from half", wholeOnly, partialToo),
-				choice("copies", "whether a part may have a second copy out", no, yes),
-				choice("cancelled", "whether waiting work that is cancelled is dropped or served all the same", "dropped", served),
+				choice("layout", "of the segments: sets of three searchers hold the same three, or in a ring two begin at each searcher and the next holds them as well", layoutSets, layoutRing),
+				choice("answers", "whole: classes of a stock service, which need all parts, one of them with a second step; partial: batches, and wide reports that may be answered from half", answersWhole, answersPartial),
+				choice("copies", "whether a part may have a second copy out", choiceNo, choiceYes),
+				choice("cancelled", "whether waiting work that is cancelled is dropped or served all the same", "dropped", cancelledServed),
 				span("reports", "0s", 0, 60, "the age up to which answers carry their searcher's queue; 0s: none do"),
 				span("lease", "0s", 0, 60, "gatherers use the slots of the fleet's limits of those that are gone, known by refusals that hold for so long; 0s: each its own"),
 				{Name: "tenants", Kind: xmlform.Number, Default: "0", Most: 64, Doc: "with shares that fall as 1, 1/2, 1/3; 0: none"},
@@ -72,45 +72,45 @@
 	}
 }
 
-// Experiment is what a file asks for.
+// Experiment is a set of scenarios, each to be run with several seeds and for several values of one attribute.
 type Experiment struct {
-	Scenarios []Scenario
-	Seeds     []uint64
-	Of        string    // what is swept; empty: nothing
-	Values    []float64 // of it
-	base      map[string]float64
-	wide      map[string]bool // scenarios whose answers may be partial
+	Scenarios      []Scenario
+	Seeds          []uint64
+	Of             string             // the attribute that is swept; empty if there is no sweep
+	Values         []float64          // the values of the swept attribute; a single 0 if there is no sweep
+	loadByScenario map[string]float64 // factor on the rates of its classes
+	partialAnswers map[string]bool    // by scenario: whether its answers may be partial
 }
 
-// The values of a scenario's properties.
+// Values of the attributes of a scenario.
 const (
-	sets, ring            = "sets", "ring"
-	wholeOnly, partialToo = "whole", "partial"
-	no, yes               = "no", "yes"
-	served                = "served"
+	layoutSets, layoutRing       = "sets", "ring"
+	answersWhole, answersPartial = "whole", "partial"
+	choiceNo, choiceYes          = "no", "yes"
+	cancelledServed              = "served"
 )
 
-// classes are those of a scenario, at the load of usualSearchers.
+// classes returns the classes of a scenario, at the load for referenceSearchers.
 func (x *Experiment) classes(s Scenario) []Class {
-	if !x.wide[s.Name] {
-		return Usual()
+	if !x.partialAnswers[s.Name] {
+		return StockClasses()
 	}
-	cells, per := s.Cells, s.PerCell
-	if cells == 0 { // not completed yet
-		cells, per = max(s.Searchers/3, 1), 3
+	cells, perCell := s.Cells, s.SegmentsPerCell
+	if cells == 0 { // the defaults are not filled in yet
+		cells, perCell = max(s.Searchers/3, 1), 3
 	}
-	return Wide(cells * per)
+	return ArchiveClasses(cells * perCell)
 }
 
-// ReadExperiment reads a file, whose name is for messages only. The error joins all
-// its faults.
+// ReadExperiment reads the file of an experiment. Its name is used in error messages
+// only. The error joins all faults of the file.
 func ReadExperiment(file string, r io.Reader) (*Experiment, error) {
 	faults := &xmlform.Faults{File: file}
 	root := Form().Read(r, faults)
 	if root == nil || faults.Count() > 0 {
 		return nil, faults.Err()
 	}
-	x := &Experiment{Values: []float64{0}, base: make(map[string]float64), wide: make(map[string]bool)}
+	x := &Experiment{Values: []float64{0}, loadByScenario: make(map[string]float64), partialAnswers: make(map[string]bool)}
 	for i := range root.Number("seeds") {
 		x.Seeds = append(x.Seeds, root.Number("first")+i)
 	}
@@ -127,26 +127,26 @@
 		s := Scenario{
 			Name: n.Text("name"), Duration: n.Span("duration"), Gatherers: int(n.Number("gatherers")), Searchers: int(n.Number("searchers")),
 			Zones: int(n.Number("zones")), Slots: int(n.Number("slots")), Queue: int(n.Number("queue")), Tries: int(n.Number("tries")),
-			Attempts: int(n.Number("attempts")), Lag: n.Span("lag"),
-			Copies: n.Text("copies") == yes, Deaf: n.Text("cancelled") == served, Reports: n.Span("reports"), Lease: n.Span("lease"),
+			Attempts: int(n.Number("attempts")), DiscoveryLag: n.Span("lag"),
+			SecondCopies: n.Text("copies") == choiceYes, IgnoresCancel: n.Text("cancelled") == cancelledServed, ReportInterval: n.Span("reports"), Lease: n.Span("lease"),
 			Tenants: int(n.Number("tenants")), Keys: int(n.Number("keys")),
 		}
-		if n.Text("layout") == ring {
-			s.Cells, s.PerCell, s.Reach, s.Batch = s.Searchers, 2, 2, 16
+		if n.Text("layout") == layoutRing {
+			s.Cells, s.SegmentsPerCell, s.Reach, s.Batch = s.Searchers, 2, 2, 16
 		}
-		x.wide[s.Name] = n.Text("answers") == partialToo
+		x.partialAnswers[s.Name] = n.Text("answers") == answersPartial
 		s.Classes = x.classes(s)
-		if slices.ContainsFunc(x.Scenarios, func(o Scenario) bool { return o.Name == s.Name }) {
+		if slices.ContainsFunc(x.Scenarios, func(other Scenario) bool { return other.Name == s.Name }) {
 			faults.Add(n.Line, n.Name, "a second scenario "+s.Name, "a name of its own")
 		}
-		x.base[s.Name] = n.Float("load")
+		x.loadByScenario[s.Name] = n.Float("load")
 		for _, f := range n.Children {
 			s.Faults = append(s.Faults, Fault{
-				Kind: FaultKind(f.Text("kind")), At: f.Span("at"), For: f.Span("for"), First: int(f.Number("first")), Many: int(f.Number("many")),
+				Kind: FaultKind(f.Text("kind")), At: f.Span("at"), For: f.Span("for"), First: int(f.Number("first")), Count: int(f.Number("many")),
 				Zone: int(f.Number("zone")), Class: f.Text("class"), Factor: f.Float("factor"),
 			})
 		}
-		if _, err := s.complete(); err != nil {
+		if _, err := s.normalize(); err != nil {
 			faults.Add(n.Line, n.Name, err.Error(), "a scenario that can be played")
 		}
 		x.Scenarios = append(x.Scenarios, s)
@@ -157,17 +157,18 @@
 	return x, nil
 }
 
-// usualSearchers is how many searchers Usual's load is for.
-const usualSearchers = 12
+// referenceSearchers is the number of searchers that the load of StockClasses and ArchiveClasses is for. The load
+// of a scenario grows in proportion to its searchers.
+const referenceSearchers = 12
 
-// Point is one run of an experiment.
+// Point identifies one run of an experiment.
 type Point struct {
 	Scenario string  `json:"scenario"`
-	Value    float64 `json:"value"` // of what is swept
+	Value    float64 `json:"value"` // of the swept attribute; 0 if there is no sweep
 	Seed     uint64  `json:"seed"`
 }
 
-// Points are all its runs, in order.
+// Points returns all runs of the experiment, in order.
 func (x *Experiment) Points() (out []Point) {
 	for _, s := range x.Scenarios {
 		for _, v := range x.Values {
@@ -179,11 +180,11 @@
 	return out
 }
 
-// Play plays one run.
+// Play executes one run of the experiment.
 func (x *Experiment) Play(p Point) (*Result, error) {
 	i := slices.IndexFunc(x.Scenarios, func(s Scenario) bool { return s.Name == p.Scenario })
 	s := x.Scenarios[i]
-	load := x.base[s.Name]
+	load := x.loadByScenario[s.Name]
 	switch x.Of {
 	case "load":
 		load *= p.Value
@@ -198,7 +199,7 @@
 	}
 	s.Classes = x.classes(s)
 	for i := range s.Classes {
-		s.Classes[i].Rate *= load * float64(s.Searchers) / usualSearchers
+		s.Classes[i].Rate *= load * float64(s.Searchers) / referenceSearchers
 	}
 	return Run(s, p.Seed)
 }
--- a/internal/trial/emulator/node.go
+++ b/internal/trial/emulator/node.go
@@ -10,387 +10,392 @@
 	"eiderwinch/internal/stats"
 )
 
-// node is one gatherer: the real core round the real module, on modelled
-// connections.
+// node is one gatherer: the real core and the real decision module, with modelled connections.
 type node struct {
-	w        *world
-	number   int
-	zone     int
-	life     int
-	down     bool // it was killed and is not back
-	core     *gatherer.Core
-	counters *stats.Counters
-	wake     event
-	links    map[string]*link
-	flights  map[*gatherer.Attempt]*flight
-	out      map[string]int // attempts out by part
-	known    map[string]int // revision of the last news of each searcher
-	leaving  map[string]time.Time
-	holder   *share.Holder // nil: the fleet's limits are not divided
-	held     share.Share   // as the core was told
-	holding  event
-	downAt   time.Time
+	sim           *simulation
+	number        int
+	zone          int
+	process       int  // changes with each start and kill; identifies the process to delayed events
+	down          bool // killed and not started again yet
+	core          *gatherer.Core
+	counters      *stats.Counters
+	runTimer      event
+	conns         map[string]*searcherConn
+	pending       map[*gatherer.Attempt]*pendingAttempt
+	inFlight      map[string]int // number of attempts in flight by part
+	knownRevision map[string]int // revision of the last update received about each searcher
+	drainingSince map[string]time.Time
+	holder        *share.Holder // nil: the fleet's limits are not divided
+	notifiedShare share.Share   // the last share that the core was notified of
+	shareTimer    event
+	downAt        time.Time
 }
 
-// link is a connection to a searcher.
-type link struct {
-	node    *node
-	to      *searcher
-	open    bool
-	dialing bool
-	waiting []*flight
+// searcherConn is a gatherer's connection to a searcher.
+type searcherConn struct {
+	node     *node
+	searcher *searcher
+	open     bool
+	dialing  bool
+	waiting  []*pendingAttempt
 }
 
-// flight is an attempt that was given to the network.
-type flight struct {
-	attempt *gatherer.Attempt
-	link    *link
-	id      string
-	class   int
-	key     string
-	first   bool // of its call, which bears its cost
-	over    bool
-	sent    bool
+// pendingAttempt is an attempt that the core has handed to the modelled network.
+type pendingAttempt struct {
+	attempt        *gatherer.Attempt
+	conn           *searcherConn
+	partID         string
+	class          int
+	idempotencyKey string
+	firstOfCall    bool // the first attempt of a call takes the cost of the call
+	ended          bool
+	sent           bool
 }
 
-// start starts a process, which knows the list as discovery has it.
+// start starts a gatherer process with the member list that discovery has now.
 func (n *node) start() {
-	n.life++
+	n.process++
 	n.down = false
-	w := n.w
+	sim := n.sim
 	n.counters = stats.New()
-	n.links, n.flights = make(map[string]*link), make(map[*gatherer.Attempt]*flight)
-	n.out, n.known, n.leaving = make(map[string]int), make(map[string]int), make(map[string]time.Time)
-	n.wake.Value = n.run
-	set := w.settings(n.number, zoneName(n.zone), w.rng.Uint64())
+	n.conns, n.pending = make(map[string]*searcherConn), make(map[*gatherer.Attempt]*pendingAttempt)
+	n.inFlight, n.knownRevision, n.drainingSince = make(map[string]int), make(map[string]int), make(map[string]time.Time)
+	n.runTimer.Value = n.run
+	set := sim.settings(n.number, zoneName(n.zone), sim.rng.Uint64())
 	n.core = gatherer.New(gatherer.Settings{
-		Module: set, Tick: tick, MaxOpen: w.MaxOpen,
-	}, eiderwinch.New(set), n, n.counters, w.log, w.now)
+		Module: set, Tick: tick, MaxOpen: sim.MaxOpen,
+	}, eiderwinch.New(set), n, n.counters, sim.log, sim.now)
 	var list []gatherer.Member
-	for _, s := range w.searchers {
-		n.known[s.id] = s.revision
+	for _, s := range sim.searchers {
+		n.knownRevision[s.id] = s.revision
 		if s.up {
 			state := eiderwinch.Ready
 			if s.draining {
 				state = eiderwinch.Draining
-				n.leaving[s.id] = w.now
+				n.drainingSince[s.id] = sim.now
 			}
 			list = append(list, s.member(state))
 		}
 	}
-	n.core.List(w.now, eiderwinch.Whole, list)
-	if w.Lease > 0 {
-		n.divide(set.Seed)
+	n.core.List(sim.now, eiderwinch.Whole, list)
+	if sim.Lease > 0 {
+		n.startSharing(set.Seed)
 	}
-	n.arm()
+	n.scheduleRun()
 }
 
-// doubtFor is how long after its end a gatherer still counts in the others' views: some periods of
-// probes and a suspicion, see package view.
-const doubtFor = 1500 * time.Millisecond
+// peerDetectionDelay is how long the other gatherers still count a gatherer as alive after it has died:
+// some probe periods and a suspicion timeout, see package view.
+const peerDetectionDelay = 1500 * time.Millisecond
 
-// divide has a process hold its slots of the fleet's limits, from its start on. At the first start of
-// all there is nobody before it whose leases it has to wait for.
-func (n *node) divide(seed uint64) {
-	w := n.w
-	set := share.Settings{Slots: w.Gatherers, Number: n.number, Lease: w.Lease, Window: w.ColdFalls, Seed: seed}
-	began := w.now
-	if n.life == 1 {
-		began = began.Add(-set.Wait())
+// startSharing makes a process that has just started hold its slots of the fleet's limits. The first process of
+// a gatherer has no predecessor whose leases it must wait for, so its start is dated back by that wait.
+func (n *node) startSharing(seed uint64) {
+	sim := n.sim
+	set := share.Settings{Slots: sim.Gatherers, Number: n.number, Lease: sim.Lease, Window: sim.ColdOverloads, Seed: seed}
+	startedAt := sim.now
+	if n.process == 1 {
+		startedAt = startedAt.Add(-set.Wait())
 	}
-	h, err := share.New(set, began)
+	h, err := share.New(set, startedAt)
 	if err != nil {
-		w.result.breach("%v", err)
+		sim.result.addBreach("%v", err)
 		return
 	}
-	n.holder, n.held = h, share.Share{Slots: 1}
-	n.hold(n.life)
+	n.holder, n.notifiedShare = h, share.Share{Slots: 1}
+	n.updateShare(n.process)
 }
 
-// hold finds out what the process holds, again and again while it lives.
-func (n *node) hold(life int) {
-	w := n.w
-	if n.life != life || n.down {
+// updateShare determines which slots the process holds, and schedules itself again as long as the process lives.
+func (n *node) updateShare(process int) {
+	sim := n.sim
+	if n.process != process || n.down {
 		return
 	}
 	alive := func(slot int) bool {
-		o := w.nodes[slot]
-		return !o.down || w.now.Sub(o.downAt) < doubtFor
+		other := sim.nodes[slot]
+		return !other.down || sim.now.Sub(other.downAt) < peerDetectionDelay
 	}
-	if len(w.nodes) == w.Gatherers {
-		// connect lands at a slot's host, and brings back what came of it.
-		connect := func(slot int, land func(*node) share.Reply, back func(share.Reply)) {
-			o, reply := w.nodes[slot], share.Reply{}
-			way, cut := w.way(n.zone, o.zone), w.severed(n.zone, o.zone)
-			w.after(way, func() {
+	if len(sim.nodes) == sim.Gatherers {
+		// connect opens a connection to the host of a slot. onArrival runs there, and onReply handles its
+		// reply, or a refusal or silence, here.
+		connect := func(slot int, onArrival func(*node) share.Reply, onReply func(share.Reply)) {
+			other, reply := sim.nodes[slot], share.Reply{}
+			delay, partitioned := sim.delay(n.zone, other.zone), sim.isPartitioned(n.zone, other.zone)
+			sim.after(delay, func() {
 				switch {
-				case cut:
-					way = w.Lease / 2
-				case o.down:
+				case partitioned:
+					delay = sim.Lease / 2
+				case other.down:
 					reply.Kind = share.Refused
 				default:
-					reply = land(o)
+					reply = onArrival(other)
 				}
-				w.after(way, func() {
-					if n.life == life && !n.down {
-						back(reply)
-						n.hold(life)
+				sim.after(delay, func() {
+					if n.process == process && !n.down {
+						onReply(reply)
+						n.updateShare(process)
 					}
 				})
 			})
 		}
-		for _, a := range n.holder.Run(w.now, alive) {
+		for _, a := range n.holder.Run(sim.now, alive) {
 			connect(a.Slot, func(*node) share.Reply { return share.Reply{} },
-				func(r share.Reply) { n.holder.Ended(w.now, a, r.Kind == share.Refused) })
+				func(r share.Reply) { n.holder.Ended(sim.now, a, r.Kind == share.Refused) })
 		}
-		if slot, ok := n.holder.Question(w.now); ok {
-			connect(slot, func(o *node) share.Reply { return o.holder.Answer(w.now, n.number) },
-				func(r share.Reply) { n.holder.Heard(w.now, r) })
+		if slot, ok := n.holder.Question(sim.now); ok {
+			connect(slot, func(other *node) share.Reply { return other.holder.Answer(sim.now, n.number) },
+				func(r share.Reply) { n.holder.Heard(sim.now, r) })
 		}
 	}
-	if s := n.holder.Share(w.now); s != n.held {
-		n.held = s
-		n.core.Share(w.now, s.Slots, s.Until)
-		n.arm()
+	if s := n.holder.Share(sim.now); s != n.notifiedShare {
+		n.notifiedShare = s
+		n.core.Share(sim.now, s.Slots, s.Until)
+		n.scheduleRun()
 	}
-	n.holding.Value = func() { n.hold(life) }
-	w.events.Set(&n.holding, n.holder.Due(w.now))
+	n.shareTimer.Value = func() { n.updateShare(process) }
+	sim.events.Set(&n.shareTimer, n.holder.Due(sim.now))
 }
 
-// kill ends it. What it had open is answered by nobody, and it takes nothing until it is started.
+// kill ends the process. Its open queries get no answer, and it accepts nothing until it is started again.
 func (n *node) kill() {
-	n.abort()
-	n.life++
-	n.down, n.downAt = true, n.w.now
-	n.w.events.Stop(&n.wake)
+	n.closeConnections()
+	n.process++
+	n.down, n.downAt = true, n.sim.now
+	n.sim.events.Stop(&n.runTimer)
 }
 
-// restart starts it again. What it had open is answered by nobody; its clients see
-// their connections break.
+// restart ends the process and starts a new one at once. Open queries get no answer: their clients see their
+// connections break.
 func (n *node) restart() {
-	n.abort()
+	n.closeConnections()
 	n.start()
 }
 
-func (n *node) abort() {
-	for _, l := range n.links {
-		l.open = false
+// closeConnections closes the connections to the searchers and those of the clients with open queries.
+func (n *node) closeConnections() {
+	for _, conn := range n.conns {
+		conn.open = false
 	}
-	for _, c := range slices.Clone(n.w.result.open) { // each takes itself out
-		if c.node == n && !c.over {
-			c.broken()
+	for _, c := range slices.Clone(n.sim.result.open) { // a copy, since each client removes itself
+		if c.node == n && !c.ended {
+			c.gathererDied()
 		}
 	}
 }
 
-// arm sets the time of the next run.
-func (n *node) arm() {
+// scheduleRun sets the timer to when the core wants to run next.
+func (n *node) scheduleRun() {
 	if at := n.core.Due(); at.IsZero() {
-		n.w.events.Stop(&n.wake)
-	} else if !n.wake.Set() || !n.wake.At().Equal(at) {
-		n.w.events.Set(&n.wake, at)
+		n.sim.events.Stop(&n.runTimer)
+	} else if !n.runTimer.Set() || !n.runTimer.At().Equal(at) {
+		n.sim.events.Set(&n.runTimer, at)
 	}
 }
 
 func (n *node) run() {
-	n.core.Run(n.w.now)
-	n.w.result.Turns++
-	n.arm()
+	n.core.Run(n.sim.now)
+	n.sim.result.Turns++
+	n.scheduleRun()
 }
 
-// hear takes in news of a searcher, unless newer has come.
-func (n *node) hear(s *searcher, revision int, state eiderwinch.State) {
-	if n.down || revision <= n.known[s.id] {
+// handleUpdate takes in an update about a searcher, unless a newer one has arrived before it.
+func (n *node) handleUpdate(s *searcher, revision int, state eiderwinch.State) {
+	if n.down || revision <= n.knownRevision[s.id] {
 		return
 	}
-	n.known[s.id] = revision
+	n.knownRevision[s.id] = revision
 	if state == eiderwinch.Ready {
-		delete(n.leaving, s.id)
-	} else if _, told := n.leaving[s.id]; !told {
-		n.leaving[s.id] = n.w.now
+		delete(n.drainingSince, s.id)
+	} else if _, known := n.drainingSince[s.id]; !known {
+		n.drainingSince[s.id] = n.sim.now
 	}
-	n.core.List(n.w.now, eiderwinch.Changes, []gatherer.Member{s.member(state)})
-	n.arm()
+	n.core.List(n.sim.now, eiderwinch.Changes, []gatherer.Member{s.member(state)})
+	n.scheduleRun()
 }
 
 // Call implements gatherer.Searchers.
 func (n *node) Call(now time.Time, attempts []*gatherer.Attempt) {
-	s := n.w.byID[attempts[0].Searcher]
-	l := n.links[s.id]
-	if l == nil || !l.open && !l.dialing {
-		l = &link{node: n, to: s}
-		n.links[s.id] = l
-		l.dial()
+	s := n.sim.searcherByID[attempts[0].Searcher]
+	conn := n.conns[s.id]
+	if conn == nil || !conn.open && !conn.dialing {
+		conn = &searcherConn{node: n, searcher: s}
+		n.conns[s.id] = conn
+		conn.dial()
 	}
 	for i, a := range attempts {
-		f := &flight{attempt: a, link: l, id: a.PartID(), class: n.w.result.classOf(a.Trace), key: a.Key, first: i == 0}
-		n.flights[a] = f
-		n.out[f.id]++
-		switch out := n.out[f.id]; {
-		case out == 2 && !n.w.Copies:
-			n.w.result.breach("part %s has two attempts out", f.id)
-		case out == 2:
-			n.w.result.Copies++
-		case out > 2:
-			n.w.result.breach("part %s has %d attempts out", f.id, out)
+		p := &pendingAttempt{attempt: a, conn: conn, partID: a.PartID(), class: n.sim.result.classOf(a.Trace), idempotencyKey: a.Key, firstOfCall: i == 0}
+		n.pending[a] = p
+		n.inFlight[p.partID]++
+		switch inFlight := n.inFlight[p.partID]; {
+		case inFlight == 2 && !n.sim.SecondCopies:
+			n.sim.result.addBreach("part %s has two attempts in flight", p.partID)
+		case inFlight == 2:
+			n.sim.result.SecondCopies++
+		case inFlight > 2:
+			n.sim.result.addBreach("part %s has %d attempts in flight", p.partID, inFlight)
 		}
 		if !s.holds(a.Shard) {
-			n.w.result.breach("part %s went to %s, which does not hold it", f.id, s.id)
+			n.sim.result.addBreach("part %s was sent to %s, which does not hold its shard", p.partID, s.id)
 		}
-		if l.open {
-			l.send(f)
+		if conn.open {
+			conn.send(p)
 		} else {
-			l.waiting = append(l.waiting, f)
+			conn.waiting = append(conn.waiting, p)
 		}
 	}
 }
 
-// land takes an attempt off the books.
-func (n *node) land(f *flight) bool {
-	if f.over {
+// endAttempt removes an attempt from those in flight. It returns false if the attempt has ended before.
+func (n *node) endAttempt(p *pendingAttempt) bool {
+	if p.ended {
 		return false
 	}
-	f.over = true
-	delete(n.flights, f.attempt)
-	if n.out[f.id]--; n.out[f.id] == 0 {
-		delete(n.out, f.id)
+	p.ended = true
+	delete(n.pending, p.attempt)
+	if n.inFlight[p.partID]--; n.inFlight[p.partID] == 0 {
+		delete(n.inFlight, p.partID)
 	}
 	return true
 }
 
 // Abandon implements gatherer.Searchers.
 func (n *node) Abandon(a *gatherer.Attempt) {
-	f := n.flights[a]
-	if f == nil || !n.land(f) || !f.sent {
+	p := n.pending[a]
+	if p == nil || !n.endAttempt(p) || !p.sent {
 		return
 	}
-	l := f.link
-	n.w.after(n.w.way(n.zone, l.to.zone), func() {
-		if l.open && !n.w.severed(n.zone, l.to.zone) {
-			l.to.cancel(f)
+	conn := p.conn
+	n.sim.after(n.sim.delay(n.zone, conn.searcher.zone), func() {
+		if conn.open && !n.sim.isPartitioned(n.zone, conn.searcher.zone) {
+			conn.searcher.cancel(p)
 		}
 	})
 }
 
 // CloseIdle implements gatherer.Searchers.
 func (n *node) CloseIdle(searcher string) {
-	l := n.links[searcher]
-	if l == nil || !l.open {
+	conn := n.conns[searcher]
+	if conn == nil || !conn.open {
 		return
 	}
-	for _, f := range n.flights {
-		if f.link == l {
+	for _, p := range n.pending {
+		if p.conn == conn {
 			return
 		}
 	}
-	l.open = false
-	delete(n.links, searcher)
+	conn.open = false
+	delete(n.conns, searcher)
 }
 
-// result brings an answer.
-func (n *node) result(f *flight, status eiderwinch.Status, load *eiderwinch.Load) {
-	if !n.land(f) {
+// handleResult passes a searcher's answer to the core.
+func (n *node) handleResult(p *pendingAttempt, status eiderwinch.Status, load *eiderwinch.Load) {
+	if !n.endAttempt(p) {
 		return
 	}
-	f.attempt.Load = load
-	n.core.Result(n.w.now, f.attempt, status, int64(f.attempt.Shard), "v")
-	n.arm()
+	p.attempt.Load = load
+	n.core.Result(n.sim.now, p.attempt, status, int64(p.attempt.Shard), "v")
+	n.scheduleRun()
 }
 
-// dial opens the connection. A dead process refuses it, a zone that is cut off says
-// nothing.
-func (l *link) dial() {
-	w, n := l.node.w, l.node
-	l.dialing = true
-	life := n.life
-	way := w.way(n.zone, l.to.zone)
-	if w.severed(n.zone, l.to.zone) {
-		w.after(w.Connect, func() { l.failed(life) })
+// dial opens the connection. It fails after a round trip if the searcher's process is dead, since the host
+// refuses it, and after ConnectTimeout if the zones are partitioned, since nothing answers then.
+func (c *searcherConn) dial() {
+	sim, n := c.node.sim, c.node
+	c.dialing = true
+	process := n.process
+	delay := sim.delay(n.zone, c.searcher.zone)
+	if sim.isPartitioned(n.zone, c.searcher.zone) {
+		sim.after(sim.ConnectTimeout, func() { c.dialFailed(process) })
 		return
 	}
-	w.after(2*way, func() {
-		if n.life != life {
+	sim.after(2*delay, func() {
+		if n.process != process {
 			return
 		}
-		if !l.to.up || w.severed(n.zone, l.to.zone) {
-			l.failed(life)
+		if !c.searcher.up || sim.isPartitioned(n.zone, c.searcher.zone) {
+			c.dialFailed(process)
 			return
 		}
-		l.dialing, l.open = false, true
-		l.to.links = append(slices.DeleteFunc(l.to.links, func(x *link) bool { return !x.open }), l)
-		waiting := l.waiting
-		l.waiting = nil
-		for _, f := range waiting {
-			if f.over {
+		c.dialing, c.open = false, true
+		c.searcher.conns = append(slices.DeleteFunc(c.searcher.conns, func(x *searcherConn) bool { return !x.open }), c)
+		waiting := c.waiting
+		c.waiting = nil
+		for _, p := range waiting {
+			if p.ended {
 				continue
 			}
-			if n.core.MaySend(w.now, f.attempt) {
-				l.send(f)
-			} else if n.land(f) {
-				n.core.Unsent(w.now, f.attempt)
+			if n.core.MaySend(sim.now, p.attempt) {
+				c.send(p)
+			} else if n.endAttempt(p) {
+				n.core.Unsent(sim.now, p.attempt)
 			}
 		}
-		n.arm()
+		n.scheduleRun()
 	})
 }
 
-// failed tells that the connection did not come up: what waits has not run.
-func (l *link) failed(life int) {
-	n := l.node
-	if n.life != life {
+// dialFailed reports the attempts that wait for the connection as unsent, so the core knows that they have
+// not run.
+func (c *searcherConn) dialFailed(process int) {
+	n := c.node
+	if n.process != process {
 		return
 	}
-	l.dialing = false
-	if n.links[l.to.id] == l {
-		delete(n.links, l.to.id)
+	c.dialing = false
+	if n.conns[c.searcher.id] == c {
+		delete(n.conns, c.searcher.id)
 	}
-	for _, f := range l.waiting {
-		if n.land(f) {
-			n.core.Unsent(n.w.now, f.attempt)
+	for _, p := range c.waiting {
+		if n.endAttempt(p) {
+			n.core.Unsent(n.sim.now, p.attempt)
 		}
 	}
-	l.waiting = nil
-	n.arm()
+	c.waiting = nil
+	n.scheduleRun()
 }
 
-// send hands an attempt to the network.
-func (l *link) send(f *flight) {
-	w, n := l.node.w, l.node
-	f.sent = true
-	w.result.Sent++
-	if at, leaving := n.leaving[l.to.id]; leaving && w.now.Sub(at) > 500*time.Millisecond {
-		w.result.breach("part %s went to %s %v after its drain was told", f.id, l.to.id, w.now.Sub(at))
+// maxSendAfterDrain is how long a gatherer may still send parts to a searcher after it was notified of its drain.
+const maxSendAfterDrain = 500 * time.Millisecond
+
+// send sends an attempt to the searcher.
+func (c *searcherConn) send(p *pendingAttempt) {
+	sim, n := c.node.sim, c.node
+	p.sent = true
+	sim.result.Sent++
+	if at, draining := n.drainingSince[c.searcher.id]; draining && sim.now.Sub(at) > maxSendAfterDrain {
+		sim.result.addBreach("part %s was sent to %s %v after notice of its drain", p.partID, c.searcher.id, sim.now.Sub(at))
 	}
-	life := l.to.life
-	w.after(w.way(n.zone, l.to.zone), func() {
-		if !l.open || l.to.life != life || w.severed(n.zone, l.to.zone) {
-			return // lost; a break that is told ends it, else its time-out does
+	process := c.searcher.process
+	sim.after(sim.delay(n.zone, c.searcher.zone), func() {
+		if !c.open || c.searcher.process != process || sim.isPartitioned(n.zone, c.searcher.zone) {
+			return // lost: the attempt ends when the connection is seen to break, or else by its timeout
 		}
-		l.to.take(f)
+		c.searcher.receive(p)
 	})
 }
 
-// broken tells that the connection broke.
-func (l *link) broken() {
-	if !l.open {
+// remoteClosed handles a break of the connection: all its attempts have failed.
+func (c *searcherConn) remoteClosed() {
+	if !c.open {
 		return
 	}
-	l.open = false
-	n := l.node
-	if n.links[l.to.id] == l {
-		delete(n.links, l.to.id)
+	c.open = false
+	n := c.node
+	if n.conns[c.searcher.id] == c {
+		delete(n.conns, c.searcher.id)
 	}
-	var out []*flight
-	for _, f := range n.flights {
-		if f.link == l {
-			out = append(out, f)
+	var lost []*pendingAttempt
+	for _, p := range n.pending {
+		if p.conn == c {
+			lost = append(lost, p)
 		}
 	}
-	sortFlights(out)
-	for _, f := range out {
-		if n.land(f) {
-			n.core.Broken(n.w.now, f.attempt)
+	sortAttempts(lost) // the order of the map is random, that of a run must not be
+	for _, p := range lost {
+		if n.endAttempt(p) {
+			n.core.Broken(n.sim.now, p.attempt)
 		}
 	}
-	n.arm()
+	n.scheduleRun()
 }
--- a/internal/trial/emulator/result.go
+++ b/internal/trial/emulator/result.go
@@ -8,7 +8,7 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// outcome is how a query ended for its client, over all its tries.
+// outcome is how a query ended for its client, after all its tries.
 type outcome int
 
 const (
@@ -19,20 +19,20 @@
 	outcomes
 )
 
-// Second is how the queries fared that were asked in one second.
+// Second counts the outcomes of the queries that were asked in one second. Results are stored under its field names.
 type Second struct{ Asked, InTime, Late, Refused, Failed int }
 
-// ClassResult is how one class fared.
+// ClassResult holds the outcomes of the queries of one class.
 type ClassResult struct {
 	Name                                          string
 	Asked, InTime, Late, Partial, Refused, Failed int
-	P50, P99                                      time.Duration // of answers
+	P50, P99                                      time.Duration // latencies of answered queries
 	Seconds                                       []Second
 
-	times *hdrhistogram.Histogram
+	latencies *hdrhistogram.Histogram
 }
 
-// InTimeShare is the share of queries that were answered whole within their aim.
+// InTimeShare returns the share of queries that were answered whole within their aim.
 func (c *ClassResult) InTimeShare() float64 {
 	if c.Asked == 0 {
 		return 1
@@ -40,29 +40,29 @@
 	return float64(c.InTime) / float64(c.Asked)
 }
 
-// Result is what came of a run.
+// Result is the result of a run.
 type Result struct {
-	Scenario string
-	Seed     uint64
-	Classes  []*ClassResult
-	Events   uint64 // of the model
-	Turns    uint64 // runs of cores
-	Sent     uint64 // attempts handed to the network
-	Copies   uint64 // second copies among them
-	Fallen   int    // cold searchers that were pushed over
-	Breaches int    // of rules
-	Faults   []string
-	Load     [][]int // parts that each searcher was sent, by second
-	Digest   string  // the same for the same run
-
-	open []*client // queries that a gatherer has
+	Scenario       string
+	Seed           uint64
+	Classes        []*ClassResult
+	Events         uint64 // events of the model
+	Turns          uint64 // runs of the gatherers' cores
+	Sent           uint64 // attempts that were sent to searchers
+	SecondCopies   uint64 // attempts that began while another of the same part was in flight
+	ColdCrashes    int    // crashes of cold searchers by overload
+	Breaches       int    // broken rules
+	BreachMessages []string
+	Load           [][]int // parts that each searcher received, by second
+	Digest         string  // equal for equal runs
+
+	open []*client // clients whose query is open at a gatherer
 }
 
 func newResult(s Scenario, seed uint64) *Result {
 	r := &Result{Scenario: s.Name, Seed: seed, Load: make([][]int, s.Searchers)}
 	seconds := int(s.Duration/time.Second) + 1
 	for _, c := range s.Classes {
-		r.Classes = append(r.Classes, &ClassResult{Name: c.Name, Seconds: make([]Second, seconds), times: hdrhistogram.New(1, 60_000_000, 3)})
+		r.Classes = append(r.Classes, &ClassResult{Name: c.Name, Seconds: make([]Second, seconds), latencies: hdrhistogram.New(1, 60_000_000, 3)})
 	}
 	for i := range r.Load {
 		r.Load[i] = make([]int, seconds)
@@ -70,85 +70,86 @@
 	return r
 }
 
-// mostFaults bounds the breaches that are kept in words.
-const mostFaults = 20
+// maxBreachMessages bounds the breaches that are kept as messages; the rest are only counted.
+const maxBreachMessages = 20
 
-func (r *Result) breach(format string, args ...any) {
+func (r *Result) addBreach(format string, args ...any) {
 	r.Breaches++
-	if len(r.Faults) < mostFaults {
-		r.Faults = append(r.Faults, fmt.Sprintf(format, args...))
+	if len(r.BreachMessages) < maxBreachMessages {
+		r.BreachMessages = append(r.BreachMessages, fmt.Sprintf(format, args...))
 	}
 }
 
-func (r *Result) heat(s *searcher, n int) {
-	if second := int(s.w.elapsed() / time.Second); second < len(r.Load[s.number]) {
+func (r *Result) countPart(s *searcher, n int) {
+	if second := int(s.sim.elapsed() / time.Second); second < len(r.Load[s.number]) {
 		r.Load[s.number][second] += n
 	}
 }
 
-// classOf is the class that a trace names.
+// classOf returns the number of the class that a trace starts with.
 func (r *Result) classOf(trace string) int { return int(trace[0] - '0') }
 
-func (r *Result) ask(c *client) {
-	k := r.Classes[c.class]
-	k.Asked++
-	k.Seconds[int(c.asked.Sub(epoch)/time.Second)].Asked++
+func (r *Result) recordQuery(c *client) {
+	counts := r.Classes[c.class]
+	counts.Asked++
+	counts.Seconds[int(c.askedAt.Sub(runStart)/time.Second)].Asked++
 }
 
-// enter and leave keep the list of queries that a gatherer has.
-func (r *Result) enter(c *client) {
-	c.slot = len(r.open)
+// addOpen adds a client to those whose query is open at a gatherer.
+func (r *Result) addOpen(c *client) {
+	c.openIndex = len(r.open)
 	r.open = append(r.open, c)
 }
 
-func (r *Result) leave(c *client) {
-	if c.slot >= len(r.open) || r.open[c.slot] != c {
-		return // it never came in
+// removeOpen removes a client from those whose query is open at a gatherer.
+func (r *Result) removeOpen(c *client) {
+	if c.openIndex >= len(r.open) || r.open[c.openIndex] != c {
+		return // it was not added
 	}
 	last := len(r.open) - 1
-	r.open[c.slot] = r.open[last]
-	r.open[c.slot].slot = c.slot
+	r.open[c.openIndex] = r.open[last]
+	r.open[c.openIndex].openIndex = c.openIndex
 	r.open[last] = nil
 	r.open = r.open[:last]
 }
 
-func (r *Result) end(c *client, o outcome) {
-	w := c.w
-	k := r.Classes[c.class]
-	s := &k.Seconds[int(c.asked.Sub(epoch)/time.Second)]
-	took := w.now.Sub(c.asked)
+func (r *Result) recordOutcome(c *client, o outcome) {
+	sim := c.sim
+	counts := r.Classes[c.class]
+	second := &counts.Seconds[int(c.askedAt.Sub(runStart)/time.Second)]
+	latency := sim.now.Sub(c.askedAt)
 	switch {
-	case o == whole && took <= w.Classes[c.class].Aim:
-		k.InTime++
-		s.InTime++
+	case o == whole && latency <= sim.Classes[c.class].Aim:
+		counts.InTime++
+		second.InTime++
 	case o == whole:
-		k.Late++
-		s.Late++
+		counts.Late++
+		second.Late++
 	case o == partial:
-		k.Partial++
-		s.Late++
+		counts.Partial++
+		second.Late++
 	case o == refused:
-		k.Refused++
-		s.Refused++
+		counts.Refused++
+		second.Refused++
 	default:
-		k.Failed++
-		s.Failed++
+		counts.Failed++
+		second.Failed++
 	}
 	if o == whole || o == partial {
-		_ = k.times.RecordValue(min(max(took.Microseconds(), 1), 60_000_000)) // within its bounds
+		_ = counts.latencies.RecordValue(min(max(latency.Microseconds(), 1), 60_000_000)) // never fails: the value is within the bounds
 	}
-	w.note('e', c.id, uint64(o), uint64(took))
+	sim.addToDigest('e', c.id, uint64(o), uint64(latency))
 }
 
-// finish works out what is known at the end.
-func (r *Result) finish(w *world) {
-	for _, k := range r.Classes {
-		k.P50 = time.Duration(k.times.ValueAtQuantile(50)) * time.Microsecond
-		k.P99 = time.Duration(k.times.ValueAtQuantile(99)) * time.Microsecond
-		if ended := k.InTime + k.Late + k.Partial + k.Refused + k.Failed; ended != k.Asked {
-			r.breach("%s: %d queries asked, %d ended", k.Name, k.Asked, ended)
+// finish computes what is known only at the end of the run.
+func (r *Result) finish(sim *simulation) {
+	for _, counts := range r.Classes {
+		counts.P50 = time.Duration(counts.latencies.ValueAtQuantile(50)) * time.Microsecond
+		counts.P99 = time.Duration(counts.latencies.ValueAtQuantile(99)) * time.Microsecond
+		if ended := counts.InTime + counts.Late + counts.Partial + counts.Refused + counts.Failed; ended != counts.Asked {
+			r.addBreach("%s: %d queries asked, %d ended", counts.Name, counts.Asked, ended)
 		}
 	}
 	r.open = nil
-	r.Digest = hex.EncodeToString(w.digest.Sum(nil))
+	r.Digest = hex.EncodeToString(sim.digest.Sum(nil))
 }
--- a/internal/trial/emulator/scenario.go
+++ b/internal/trial/emulator/scenario.go
@@ -1,10 +1,11 @@
-// Package emulator plays a whole deployment in virtual time: clients, gatherers,
-// searchers, network and discovery, at sizes that sockets do not reach. Its
-// gatherers are the real core (internal/gatherer) round the real decision module,
-// unchanged; all else is a model.
+// Package emulator runs a whole deployment in virtual time: clients, gatherers,
+// searchers, network and discovery, at sizes that tests over sockets do not reach.
+// Its gatherers are the real core (internal/gatherer) and the real decision module,
+// unchanged; everything else is a model.
 //
-// A run is one goroutine and one source of random numbers, so a scenario and a seed
-// give the same run to the byte (Result.Digest). Runs may go side by side.
+// A run uses one goroutine and one source of random numbers, so the same scenario
+// and seed give the same run, byte for byte (Result.Digest). Runs may be executed
+// concurrently.
 package emulator
 
 import (
@@ -16,84 +17,85 @@
 	"eiderwinch"
 )
 
-// Scenario is what is played. The zero value of a field means its default.
+// Scenario describes a deployment, its load and the faults that occur. The zero value of a field means its
+// default, which the field's comment gives last.
 type Scenario struct {
-	Name       string
-	Duration   time.Duration // clients ask for so long; 60 s
-	Gatherers  int           // 3
-	Searchers  int           // 12
-	Zones      int           // data centres; 3
-	Cells      int           // sets of searchers that hold the same segments; Searchers/3
-	PerCell    int           // segments of each cell; 3
-	Reach      int           // cells in a row that hold a segment: 1 for sets, more for a ring; 1
-	Batch      int           // parts of a call; 4
-	Classes    []Class       // Usual()
-	Slots      int           // parts that a searcher serves at once; 4
-	Queue      int           // parts that wait there; more are turned away; 64
-	Spread     float64       // sigma of the log-normal time that a part takes; 0.35
-	CallCost   time.Duration // of a call beside its parts; 2 ms
-	Thrash     float64       // a part takes so much longer with the queue full; 0.5
-	Near, Far  time.Duration // one way within a zone and between two; 300 us, 1.5 ms
-	Lag        time.Duration // of discovery, on average; 200 ms, never above 6 s
-	Connect    time.Duration // a connection must be up within; 250 ms
-	ColdFor    time.Duration // a searcher that was started is warm after; 18 s
-	ColdShare  float64       // of its speed at first; 0.18
-	ColdMost   float64       // sent more than so many times its slots; 2.5
-	ColdFalls  time.Duration // for so long, a cold one crashes again; 3 s
-	Tries      int           // of a client, the first included; 2
-	MaxOpen    int           // queries and parts of a gatherer at once; 1,000
-	Attempts   int           // of a part; 4
-	Copies     bool          // a part may have a second copy out
-	Deaf       bool          // searchers do not drop waiting work that is cancelled
-	Reports    time.Duration // answers carry the searcher's queue, as it was up to so long ago; 0: none do
-	Tenants    int           // with shares that fall as 1 to 1/Tenants; 0: none
-	OverShare  float64       // worth of what a tenant sends beyond its share; 0.05
-	Lease      time.Duration // gatherers use the slots of those that are gone, see package share; 0: each its own
-	Keys       int           // what queries are about, and the same key needs the same segments; 0: nothing
-	Faults     []Fault
-	Overridden func(*eiderwinch.Settings) // changes what the module is told; may be nil
+	Name                string
+	Duration            time.Duration // how long clients ask queries; 60 s
+	Gatherers           int           // 3
+	Searchers           int           // 12
+	Zones               int           // data centres; 3
+	Cells               int           // replica groups, the searchers of each hold the same segments; Searchers/3
+	SegmentsPerCell     int           // segments that begin at each cell; 3
+	Reach               int           // consecutive cells that hold a segment: 1 for sets, more for a ring; 1
+	Batch               int           // most parts in one call; 4
+	Classes             []Class       // StockClasses()
+	Slots               int           // parts that a searcher serves at once; 4
+	Queue               int           // parts that wait at a searcher before it refuses more; 64
+	WorkSpread          float64       // sigma of the log-normally distributed time that a part takes; 0.35
+	CallCost            time.Duration // time that a call takes in addition to its parts; 2 ms
+	QueueSlowdown       float64       // share by which a part takes longer when the queue is full; 0.5
+	NearDelay, FarDelay time.Duration // one-way network delays within a zone and between zones; 300 us, 1.5 ms
+	DiscoveryLag        time.Duration // mean delay of membership updates, which is 6 s at most; 200 ms
+	ConnectTimeout      time.Duration // time limit for opening a connection; 250 ms
+	ColdFor             time.Duration // time from its start until a searcher is warm; 18 s
+	ColdShare           float64       // share of its full speed that a searcher has at its start; 0.18
+	ColdMultiple        float64       // a cold searcher is overloaded by more parts than its slots times this and its share of full speed; 2.5
+	ColdOverloads       time.Duration // a cold searcher that is overloaded for this long crashes; 3 s
+	Tries               int           // tries of a client, the first included; 2
+	MaxOpen             int           // queries and parts that are open at a gatherer; 1,000
+	Attempts            int           // most attempts of a part; 4
+	SecondCopies        bool          // a part may have two attempts in flight
+	IgnoresCancel       bool          // searchers serve queued parts even if they are cancelled
+	ReportInterval      time.Duration // mean interval at which searchers record the queue length that their answers carry; 0: answers carry none
+	Tenants             int           // number of tenants, whose shares are as 1, 1/2, 1/3 and so on; 0: no tenants
+	OverShare           float64       // factor on the worth of what a tenant sends beyond its share; 0.05
+	Lease               time.Duration // how long a refused connection shows that a gatherer is gone, so that others use its slots, see package share; 0: each uses its own
+	Keys                int           // number of keys that queries are about, and queries about one key need the same segments; 0: no keys
+	Faults              []Fault
+	OverrideSettings    func(*eiderwinch.Settings) // changes the settings of the decision modules; may be nil
 }
 
-// Class is one class of queries and its load.
+// Class is a class of queries and its load.
 type Class struct {
 	eiderwinch.Class
-	Rate  float64       // queries a second, of all gatherers
-	Parts int           // of each query
-	Work  time.Duration // of one part at a warm, idle searcher, in the middle
+	Rate  float64       // queries per second, over all gatherers
+	Parts int           // parts of each query
+	Work  time.Duration // median time that a part takes at a warm, idle searcher
 }
 
-// FaultKind is what goes wrong.
+// FaultKind is the kind of a fault. Scenario files contain its value.
 type FaultKind string
 
 // The kinds of faults.
 const (
-	Crash   FaultKind = "crash"   // searchers die at once, and come back cold after For
-	Pause   FaultKind = "pause"   // searchers stand still for For, their connections stay
-	Slow    FaultKind = "slow"    // searchers take Factor times as long for For
-	Drain   FaultKind = "drain"   // searchers leave one after the other within For, and come back cold 2 s later
-	Cut     FaultKind = "cut"     // a zone is cut off from the others for For: nothing is said, nothing arrives
-	Flood   FaultKind = "flood"   // a class comes Factor times as often for For
-	Restart FaultKind = "restart" // gatherers are started again one after the other within For
-	Kill    FaultKind = "kill"    // gatherers die at once and are back after For, with empty memory
-	Focus   FaultKind = "focus"   // a share of Factor of all queries is about one key for For
-	Swell   FaultKind = "swell"   // the tenant First sends Factor times as much for For
-	Stale   FaultKind = "stale"   // load reports are those of Factor seconds before, for For
-	Lose    FaultKind = "lose"    // a share of Factor of searchers' answers never comes, for For
+	Crash        FaultKind = "crash"   // searchers die at the same time, and start again, cold, after For
+	Pause        FaultKind = "pause"   // searchers make no progress during For; their connections stay open
+	Slow         FaultKind = "slow"    // searchers take Factor times as long during For
+	Drain        FaultKind = "drain"   // searchers drain one after the other within For, and each starts again, cold, 2 s after its end
+	Partition    FaultKind = "cut"     // a zone is partitioned from the others during For: nothing is sent and nothing arrives
+	ClassLoad    FaultKind = "flood"   // the load of a class is multiplied by Factor during For
+	Restart      FaultKind = "restart" // gatherers are restarted one after the other within For
+	Kill         FaultKind = "kill"    // gatherers die at the same time, and start again after For with empty memory
+	HotKey       FaultKind = "focus"   // a share Factor of all queries is about one key during For
+	TenantLoad   FaultKind = "swell"   // the load of the tenant First is multiplied by Factor during For
+	StaleReports FaultKind = "stale"   // load reports are Factor seconds older during For
+	LostAnswers  FaultKind = "lose"    // a share Factor of the searchers' answers is lost during For
 )
 
-// Fault is one fault.
+// Fault is a fault that occurs in a run.
 type Fault struct {
-	Kind        FaultKind
-	At, For     time.Duration
-	First, Many int     // of searchers or gatherers, by number
-	Zone        int     // of Cut
-	Class       string  // of Flood
-	Factor      float64 // of Slow, Flood, Focus, Swell, Stale and Lose
+	Kind         FaultKind
+	At, For      time.Duration
+	First, Count int     // the searchers or gatherers that it affects, by number; First is the tenant of TenantLoad
+	Zone         int     // of Partition
+	Class        string  // of ClassLoad
+	Factor       float64 // of Slow, ClassLoad, HotKey, TenantLoad, StaleReports and LostAnswers
 }
 
-// Usual are the classes of a stock deployment, at a load that 12 searchers bear with
-// room to spare.
-func Usual() []Class {
+// StockClasses returns the classes of a stock service, at a load that leaves 12 searchers with ample spare
+// capacity.
+func StockClasses() []Class {
 	class := func(name string, effect eiderwinch.Effect, aim, deadline time.Duration, worth float64) eiderwinch.Class {
 		return eiderwinch.Class{
 			Name: name, Effect: effect, Aim: aim, Deadline: deadline, Worth: worth, LateWorth: 0.1,
@@ -109,15 +111,17 @@
 	}
 }
 
-// Wide are the classes of an archive: batches that need all their parts, and reports over two fifths
-// of the segments that may be answered from half, at a load that 12 searchers bear with room to spare.
-func Wide(segments int) []Class {
+// ArchiveClasses returns the classes of an archive: batches that need all their parts, and reports over two
+// fifths of the segments that may be answered from half of them, at a load that leaves 12 searchers with ample
+// spare capacity.
+func ArchiveClasses(segments int) []Class {
 	class := func(name string, deadline time.Duration, worth, late, floor float64) eiderwinch.Class {
 		return eiderwinch.Class{
 			Name: name, Aim: 2 * time.Second, Deadline: deadline, Worth: worth, LateWorth: late, Need: 1, Floor: floor, Partial: 0.8,
 		}
 	}
-	// The wider the queries of a larger archive, the fewer: parts a second for each searcher stay.
+	// The queries of a larger archive are wider, so their rate is lower: the rate of parts per searcher stays
+	// the same.
 	lookup, report := min(max(segments/10, 4), 12, segments), min(max(segments*2/5, 4), 40, segments)
 	return []Class{
 		{class("lookup", 6*time.Second, 1, 0.3, 1), 480 / float64(lookup), lookup, 6 * time.Millisecond},
@@ -125,9 +129,9 @@
 	}
 }
 
-// complete puts defaults in place and checks the rest.
-func (s Scenario) complete() (Scenario, error) {
-	span := func(d *time.Duration, def time.Duration) {
+// normalize fills in defaults and checks the values.
+func (s Scenario) normalize() (Scenario, error) {
+	duration := func(d *time.Duration, def time.Duration) {
 		if *d == 0 {
 			*d = def
 		}
@@ -142,51 +146,51 @@
 			*f = def
 		}
 	}
-	span(&s.Duration, time.Minute)
+	duration(&s.Duration, time.Minute)
 	count(&s.Gatherers, 3)
 	count(&s.Searchers, 12)
 	count(&s.Zones, 3)
 	count(&s.Cells, max(s.Searchers/3, 1))
-	count(&s.PerCell, 3)
+	count(&s.SegmentsPerCell, 3)
 	count(&s.Reach, 1)
 	count(&s.Batch, 4)
 	share(&s.OverShare, 0.05)
 	count(&s.Slots, 4)
 	count(&s.Queue, 64)
-	share(&s.Spread, 0.35)
-	span(&s.CallCost, 2*time.Millisecond)
-	share(&s.Thrash, 0.5)
-	span(&s.Near, 300*time.Microsecond)
-	span(&s.Far, 1500*time.Microsecond)
-	span(&s.Lag, 200*time.Millisecond)
-	span(&s.Connect, 250*time.Millisecond)
-	span(&s.ColdFor, 18*time.Second)
+	share(&s.WorkSpread, 0.35)
+	duration(&s.CallCost, 2*time.Millisecond)
+	share(&s.QueueSlowdown, 0.5)
+	duration(&s.NearDelay, 300*time.Microsecond)
+	duration(&s.FarDelay, 1500*time.Microsecond)
+	duration(&s.DiscoveryLag, 200*time.Millisecond)
+	duration(&s.ConnectTimeout, 250*time.Millisecond)
+	duration(&s.ColdFor, 18*time.Second)
 	share(&s.ColdShare, 0.18)
-	share(&s.ColdMost, 2.5)
-	span(&s.ColdFalls, 3*time.Second)
+	share(&s.ColdMultiple, 2.5)
+	duration(&s.ColdOverloads, 3*time.Second)
 	count(&s.Tries, 2)
 	count(&s.MaxOpen, 1000)
 	count(&s.Attempts, 4)
 	if s.Classes == nil {
-		s.Classes = Usual()
+		s.Classes = StockClasses()
 	}
 	var errs []error
-	wrong := func(format string, args ...any) { errs = append(errs, fmt.Errorf(format, args...)) }
+	reject := func(format string, args ...any) { errs = append(errs, fmt.Errorf(format, args...)) }
 	if s.Duration < 0 || s.Gatherers < 0 || s.Searchers < 0 || s.Zones < 1 || s.Cells < 1 || s.Cells > s.Searchers {
-		wrong("found %d gatherers, %d searchers, %d zones, %d cells over %v, want some of each and a searcher for each cell",
+		reject("found %d gatherers, %d searchers, %d zones, %d cells over %v, want some of each and a searcher for each cell",
 			s.Gatherers, s.Searchers, s.Zones, s.Cells, s.Duration)
 	}
-	segments := s.Cells * s.PerCell
-	if s.Reach < 1 || s.Reach > s.Cells || s.Batch < 1 || s.Tenants < 0 || s.Reports < 0 || s.Keys < 0 {
-		wrong("found segments on %d of %d cells, calls of %d parts, %d tenants, %d keys, reports every %v, want 1 cell and part or more, and no number below 0",
-			s.Reach, s.Cells, s.Batch, s.Tenants, s.Keys, s.Reports)
+	segments := s.Cells * s.SegmentsPerCell
+	if s.Reach < 1 || s.Reach > s.Cells || s.Batch < 1 || s.Tenants < 0 || s.ReportInterval < 0 || s.Keys < 0 {
+		reject("found segments on %d of %d cells, calls of %d parts, %d tenants, %d keys, reports every %v, want 1 cell and part or more, and no number below 0",
+			s.Reach, s.Cells, s.Batch, s.Tenants, s.Keys, s.ReportInterval)
 	}
 	if s.Lease < 0 || s.Lease > time.Minute {
-		wrong("found a lease of %v, want one up to 1m", s.Lease)
+		reject("found a lease of %v, want one up to 1m", s.Lease)
 	}
 	for _, c := range s.Classes {
 		if c.Rate < 0 || c.Parts < 1 || c.Parts > segments || c.Work <= 0 || c.Aim <= 0 || c.Deadline < c.Aim {
-			wrong("class %q: found rate %v, %d parts, work %v, aim %v, deadline %v, want parts up to the %d segments and times above 0",
+			reject("class %q: found rate %v, %d parts, work %v, aim %v, deadline %v, want parts up to the %d segments and times above 0",
 				c.Name, c.Rate, c.Parts, c.Work, c.Aim, c.Deadline, segments)
 		}
 	}
@@ -197,60 +201,60 @@
 		}
 		switch f.Kind {
 		case Crash, Pause, Drain, Restart, Slow, Kill:
-			if f.First < 0 || f.Many < 1 || f.First+f.Many > most {
-				wrong("fault %d, %s: found %d from %d on, want some of %d", i+1, f.Kind, f.Many, f.First, most)
+			if f.First < 0 || f.Count < 1 || f.First+f.Count > most {
+				reject("fault %d, %s: found %d from %d on, want some of %d", i+1, f.Kind, f.Count, f.First, most)
 			}
-		case Cut:
+		case Partition:
 			if f.Zone < 0 || f.Zone >= s.Zones {
-				wrong("fault %d, cut: found zone %d, want one of %d", i+1, f.Zone, s.Zones)
+				reject("fault %d, cut: found zone %d, want one of %d", i+1, f.Zone, s.Zones)
 			}
-		case Flood, Stale:
-		case Focus, Lose:
+		case ClassLoad, StaleReports:
+		case HotKey, LostAnswers:
 			if f.Factor > 1 {
-				wrong("fault %d, %s: found a share of %v, want one up to 1", i+1, f.Kind, f.Factor)
+				reject("fault %d, %s: found a share of %v, want one up to 1", i+1, f.Kind, f.Factor)
 			}
-		case Swell:
+		case TenantLoad:
 			if f.First < 0 || f.First >= s.Tenants {
-				wrong("fault %d, swell: found tenant %d, want one of %d", i+1, f.First, s.Tenants)
+				reject("fault %d, swell: found tenant %d, want one of %d", i+1, f.First, s.Tenants)
 			}
 		default:
-			wrong("fault %d: found kind %q", i+1, f.Kind)
+			reject("fault %d: found kind %q", i+1, f.Kind)
 		}
-		if slices.Contains([]FaultKind{Slow, Flood, Focus, Swell, Stale, Lose}, f.Kind) && f.Factor <= 0 {
-			wrong("fault %d, %s: found factor %v, want one above 0", i+1, f.Kind, f.Factor)
+		if slices.Contains([]FaultKind{Slow, ClassLoad, HotKey, TenantLoad, StaleReports, LostAnswers}, f.Kind) && f.Factor <= 0 {
+			reject("fault %d, %s: found factor %v, want one above 0", i+1, f.Kind, f.Factor)
 		}
 		if f.At < 0 || f.For < 0 {
-			wrong("fault %d, %s: found %v for %v, want times from 0 on", i+1, f.Kind, f.At, f.For)
+			reject("fault %d, %s: found %v for %v, want times from 0 on", i+1, f.Kind, f.At, f.For)
 		}
 	}
 	return s, errors.Join(errs...)
 }
 
-// settings are what each gatherer's module is told.
+// settings returns the settings of a gatherer's decision module.
 func (s Scenario) settings(number int, zone string, seed uint64) eiderwinch.Settings {
 	set := eiderwinch.Settings{
 		Seed: seed, Brokers: s.Gatherers, Number: number, Zone: zone, Tick: tick,
-		Shards: s.Cells * s.PerCell, Cells: s.Cells, Reach: s.Reach, Batch: s.Batch, CallCost: s.CallCost,
+		Shards: s.Cells * s.SegmentsPerCell, Cells: s.Cells, Reach: s.Reach, Batch: s.Batch, CallCost: s.CallCost,
 		MaxAttempts: s.Attempts, MayCancel: true, RetryAdvice: true, MaxRetryAdvice: time.Second,
-		ColdShare: s.ColdShare, ColdFor: s.ColdFor, ColdMultiple: s.ColdMost, ColdOverloads: s.ColdFalls,
+		ColdShare: s.ColdShare, ColdFor: s.ColdFor, ColdMultiple: s.ColdMultiple, ColdOverloads: s.ColdOverloads,
 	}
-	set.SecondCopies, set.OverShare, set.WorthByWork = s.Copies, s.OverShare, true
+	set.SecondCopies, set.OverShare, set.WorthByWork = s.SecondCopies, s.OverShare, true
 	for i := range s.Tenants {
-		set.Tenants = append(set.Tenants, eiderwinch.Tenant{Name: tenantName(i), Share: s.shareOf(i)})
+		set.Tenants = append(set.Tenants, eiderwinch.Tenant{Name: tenantName(i), Share: s.tenantShare(i)})
 	}
 	for _, c := range s.Classes {
 		set.Classes = append(set.Classes, c.Class)
 	}
-	if s.Overridden != nil {
-		s.Overridden(&set)
+	if s.OverrideSettings != nil {
+		s.OverrideSettings(&set)
 	}
 	return set
 }
 
 func tenantName(i int) string { return fmt.Sprintf("t%d", i) }
 
-// shareOf is a tenant's share of the service, and of the usual traffic.
-func (s Scenario) shareOf(tenant int) float64 {
+// tenantShare returns a tenant's share of the service, which is also its share of the normal load.
+func (s Scenario) tenantShare(tenant int) float64 {
 	sum := 0.0
 	for i := range s.Tenants {
 		sum += 1 / float64(i+1)
@@ -258,4 +262,5 @@
 	return 1 / float64(tenant+1) / sum
 }
 
+// tick is the grid of the gatherers' turns.
 const tick = 5 * time.Millisecond
--- a/internal/trial/emulator/searcher.go
+++ b/internal/trial/emulator/searcher.go
@@ -9,203 +9,205 @@
 	"eiderwinch/internal/gatherer"
 )
 
-// searcher is a model of one: slots, a queue, a thrash that grows with the queue, a
-// cold start, pauses and drains.
+// searcher models a searcher: slots, a queue, parts that take longer as the queue grows, a cold start,
+// pauses and drains.
 type searcher struct {
-	w        *world
+	sim      *simulation
 	id       string
 	number   int
 	zone     int
 	cell     int
-	revision int // of what is told of it
+	revision int // of the last update that discovery has sent about it
 
-	up          bool
-	draining    bool
-	life        int // counts its processes
-	started     time.Time
-	slow        float64
-	pausedUntil time.Time
-	busy        int
-	waiting     []*flight
-	told        []float64 // queues as they were at the last reports, the newest last
-	over        time.Time // since when it has had too much for a cold one; zero if it has not
-	links       []*link
+	up              bool
+	draining        bool
+	process         int       // changes when its process ends; identifies the process to delayed events
+	startedAt       time.Time // zero if it was up at the start of the run
+	slowdown        float64   // factor on the time that a part takes
+	pausedUntil     time.Time
+	busy            int // number of slots in use
+	waiting         []*pendingAttempt
+	reportedQueues  []float64 // queue lengths at the last reports, the newest last
+	overloadedSince time.Time // when it began to have more parts than it bears while cold; zero if it has not
+	conns           []*searcherConn
 }
 
-func (w *world) add(i int) {
-	// Replicas of one cell lie in different zones.
-	s := &searcher{w: w, id: fmt.Sprintf("s-%04d", i), number: i, cell: i % w.Cells, zone: i / w.Cells % w.Zones, up: true, slow: 1}
-	w.searchers = append(w.searchers, s)
-	w.byID[s.id] = s
+func (sim *simulation) addSearcher(i int) {
+	// Replicas of one cell are in different zones.
+	s := &searcher{sim: sim, id: fmt.Sprintf("s-%04d", i), number: i, cell: i % sim.Cells, zone: i / sim.Cells % sim.Zones, up: true, slowdown: 1}
+	sim.searchers = append(sim.searchers, s)
+	sim.searcherByID[s.id] = s
 }
 
 func (s *searcher) member(state eiderwinch.State) gatherer.Member {
-	return gatherer.Member{ID: s.id, Zone: zoneName(s.zone), Cell: s.cell, State: state, Started: s.started}
+	return gatherer.Member{ID: s.id, Zone: zoneName(s.zone), Cell: s.cell, State: state, Started: s.startedAt}
 }
 
 func zoneName(z int) string { return fmt.Sprintf("z%d", z) }
 
-// warmth is the share of its speed that it has.
-func (s *searcher) warmth() float64 {
-	if s.started.IsZero() {
+// speedShare returns the share of its full speed that the searcher has. It is below 1 while it is cold.
+func (s *searcher) speedShare() float64 {
+	if s.startedAt.IsZero() {
 		return 1
 	}
-	age := s.w.now.Sub(s.started)
-	if age >= s.w.ColdFor {
+	age := s.sim.now.Sub(s.startedAt)
+	if age >= s.sim.ColdFor {
 		return 1
 	}
-	return s.w.ColdShare + (1-s.w.ColdShare)*age.Seconds()/s.w.ColdFor.Seconds()
+	return s.sim.ColdShare + (1-s.sim.ColdShare)*age.Seconds()/s.sim.ColdFor.Seconds()
 }
 
-// take takes in a part.
-func (s *searcher) take(f *flight) {
-	s.w.result.heat(s, 1)
+// receive takes in a part: it is served, queued or refused.
+func (s *searcher) receive(p *pendingAttempt) {
+	s.sim.result.countPart(s, 1)
 	switch {
-	case s.draining || len(s.waiting) >= s.w.Queue:
-		s.answer(f, eiderwinch.Full)
+	case s.draining || len(s.waiting) >= s.sim.Queue:
+		s.answer(p, eiderwinch.Full)
 		return
-	case s.busy >= s.w.Slots:
-		s.waiting = append(s.waiting, f)
+	case s.busy >= s.sim.Slots:
+		s.waiting = append(s.waiting, p)
 	default:
-		s.serve(f)
+		s.serve(p)
 	}
-	s.strain()
+	s.checkOverload()
 }
 
-// strain crashes a cold searcher that has had too much for too long.
-func (s *searcher) strain() {
-	most := s.w.ColdMost * float64(s.w.Slots) * s.warmth()
-	if s.warmth() == 1 || float64(s.busy+len(s.waiting)) <= most {
-		s.over = time.Time{}
+// checkOverload crashes a cold searcher that has been overloaded for too long.
+func (s *searcher) checkOverload() {
+	limit := s.sim.ColdMultiple * float64(s.sim.Slots) * s.speedShare()
+	if s.speedShare() == 1 || float64(s.busy+len(s.waiting)) <= limit {
+		s.overloadedSince = time.Time{}
 		return
 	}
-	if s.over.IsZero() {
-		s.over = s.w.now
-	} else if s.w.now.Sub(s.over) >= s.w.ColdFalls {
-		s.over = time.Time{}
-		s.w.result.Fallen++
+	if s.overloadedSince.IsZero() {
+		s.overloadedSince = s.sim.now
+	} else if s.sim.now.Sub(s.overloadedSince) >= s.sim.ColdOverloads {
+		s.overloadedSince = time.Time{}
+		s.sim.result.ColdCrashes++
 		s.crash(4 * time.Second)
 	}
 }
 
-// serve begins a part.
-func (s *searcher) serve(f *flight) {
+// serve starts to work on a part.
+func (s *searcher) serve(p *pendingAttempt) {
 	s.busy++
-	life := s.life
-	takes := float64(s.w.Classes[f.class].Work) * s.w.logNormal() * s.slow / s.warmth()
-	takes *= 1 + s.w.Thrash*float64(len(s.waiting))/float64(s.w.Queue)
-	if f.first {
-		takes += float64(s.w.CallCost)
+	process := s.process
+	duration := float64(s.sim.Classes[p.class].Work) * s.sim.logNormal() * s.slowdown / s.speedShare()
+	duration *= 1 + s.sim.QueueSlowdown*float64(len(s.waiting))/float64(s.sim.Queue)
+	if p.firstOfCall {
+		duration += float64(s.sim.CallCost)
 	}
-	s.w.after(time.Duration(takes), func() { s.done(f, life) })
+	s.sim.after(time.Duration(duration), func() { s.finish(p, process) })
 }
 
-// done ends a part, later where the searcher stands still.
-func (s *searcher) done(f *flight, life int) {
-	if s.life != life {
-		return // it died meanwhile
+// finish completes a part and starts on those that wait. It does so later if the searcher is paused.
+func (s *searcher) finish(p *pendingAttempt, process int) {
+	if s.process != process {
+		return // the process has died since
 	}
-	if s.w.now.Before(s.pausedUntil) {
-		s.w.after(s.pausedUntil.Sub(s.w.now), func() { s.done(f, life) })
+	if s.sim.now.Before(s.pausedUntil) {
+		s.sim.after(s.pausedUntil.Sub(s.sim.now), func() { s.finish(p, process) })
 		return
 	}
 	s.busy--
-	s.run(f)
-	s.answer(f, eiderwinch.OK)
-	for s.busy < s.w.Slots && len(s.waiting) > 0 {
+	s.recordEffect(p)
+	s.answer(p, eiderwinch.OK)
+	for s.busy < s.sim.Slots && len(s.waiting) > 0 {
 		next := s.waiting[0]
 		s.waiting = s.waiting[1:]
 		s.serve(next)
 	}
-	s.strain()
+	s.checkOverload()
 }
 
-// run books what a part has done.
-func (s *searcher) run(f *flight) {
-	c := s.w.Classes[f.class]
+// recordEffect records the reservation that a part of a keyed class has made. It is a breach to make one
+// again after the class's repeat window, when the searchers no longer recognise the key.
+func (s *searcher) recordEffect(p *pendingAttempt) {
+	c := s.sim.Classes[p.class]
 	if c.Effect != eiderwinch.Keyed {
 		return
 	}
-	first, before := s.w.made[f.key]
+	first, repeated := s.sim.reservedAt[p.idempotencyKey]
 	switch {
-	case !before:
-		s.w.made[f.key] = s.w.now
-	case s.w.now.Sub(first) > c.RepeatWindow:
-		s.w.result.breach("reservation %s was made twice, %v apart", f.key, s.w.now.Sub(first))
+	case !repeated:
+		s.sim.reservedAt[p.idempotencyKey] = s.sim.now
+	case s.sim.now.Sub(first) > c.RepeatWindow:
+		s.sim.result.addBreach("reservation %s was made twice, %v apart", p.idempotencyKey, s.sim.now.Sub(first))
 	}
 }
 
-// answer sends an answer back, if its connection is still there.
-func (s *searcher) answer(f *flight, status eiderwinch.Status) {
-	if s.w.lose > 0 && s.w.rng.Float64() < s.w.lose {
-		return // it has run, and nobody hears of it
+// answer sends an answer to the gatherer. It arrives if the connection is still open then.
+func (s *searcher) answer(p *pendingAttempt, status eiderwinch.Status) {
+	if s.sim.lostAnswerShare > 0 && s.sim.rng.Float64() < s.sim.lostAnswerShare {
+		return // the part has run, but its answer is lost
 	}
-	l := f.link
-	load := s.load()
-	s.w.after(s.w.way(s.zone, l.node.zone), func() {
-		if !l.open || s.w.severed(s.zone, l.node.zone) {
+	conn := p.conn
+	load := s.reportedLoad()
+	s.sim.after(s.sim.delay(s.zone, conn.node.zone), func() {
+		if !conn.open || s.sim.isPartitioned(s.zone, conn.node.zone) {
 			return
 		}
-		l.node.result(f, status, load)
+		conn.node.handleResult(p, status, load)
 	})
 }
 
-// holds tells that a segment is one of its own: those that begin at its cell, and at the ones before.
+// holds reports whether the searcher holds a segment. It holds those that begin at its cell, and those
+// that begin at the Reach-1 cells before it.
 func (s *searcher) holds(segment int) bool {
-	cells := s.w.Cells
-	return ((s.cell-segment)%cells+cells)%cells < s.w.Reach
+	cells := s.sim.Cells
+	return ((s.cell-segment)%cells+cells)%cells < s.sim.Reach
 }
 
-// maxTold bounds the reports that are kept.
-const maxTold = 64
+// maxReportedQueues bounds the number of reports that are kept.
+const maxReportedQueues = 64
 
-// report notes the queue's length, from time to time.
-func (s *searcher) report() {
-	if len(s.told) == maxTold {
-		s.told = s.told[1:]
+// recordQueue records the queue length for load reports, and schedules itself again at random intervals.
+func (s *searcher) recordQueue() {
+	if len(s.reportedQueues) == maxReportedQueues {
+		s.reportedQueues = s.reportedQueues[1:]
 	}
-	s.told = append(s.told, float64(len(s.waiting)))
-	s.w.after(s.w.Reports/2+s.w.exp(s.w.Reports/2), s.report)
+	s.reportedQueues = append(s.reportedQueues, float64(len(s.waiting)))
+	s.sim.after(s.sim.ReportInterval/2+s.sim.exponential(s.sim.ReportInterval/2), s.recordQueue)
 }
 
-// load is what it reports with an answer: the last queue that it noted, or an older one while
-// reports are stale; nil where answers carry none.
-func (s *searcher) load() *eiderwinch.Load {
-	if len(s.told) == 0 {
+// reportedLoad returns the load report of an answer: the last recorded queue length, or an older one during
+// a fault StaleReports. It is nil if answers carry no report.
+func (s *searcher) reportedLoad() *eiderwinch.Load {
+	if len(s.reportedQueues) == 0 {
 		return nil
 	}
-	back := int(s.w.stale / max(s.w.Reports, time.Millisecond))
-	return &eiderwinch.Load{Waiting: s.told[max(len(s.told)-1-back, 0)]}
+	back := int(s.sim.reportDelay / max(s.sim.ReportInterval, time.Millisecond))
+	return &eiderwinch.Load{Waiting: s.reportedQueues[max(len(s.reportedQueues)-1-back, 0)]}
 }
 
-// cancel takes a part out of the queue; one that is served goes on.
-func (s *searcher) cancel(f *flight) {
-	if s.w.Deaf {
+// cancel removes a part from the queue. A part that is being served is not interrupted.
+func (s *searcher) cancel(p *pendingAttempt) {
+	if s.sim.IgnoresCancel {
 		return
 	}
-	s.waiting = slices.DeleteFunc(s.waiting, func(x *flight) bool { return x == f })
+	s.waiting = slices.DeleteFunc(s.waiting, func(x *pendingAttempt) bool { return x == p })
 }
 
-// crash ends the process: connections break, and it comes back cold.
-func (s *searcher) crash(away time.Duration) {
+// crash ends the process, which breaks its connections. It starts again, cold, after downtime.
+func (s *searcher) crash(downtime time.Duration) {
 	if !s.up {
 		return
 	}
 	s.stop()
-	s.w.told(s, eiderwinch.Removed)
-	s.w.after(away, s.start)
+	s.sim.announce(s, eiderwinch.Removed)
+	s.sim.after(downtime, s.start)
 }
 
 func (s *searcher) stop() {
 	s.up, s.draining = false, false
-	s.life++
+	s.process++
 	s.busy, s.waiting = 0, nil
-	links := s.links
-	s.links = nil
-	for _, l := range links {
-		s.w.after(s.w.way(s.zone, l.node.zone), func() {
-			if !s.w.severed(s.zone, l.node.zone) {
-				l.broken()
+	conns := s.conns
+	s.conns = nil
+	for _, conn := range conns {
+		s.sim.after(s.sim.delay(s.zone, conn.node.zone), func() {
+			if !s.sim.isPartitioned(s.zone, conn.node.zone) {
+				conn.remoteClosed()
 			}
 		})
 	}
@@ -215,18 +217,19 @@
 	if s.up {
 		return
 	}
-	s.up, s.started, s.slow = true, s.w.now, 1
-	s.w.told(s, eiderwinch.Ready)
+	s.up, s.startedAt, s.slowdown = true, s.sim.now, 1
+	s.sim.announce(s, eiderwinch.Ready)
 }
 
-// drain lets it leave in order, and come back.
+// drain announces that the searcher is draining, and ends its process after within or after a second, whichever is
+// longer. It starts again, cold, 2 s after that.
 func (s *searcher) drain(within time.Duration) {
 	if !s.up || s.draining {
 		return
 	}
 	s.draining = true
-	s.w.told(s, eiderwinch.Draining)
-	s.w.after(max(within, time.Second), func() {
+	s.sim.announce(s, eiderwinch.Draining)
+	s.sim.after(max(within, time.Second), func() {
 		if s.up && s.draining {
 			s.crash(2 * time.Second)
 		}
--- a/internal/trial/emulator/simulation.go
+++ b/internal/trial/emulator/simulation.go
@@ -15,247 +15,252 @@
 	"eiderwinch/internal/due"
 )
 
-// epoch is when every run begins. Searchers that are there at first came up long ago.
-var epoch = time.Unix(1_700_000_000, 0).UTC()
+// runStart is when every run starts. Searchers that are up from the start are warm.
+var runStart = time.Unix(1_700_000_000, 0).UTC()
 
-// event is something that happens at a time of a run.
+// event is a function that is called at some time of a run.
 type event = due.Timer[func()]
 
-// world is one run.
-type world struct {
+// simulation is one run.
+type simulation struct {
 	Scenario
-	rng       *rand.Rand
-	now       time.Time
-	events    due.Queue[func()]
-	nodes     []*node
-	searchers []*searcher
-	byID      map[string]*searcher
-	cut       []bool // zones that are cut off
-	flood     []float64
-	swell     []float64     // by tenant
-	focus     float64       // share of the queries that are about one key
-	stale     time.Duration // load reports are so old
-	lose      float64       // share of answers that is lost
-	asked     uint64
-	made      map[string]time.Time // reservations by key: when they were made first
-	result    *Result
-	digest    *blake3.Hasher
-	log       *slog.Logger
+	rng             *rand.Rand
+	now             time.Time
+	events          due.Queue[func()]
+	nodes           []*node
+	searchers       []*searcher
+	searcherByID    map[string]*searcher
+	isolated        []bool        // by zone: whether it is partitioned from the others
+	classLoad       []float64     // by class: the factor on its rate
+	tenantLoad      []float64     // by tenant: the factor on its rate
+	hotKeyShare     float64       // share of the queries that are about one key
+	reportDelay     time.Duration // additional age of load reports
+	lostAnswerShare float64       // share of the searchers' answers that are lost
+	queryCount      uint64
+	reservedAt      map[string]time.Time // time of the first reservation by idempotency key
+	result          *Result
+	digest          *blake3.Hasher
+	log             *slog.Logger
 }
 
-// Run plays a scenario from a seed.
+// Run runs a scenario with a seed.
 func Run(s Scenario, seed uint64) (*Result, error) {
-	w, err := newWorld(s, seed)
+	sim, err := newSimulation(s, seed)
 	if err != nil {
 		return nil, err
 	}
-	w.play()
-	return w.result, nil
+	sim.play()
+	return sim.result, nil
 }
 
-// newWorld sets a scenario up.
-func newWorld(s Scenario, seed uint64) (*world, error) {
-	s, err := s.complete()
+// newSimulation prepares the run of a scenario.
+func newSimulation(s Scenario, seed uint64) (*simulation, error) {
+	s, err := s.normalize()
 	if err != nil {
 		return nil, fmt.Errorf("scenario %q: %w", s.Name, err)
 	}
-	w := &world{
-		Scenario: s, rng: rand.New(rand.NewPCG(seed, 0x65696465)), now: epoch, byID: make(map[string]*searcher),
-		cut: make([]bool, s.Zones), made: make(map[string]time.Time), result: newResult(s, seed), digest: blake3.New(),
+	sim := &simulation{
+		Scenario: s, rng: rand.New(rand.NewPCG(seed, 0x65696465)), now: runStart, searcherByID: make(map[string]*searcher),
+		isolated: make([]bool, s.Zones), reservedAt: make(map[string]time.Time), result: newResult(s, seed), digest: blake3.New(),
 		log: slog.New(slog.NewTextHandler(io.Discard, &slog.HandlerOptions{Level: slog.LevelError + 1})),
 	}
 	for range s.Classes {
-		w.flood = append(w.flood, 1)
+		sim.classLoad = append(sim.classLoad, 1)
 	}
 	for range s.Tenants {
-		w.swell = append(w.swell, 1)
+		sim.tenantLoad = append(sim.tenantLoad, 1)
 	}
 	for i := range s.Searchers {
-		w.add(i)
-		if s.Reports > 0 {
-			w.searchers[i].report()
+		sim.addSearcher(i)
+		if s.ReportInterval > 0 {
+			sim.searchers[i].recordQueue()
 		}
 	}
 	for i := range s.Gatherers {
-		n := &node{w: w, number: i, zone: i % s.Zones}
-		w.nodes = append(w.nodes, n)
+		n := &node{sim: sim, number: i, zone: i % s.Zones}
+		sim.nodes = append(sim.nodes, n)
 		n.start()
 	}
 	for i, c := range s.Classes {
 		if c.Rate > 0 {
-			w.arrive(i)
+			sim.scheduleQuery(i)
 		}
 	}
 	for _, f := range s.Faults {
-		w.after(f.At, func() { w.strike(f) })
+		sim.after(f.At, func() { sim.injectFault(f) })
 	}
-	return w, nil
+	return sim, nil
 }
 
-// play lets all happen until the last query is over.
-func (w *world) play() {
+// play processes the events until the last query has ended.
+func (sim *simulation) play() {
 	longest := time.Duration(0)
-	for _, c := range w.Classes {
+	for _, c := range sim.Classes {
 		longest = max(longest, c.Deadline)
 	}
-	end := epoch.Add(w.Duration + longest + time.Second)
+	end := runStart.Add(sim.Duration + longest + time.Second)
 	for {
-		next := w.events.Next()
+		next := sim.events.Next()
 		if next.IsZero() || next.After(end) {
 			break
 		}
-		e := w.events.Pop(next)
-		w.now = next
-		w.result.Events++
+		e := sim.events.Pop(next)
+		sim.now = next
+		sim.result.Events++
 		e.Value()
 	}
-	w.result.finish(w)
+	sim.result.finish(sim)
 }
 
-// after lets f happen after d.
-func (w *world) after(d time.Duration, f func()) *event {
+// after schedules a call of f after d.
+func (sim *simulation) after(d time.Duration, f func()) *event {
 	e := &event{Value: f}
-	w.events.Set(e, w.now.Add(d))
+	sim.events.Set(e, sim.now.Add(d))
 	return e
 }
 
-// elapsed is the time of the run.
-func (w *world) elapsed() time.Duration { return w.now.Sub(epoch) }
+// elapsed returns the time since the start of the run.
+func (sim *simulation) elapsed() time.Duration { return sim.now.Sub(runStart) }
 
-// way is how long something takes from one zone to another.
-func (w *world) way(a, b int) time.Duration {
+// delay returns the one-way network delay between two zones.
+func (sim *simulation) delay(a, b int) time.Duration {
 	if a == b {
-		return w.Near
+		return sim.NearDelay
 	}
-	return w.Far
+	return sim.FarDelay
 }
 
-// severed tells that nothing comes through between two zones.
-func (w *world) severed(a, b int) bool { return a != b && (w.cut[a] || w.cut[b]) }
+// isPartitioned reports whether the network loses everything sent between two zones.
+func (sim *simulation) isPartitioned(a, b int) bool {
+	return a != b && (sim.isolated[a] || sim.isolated[b])
+}
 
-// exp draws an exponentially distributed time.
-func (w *world) exp(mean time.Duration) time.Duration {
-	return time.Duration(w.rng.ExpFloat64() * float64(mean))
+// exponential draws an exponentially distributed duration.
+func (sim *simulation) exponential(mean time.Duration) time.Duration {
+	return time.Duration(sim.rng.ExpFloat64() * float64(mean))
 }
 
-// arrive lets the next query of a class come: a Poisson process.
-func (w *world) arrive(class int) {
-	rate := w.Classes[class].Rate * w.flood[class] * w.swollen()
-	w.after(w.exp(time.Duration(float64(time.Second)/rate)), func() {
-		if w.elapsed() >= w.Duration {
+// scheduleQuery schedules the next query of a class, and with it those after it: a Poisson process.
+func (sim *simulation) scheduleQuery(class int) {
+	rate := sim.Classes[class].Rate * sim.classLoad[class] * sim.totalTenantLoad()
+	sim.after(sim.exponential(time.Duration(float64(time.Second)/rate)), func() {
+		if sim.elapsed() >= sim.Duration {
 			return
 		}
-		w.asked++
-		newClient(w, class).ask()
-		w.arrive(class)
+		sim.queryCount++
+		newClient(sim, class).ask()
+		sim.scheduleQuery(class)
 	})
 }
 
-// drawTenant draws whose a query is; -1 where there are none.
-func (w *world) drawTenant() int {
-	if w.Tenants == 0 {
+// drawTenant draws the tenant of a query; -1 if there are no tenants.
+func (sim *simulation) drawTenant() int {
+	if sim.Tenants == 0 {
 		return -1
 	}
 	sum := 0.0
-	for i, f := range w.swell {
-		sum += f * w.shareOf(i)
+	for i, f := range sim.tenantLoad {
+		sum += f * sim.tenantShare(i)
 	}
-	at := w.rng.Float64() * sum
-	for i, f := range w.swell {
-		if at -= f * w.shareOf(i); at < 0 {
+	at := sim.rng.Float64() * sum
+	for i, f := range sim.tenantLoad {
+		if at -= f * sim.tenantShare(i); at < 0 {
 			return i
 		}
 	}
-	return w.Tenants - 1
+	return sim.Tenants - 1
 }
 
-// swollen is the traffic of all tenants together, in usual ones.
-func (w *world) swollen() float64 {
-	if w.Tenants == 0 {
+// totalTenantLoad returns the load of all tenants together, as a multiple of their normal load.
+func (sim *simulation) totalTenantLoad() float64 {
+	if sim.Tenants == 0 {
 		return 1
 	}
 	sum := 0.0
-	for i, f := range w.swell {
-		sum += f * w.shareOf(i)
+	for i, f := range sim.tenantLoad {
+		sum += f * sim.tenantShare(i)
 	}
 	return sum
 }
 
-// strike lets a fault happen.
-func (w *world) strike(f Fault) {
-	each := func(list func(*searcher)) {
-		for _, s := range w.searchers[f.First : f.First+f.Many] {
-			list(s)
+// injectFault starts a fault, and schedules its end.
+func (sim *simulation) injectFault(f Fault) {
+	each := func(do func(*searcher)) {
+		for _, s := range sim.searchers[f.First : f.First+f.Count] {
+			do(s)
 		}
 	}
-	step := f.For / time.Duration(max(f.Many, 1))
+	interval := f.For / time.Duration(max(f.Count, 1))
 	switch f.Kind {
 	case Crash:
 		each(func(s *searcher) { s.crash(f.For) })
 	case Pause:
-		each(func(s *searcher) { s.pausedUntil = w.now.Add(f.For) })
+		each(func(s *searcher) { s.pausedUntil = sim.now.Add(f.For) })
 	case Slow:
-		each(func(s *searcher) { s.slow = f.Factor })
-		w.after(f.For, func() { each(func(s *searcher) { s.slow = 1 }) })
+		each(func(s *searcher) { s.slowdown = f.Factor })
+		sim.after(f.For, func() { each(func(s *searcher) { s.slowdown = 1 }) })
 	case Drain:
-		for i := range f.Many {
-			s := w.searchers[f.First+i]
-			w.after(step*time.Duration(i), func() { s.drain(step) })
+		for i := range f.Count {
+			s := sim.searchers[f.First+i]
+			sim.after(interval*time.Duration(i), func() { s.drain(interval) })
 		}
-	case Cut:
-		w.cut[f.Zone] = true
-		w.after(f.For, func() { w.cut[f.Zone] = false })
-	case Flood:
-		for i, c := range w.Classes {
+	case Partition:
+		sim.isolated[f.Zone] = true
+		sim.after(f.For, func() { sim.isolated[f.Zone] = false })
+	case ClassLoad:
+		for i, c := range sim.Classes {
 			if c.Name == f.Class {
-				w.flood[i] = f.Factor
-				w.after(f.For, func() { w.flood[i] = 1 })
+				sim.classLoad[i] = f.Factor
+				sim.after(f.For, func() { sim.classLoad[i] = 1 })
 			}
 		}
 	case Kill:
-		for _, n := range w.nodes[f.First : f.First+f.Many] {
+		for _, n := range sim.nodes[f.First : f.First+f.Count] {
 			n.kill()
-			w.after(f.For, n.start)
+			sim.after(f.For, n.start)
 		}
-	case Focus:
-		w.focus = f.Factor
-		w.after(f.For, func() { w.focus = 0 })
-	case Swell:
-		w.swell[f.First] = f.Factor
-		w.after(f.For, func() { w.swell[f.First] = 1 })
-	case Stale:
-		w.stale = time.Duration(f.Factor * float64(time.Second))
-		w.after(f.For, func() { w.stale = 0 })
-	case Lose:
-		w.lose = f.Factor
-		w.after(f.For, func() { w.lose = 0 })
+	case HotKey:
+		sim.hotKeyShare = f.Factor
+		sim.after(f.For, func() { sim.hotKeyShare = 0 })
+	case TenantLoad:
+		sim.tenantLoad[f.First] = f.Factor
+		sim.after(f.For, func() { sim.tenantLoad[f.First] = 1 })
+	case StaleReports:
+		sim.reportDelay = time.Duration(f.Factor * float64(time.Second))
+		sim.after(f.For, func() { sim.reportDelay = 0 })
+	case LostAnswers:
+		sim.lostAnswerShare = f.Factor
+		sim.after(f.For, func() { sim.lostAnswerShare = 0 })
 	case Restart:
-		for i := range f.Many {
-			n := w.nodes[f.First+i]
-			w.after(step*time.Duration(i), n.restart)
+		for i := range f.Count {
+			n := sim.nodes[f.First+i]
+			sim.after(interval*time.Duration(i), n.restart)
 		}
 	}
 }
 
-// told brings news of a searcher to all gatherers, late.
-func (w *world) told(s *searcher, state eiderwinch.State) {
+// maxDiscoveryLag bounds how late an update of the member list reaches a gatherer.
+const maxDiscoveryLag = 6 * time.Second
+
+// announce sends an update about a searcher to all gatherers. Each receives it after a delay of its own.
+func (sim *simulation) announce(s *searcher, state eiderwinch.State) {
 	s.revision++
 	revision := s.revision
-	for _, n := range w.nodes {
-		lag := min(w.exp(w.Lag), 6*time.Second)
-		w.after(lag, func() { n.hear(s, revision, state) })
+	for _, n := range sim.nodes {
+		lag := min(sim.exponential(sim.DiscoveryLag), maxDiscoveryLag)
+		sim.after(lag, func() { n.handleUpdate(s, revision, state) })
 	}
 }
 
-// note adds something to the run's digest.
-func (w *world) note(kind byte, numbers ...uint64) {
+// addToDigest adds an event to the digest of the run.
+func (sim *simulation) addToDigest(kind byte, numbers ...uint64) {
 	b := append(make([]byte, 0, 64), kind)
-	b = binary.BigEndian.AppendUint64(b, uint64(w.now.UnixNano()))
+	b = binary.BigEndian.AppendUint64(b, uint64(sim.now.UnixNano()))
 	for _, n := range numbers {
 		b = binary.BigEndian.AppendUint64(b, n)
 	}
-	_, _ = w.digest.Write(b) // never fails
+	_, _ = sim.digest.Write(b) // never fails
 }
 
-// logNormal draws a factor whose middle is 1.
-func (w *world) logNormal() float64 { return math.Exp(w.Spread * w.rng.NormFloat64()) }
+// logNormal draws a log-normally distributed factor with a median of 1.
+func (sim *simulation) logNormal() float64 { return math.Exp(sim.WorkSpread * sim.rng.NormFloat64()) }
--- a/internal/trial/experiment/experiment.go
+++ b/internal/trial/experiment/experiment.go
@@ -1,5 +1,6 @@
-// Package experiment plays the runs of an experiment side by side, writes each down
-// as soon as it is over, and makes tables and one page of plots of them.
+// Package experiment executes the runs of an experiment concurrently, stores each
+// result as soon as its run has ended, and renders the results as tables and as a
+// page of plots.
 package experiment
 
 import (
@@ -19,7 +20,7 @@
 	"eiderwinch/internal/trial/emulator"
 )
 
-// Row is how one class fared in one run.
+// Row holds the outcomes of the queries of one class in one run.
 type Row struct {
 	emulator.Point
 	Class   string            `json:"class"`
@@ -34,11 +35,11 @@
 	Seconds []emulator.Second `json:"seconds"`
 }
 
-// Run is one run as it is written down, one line of JSON each.
+// Run is the stored result of one run. A file of results holds one line of JSON for each.
 type Run struct {
 	emulator.Point
 	Rows     []Row    `json:"rows"`
-	Load     [][]int  `json:"load,omitempty"` // by searcher and second, of the first seed only
+	Load     [][]int  `json:"load,omitempty"` // parts received by searcher and second; for the first seed only
 	Fallen   int      `json:"fallen"`
 	Breaches int      `json:"breaches"`
 	Faults   []string `json:"faults,omitempty"`
@@ -47,38 +48,40 @@
 	Digest   string   `json:"digest"`
 }
 
-// mostLoad bounds the searchers whose load is kept.
-const mostLoad = 300
+// maxLoadSearchers bounds the number of searchers whose load is stored.
+const maxLoadSearchers = 300
 
-func newRun(p emulator.Point, r *emulator.Result, first bool) Run {
-	out := Run{Point: p, Fallen: r.Fallen, Breaches: r.Breaches, Faults: r.Faults, Events: r.Events, Turns: r.Turns, Digest: r.Digest}
+func newRun(p emulator.Point, r *emulator.Result, withLoad bool) Run {
+	out := Run{Point: p, Fallen: r.ColdCrashes, Breaches: r.Breaches, Faults: r.BreachMessages, Events: r.Events, Turns: r.Turns, Digest: r.Digest}
 	for _, c := range r.Classes {
 		out.Rows = append(out.Rows, Row{p, c.Name, c.Asked, c.InTime, c.Late, c.Partial, c.Refused, c.Failed,
 			float64(c.P50.Microseconds()) / 1000, float64(c.P99.Microseconds()) / 1000, c.Seconds})
 	}
-	if first {
-		out.Load = r.Load[:min(len(r.Load), mostLoad)]
+	if withLoad {
+		out.Load = r.Load[:min(len(r.Load), maxLoadSearchers)]
 	}
 	return out
 }
 
-// ErrBreach is why an experiment is no success: rules were broken.
+// ErrBreach reports that runs of an experiment broke rules.
 var ErrBreach = errors.New("rules were broken")
 
-// Play plays all runs of an experiment that the file at path does not hold yet, so
-// many side by side, and adds each to it. done is told after each how many are over.
-func Play(ctx context.Context, x *emulator.Experiment, path string, workers int, done func(over, of int)) ([]Run, error) {
+// Play executes the runs of an experiment whose results the file at path does not
+// contain yet, with the given number of workers, and appends each result to it. It
+// calls done at the start and after each run with the number of finished runs and the
+// number of all runs.
+func Play(ctx context.Context, x *emulator.Experiment, path string, workers int, done func(finished, total int)) ([]Run, error) {
 	runs, err := Load(path)
 	if err != nil && !errors.Is(err, fs.ErrNotExist) {
 		return nil, err
 	}
 	points := x.Points()
 	runs = slices.DeleteFunc(runs, func(r Run) bool { return !slices.Contains(points, r.Point) })
-	have := make(map[emulator.Point]bool)
+	stored := make(map[emulator.Point]bool)
 	for _, r := range runs {
-		have[r.Point] = true
+		stored[r.Point] = true
 	}
-	// What was cut short by a kill is written anew, without its last line.
+	// Rewrite the file, since a killed process may have left an incomplete last line.
 	if err := Save(path, runs); err != nil {
 		return nil, err
 	}
@@ -87,26 +90,26 @@
 		return nil, err
 	}
 	defer f.Close()
-	ctx, stop := context.WithCancelCause(ctx)
-	defer stop(nil)
-	todo := make(chan emulator.Point)
-	var all sync.WaitGroup
-	var mu sync.Mutex // of runs and f
+	ctx, cancel := context.WithCancelCause(ctx)
+	defer cancel(nil)
+	pending := make(chan emulator.Point)
+	var group sync.WaitGroup
+	var mu sync.Mutex // guards runs and f
 	for range max(workers, 1) {
-		all.Add(1)
+		group.Add(1)
 		go func() {
-			defer all.Done()
-			for p := range todo {
+			defer group.Done()
+			for p := range pending {
 				result, err := x.Play(p)
 				if err != nil {
-					stop(err)
+					cancel(err)
 					return
 				}
 				r := newRun(p, result, p.Seed == x.Seeds[0])
 				mu.Lock()
 				runs = append(runs, r)
 				if err := json.NewEncoder(f).Encode(r); err != nil {
-					stop(err)
+					cancel(err)
 				}
 				done(len(runs), len(points))
 				mu.Unlock()
@@ -116,21 +119,21 @@
 	done(len(runs), len(points))
 feed:
 	for _, p := range points {
-		if have[p] {
+		if stored[p] {
 			continue
 		}
 		select {
-		case todo <- p:
+		case pending <- p:
 		case <-ctx.Done():
 			break feed
 		}
 	}
-	close(todo)
-	all.Wait()
+	close(pending)
+	group.Wait()
 	if err := context.Cause(ctx); err != nil {
 		return runs, err
 	}
-	order(runs, points)
+	sortRuns(runs, points)
 	breaches := 0
 	for _, r := range runs {
 		breaches += r.Breaches
@@ -141,19 +144,20 @@
 	return runs, nil
 }
 
-func order(runs []Run, points []emulator.Point) {
-	at := make(map[emulator.Point]int)
+// sortRuns sorts runs by the order of their points.
+func sortRuns(runs []Run, points []emulator.Point) {
+	index := make(map[emulator.Point]int)
 	for i, p := range points {
-		at[p] = i
+		index[p] = i
 	}
-	slices.SortFunc(runs, func(a, b Run) int { return at[a.Point] - at[b.Point] })
+	slices.SortFunc(runs, func(a, b Run) int { return index[a.Point] - index[b.Point] })
 }
 
-// mostLine bounds a line of results.
-const mostLine = 256 << 20
+// maxLineBytes bounds the length of a line of results.
+const maxLineBytes = 256 << 20
 
-// Load reads results. A last line that is cut short, as a kill leaves it, is passed
-// over.
+// Load reads a file of results. It ignores an incomplete last line, which a killed
+// process leaves.
 func Load(path string) ([]Run, error) {
 	f, err := os.Open(path)
 	if err != nil {
@@ -161,16 +165,16 @@
 	}
 	defer f.Close()
 	in := bufio.NewScanner(f)
-	in.Buffer(nil, mostLine)
+	in.Buffer(nil, maxLineBytes)
 	var runs []Run
-	var cut error
+	var malformed error
 	for line := 1; in.Scan(); line++ {
-		if cut != nil {
-			return nil, cut // it was not the last one
+		if malformed != nil {
+			return nil, malformed // the malformed line is not the last one
 		}
 		var r Run
 		if err := json.Unmarshal(in.Bytes(), &r); err != nil {
-			cut = fmt.Errorf("%s:%d: %w", path, line, err)
+			malformed = fmt.Errorf("%s:%d: %w", path, line, err)
 			continue
 		}
 		runs = append(runs, r)
@@ -178,7 +182,7 @@
 	return runs, in.Err()
 }
 
-// Save writes results.
+// Save writes a file of results.
 func Save(path string, runs []Run) (err error) {
 	f, err := os.Create(path)
 	if err != nil {
@@ -194,7 +198,7 @@
 	return nil
 }
 
-// WriteCSV writes one line for each class of each run.
+// WriteCSV writes a table with a header and one line for each class of each run.
 func WriteCSV(w io.Writer, runs []Run) error {
 	out := csv.NewWriter(w)
 	_ = out.Write([]string{"scenario", "value", "seed", "class", "asked", "in_time", "late", "partial", "refused", "failed", "p50_ms", "p99_ms"})
--- a/internal/trial/experiment/experiment_test.go
+++ b/internal/trial/experiment/experiment_test.go
@@ -27,9 +27,9 @@
 	return x
 }
 
-// An experiment that was killed plays only what is missing, and ends as one that was
-// not.
-func TestAnExperimentGoesOnWhereItWasCutShort(t *testing.T) {
+// Guards against an experiment that, after a kill in the middle, repeats finished runs or ends with other results than
+// one that was not interrupted. The kill leaves an incomplete last line in the file of results.
+func TestInterruptedExperimentResumes(t *testing.T) {
 	x := read(t, text)
 	path := filepath.Join(t.TempDir(), "x.results")
 	whole, err := Play(context.Background(), x, path, 4, func(int, int) {})
@@ -40,29 +40,29 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	cut := bytes.Join(bytes.SplitAfter(lines, []byte("\n"))[:3], nil)
-	if err := os.WriteFile(path, append(cut, `{"scenario":"a","val`...), 0o600); err != nil {
+	truncated := bytes.Join(bytes.SplitAfter(lines, []byte("\n"))[:3], nil)
+	if err := os.WriteFile(path, append(truncated, `{"scenario":"a","val`...), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	first := -1
-	again, err := Play(context.Background(), x, path, 2, func(over, _ int) {
+	resumed, err := Play(context.Background(), x, path, 2, func(finished, _ int) {
 		if first < 0 {
-			first = over
+			first = finished
 		}
 	})
-	if err != nil || first != 3 || !reflect.DeepEqual(whole, again) {
-		t.Errorf("it began with %d runs and ended with %d, %v", first, len(again), err)
+	if err != nil || first != 3 || !reflect.DeepEqual(whole, resumed) {
+		t.Errorf("resumed experiment began with %d runs and ended with %d, %v", first, len(resumed), err)
 	}
-	ctx, stop := context.WithCancel(context.Background())
-	stop()
+	ctx, cancel := context.WithCancel(context.Background())
+	cancel()
 	if _, err := Play(ctx, x, filepath.Join(t.TempDir(), "y"), 2, func(int, int) {}); !errors.Is(err, context.Canceled) {
-		t.Errorf("one that is called off: %v", err)
+		t.Errorf("cancelled experiment: %v", err)
 	}
 	if err := os.WriteFile(path, append([]byte("{\n"), lines...), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := Load(path); err == nil || !strings.Contains(err.Error(), "x.results:1:") {
-		t.Errorf("a line in the middle that can't be read: %v", err)
+		t.Errorf("malformed line in the middle: %v", err)
 	}
 
 	var table, page bytes.Buffer
@@ -78,6 +78,7 @@
 	}
 }
 
+// Guards against confidence intervals that are too narrow or too wide, and against a failure on a single value.
 func TestIntervals(t *testing.T) {
 	i := interval([]float64{1, 2, 3, 4})
 	// Student's t with 3 degrees of freedom: 3.1824 at 97.5%.
@@ -85,11 +86,13 @@
 		t.Errorf("have %+v", i)
 	}
 	if i := interval([]float64{7}); i != (Interval{7, 7, 7}) {
-		t.Errorf("of one: %+v", i)
+		t.Errorf("interval of one value: %+v", i)
 	}
 }
 
-func TestFaultsOfFilesAndTheSchema(t *testing.T) {
+// Guards against faults of a file that are accepted or reported unclearly, against a schema in deploy that does not
+// match the form, and against files in experiments that can't be read.
+func TestFileFaultsAndSchema(t *testing.T) {
 	for bad, want := range map[string]string{
 		`name="b"`:      `x.xml:2: <scenario>: found a second scenario a`,
 		`many="2"`:      `found 13 from 0 on, want some of 12`,
@@ -107,7 +110,7 @@
 	}
 	var b bytes.Buffer
 	if err := errors.Join(emulator.Form().Check(), emulator.Form().Schema(&b)); err != nil || b.String() != string(schema) {
-		t.Errorf("deploy/scenario.xsd is not what the form says: %v", err)
+		t.Errorf("deploy/scenario.xsd does not match the form: %v", err)
 	}
 	files, _ := filepath.Glob("../../../experiments/*.xml")
 	for _, path := range files {
@@ -121,6 +124,6 @@
 		f.Close()
 	}
 	if len(files) == 0 {
-		t.Error("there are no experiments")
+		t.Error("found no files in experiments")
 	}
 }
--- a/internal/trial/experiment/fleet_report.go
+++ b/internal/trial/experiment/fleet_report.go
@@ -15,6 +15,7 @@
 	"eiderwinch/internal/trial/rig"
 )
 
+// fleetPage is the template of the report on a fleet.
 const fleetPage = head + `<p>{{.Processes}} processes, {{.Faults}} faults among them{{if .Audit}}, <strong class="bad">{{len .Audit}} findings of the audit</strong>{{else}}, nothing found by the audit{{end}}.</p>
 {{range .Audit}}<p class="bad">{{.}}</p>
 {{end}}<table><tr><th>fault</th><th>settled</th><th>times</th><th>median, ms</th><th>worst, ms</th></tr>
@@ -22,28 +23,31 @@
 {{end}}</table>
 ` + foot
 
-// settled is how long a fleet took after faults of a kind.
-type settled struct {
+// settleTimes holds how long a fleet took to settle after the faults of one kind, in milliseconds.
+type settleTimes struct {
 	Kind rig.Kind
 	When string
 	MS   []int64
 }
 
-// Median and Worst are of times in order.
-func (s settled) Median() int64 { return s.MS[len(s.MS)/2] }
-func (s settled) Worst() int64  { return s.MS[len(s.MS)-1] }
+// Median returns the median of the sorted times.
+func (s settleTimes) Median() int64 { return s.MS[len(s.MS)/2] }
 
-// FleetReport writes the history of a rig as one page of HTML that needs no other file: how long the
-// fleet took to settle, and what each gatherer counted, held and sent over time.
+// Worst returns the longest of the sorted times.
+func (s settleTimes) Worst() int64 { return s.MS[len(s.MS)-1] }
+
+// FleetReport writes a report on the history of a test fleet as one page of HTML that refers to no other file: how
+// long the fleet took to settle after faults, and over time how many gatherers each gatherer counted as members, how
+// many slots it held and how much it sent.
 func FleetReport(w io.Writer, title string, list []rig.Entry) error {
 	data := struct {
 		Title             string
 		Processes, Faults int
 		Audit             []string
-		Settled           []settled
+		Settled           []settleTimes
 		Plots             []figure
 	}{Title: title}
-	places := make(map[string]int) // gatherers, by the order of their names
+	indexByName := make(map[string]int) // of gatherers, in the order of their names
 	var names []string
 	for _, e := range list {
 		name, _, process := strings.Cut(e.Who, "-")
@@ -51,10 +55,10 @@
 		case e.Who == "audit":
 			data.Audit = append(data.Audit, e.What)
 		case e.Kind != "":
-			i := slices.IndexFunc(data.Settled, func(s settled) bool { return s.Kind == e.Kind && s.When == e.When })
+			i := slices.IndexFunc(data.Settled, func(s settleTimes) bool { return s.Kind == e.Kind && s.When == e.When })
 			if i < 0 {
 				i = len(data.Settled)
-				data.Settled = append(data.Settled, settled{Kind: e.Kind, When: e.When})
+				data.Settled = append(data.Settled, settleTimes{Kind: e.Kind, When: e.When})
 			}
 			data.Settled[i].MS = append(data.Settled[i].MS, e.TookMS)
 		case e.What == "starts":
@@ -68,7 +72,7 @@
 	}
 	slices.SortFunc(names, func(a, b string) int { return cmp.Or(cmp.Compare(len(a), len(b)), cmp.Compare(a, b)) })
 	for i, name := range names {
-		places[name] = i
+		indexByName[name] = i
 	}
 	for _, s := range data.Settled {
 		slices.Sort(s.MS)
@@ -80,15 +84,15 @@
 		{"gatherers that each one counts, over time", "counted", func(e, _ rig.Entry) (float64, bool) { return float64(e.Counted), true }},
 		{"slots of the fleet's limits that each one holds, over time", "slots", func(e, _ rig.Entry) (float64, bool) { return float64(e.Slots), true }},
 		{"bytes a second that each one sends to the others, over time", "bytes a second", func(e, before rig.Entry) (float64, bool) {
-			span := float64(e.MS-before.MS) / 1000
-			return float64(e.Bytes-before.Bytes) / span, before.Who == e.Who && span >= 0.2
+			seconds := float64(e.MS-before.MS) / 1000
+			return float64(e.Bytes-before.Bytes) / seconds, before.Who == e.Who && seconds >= 0.2
 		}},
 	} {
-		p, err := fleetLines(f.axis, places, list, f.value)
+		p, err := plotByGatherer(f.axis, indexByName, list, f.value)
 		if err != nil {
 			return fmt.Errorf("plot %q: %w", f.caption, err)
 		}
-		svg, err := render(p)
+		svg, err := renderSVG(p)
 		if err != nil {
 			return fmt.Errorf("plot %q: %w", f.caption, err)
 		}
@@ -101,28 +105,28 @@
 	return t.Execute(w, data)
 }
 
-// fleetLines plots a line for each gatherer.
-func fleetLines(axis string, places map[string]int, list []rig.Entry, value func(e, before rig.Entry) (float64, bool)) (*plot.Plot, error) {
+// plotByGatherer plots one line of values over time for each gatherer.
+func plotByGatherer(axis string, indexByName map[string]int, list []rig.Entry, value func(e, before rig.Entry) (float64, bool)) (*plot.Plot, error) {
 	p := plot.New()
 	p.X.Label.Text, p.Y.Label.Text = "second", axis
 	p.Y.Min = 0
-	lines, before := make([]plotter.XYs, len(places)), make([]rig.Entry, len(places))
+	lines, before := make([]plotter.XYs, len(indexByName)), make([]rig.Entry, len(indexByName))
 	for _, e := range list {
 		if e.Digest == "" {
 			continue
 		}
 		name, _, _ := strings.Cut(e.Who, "-")
-		i := places[name]
+		i := indexByName[name]
 		if y, ok := value(e, before[i]); ok {
 			lines[i] = append(lines[i], plotter.XY{X: float64(e.MS) / 1000, Y: y})
 		}
 		before[i] = e
 	}
-	for i, xys := range lines {
-		if len(xys) == 0 {
+	for i, points := range lines {
+		if len(points) == 0 {
 			continue
 		}
-		l, err := plotter.NewLine(xys)
+		l, err := plotter.NewLine(points)
 		if err != nil {
 			return nil, err
 		}
--- a/internal/trial/experiment/report.go
+++ b/internal/trial/experiment/report.go
@@ -17,7 +17,7 @@
 	"gonum.org/v1/plot/vg/vgsvg"
 )
 
-// head begins each page: it needs nothing but itself. foot ends it with the plots.
+// Templates for the start and the end of each page. A page refers to no other file; its plots are at the end.
 const (
 	head = `<!doctype html>
 <html lang="en"><head><meta charset="utf-8"><title>{{.Title}}</title>
@@ -35,7 +35,7 @@
 `
 )
 
-// page is the report.
+// page is the template of the report on an experiment.
 const page = head + `<p>{{.Runs}} runs, {{.Events}} events of the model, {{.Turns}} turns of the gatherers{{if .Breaches}}, <strong class="bad">{{.Breaches}} breaches of rules</strong>{{else}}, no rule broken{{end}}. Intervals hold the mean with 95% confidence over seeds.</p>
 <h2>Figures</h2>
 <table><tr><th>scenario</th><th>{{.Of}}</th><th class="text">class</th><th>runs</th><th>in time</th><th>refused</th><th>failed</th><th>p99, ms</th></tr>
@@ -48,8 +48,8 @@
 	SVG     template.HTML
 }
 
-// Report writes runs as one page of HTML that needs no other file. Of is what was
-// swept; empty if nothing was.
+// Report writes a report on runs as one page of HTML that refers to no other file. of
+// is the swept attribute; empty if there is no sweep.
 func Report(w io.Writer, title, of string, runs []Run) error {
 	data := struct {
 		Title, Of     string
@@ -67,37 +67,37 @@
 		if err != nil {
 			return fmt.Errorf("plot %q: %w", caption, err)
 		}
-		svg, err := render(p)
+		svg, err := renderSVG(p)
 		if err != nil {
 			return fmt.Errorf("plot %q: %w", caption, err)
 		}
 		data.Plots = append(data.Plots, figure{caption, svg})
 		return nil
 	}
-	for _, s := range names(runs, func(r Run) string { return r.Scenario }) {
+	for _, s := range distinct(runs, func(r Run) string { return r.Scenario }) {
 		if of != "" {
-			p, err := curves(s, of, data.Groups)
+			p, err := plotSweep(s, of, data.Groups)
 			if err := add(fmt.Sprintf("%s: share answered in time over %s, by class, with 95%% confidence", s, of), p, err); err != nil {
 				return err
 			}
 		}
-		for _, v := range names(runs, func(r Run) float64 { return r.Value }) {
+		for _, v := range distinct(runs, func(r Run) float64 { return r.Value }) {
 			at := s
 			if of != "" {
 				at = fmt.Sprintf("%s, %s %g", s, of, v)
 			}
-			var mine []Run
+			var selected []Run
 			for _, r := range runs {
 				if r.Scenario == s && r.Value == v {
-					mine = append(mine, r)
+					selected = append(selected, r)
 				}
 			}
-			p, err := overTime(at, mine)
+			p, err := plotOverTime(at, selected)
 			if err := add(at+": share of the queries asked in each second that were answered in time, all seeds together", p, err); err != nil {
 				return err
 			}
-			if len(mine) > 0 && len(mine[0].Load) > 0 {
-				p, err := heat(at, mine[0].Load)
+			if len(selected) > 0 && len(selected[0].Load) > 0 {
+				p, err := plotLoad(at, selected[0].Load)
 				if err := add(at+": parts sent to each searcher in each second, of the first seed; the darker the more", p, err); err != nil {
 					return err
 				}
@@ -116,7 +116,8 @@
 	return t.Execute(w, data)
 }
 
-func render(p *plot.Plot) (template.HTML, error) {
+// renderSVG renders a plot as an SVG element.
+func renderSVG(p *plot.Plot) (template.HTML, error) {
 	c := vgsvg.New(18*vg.Centimeter, 8*vg.Centimeter)
 	p.Draw(draw.New(c))
 	var b bytes.Buffer
@@ -124,28 +125,29 @@
 		return "", err
 	}
 	text := b.Bytes()
-	if i := bytes.Index(text, []byte("<svg")); i >= 0 { // without the XML header
+	if i := bytes.Index(text, []byte("<svg")); i >= 0 { // drop the XML header
 		text = text[i:]
 	}
-	return template.HTML(text), nil //nolint:gosec // it is made of numbers and escaped names
+	return template.HTML(text), nil //nolint:gosec // it consists of numbers and escaped names
 }
 
-// overTime plots the share answered in time over the seconds of a run.
-func overTime(title string, runs []Run) (*plot.Plot, error) {
+// plotOverTime plots the share of queries that were answered in time over the seconds of the runs, one line for
+// each class.
+func plotOverTime(title string, runs []Run) (*plot.Plot, error) {
 	p := plot.New()
 	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = title, "second", "in time"
 	p.Y.Min, p.Y.Max = 0, 1.02
 	p.Legend.Top = false
 	for i := range runs[0].Rows {
 		var line plotter.XYs
-		for at := range runs[0].Rows[i].Seconds {
-			asked, good := 0, 0
+		for second := range runs[0].Rows[i].Seconds {
+			asked, inTime := 0, 0
 			for _, r := range runs {
-				asked += r.Rows[i].Seconds[at].Asked
-				good += r.Rows[i].Seconds[at].InTime
+				asked += r.Rows[i].Seconds[second].Asked
+				inTime += r.Rows[i].Seconds[second].InTime
 			}
 			if asked > 0 {
-				line = append(line, plotter.XY{X: float64(at), Y: float64(good) / float64(asked)})
+				line = append(line, plotter.XY{X: float64(second), Y: float64(inTime) / float64(asked)})
 			}
 		}
 		l, err := plotter.NewLine(line)
@@ -159,8 +161,9 @@
 	return p, nil
 }
 
-// curves plots the share answered in time over what was swept, with its band.
-func curves(scenario, of string, groups []Group) (*plot.Plot, error) {
+// plotSweep plots the share of queries that were answered in time over the swept values, one line for each class
+// with its confidence band.
+func plotSweep(scenario, of string, groups []Group) (*plot.Plot, error) {
 	p := plot.New()
 	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = scenario, of, "in time"
 	byClass := make(map[string][]Group)
@@ -175,10 +178,10 @@
 		byClass[g.Class] = append(byClass[g.Class], g)
 	}
 	for i, class := range classes {
-		var mid, band plotter.XYs
+		var means, band plotter.XYs
 		list := byClass[class]
 		for _, g := range list {
-			mid = append(mid, plotter.XY{X: g.Value, Y: g.InTime.Mean})
+			means = append(means, plotter.XY{X: g.Value, Y: g.InTime.Mean})
 			band = append(band, plotter.XY{X: g.Value, Y: math.Min(g.InTime.High, 1)})
 		}
 		for j := len(list) - 1; j >= 0; j-- {
@@ -191,7 +194,7 @@
 		r, g, b, _ := plotutil.Color(i).RGBA()
 		area.Color = color.NRGBA{uint8(r >> 8), uint8(g >> 8), uint8(b >> 8), 50}
 		area.LineStyle.Width = 0
-		line, points, err := plotter.NewLinePoints(mid)
+		line, points, err := plotter.NewLinePoints(means)
 		if err != nil {
 			return nil, err
 		}
@@ -202,7 +205,7 @@
 	return p, nil
 }
 
-// grid is the load by searcher and second.
+// grid is the number of parts by searcher and second. It implements plotter.GridXYZ.
 type grid [][]int
 
 func (g grid) Dims() (c, r int)   { return len(g[0]), len(g) }
@@ -210,11 +213,12 @@
 func (g grid) X(c int) float64    { return float64(c) }
 func (g grid) Y(r int) float64    { return float64(r) }
 
-func heat(title string, load [][]int) (*plot.Plot, error) {
+// plotLoad plots the parts that each searcher received in each second as a heat map.
+func plotLoad(title string, load [][]int) (*plot.Plot, error) {
 	p := plot.New()
 	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = title, "second", "searcher"
 	h := plotter.NewHeatMap(grid(load), moreland.SmoothBlueRed().Palette(64))
-	if h.Max <= h.Min { // a map of one colour can't be drawn
+	if h.Max <= h.Min { // the plotter can't draw a map of a single value
 		h.Max = h.Min + 1
 	}
 	p.Add(h)
--- a/internal/trial/experiment/summary.go
+++ b/internal/trial/experiment/summary.go
@@ -8,7 +8,8 @@
 	"gonum.org/v1/gonum/stat/distuv"
 )
 
-// Group is what the runs of one scenario and value have in common.
+// Group summarises the outcomes of one class over the runs of one scenario and swept value. The output of the
+// program contains its field names.
 type Group struct {
 	Scenario string
 	Value    float64
@@ -20,21 +21,20 @@
 	P99      Interval // ms
 }
 
-// Interval is a mean with the bounds between which it lies with 95% confidence
-// (Student's t over seeds).
+// Interval is a mean and its 95% confidence interval (Student's t over seeds).
 type Interval struct{ Mean, Low, High float64 }
 
 func interval(values []float64) Interval {
-	mean, dev := stat.MeanStdDev(values, nil)
+	mean, deviation := stat.MeanStdDev(values, nil)
 	if len(values) < 2 {
 		return Interval{mean, mean, mean}
 	}
 	t := distuv.StudentsT{Mu: 0, Sigma: 1, Nu: float64(len(values) - 1)}.Quantile(0.975)
-	half := t * dev / math.Sqrt(float64(len(values)))
+	half := t * deviation / math.Sqrt(float64(len(values)))
 	return Interval{mean, mean - half, mean + half}
 }
 
-// Groups sums runs up by scenario, value and class, in the order of the runs.
+// Groups summarises runs by scenario, swept value and class, in the order of the runs.
 func Groups(runs []Run) (out []Group) {
 	type key struct {
 		scenario string
@@ -53,29 +53,29 @@
 		}
 	}
 	for _, k := range keys {
-		each := func(f func(Row) float64) Interval {
+		summarize := func(f func(Row) float64) Interval {
 			var values []float64
 			for _, r := range rows[k] {
 				values = append(values, f(r))
 			}
 			return interval(values)
 		}
-		share := func(n func(Row) int) Interval {
-			return each(func(r Row) float64 { return float64(n(r)) / math.Max(float64(r.Asked), 1) })
+		share := func(count func(Row) int) Interval {
+			return summarize(func(r Row) float64 { return float64(count(r)) / math.Max(float64(r.Asked), 1) })
 		}
 		out = append(out, Group{
 			Scenario: k.scenario, Value: k.value, Class: k.class, Runs: len(rows[k]),
 			InTime: share(func(r Row) int { return r.InTime }), Refused: share(func(r Row) int { return r.Refused }),
-			Failed: share(func(r Row) int { return r.Failed }), P99: each(func(r Row) float64 { return r.P99 }),
+			Failed: share(func(r Row) int { return r.Failed }), P99: summarize(func(r Row) float64 { return r.P99 }),
 		})
 	}
 	return out
 }
 
-// names are the distinct values of something, in their order.
-func names[T comparable](runs []Run, of func(Run) T) (out []T) {
+// distinct returns the distinct values of a property of runs, in the order of the runs.
+func distinct[T comparable](runs []Run, property func(Run) T) (out []T) {
 	for _, r := range runs {
-		if v := of(r); !slices.Contains(out, v) {
+		if v := property(r); !slices.Contains(out, v) {
 			out = append(out, v)
 		}
 	}
