--- a/internal/layout/layoutfile/layoutfile_test.go
+++ b/internal/layout/layoutfile/layoutfile_test.go
@@ -52,7 +52,7 @@
 // wanted.
 func TestReadReportsFaults(t *testing.T) {
 	for _, c := range []struct{ old, new, want string }{
-		{`epoch="7"`, `epoch="0"`, `l.xml:2: <layout>: found epoch="0", want a number from 1 on`},
+		{`epoch="7"`, `epoch="0"`, `l.xml:2: <layout>: found epoch="0", want a number of at least 1`},
 		{`epoch="7"`, ``, `l.xml:2: <layout>: found no attribute epoch`},
 		{`next="6"`, `next="5"`, `l.xml:1: <layout>: found segment 5: number is not assigned yet`},
 		{`zone="verona"`, `zone=""`, `l.xml:3: <searcher>: found zone="", want a name`},
@@ -72,7 +72,7 @@
 		{`</layout>`, ``, `want well-formed XML`},
 		{`</layout>`, `</layout><layout xmlns="urn:eiderwinch:layout:1"/>`, `a second layout`},
 		{validFile, ``, `found nothing, want the element layout`},
-		{`<?xml version="1.0"?>`, `<!DOCTYPE layout [<!ENTITY a "b">]>`, `no entities are read`},
+		{`<?xml version="1.0"?>`, `<!DOCTYPE layout [<!ENTITY a "b">]>`, `want no directives: entities are not supported`},
 	} {
 		text := strings.Replace(validFile, c.old, c.new, 1)
 		_, _, err := Read("l.xml", strings.NewReader(text))
