--- a/internal/admin/gatherer.go
+++ b/internal/admin/gatherer.go
@@ -28,7 +28,7 @@
 type GathererState struct {
 	Name     string           `json:"name"`
 	Epoch    layout.Epoch     `json:"epoch"`
-	Oldest   layout.Epoch     `json:"oldest"` // epoch that an open query is bound to
+	Oldest   layout.Epoch     `json:"oldest"` // oldest epoch that an open query is bound to
 	Draining bool             `json:"draining"`
 	Service  []service.Window `json:"service,omitempty"`
 }
@@ -84,7 +84,7 @@
 // FleetShare is a gatherer's share of the fleet's limits.
 type FleetShare struct {
 	Slots int       `json:"slots"` // the gatherer's own slot and those directly before it
-	Until time.Time `json:"until"` // when the share falls back to the own slot; zero: never
+	Until time.Time `json:"until"` // when the share falls back to the gatherer's own slot; zero: never
 }
 
 // FleetMember is a known member of the fleet, including one that is gone.
--- a/internal/fleet/seal/seal.go
+++ b/internal/fleet/seal/seal.go
@@ -38,7 +38,7 @@
 
 const (
 	replayWindow = 1024 // envelopes of one process that may arrive out of order
-	maxProcesses = 4096 // processes whose replay state is kept; the least recently heard one is evicted
+	maxProcesses = 4096 // processes whose replay state is kept; the least recently used one is evicted
 )
 
 // envelope is the encoded form of a sealed message.
--- a/internal/fleet/share/share.go
+++ b/internal/fleet/share/share.go
@@ -39,7 +39,7 @@
 	Slots  int // number of planned gatherers
 	Number int // own slot, from 0
 	// Lease is how long a refusal is valid. A shorter lease shortens the wait of a starting gatherer, and costs
-	// proportionally more connections to each gone slot before the own one.
+	// proportionally more connections to each gone slot before its own.
 	Lease time.Duration
 	// Window is the span over which the limits count. A slot is taken over only after it has been gone for that
 	// long, and a starting gatherer uses its slot only that long after all other running gatherers have stopped
@@ -134,10 +134,10 @@
 	settings       Settings
 	randN          func(n int64) int64 // returns a random number below n
 	readyAt        time.Time           // no slot is used before
-	questionOffset int                 // distance after the own slot of the next one to question; 0 if there is none
+	questionOffset int                 // how many places after its own slot the next one to question is; 0 if there is none
 	questionOpen   bool                // a question is in progress
 	questionTries  int                 // unanswered tries of the current question
-	slotStates     map[int]*slotState  // from the slot before the own one back to the first that is not known to be gone
+	slotStates     map[int]*slotState  // from the slot before its own back to the first one not known to be gone
 	usedUntil      map[int]time.Time   // slots used recently, and until when their use was claimed
 	counts         Counts
 }
@@ -157,15 +157,15 @@
 	return h, nil
 }
 
-// slotBefore returns the slot n places before the own one.
+// slotBefore returns the slot n places before the Holder's own slot.
 func (h *Holder) slotBefore(n int) int {
 	return ((h.settings.Number-n)%h.settings.Slots + h.settings.Slots) % h.settings.Slots
 }
 
-// distance returns how many places before the own slot another slot lies.
+// distance returns how many places before the Holder's own slot another slot is.
 func (h *Holder) distance(slot int) int { return h.slotBefore(slot) } // the calculation is its own inverse
 
-// forgetFrom drops the states of all slots at the given distance before the own slot, and beyond.
+// forgetFrom drops the states of all slots at the given distance before the Holder's own slot, and beyond.
 func (h *Holder) forgetFrom(distance int) {
 	for n := distance; n < h.settings.Slots; n++ {
 		delete(h.slotStates, h.slotBefore(n))
@@ -183,8 +183,8 @@
 	return longest*3/4 + time.Duration(h.randN(int64(longest/4)+1))
 }
 
-// Question returns the slot whose gatherer is to be asked now, at the start, about its use of the own slot. ok is
-// false if there is none. The caller must report the outcome of each question with Heard.
+// Question returns the slot whose gatherer must be asked now, while this one starts, whether it uses this one's slot.
+// ok is false if there is none. The caller must report the outcome of each question with Heard.
 func (h *Holder) Question(now time.Time) (slot int, ok bool) {
 	if h.questionOffset == 0 || h.questionOpen || !now.Before(h.readyAt) {
 		return 0, false
@@ -217,7 +217,7 @@
 	}
 }
 
-// advanceReady lets the own slot be used from t on, unless it may be used earlier.
+// advanceReady lets the gatherer use its own slot from t on, unless it may use it earlier.
 func (h *Holder) advanceReady(t time.Time) {
 	if t.Before(h.readyAt) {
 		h.readyAt = t
--- a/internal/fleet/view/bench_test.go
+++ b/internal/fleet/view/bench_test.go
@@ -16,7 +16,7 @@
 		b.Run(fmt.Sprint(size, " members"), func(b *testing.B) {
 			var start, crash, join, messages, bytes, worst, memory float64
 			losses := []float64{0.01, 0.05, 0.2}
-			doubts := make([]float64, len(losses))
+			suspicionRates := make([]float64, len(losses))
 			var before runtime.MemStats
 			runtime.GC()
 			runtime.ReadMemStats(&before)
@@ -40,7 +40,7 @@
 					sim.loss = loss
 					sim.resetSuspected()
 					sim.run(10 * time.Second)
-					doubts[k] += float64(len(sim.suspicions())) / 10 / float64(size)
+					suspicionRates[k] += float64(len(sim.suspicions())) / 10 / float64(size)
 				}
 				var now runtime.MemStats
 				runtime.GC()
@@ -56,7 +56,7 @@
 			b.ReportMetric(messages/n, "messages/s")
 			b.ReportMetric(bytes/n, "bytes/s")
 			for k, loss := range losses {
-				b.ReportMetric(doubts[k]/n, fmt.Sprintf("doubts-at-%g%%/member-s", 100*loss))
+				b.ReportMetric(suspicionRates[k]/n, fmt.Sprintf("doubts-at-%g%%/member-s", 100*loss))
 			}
 			b.ReportMetric(memory/1024, "KB/member")
 		})
--- a/internal/fleet/view/updates.go
+++ b/internal/fleet/view/updates.go
@@ -312,8 +312,8 @@
 		c.self.Incarnation.Seq = u.Incarnation.Seq + 1
 		c.announceSelf()
 	case u.Addr == c.self.Addr || u.State == Dead || u.State == Left:
-		// It is an earlier process, whose clock was ahead: no other process can be at the own address, and one that
-		// is gone does not compete for the name.
+		// It is an earlier process, whose clock was ahead: no other process can be at this member's address, and one
+		// that is gone does not compete for the name.
 		c.supersede(u.Incarnation)
 	case c.conflict == nil || c.conflict.member.Incarnation.Start < u.Incarnation.Start:
 		// It is another process, or the update is about one that no longer exists: ping it to find out.
@@ -342,7 +342,7 @@
 	c.announceSelf()
 }
 
-// conflictPings is how often another process with the own name is pinged to find out whether it exists.
+// conflictPings is how often another process with the member's name is pinged to find out whether it exists.
 const conflictPings = 5
 
 // stepDown ends the member because a newer process has its name.
--- a/internal/fleet/view/view.go
+++ b/internal/fleet/view/view.go
@@ -107,7 +107,7 @@
 	// below Probe.
 	Probe, Answer time.Duration
 	// Helpers is how many others are asked to probe a member that has not answered. More helpers find more ways
-	// round a broken link, and cost two datagrams each.
+	// around a broken link, and cost two datagrams each.
 	Helpers int
 	// Doubt is the minimum duration of a suspicion, in periods times the logarithm of the fleet's size. DoubtMost is
 	// the factor by which a suspicion that nobody confirms lasts longer. Raising them gives slow members more time to
@@ -119,8 +119,8 @@
 	Gossip time.Duration
 	Fanout int
 	Repeat int
-	// Sync is how often the full state is exchanged with one other member while all received digests match; if they
-	// don't, it is exchanged without waiting for that. Reach is how often a member that is believed dead, or a seed,
+	// Sync is how often the full state is exchanged with one other member while the received digests match; after
+	// several mismatches in a row it is exchanged at once. Reach is how often a member that is believed dead, or a seed,
 	// is contacted: that is how two halves of a partitioned fleet find each other again, and how soon.
 	Sync, Reach time.Duration
 	// Forget is how long a member that is gone is remembered. Updates about it that are older than half of that are
--- a/internal/fleet/view/view_test.go
+++ b/internal/fleet/view/view_test.go
@@ -123,7 +123,7 @@
 	}
 }
 
-// One direction of a link, or the link of one pair of members, may be broken: probes go round it through the others, and no
+// One direction of a link, or the link of one pair of members, may be broken: probes go around it through the others, and no
 // member is lost.
 func TestABrokenLinkIsBypassed(t *testing.T) {
 	for what, broken := range map[string]func(from, to string) bool{
--- a/internal/layout/layoutfile/write.go
+++ b/internal/layout/layoutfile/write.go
@@ -54,8 +54,8 @@
 	}
 )
 
-// Write writes a layout and its fleet in the form that Read accepts. The output
-// depends only on the layout and the fleet.
+// Write writes a layout and its fleet so that Read returns the same layout and fleet.
+// The same layout and fleet always give the same text.
 func Write(w io.Writer, l *layout.Layout, f layout.Fleet) error {
 	out := fileXML{Epoch: uint64(l.Epoch()), Next: uint32(l.NextID()), Replicas: max(f.Replicas, 1)}
 	for _, id := range slices.Sorted(maps.Keys(f.Zones)) {
--- a/internal/layout/reshard/planner.go
+++ b/internal/layout/reshard/planner.go
@@ -96,9 +96,9 @@
 	Why    string
 }
 
-// Window processes the load of one window and returns proposed changes, splits
-// before merges before moves. Segments that are being changed, or were changed
-// within the cooldown, are left out.
+// Window processes the load of one window and returns proposed changes, the most
+// urgent first: splits, then merges, then moves. Segments that are being changed, or
+// were changed within the cooldown, are left out.
 func (p *Planner) Window(now time.Time, l *layout.Layout, f layout.Fleet, loads map[layout.SegmentID]Load) []Proposal {
 	p.lastLoads = loads
 	maps.DeleteFunc(p.cooldownUntil, func(_ layout.SegmentID, until time.Time) bool { return !now.Before(until) })
--- a/internal/trial/standin/deployment.go
+++ b/internal/trial/standin/deployment.go
@@ -53,7 +53,8 @@
 // shares.
 var Tenants = []string{"north", "south", "west"}
 
-// callCost is a call's work beside its parts: Dixie's price of a server.
+// callCost is the fixed cost that each searcher contacted adds to a query in addition to the work of its parts, like
+// the per-server overhead in the cost model of the Dixie query planner.
 const callCost = 2 * time.Millisecond
 
 // NewDeployment starts a deployment. It runs until Close is called.
