--- a/internal/configuration/bundle/bundle.go
+++ b/internal/configuration/bundle/bundle.go
@@ -26,8 +26,8 @@
 	Layout    []byte `json:"layout"`    // XML; empty: the platform's cells assign shards to searchers
 }
 
-// MostBytes is the largest size of a bundle. A layout of 10,000 segments has about 2 MB.
-const MostBytes = 32 << 20
+// MaxBytes is the largest size of a bundle. A layout of 10,000 segments has about 2 MB.
+const MaxBytes = 32 << 20
 
 // Hash returns the BLAKE3 hash of the texts, each preceded by its length.
 func (b Bundle) Hash() change.Hash {
@@ -52,13 +52,13 @@
 // Names holds the names of the files, for messages.
 type Names struct{ Platform, Operators, Layout string }
 
-// ErrTooLarge is returned for a bundle that exceeds MostBytes.
+// ErrTooLarge is returned for a bundle that exceeds MaxBytes.
 var ErrTooLarge = errors.New("the configuration is too large")
 
 // Check parses a bundle. The error joins all faults that were found.
 func Check(b Bundle, names Names) (*Candidate, error) {
-	if size := len(b.Platform) + len(b.Operators) + len(b.Layout); size > MostBytes {
-		return nil, fmt.Errorf("%w: %d bytes, at most %d", ErrTooLarge, size, MostBytes)
+	if size := len(b.Platform) + len(b.Operators) + len(b.Layout); size > MaxBytes {
+		return nil, fmt.Errorf("%w: %d bytes, at most %d", ErrTooLarge, size, MaxBytes)
 	}
 	c := &Candidate{Bundle: b, Hash: b.Hash()}
 	var errs []error
--- a/internal/configuration/guard/guard.go
+++ b/internal/configuration/guard/guard.go
@@ -38,19 +38,19 @@
 // default.
 type Limits struct {
 	Chance          float64 // probability of undoing a change without effect, in one probation; default 0.001
-	Points          float64 // least increase of the share of queries that fare badly; default 0.05
-	Slower          float64 // least ratio of the p99 to that of the baseline; default 1.5
+	MinIncrease     float64 // least increase of the share of queries that fare badly; default 0.05
+	MinSlowdown     float64 // least ratio of the p99 to that of the baseline; default 1.5
 	BaselineSeconds int     // seconds before the change to compare with; default 60
 	RecentSeconds   int     // latest seconds after the change that are tested together; default 10
 }
 
-var defaults = Limits{Chance: 0.001, Points: 0.05, Slower: 1.5, BaselineSeconds: 60, RecentSeconds: 10}
+var defaults = Limits{Chance: 0.001, MinIncrease: 0.05, MinSlowdown: 1.5, BaselineSeconds: 60, RecentSeconds: 10}
 
 func (l Limits) withDefaults() Limits {
 	for _, at := range []struct {
 		value        *float64
 		defaultValue float64
-	}{{&l.Chance, defaults.Chance}, {&l.Points, defaults.Points}, {&l.Slower, defaults.Slower}} {
+	}{{&l.Chance, defaults.Chance}, {&l.MinIncrease, defaults.MinIncrease}, {&l.MinSlowdown, defaults.MinSlowdown}} {
 		if *at.value <= 0 {
 			*at.value = at.defaultValue
 		}
@@ -271,9 +271,9 @@
 		if n > 0 {
 			share = float64(k) / float64(n)
 		}
-		worse := n >= minQueries && share >= p+g.limits.Points && upperTail(n, k, p, dispersion) < chance
+		worse := n >= minQueries && share >= p+g.limits.MinIncrease && upperTail(n, k, p, dispersion) < chance
 		if worse && m == slow {
-			worse = c.p99(recent) >= time.Duration(g.limits.Slower*float64(c.baselineP99))
+			worse = c.p99(recent) >= time.Duration(g.limits.MinSlowdown*float64(c.baselineP99))
 		}
 		if !worse {
 			c.worseSeconds[m] = 0
--- a/internal/configuration/history/history.go
+++ b/internal/configuration/history/history.go
@@ -95,7 +95,7 @@
 		h.encoder, err = zstd.NewWriter(nil, zstd.WithEncoderConcurrency(1))
 	}
 	if err == nil {
-		h.decoder, err = zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(2*bundle.MostBytes))
+		h.decoder, err = zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(2*bundle.MaxBytes))
 	}
 	if err != nil {
 		return nil, errors.Join(fmt.Errorf("history %s: %w", path, err), db.Close())
--- a/internal/configuration/keeper/keeper.go
+++ b/internal/configuration/keeper/keeper.go
@@ -58,7 +58,7 @@
 	clockInterval = 100 * time.Millisecond // an overdue probation is noticed within this time
 	guardInterval = 250 * time.Millisecond // how often the node is asked for finished seconds
 	queueCapacity = 64                     // of the channels of requests and of swaps
-	swapTimeout   = 5 * time.Second        // the default of change.Limits.ApplyMost
+	swapTimeout   = 5 * time.Second        // the default of change.Limits.ApplyTimeout
 	endTime       = 2 * time.Second
 	// maxKeptCandidates is how many candidates of finished transactions are held in
 	// memory to be shown. Without a history on disk, only these can be shown. It also
@@ -309,7 +309,7 @@
 		for _, t := range k.machine.Txs() {
 			if t.State == change.Probation {
 				k.opts.Logger.Warn("service has regressed since a configuration change", "transaction", uint64(t.Tx), "fall", regression.String())
-				k.step(change.Fell{Tx: t.Tx, Reason: "service fell: " + regression.String()}, nil)
+				k.step(change.Fell{Tx: t.Tx, Reason: "service regressed: " + regression.String()}, nil)
 			}
 		}
 	}
--- a/internal/configuration/keeper/keeper_test.go
+++ b/internal/configuration/keeper/keeper_test.go
@@ -194,7 +194,7 @@
 		t.Errorf("generation %d is in force", n.lastGeneration())
 	}
 	s, _ := k.Status(context.Background())
-	if len(s.Falls) == 0 || !strings.Contains(s.Transactions[0].Reason, "service fell: search: 60.0%") {
+	if len(s.Falls) == 0 || !strings.Contains(s.Transactions[0].Reason, "service regressed: search: 60.0%") {
 		t.Errorf("%+v", s)
 	}
 }
--- a/internal/configuration/signature/signature.go
+++ b/internal/configuration/signature/signature.go
@@ -73,12 +73,12 @@
 	}
 	keys, seen := &Keys{}, make(map[string]bool)
 	for _, n := range root.Children {
-		if !n.Sound {
+		if !n.Valid {
 			continue
 		}
 		k := Key{Name: n.Text("name")}
 		if seen[k.Name] {
-			faults.Add(n.Line, n.Name, fmt.Sprintf("name %q twice", k.Name), "a name of its own")
+			faults.Add(n.Line, n.Name, fmt.Sprintf("name %q twice", k.Name), "each name once")
 		}
 		seen[k.Name] = true
 		for _, at := range []struct {
@@ -91,13 +91,13 @@
 			}
 		}
 		if !k.From.Before(k.Until) {
-			faults.Add(n.Line, n.Name, "until no later than from", "a key that holds for some time")
+			faults.Add(n.Line, n.Name, "until no later than from", "a key that is valid for some time")
 		}
 		value, err := base64.StdEncoding.DecodeString(n.Text("value"))
 		isBLAKE3 := n.Text("algorithm") == "blake3"
 		switch {
 		case err != nil:
-			faults.Add(n.Line, n.Name, "a value that is no base64", "base64")
+			faults.Add(n.Line, n.Name, "a value that is not base64", "base64")
 		case isBLAKE3 && len(value) == 32:
 			k.secret = value
 		case !isBLAKE3 && len(value) == ed25519.PublicKeySize:
@@ -173,7 +173,7 @@
 
 // ErrNoSecret is returned by Mac for a key that is not a shared secret: both sides of an
 // authentication code need the same key.
-var ErrNoSecret = errors.New("the key is no shared secret, want algorithm blake3")
+var ErrNoSecret = errors.New("the key is not a shared secret, want algorithm blake3")
 
 // Mac returns the authentication code of a message under a shared secret that is valid at
 // the time now. The code is valid for one purpose only; purpose must end with a newline.
--- a/internal/configuration/signature/signature_test.go
+++ b/internal/configuration/signature/signature_test.go
@@ -77,7 +77,7 @@
 		keyElement("a", "blake3", value[:31], "01-01", "02-01"), keyElement("a", "ed25519", value, "03-01", "02-01"),
 		`<key name="c" algorithm="rsa" value="x" from="x" until="y"/>`, `<key name="d" algorithm="blake3" value="?" from="x" until="y"/>`)))
 	for _, want := range []string{"k.xml:1: <key>: found a value of 31 bytes", "k.xml:2: <key>: found name \"a\" twice", "until no later than from",
-		`k.xml:3: <key>: found algorithm="rsa", want ed25519 or blake3`, "k.xml:4: <key>: found a value that is no base64", `found from="x", want a time`} {
+		`k.xml:3: <key>: found algorithm="rsa", want ed25519 or blake3`, "k.xml:4: <key>: found a value that is not base64", `found from="x", want a time`} {
 		if err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%s is missing in %v", want, err)
 		}
--- a/internal/format/settings/settings.go
+++ b/internal/format/settings/settings.go
@@ -210,22 +210,22 @@
 	}
 	f.readLive(root, faults)
 	if n := root.Child("signing"); n != nil {
-		if f.Signing = n.Text("keys"); n.Sound && f.Signing == "" {
+		if f.Signing = n.Text("keys"); n.Valid && f.Signing == "" {
 			faults.Add(n.Line, n.Name, `keys=""`, "the name of a file")
 		}
 	}
 	if n := root.Child("history"); n != nil {
-		if f.History = n.Text("file"); n.Sound && f.History == "" {
+		if f.History = n.Text("file"); n.Valid && f.History == "" {
 			faults.Add(n.Line, n.Name, `file=""`, "the name of a file")
 		}
 	}
 	f.Guard = Guard{Probation: 30 * time.Second, Auto: true}
-	if n := root.Child("guard"); n != nil && n.Sound {
-		f.Guard = Guard{n.Span("probation"), n.Flag("auto"), guard.Limits{Chance: n.Float("chance"), Points: n.Float("points"), Slower: n.Float("slower")}}
+	if n := root.Child("guard"); n != nil && n.Valid {
+		f.Guard = Guard{n.Span("probation"), n.Flag("auto"), guard.Limits{Chance: n.Float("chance"), MinIncrease: n.Float("points"), MinSlowdown: n.Float("slower")}}
 	}
 	if n := root.Child("layout"); n != nil {
 		f.Layout, f.Follow = n.Text("file"), n.Flag("follow")
-		if n.Sound && f.Layout == "" {
+		if n.Valid && f.Layout == "" {
 			faults.Add(n.Line, n.Name, `file=""`, "the name of a file")
 		}
 		if f.Follow && root.Child("admin") == nil {
@@ -251,12 +251,12 @@
 		Advertise: n.Text("advertise"), Lease: n.Span("lease"), Line: n.Line,
 	}
 	checkAddress := func(n *xmlform.Node, key, value string) {
-		if at, err := netip.ParseAddrPort(value); n.Sound && (err != nil || at.Addr().IsUnspecified()) {
+		if at, err := netip.ParseAddrPort(value); n.Valid && (err != nil || at.Addr().IsUnspecified()) {
 			faults.Add(n.Line, n.Name, fmt.Sprintf("%s=%.80q", key, value), "a numeric address that others can reach, and a port")
 		}
 	}
 	checkAddress(n, "listen", f.Listen)
-	if n.Sound && f.Keys == "" {
+	if n.Valid && f.Keys == "" {
 		faults.Add(n.Line, n.Name, `keys=""`, "the name of a file")
 	}
 	if f.Advertise != "" {
@@ -271,16 +271,16 @@
 			continue
 		}
 		number := int(s.Number("number"))
-		if _, ok := slots[number]; ok && s.Sound {
+		if _, ok := slots[number]; ok && s.Valid {
 			faults.Add(s.Line, s.Name, fmt.Sprintf("a second slot %d", number), "each number once")
 		}
-		if line, ok := lineOf[addr]; ok && s.Sound {
+		if line, ok := lineOf[addr]; ok && s.Valid {
 			faults.Add(s.Line, s.Name, fmt.Sprintf("addr=%.80q, which is on line %d too", addr, line), "a different address for each slot")
 		}
 		slots[number], lineOf[addr] = addr, s.Line
 	}
 	for i := range len(slots) {
-		if _, ok := slots[i]; !ok && n.Sound {
+		if _, ok := slots[i]; !ok && n.Valid {
 			faults.Add(n.Line, n.Name, fmt.Sprintf("%d slots without number %d", len(slots), i), "consecutive numbers from 0")
 			break
 		}
@@ -303,7 +303,7 @@
 	}
 	seen := make(map[string]int)
 	for _, n := range root.Children {
-		if n.Name != "class" || !n.Sound {
+		if n.Name != "class" || !n.Valid {
 			continue
 		}
 		c := Class{n.Text("name"), n.Span("within"), int(n.Number("attempts")), int(n.Number("open")), n.Line}
@@ -366,21 +366,21 @@
 		Poll: n.Span("poll"), Timeout: n.Span("timeout"),
 		Limits: reshard.Limits{
 			PerSearcher: int(n.Number("per-searcher")), PerZone: int(n.Number("per-zone")), Queued: int(n.Number("queued")),
-			LagMost: n.Span("lag"), FillMost: n.Span("fill-within"), Gatherer: n.Span("gatherer-lost"),
-			RateMost: n.Float("rows"), RateLeast: n.Float("rows-least"),
+			MaxLag: n.Span("lag"), FillTimeout: n.Span("fill-within"), Gatherer: n.Span("gatherer-lost"),
+			MaxRate: n.Float("rows"), MinRate: n.Float("rows-least"),
 		},
 	}
 	// At the cut-over the last report of a copy's progress must be younger than
-	// LagFresh, and reports arrive once in each poll interval.
-	c.Limits.LagFresh = max(time.Second, 2*c.Poll)
-	if n.Sound {
+	// MaxLagAge, and reports arrive once in each poll interval.
+	c.Limits.MaxLagAge = max(time.Second, 2*c.Poll)
+	if n.Valid {
 		for _, name := range []string{"log", "layout"} {
 			if n.Text(name) == "" {
 				faults.Add(n.Line, n.Name, name+`=""`, "the name of a file")
 			}
 		}
-		if c.Limits.RateLeast > c.Limits.RateMost {
-			faults.Add(n.Line, n.Name, fmt.Sprintf("rows-least=%v", c.Limits.RateLeast), fmt.Sprintf("at most rows=%v", c.Limits.RateMost))
+		if c.Limits.MinRate > c.Limits.MaxRate {
+			faults.Add(n.Line, n.Name, fmt.Sprintf("rows-least=%v", c.Limits.MinRate), fmt.Sprintf("at most rows=%v", c.Limits.MaxRate))
 		}
 		if c.Timeout+c.Poll >= c.Limits.Gatherer {
 			faults.Add(n.Line, n.Name, fmt.Sprintf("timeout=%v and poll=%v", c.Timeout, c.Poll), fmt.Sprintf("less than gatherer-lost=%v together", c.Limits.Gatherer))
@@ -388,7 +388,7 @@
 	}
 	seen := make(map[string]int)
 	for _, p := range n.Children {
-		if !p.Sound {
+		if !p.Valid {
 			continue
 		}
 		name := p.Text("name")
--- a/internal/format/settings/settings_test.go
+++ b/internal/format/settings/settings_test.go
@@ -36,7 +36,7 @@
 	c := f.Coordinator
 	if f.Admin != "unix:/run/e/admin.sock" || f.Layout != "layout.xml" || !f.Follow || c == nil ||
 		c.Log != "changes.db" || c.Measure != "search" || c.Poll != 2*time.Second || c.Timeout != 2*time.Second ||
-		c.Limits.RateMost != 500 || c.Limits.RateLeast != 200 || c.Limits.PerSearcher != 2 || c.Limits.LagFresh != 4*time.Second ||
+		c.Limits.MaxRate != 500 || c.Limits.MinRate != 200 || c.Limits.PerSearcher != 2 || c.Limits.MaxLagAge != 4*time.Second ||
 		len(c.Gatherers) != 1 || len(c.Searchers) != 2 || c.Searchers[1] != (Peer{"s1", "[::1]:7000"}) {
 		t.Errorf("have %+v with %+v", f, c)
 	}
--- a/internal/format/xmlform/format.go
+++ b/internal/format/xmlform/format.go
@@ -131,7 +131,7 @@
 		if o, ok := afterNodes.nodes[key]; ok {
 			out = append(out, diff(path+"/"+key, beforeNodes.nodes[key], o)...)
 		} else {
-			out = append(out, path+"/"+key+": taken out")
+			out = append(out, path+"/"+key+": removed")
 		}
 	}
 	for _, key := range afterNodes.keys {
--- a/internal/format/xmlform/read.go
+++ b/internal/format/xmlform/read.go
@@ -21,20 +21,20 @@
 	return fmt.Sprintf("%s:%d: <%s>: found %s, want %s", f.File, f.Line, f.Element, f.Found, f.Wanted)
 }
 
-// MostFaults bounds the number of faults that are reported of one file. Further ones
+// MaxFaults bounds the number of faults that are reported of one file. Further ones
 // are only counted.
-const MostFaults = 50
+const MaxFaults = 50
 
 // Faults collects the faults of one file.
 type Faults struct {
 	File string
 	list []error
-	more int // faults beyond MostFaults
+	more int // faults beyond MaxFaults
 }
 
 // Add records a fault.
 func (f *Faults) Add(line int, element, found, wanted string) {
-	if len(f.list) >= MostFaults {
+	if len(f.list) >= MaxFaults {
 		f.more++
 		return
 	}
@@ -57,7 +57,7 @@
 type Node struct {
 	Name     string
 	Line     int
-	Sound    bool // its own attributes are valid; its Children may not be
+	Valid    bool // its own attributes are valid; its Children may not be
 	Children []*Node
 
 	definition Element
@@ -97,7 +97,7 @@
 }
 
 // Read reads a file and adds its faults to faults. It returns the root, or nil if the
-// root could not be read. A Node with Sound false is an element whose attributes have
+// root could not be read. A Node with Valid false is an element whose attributes have
 // a fault.
 func (f *Form) Read(r io.Reader, faults *Faults) *Node {
 	x := &reader{form: f, faults: faults}
@@ -178,7 +178,7 @@
 		return false
 	}
 	node := &Node{Name: n, Line: line, definition: f.Elements[n]}
-	node.Sound = x.readAttributes(node, t.Attr)
+	node.Valid = x.readAttributes(node, t.Attr)
 	if len(x.open) == 0 {
 		x.root = node
 	} else {
--- a/internal/layout/coordinator/coordinator.go
+++ b/internal/layout/coordinator/coordinator.go
@@ -183,7 +183,7 @@
 // has changed. c.mu must be held.
 func (c *Coordinator) wakeSearchersWithNewOrders() {
 	for _, id := range c.ledger.Searchers() {
-		if c.ledger.Fresh(id) {
+		if c.ledger.OrderDue(id) {
 			c.wake(id)
 		}
 	}
@@ -237,9 +237,9 @@
 	c.mu.Lock()
 	var events []reshard.Event
 	if err != nil {
-		events = c.ledger.Missed(p.Name)
+		events = c.ledger.HandleMiss(p.Name)
 	} else {
-		events = c.ledger.Took(p.Name, r)
+		events = c.ledger.HandleReport(p.Name, r)
 	}
 	c.recordCopying()
 	fenced := c.ledger.Fenced()
@@ -306,7 +306,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.term = term
-	c.ledger = custody.New(log, term, slices.Sorted(maps.Keys(c.options.Fleet.Zones)), c.options.Limits.RateMost, custody.Limits{})
+	c.ledger = custody.New(log, term, slices.Sorted(maps.Keys(c.options.Fleet.Zones)), c.options.Limits.MaxRate, custody.Limits{})
 }
 
 // Publish implements migrate.Peers.
@@ -333,7 +333,7 @@
 // Fill implements migrate.Peers.
 func (c *Coordinator) Fill(f reshard.Fill) {
 	c.updateLedger(func(l *custody.Ledger) {
-		l.Rate(f.Rate)
+		l.SetRate(f.Rate)
 		l.Fill(f)
 		c.recordCopying()
 	})
@@ -355,7 +355,7 @@
 
 // SetRate implements migrate.Peers.
 func (c *Coordinator) SetRate(rows float64) {
-	c.updateLedger(func(l *custody.Ledger) { l.Rate(rows) })
+	c.updateLedger(func(l *custody.Ledger) { l.SetRate(rows) })
 }
 
 // Drop implements migrate.Peers. The ledger derives from the layout in force which
--- a/internal/layout/coordinator/serve.go
+++ b/internal/layout/coordinator/serve.go
@@ -67,7 +67,7 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	s.Term, s.Rows, s.Custody = c.term, c.ledger.Rows(), c.ledger.Counts()
+	s.Term, s.Rows, s.Custody = c.term, c.ledger.Rate(), c.ledger.Counts()
 	s.BaseMS = float64(c.meter.BaselineP99()) / float64(time.Millisecond)
 	for _, p := range c.options.Gatherers {
 		epoch, up := c.gathererEpochs[p.Name]
--- a/internal/layout/custody/custody.go
+++ b/internal/layout/custody/custody.go
@@ -128,8 +128,8 @@
 // log. This coordinator must then stop.
 func (l *Ledger) Fenced() bool { return l.counts.Fenced > 0 }
 
-// Rows returns the rate limit of fills in rows per second.
-func (l *Ledger) Rows() float64 { return l.rowsPerSecond }
+// Rate returns the rate limit of fills in rows per second.
+func (l *Ledger) Rate() float64 { return l.rowsPerSecond }
 
 // Down returns the searchers that do not respond, sorted.
 func (l *Ledger) Down() (out []string) {
@@ -184,8 +184,8 @@
 	return false
 }
 
-// Rate sets the rate limit of fills in rows per second.
-func (l *Ledger) Rate(rowsPerSecond float64) {
+// SetRate sets the rate limit of fills in rows per second.
+func (l *Ledger) SetRate(rowsPerSecond float64) {
 	l.rowsPerSecond = rowsPerSecond
 	for _, s := range l.searchers {
 		s.orderDue = s.orderDue || len(s.fills) > 0
@@ -229,8 +229,8 @@
 	}
 }
 
-// Fresh reports whether something has changed since the latest order to a searcher.
-func (l *Ledger) Fresh(id string) bool { return l.searchers[id].orderDue }
+// OrderDue reports whether something has changed since the latest order to a searcher.
+func (l *Ledger) OrderDue(id string) bool { return l.searchers[id].orderDue }
 
 // Order returns the next order to a searcher of the fleet.
 func (l *Ledger) Order(id string) Order {
@@ -248,10 +248,10 @@
 	return o
 }
 
-// Took records a searcher's report and returns the resulting events for the coordinator.
+// HandleReport records a searcher's report and returns the resulting events for the coordinator.
 // A report on an order other than the latest only shows that the searcher responds: it
 // says nothing about what has been ordered since.
-func (l *Ledger) Took(searcherID string, r Report) (events []reshard.Event) {
+func (l *Ledger) HandleReport(searcherID string, r Report) (events []reshard.Event) {
 	s := l.searchers[searcherID]
 	if s.down {
 		s.down = false
@@ -293,8 +293,8 @@
 	return events
 }
 
-// Missed records a failed exchange and returns the resulting events for the coordinator.
-func (l *Ledger) Missed(id string) []reshard.Event {
+// HandleMiss records a failed exchange and returns the resulting events for the coordinator.
+func (l *Ledger) HandleMiss(id string) []reshard.Event {
 	s := l.searchers[id]
 	l.counts.Misses++
 	s.misses++
--- a/internal/layout/custody/custody_test.go
+++ b/internal/layout/custody/custody_test.go
@@ -15,7 +15,7 @@
 
 func TestMain(m *testing.M) { steady.Main(m) }
 
-// fakeSearcher is a fake of a searcher: it carries out orders and reports.
+// fakeSearcher is a fake searcher: it carries out orders and reports its state.
 type fakeSearcher struct {
 	log          string
 	term, number uint64
@@ -23,7 +23,7 @@
 	fills        []Fill
 }
 
-func (m *fakeSearcher) take(o Order) Report {
+func (m *fakeSearcher) apply(o Order) Report {
 	if m.log == "" {
 		m.log = o.Log
 	}
@@ -78,7 +78,7 @@
 		var delayed []Order    // not delivered yet
 		var delayedTo []string // the searcher of each delayed order
 		pending := make(map[layout.SegmentID]layout.Change)
-		exchange := func(id string) { l.Took(id, searchers[id].take(l.Order(id))) }
+		exchange := func(id string) { l.HandleReport(id, searchers[id].apply(l.Order(id))) }
 		exchangeAll := func() {
 			for range 3 {
 				for _, id := range names {
@@ -123,20 +123,20 @@
 			"exchange": func(t *rapid.T) { exchange(rapid.SampledFrom(names).Draw(t, "searcher")) },
 			"lost answer": func(t *rapid.T) {
 				id := rapid.SampledFrom(names).Draw(t, "searcher")
-				searchers[id].take(l.Order(id))
-				l.Missed(id)
+				searchers[id].apply(l.Order(id))
+				l.HandleMiss(id)
 			},
 			"held up": func(t *rapid.T) {
 				id := rapid.SampledFrom(names).Draw(t, "searcher")
 				delayed, delayedTo = append(delayed, l.Order(id)), append(delayedTo, id)
-				l.Missed(id)
+				l.HandleMiss(id)
 			},
 			"arrives late": func(t *rapid.T) {
 				if len(delayed) == 0 {
 					t.Skip("none")
 				}
 				i := rapid.IntRange(0, len(delayed)-1).Draw(t, "order")
-				l.Took(delayedTo[i], searchers[delayedTo[i]].take(delayed[i]))
+				l.HandleReport(delayedTo[i], searchers[delayedTo[i]].apply(delayed[i]))
 			},
 			"coordinator restarts": func(t *rapid.T) {
 				if len(pending) > 0 {
@@ -177,7 +177,7 @@
 	if o := l.Order("a"); len(o.Drops) > 0 {
 		t.Errorf("dropped before a layout is known: %v", o.Drops)
 	}
-	l.Took("a", Report{Log: "x", Term: 7, Number: 1, Held: []layout.SegmentID{0, 9}})
+	l.HandleReport("a", Report{Log: "x", Term: 7, Number: 1, Held: []layout.SegmentID{0, 9}})
 	l.Publish(firstLayout(t))
 	l.Drop(reshard.Target{Segment: 9, Searcher: "a"})
 	o := l.Order("a")
@@ -185,20 +185,20 @@
 		t.Errorf("drops %v", o.Drops)
 	}
 	for i, want := range []int{0, 0, 1, 0} {
-		if got := l.Missed("a"); len(got) != want {
+		if got := l.HandleMiss("a"); len(got) != want {
 			t.Errorf("miss %d returns %v", i+1, got)
 		}
 	}
-	if got := fmt.Sprint(l.Took("a", Report{Log: "x", Term: 7, Number: 1})); got != "[{a }]" || l.Counts().Stale != 1 {
+	if got := fmt.Sprint(l.HandleReport("a", Report{Log: "x", Term: 7, Number: 1})); got != "[{a }]" || l.Counts().Stale != 1 {
 		t.Errorf("an old report returns %s, want Up only", got)
 	}
-	if got := fmt.Sprint(l.Took("a", Report{Log: "x", Term: 7, Number: 2, Held: []layout.SegmentID{0}})); got != "[{{9 a}}]" {
+	if got := fmt.Sprint(l.HandleReport("a", Report{Log: "x", Term: 7, Number: 2, Held: []layout.SegmentID{0}})); got != "[{{9 a}}]" {
 		t.Errorf("the report returns %s, want Dropped", got)
 	}
 	for name, r := range map[string]Report{"a later term": {Log: "x", Term: 8, Number: 1}, "another log": {Log: "y", Term: 7, Number: 1}} {
 		l := New("x", 7, []string{"b"}, 100, Limits{})
 		l.Order("b")
-		if l.Fenced() || len(l.Took("b", r)) > 0 || !l.Fenced() {
+		if l.Fenced() || len(l.HandleReport("b", r)) > 0 || !l.Fenced() {
 			t.Errorf("%s must fence the ledger and return no events", name)
 		}
 	}
@@ -215,7 +215,7 @@
 		t.Error("a new fill does not count as copying")
 	}
 	r := Report{Log: "x", Term: 1, Number: l.Order("a").Number, Fills: []Progress{{Job: 2, Segment: 5, Copied: true}, {Job: 3, Segment: 5, Copied: true, BehindMS: 4}}}
-	if got := l.Took("a", r); len(got) != 2 || l.Copying() {
+	if got := l.HandleReport("a", r); len(got) != 2 || l.Copying() {
 		t.Errorf("copied: %v, copying %v", got, l.Copying())
 	}
 	l.Stop(3)
--- a/internal/layout/layoutfile/read.go
+++ b/internal/layout/layoutfile/read.go
@@ -71,7 +71,7 @@
 	var lineages []layout.Lineage
 	segmentLines, lineageLines := make(map[layout.SegmentID]int), make(map[layout.SegmentID]int)
 	checkUnique := func(lineOf map[layout.SegmentID]int, n *xmlform.Node, id layout.SegmentID) {
-		if !n.Sound {
+		if !n.Valid {
 			return
 		}
 		if line, ok := lineOf[id]; ok {
@@ -83,7 +83,7 @@
 		switch n.Name {
 		case "searcher":
 			id := n.Text("id")
-			if _, exists := fleet.Zones[id]; exists && n.Sound {
+			if _, exists := fleet.Zones[id]; exists && n.Valid {
 				faults.Add(n.Line, n.Name, fmt.Sprintf("searcher %q twice", id), "one")
 			}
 			fleet.Zones[id] = n.Text("zone")
--- a/internal/layout/reshard/coordinator.go
+++ b/internal/layout/reshard/coordinator.go
@@ -63,13 +63,13 @@
 	Queued      int // most jobs that are not over, further ones are refused; 64
 	Kept        int // finished jobs that are kept and still shown; 256
 
-	LagMost   time.Duration // most that a target may be behind at the cut-over; 50 ms
-	LagFresh  time.Duration // greatest age of the lag report at the cut-over; 1 s
-	FillMost  time.Duration // time from the start of filling to the cut-over, after which a job is undone; 30 min
-	Gatherer  time.Duration // time without a report after which a gatherer has no open query left; 20 s
-	SealMost  time.Duration // longest wait for former holders to confirm that they dropped a segment; 1 min
-	RateMost  float64       // highest copy rate to one target, in rows per second; 20,000
-	RateLeast float64       // lowest copy rate, below which a copy might never finish; 200
+	MaxLag      time.Duration // most that a target may be behind at the cut-over; 50 ms
+	MaxLagAge   time.Duration // greatest age of the lag report at the cut-over; 1 s
+	FillTimeout time.Duration // time from the start of filling to the cut-over, after which a job is undone; 30 min
+	Gatherer    time.Duration // time without a report after which a gatherer has no open query left; 20 s
+	SealTimeout time.Duration // longest wait for former holders to confirm that they dropped a segment; 1 min
+	MaxRate     float64       // highest copy rate to one target, in rows per second; 20,000
+	MinRate     float64       // lowest copy rate, below which a copy might never finish; 200
 }
 
 // Two concurrent copies leave a searcher most of its cores. The longest deadline
@@ -77,9 +77,9 @@
 // than that.
 var defaultLimits = Limits{
 	PerSearcher: 2, PerZone: 8, Queued: 64, Kept: 256,
-	LagMost: 50 * time.Millisecond, LagFresh: time.Second, FillMost: 30 * time.Minute, Gatherer: 20 * time.Second,
-	SealMost: time.Minute,
-	RateMost: 20_000, RateLeast: 200,
+	MaxLag: 50 * time.Millisecond, MaxLagAge: time.Second, FillTimeout: 30 * time.Minute, Gatherer: 20 * time.Second,
+	SealTimeout: time.Minute,
+	MaxRate:     20_000, MinRate: 200,
 }
 
 func (l Limits) withDefaults() Limits {
@@ -97,16 +97,16 @@
 	setCount(&l.PerZone, defaultLimits.PerZone)
 	setCount(&l.Queued, defaultLimits.Queued)
 	setCount(&l.Kept, defaultLimits.Kept)
-	setDuration(&l.LagMost, defaultLimits.LagMost)
-	setDuration(&l.LagFresh, defaultLimits.LagFresh)
-	setDuration(&l.FillMost, defaultLimits.FillMost)
+	setDuration(&l.MaxLag, defaultLimits.MaxLag)
+	setDuration(&l.MaxLagAge, defaultLimits.MaxLagAge)
+	setDuration(&l.FillTimeout, defaultLimits.FillTimeout)
 	setDuration(&l.Gatherer, defaultLimits.Gatherer)
-	setDuration(&l.SealMost, defaultLimits.SealMost)
-	if l.RateMost <= 0 {
-		l.RateMost = defaultLimits.RateMost
+	setDuration(&l.SealTimeout, defaultLimits.SealTimeout)
+	if l.MaxRate <= 0 {
+		l.MaxRate = defaultLimits.MaxRate
 	}
-	if l.RateLeast <= 0 {
-		l.RateLeast = min(defaultLimits.RateLeast, l.RateMost)
+	if l.MinRate <= 0 {
+		l.MinRate = min(defaultLimits.MinRate, l.MaxRate)
 	}
 	return l
 }
@@ -314,7 +314,7 @@
 	return &Coordinator{
 		limits: limits, fleet: layout.Fleet{Zones: zones, Replicas: f.Replicas}, layout: l,
 		jobs: make(map[JobID]*job), down: make(map[string]bool), gatherers: make(map[string]gathererState),
-		gatherersKnownAt: now.Add(limits.Gatherer), copyRate: limits.RateMost,
+		gatherersKnownAt: now.Add(limits.Gatherer), copyRate: limits.MaxRate,
 	}
 }
 
--- a/internal/layout/reshard/coordinator_test.go
+++ b/internal/layout/reshard/coordinator_test.go
@@ -256,7 +256,7 @@
 }
 
 func TestChangeIsUndoneAfterFillTimeout(t *testing.T) {
-	w := newHarness(t, Limits{FillMost: time.Minute})
+	w := newHarness(t, Limits{FillTimeout: time.Minute})
 	id := w.submit(splitSegment1())
 	w.now = w.now.Add(time.Minute)
 	w.step(Tick{})
@@ -299,7 +299,7 @@
 	w.fillAll(id)
 	w.now = w.now.Add(defaultLimits.Gatherer) // a recovered coordinator waits for gatherers first
 	w.step(Tick{})
-	w.now = w.now.Add(defaultLimits.SealMost)
+	w.now = w.now.Add(defaultLimits.SealTimeout)
 	w.step(Tick{})
 	w.checkEqual("phase after the seal time-out", w.status(id).Phase, Done)
 	w.checkEqual("counted", w.coordinator.Counts().Unsealed, 1)
@@ -346,7 +346,7 @@
 }
 
 func TestCopyRateFollowsPressure(t *testing.T) {
-	w := newHarness(t, Limits{RateMost: 1000, RateLeast: 100})
+	w := newHarness(t, Limits{MaxRate: 1000, MinRate: 100})
 	var rates []float64
 	for _, ratio := range []float64{1.2, 1.2, 1.2, 1.2, 1.3, 1.0, 1.14} {
 		for _, x := range w.step(Pressure{ratio}).Effects {
@@ -361,7 +361,7 @@
 // checks its effects and invariants.
 func TestRecoveryAfterCrashAtAnyStep(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newHarness(t, Limits{PerSearcher: rapid.IntRange(1, 3).Draw(t, "per searcher"), Queued: 6, FillMost: time.Minute})
+		w := newHarness(t, Limits{PerSearcher: rapid.IntRange(1, 3).Draw(t, "per searcher"), Queued: 6, FillTimeout: time.Minute})
 		names := make([]string, 0, len(w.fleet.Zones))
 		for i := range len(w.fleet.Zones) {
 			names = append(names, fmt.Sprint("s", i))
--- a/internal/layout/reshard/step.go
+++ b/internal/layout/reshard/step.go
@@ -154,9 +154,9 @@
 			s.undo(j, fmt.Sprintf("searcher %s, which was being filled, is down", down))
 			return true
 		}
-		if s.now.Sub(j.fillingSince) >= c.limits.FillMost {
+		if s.now.Sub(j.fillingSince) >= c.limits.FillTimeout {
 			c.counts.Late++
-			s.undo(j, fmt.Sprintf("not cut over within %v", c.limits.FillMost))
+			s.undo(j, fmt.Sprintf("not cut over within %v", c.limits.FillTimeout))
 			return true
 		}
 	}
@@ -184,7 +184,7 @@
 		s.startSealing(j)
 		return true
 	default:
-		timedOut := s.now.Sub(j.sealingSince) >= c.limits.SealMost
+		timedOut := s.now.Sub(j.sealingSince) >= c.limits.SealTimeout
 		if len(j.dropped) < len(j.formerHolders) && !timedOut {
 			return false
 		}
@@ -342,7 +342,7 @@
 	c := s.coordinator
 	for _, t := range j.targets {
 		l, ok := j.lags[t]
-		if !ok || l.behind > c.limits.LagMost || s.now.Sub(l.receivedAt) > c.limits.LagFresh {
+		if !ok || l.behind > c.limits.MaxLag || s.now.Sub(l.receivedAt) > c.limits.MaxLagAge {
 			return false
 		}
 	}
@@ -427,9 +427,9 @@
 		rate *= rateDecreaseFactor
 		c.counts.Slowed++
 	} else {
-		rate += rateIncreaseFraction * c.limits.RateMost
+		rate += rateIncreaseFraction * c.limits.MaxRate
 	}
-	rate = min(max(rate, c.limits.RateLeast), c.limits.RateMost)
+	rate = min(max(rate, c.limits.MinRate), c.limits.MaxRate)
 	if rate != c.copyRate {
 		c.copyRate = rate
 		s.emit(SetRate{rate})
--- a/internal/layout/translate.go
+++ b/internal/layout/translate.go
@@ -39,7 +39,7 @@
 	if unchanged == len(parts) {
 		return parts, false, nil
 	}
-	t := translation{l: l, index: make(map[SegmentID]int)}
+	t := translation{layout: l, index: make(map[SegmentID]int)}
 	for _, p := range parts {
 		if err := t.add(p.Segment, p.Weight, 0); err != nil {
 			return nil, false, fmt.Errorf("segment %d: %w", p.Segment, err)
@@ -55,14 +55,14 @@
 
 // translation is the state of one call of Translate.
 type translation struct {
-	l     *Layout
-	parts []Part
-	index map[SegmentID]int // in parts
+	layout *Layout
+	parts  []Part
+	index  map[SegmentID]int // in parts
 }
 
 // add adds a part for a segment, or for its successors if it does not serve.
 func (t *translation) add(id SegmentID, weight float64, depth int) error {
-	if t.l.serves(id) {
+	if t.layout.serves(id) {
 		if i, ok := t.index[id]; ok {
 			t.parts[i].Weight += weight
 		} else {
@@ -71,14 +71,14 @@
 		}
 		return nil
 	}
-	lineage := t.l.Lineage(id)
+	lineage := t.layout.Lineage(id)
 	switch {
 	case depth > maxDepth:
 		return errLineageTooDeep
 	case lineage != nil:
-	case t.l.Segment(id) != nil:
+	case t.layout.Segment(id) != nil:
 		return ErrPreparing
-	case id < t.l.nextID:
+	case id < t.layout.nextID:
 		return ErrRemoved
 	default:
 		return ErrNoSegment
