--- a/aggregator_test.go
+++ b/aggregator_test.go
@@ -627,7 +627,7 @@
 	first := actionsOf[Send](c.turn(newQuery(1, 0, 0)))[0].Replica
 	c.turn(withStatus(okOutcome(10, 0, first), Full))
 	c.want("less may start before the query ends",
-		leastAdmissionShare(c.aggregator) < 1 && c.aggregator.openQueries[1] != nil, true)
+		lowestAdmissionShare(c.aggregator) < 1 && c.aggregator.openQueries[1] != nil, true)
 }
 
 func TestRelativeLatencyCountsLostCalls(t *testing.T) {
@@ -658,7 +658,7 @@
 	for _, s := range c.aggregator.searchers {
 		c.want("failure score of "+s.ID, s.failureScore, 0.0)
 	}
-	c.want("share", leastAdmissionShare(c.aggregator), 1.0)
+	c.want("share", lowestAdmissionShare(c.aggregator), 1.0)
 	c.want("copies", len(actionsOf[Send](actions)), 1)
 	c.want("aim of the query that waited meanwhile", c.aggregator.openQueries[2].aimAt, c.now+690*ms)
 }
@@ -716,14 +716,14 @@
 	for c.aggregator.openQueries[1] != nil {
 		c.after(20 * ms)
 	}
-	c.want("share while other calls are quick", leastAdmissionShare(c.aggregator), 1.0)
+	c.want("share while other calls are quick", lowestAdmissionShare(c.aggregator), 1.0)
 	c = startAggregator(t, testSettings())
 	c.turn(newQuery(2, 0, 1, 3))
 	c.aggregator.classes[0].typicalLatency = float64(600 * ms)
 	for c.aggregator.openQueries[2] != nil {
 		c.after(20 * ms)
 	}
-	c.want("reduced once all calls are slow", leastAdmissionShare(c.aggregator) < 1, true)
+	c.want("reduced once all calls are slow", lowestAdmissionShare(c.aggregator) < 1, true)
 }
 
 func TestCrashesDoNotStopOtherQueries(t *testing.T) {
@@ -776,7 +776,7 @@
 		c.after(5*ms, withStatus(okOutcome(id, len(p.attempts)-1, p.attempts[len(p.attempts)-1].searcher.ID), Full))
 	}
 	c.want("long before the aim", c.now < 100_500*ms, true)
-	c.want("admission is reduced", leastAdmissionShare(c.aggregator) < 1, true)
+	c.want("admission is reduced", lowestAdmissionShare(c.aggregator) < 1, true)
 }
 
 func TestAllQueriesOfALargeTurnAreAnswered(t *testing.T) {
@@ -905,8 +905,8 @@
 	}
 }
 
-// leastAdmissionShare returns the least admission share of all replica groups.
-func leastAdmissionShare(a *Aggregator) float64 {
+// lowestAdmissionShare returns the least admission share of all replica groups.
+func lowestAdmissionShare(a *Aggregator) float64 {
 	least := 1.0
 	for shard := range a.settings.Shards {
 		least = min(least, a.replicaGroup(Part{Shard: shard}).admissionShare)
--- a/api.go
+++ b/api.go
@@ -46,7 +46,7 @@
 	Cells          int // shard s is held by cells (s+j) mod Cells, for j from 0 to Reach-1
 	Reach          int
 	Batch          int           // most parts in one call
-	CallCost       time.Duration // work of a call beside that of its parts
+	CallCost       time.Duration // work of a call in addition to that of its parts
 	WarmKeys       bool          // a replica does less work for a key that it has met recently
 	CrossZoneCosts bool          // attempts that cross zones have a price
 	AskForList     bool          // the member list comes only after Subscribe
--- a/assignment.go
+++ b/assignment.go
@@ -113,13 +113,14 @@
 	return covered
 }
 
-// isHealthy reports whether a searcher may be given a part as far as its state is concerned.
+// isHealthy reports whether a searcher is listed, has no overdue part and is not ejected. Whether it may
+// get a given part depends on more, see isEligible.
 func (a *Aggregator) isHealthy(s *searcher) bool { return s.listed && !s.hasOverduePart && !s.ejected }
 
 // load returns the number of a searcher's parts in flight plus one, or a share of its queue if that is
-// more and was reported recently, since other aggregators have filled the queue. The number is multiplied
-// by the relative latency less one if that is above 1: calls of up to twice the typical latency are
-// chance.
+// more and was reported recently, since other aggregators have filled the queue. For a searcher whose
+// calls take more than twice the typical latency the number is multiplied by its relative latency minus
+// one. Calls of up to twice the typical latency occur by chance.
 func (a *Aggregator) load(s *searcher) float64 {
 	n := float64(len(s.inFlight) + 1)
 	if a.hasCurrentReport(s) {
@@ -148,7 +149,7 @@
 	if inFlight {
 		return false
 	}
-	leastLoad, anyHealthy := a.load(searcher), false
+	minLoad, anyHealthy := a.load(searcher), false
 	for _, other := range a.replicasOf(part) {
 		if !a.isHealthy(other) || !a.hasColdCapacity(other, a.settings.CallCost) {
 			continue
@@ -156,10 +157,10 @@
 		if otherInFlight, otherEnded := part.attemptsAt(other); ended && !otherInFlight && !otherEnded {
 			return false
 		}
-		leastLoad, anyHealthy = min(leastLoad, a.load(other)), true
+		minLoad, anyHealthy = min(minLoad, a.load(other)), true
 	}
 	if a.isHealthy(searcher) {
-		return a.load(searcher) <= leastLoad+1
+		return a.load(searcher) <= minLoad+1
 	}
 	if !anyHealthy {
 		return !searcher.ejected ||
@@ -172,9 +173,9 @@
 // hasColdCapacity reports whether a searcher is warm, or whether this aggregator's share of the capacity
 // that a cold searcher certainly has, with at least one core, has room for more work. Among many
 // aggregators an equal share is less than one call. They then take turns, by their numbers and those that
-// Share gives, and as many have their turn at a time as can each send one call. This protects a searcher
-// that has just started from the sum of all aggregators. If all turns were used, a searcher with one core
-// could be overloaded.
+// Share gives, and the capacity allows one call for each aggregator that has its turn. This protects a
+// searcher that has just started from the sum of all aggregators. If all turns were used, a searcher with
+// one core could be overloaded, see coldOvercommit.
 func (a *Aggregator) hasColdCapacity(searcher *searcher, more time.Duration) bool {
 	age := a.now - searcher.Started
 	if searcher.Started <= 0 || a.settings.ColdFor <= 0 || age >= a.settings.ColdFor {
@@ -193,7 +194,7 @@
 		searcher.relativeLatency < 1+latencyMargin {
 		capacity *= quickColdFactor
 	}
-	// The number of gatherers that may send at a time: as many as can each send one call.
+	// The number of gatherers that may send at the same time: the capacity allows one call for each.
 	senders := min(
 		max(int(capacity/float64(a.settings.CallCost+a.estimatedWork(nil))), 1), a.settings.Brokers)
 	position := a.settings.Number + int(stableHash("", searcher.ID)%uint64(a.settings.Brokers))
--- a/completion.go
+++ b/completion.go
@@ -149,9 +149,9 @@
 
 // isTooLateForCall reports whether a query has too little time left for a call.
 func (a *Aggregator) isTooLateForCall(q *query) bool {
-	least := max(time.Duration(minTimeLeftRatio*q.class.typicalLatency), a.settings.CallCost)
+	minLeft := max(time.Duration(minTimeLeftRatio*q.class.typicalLatency), a.settings.CallCost)
 	if q.startedAt == 0 {
-		least = max(least, min(time.Duration(q.class.typicalQueryTime), q.class.Aim/overdueMaxAimDivisor))
+		minLeft = max(minLeft, min(time.Duration(q.class.typicalQueryTime), q.class.Aim/overdueMaxAimDivisor))
 	}
-	return q.endAt-a.now < least
+	return q.endAt-a.now < minLeft
 }
--- a/example_test.go
+++ b/example_test.go
@@ -39,7 +39,7 @@
 		eiderwinch.Outcome{Part: 2, Replica: "s1", Status: eiderwinch.OK, Took: 20 * time.Millisecond},
 		eiderwinch.Outcome{Part: 3, Replica: "s1", Status: eiderwinch.OK, Took: 20 * time.Millisecond},
 	}))
-	// The class has a second step: its parts come after the first answer, and one more answer is owed.
+	// The class has a second step: its parts come after the first answer, and one more answer is due.
 	now += 5 * time.Millisecond
 	show(a.Turn(now, []eiderwinch.Event{
 		eiderwinch.SecondStep{Query: 1, Parts: []eiderwinch.Part{{ID: 4, Shard: 1, Weight: 1}}},
--- a/health.go
+++ b/health.go
@@ -48,8 +48,8 @@
 // waitLimit returns a multiple of the typical latency of a class's calls, bounded by fractions of its
 // aim.
 func (a *Aggregator) waitLimit(c *class, factor float64) time.Duration {
-	least := a.capWait(c.Aim/overdueMinAimDivisor, overdueCapFactor)
-	return min(max(time.Duration(c.typicalLatency*factor), least), c.Aim/overdueMaxAimDivisor)
+	minWait := a.capWait(c.Aim/overdueMinAimDivisor, overdueCapFactor)
+	return min(max(time.Duration(c.typicalLatency*factor), minWait), c.Aim/overdueMaxAimDivisor)
 }
 
 // capWait bounds a wait that is derived from an aim by a multiple of the typical latency. Without the
--- a/state.go
+++ b/state.go
@@ -397,11 +397,11 @@
 	if p != nil {
 		return time.Duration(p.query.class.partWork)
 	}
-	most := 0.0
+	maxWork := 0.0
 	for _, c := range a.classes {
-		most = max(most, c.partWork)
+		maxWork = max(maxWork, c.partWork)
 	}
-	return time.Duration(most)
+	return time.Duration(maxWork)
 }
 
 // replicasOf returns the searchers that hold a part's shard, by ID.
@@ -482,7 +482,8 @@
 	}
 }
 
-// stableHash orders the searchers for a key pseudo-randomly, in the same order at all aggregators.
+// stableHash returns the hash by which the searchers are ordered for a key. The order is pseudo-random, and
+// the same at all aggregators.
 func stableHash(key, id string) uint64 {
 	h := fnv.New64a()
 	h.Write([]byte(key + "\x00" + id))
