--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -54,21 +54,22 @@
 }
 
 // Live returns the settings that a running gatherer takes from a candidate, as the
-// given generation.
+// given generation. Values in c.File.Live that are not zero override the limits in
+// c.Config.
 func Live(c *bundle.Candidate, gen change.Generation) netio.Live {
-	limits, own := c.Config.Settings.Limits, c.File.Live
-	core := &gatherer.Live{Generation: uint64(gen), MaxOpen: cmp.Or(own.Admission.Open, limits.MaxOpen)}
+	limits, overrides := c.Config.Settings.Limits, c.File.Live
+	core := &gatherer.Live{Generation: uint64(gen), MaxOpen: cmp.Or(overrides.Admission.Open, limits.MaxOpen)}
 	core.Classes = make([]gatherer.ClassLimits, len(c.Config.Settings.Module.Classes))
 	for i, k := range c.Config.Settings.Module.Classes {
-		for _, o := range own.Classes {
+		for _, o := range overrides.Classes {
 			if o.Name == k.Name {
 				core.Classes[i] = gatherer.ClassLimits{Within: o.Within, Attempts: o.Attempts, Open: o.Open}
 			}
 		}
 	}
 	return netio.Live{
-		Core: core, Multiplex: cmp.Or(own.Pools.Multiplex, limits.Multiplex),
-		ConnectTimeout: cmp.Or(own.Pools.ConnectTimeout, limits.ConnectTimeout), ConnIdle: cmp.Or(own.Pools.Idle, limits.ConnIdle),
+		Core: core, Multiplex: cmp.Or(overrides.Pools.Multiplex, limits.Multiplex),
+		ConnectTimeout: cmp.Or(overrides.Pools.ConnectTimeout, limits.ConnectTimeout), ConnIdle: cmp.Or(overrides.Pools.Idle, limits.ConnIdle),
 		Discovery: c.Config.Discovery, Layout: c.Layout,
 	}
 }
--- a/internal/follow/follow.go
+++ b/internal/follow/follow.go
@@ -6,8 +6,8 @@
 // the list comes from an agent on the gatherer's own machine, from the moment at which the
 // agent has the update. Settings.Grace later nothing may be sent to the searcher any more.
 // So a Follower that has lost its watch sends the next request within a fraction of that
-// grace, and does not wait until a request has failed: requests that hang stay open beside
-// the next ones, and the first one that receives an update is used.
+// grace, and does not wait until a request has failed: requests that hang stay open along
+// with the next ones, and the first one that receives an update is used.
 //
 // If all gatherers request the list from one shared service (Settings.Pushed is false),
 // each request costs that service work, and the gatherer counts as notified later. In that
@@ -56,18 +56,18 @@
 // Settings configure a Follower.
 type Settings struct {
 	Pushed  bool          // an agent on this machine has the list, and requests to it cost nothing
-	Grace   time.Duration // how long a searcher may be sent something after the notification that it leaves
+	Grace   time.Duration // how long attempts may still be sent to a searcher after the notification that it is leaving
 	Within  time.Duration // not Pushed: the maximum time without a watch; 0 means that none is set
 	Clients int           // gatherers in the fleet
 	Seed    uint64
 }
 
-// Ask identifies one request to discovery, which has a connection of its own.
-type Ask uint64
+// RequestID identifies one request to discovery, which has a connection of its own.
+type RequestID uint64
 
 // request is an open request.
 type request struct {
-	id           Ask
+	id           RequestID
 	opened       time.Time
 	lastReceived time.Time // when it last showed that it is alive; zero if it has not yet
 }
@@ -78,7 +78,7 @@
 	rng         *rand.Rand
 	backoff     *backoff.Backoff
 	requests    []request // oldest first
-	lastID      Ask
+	lastID      RequestID
 	nextRequest time.Time // when to send the next request, if no watch is alive
 	lostSince   time.Time // since when no watch is alive; zero while one is
 }
@@ -132,9 +132,10 @@
 	return due
 }
 
-// Run returns the requests that the caller closes and, if it is to send a further one, the
-// id of that; 0 if not. The new request counts as open until Lost or a later Run ends it.
-func (f *Follower) Run(now time.Time) (open Ask, drop []Ask) {
+// Run returns the ID of a request that the caller must send now, or 0 if it must send none,
+// and the IDs of those that it must close. The new request counts as open until RequestEnded
+// or a later Run ends it.
+func (f *Follower) Run(now time.Time) (open RequestID, drop []RequestID) {
 	f.requests = slices.DeleteFunc(f.requests, func(r request) bool {
 		expired := !now.Before(f.expires(r))
 		if expired {
@@ -173,24 +174,24 @@
 	return longest/2 + time.Duration(f.rng.Int64N(int64(longest/2)+1))
 }
 
-// Heard records that a request has shown that it is alive. No further one is opened then;
-// those that are open stay so until one receives more.
-func (f *Follower) Heard(id Ask, now time.Time) {
+// MarkAlive records that a request has shown that it is alive. No further request is sent then;
+// the open ones stay open until one of them receives an update.
+func (f *Follower) MarkAlive(id RequestID, now time.Time) {
 	if i := f.index(id); i >= 0 {
 		f.requests[i].lastReceived = now
 		f.lostSince = time.Time{}
 	}
 }
 
-// Brought records that a request has received an update, or the empty line that says that
-// there is none. That request is the watch from then on. Brought returns all others, which
-// the caller closes.
-func (f *Follower) Brought(id Ask, now time.Time) (drop []Ask) {
+// RecordUpdate records that a request has received an update, or the empty line that says that
+// there is none. That request is the watch from then on. RecordUpdate returns the IDs of all
+// others, which the caller must close.
+func (f *Follower) RecordUpdate(id RequestID, now time.Time) (drop []RequestID) {
 	i := f.index(id)
 	if i < 0 {
 		return nil
 	}
-	f.Heard(id, now)
+	f.MarkAlive(id, now)
 	r := f.requests[i]
 	for _, other := range f.requests {
 		if other.id != id {
@@ -202,8 +203,8 @@
 	return drop
 }
 
-// Lost records that a request could not be opened or has ended.
-func (f *Follower) Lost(id Ask, now time.Time) {
+// RequestEnded records that a request could not be opened or has ended.
+func (f *Follower) RequestEnded(id RequestID, now time.Time) {
 	i := f.index(id)
 	if i < 0 {
 		return
@@ -221,8 +222,8 @@
 	}
 }
 
-// maxWait returns the maximum wait for the next call to a shared service after one that
-// has ended.
+// maxWait returns the maximum wait for the next call to a shared service after one that was
+// refused or has ended.
 func (f *Follower) maxWait() time.Duration {
 	if f.settings.Within > 0 {
 		return min(f.settings.Within/2, maxWaitAfterRefusal)
@@ -230,6 +231,6 @@
 	return maxWaitAfterRefusal
 }
 
-func (f *Follower) index(id Ask) int {
+func (f *Follower) index(id RequestID) int {
 	return slices.IndexFunc(f.requests, func(r request) bool { return r.id == id })
 }
--- a/internal/follow/follow_test.go
+++ b/internal/follow/follow_test.go
@@ -21,15 +21,15 @@
 var began = time.Unix(1000, 0)
 
 // fakeAgent is a fake of discovery that drives a Follower in virtual time. A request that is sent while it is
-// silent is answered once it is silent no more, or never if losesRequests is set.
+// silent is answered once it is no longer silent, or never if losesRequests is set.
 type fakeAgent struct {
 	follower      *Follower
 	now           time.Time
 	silent        bool // sends nothing
 	refuses       bool // ends each request at once
 	losesRequests bool
-	delay         time.Duration     // of the dial and the answer
-	open          map[Ask]time.Time // requests, by the time of their start
+	delay         time.Duration           // of the dial and the answer
+	open          map[RequestID]time.Time // requests, by the time of their start
 	requested     []time.Time
 	lastUpdate    time.Time // when the Follower last received anything
 	lastHeartbeat time.Time
@@ -38,7 +38,7 @@
 func newFakeAgent(clients int, seed uint64) *fakeAgent {
 	return &fakeAgent{
 		follower: New(Settings{Pushed: true, Grace: grace, Clients: clients, Seed: seed}, began),
-		now:      began, lastHeartbeat: began, open: make(map[Ask]time.Time), delay: ms,
+		now:      began, lastHeartbeat: began, open: make(map[RequestID]time.Time), delay: ms,
 	}
 }
 
@@ -56,7 +56,7 @@
 		case a.silent:
 		case a.follower.requests[i].lastReceived.IsZero() && a.now.Sub(since) >= a.delay, heartbeat && !a.follower.requests[i].lastReceived.IsZero():
 			a.lastUpdate = a.now
-			a.drop(a.follower.Brought(id, a.now))
+			a.drop(a.follower.RecordUpdate(id, a.now))
 		}
 	}
 	if a.now.Before(a.follower.Due()) {
@@ -73,14 +73,14 @@
 	a.requested = append(a.requested, a.now)
 	switch {
 	case a.refuses:
-		a.follower.Lost(id, a.now)
+		a.follower.RequestEnded(id, a.now)
 	case a.silent && a.losesRequests:
 	default:
 		a.open[id] = a.now
 	}
 }
 
-func (a *fakeAgent) drop(ids []Ask) {
+func (a *fakeAgent) drop(ids []RequestID) {
 	for _, id := range ids {
 		delete(a.open, id)
 	}
@@ -157,12 +157,12 @@
 // reset ends all open requests.
 func (a *fakeAgent) reset() {
 	for id := range a.open {
-		a.follower.Lost(id, a.now)
+		a.follower.RequestEnded(id, a.now)
 	}
 	clear(a.open)
 }
 
-// Several requests may be alive, each with its own time of the last data: Due goes by the latest. With an
+// Several requests may be alive, each with its own time of the last data: Due uses the latest. With an
 // earlier one Run would be due again at once, and the event loop would spin.
 func TestDueWithTwoLiveWatches(t *testing.T) {
 	f := New(Settings{Pushed: true, Grace: grace, Seed: 1}, began)
@@ -171,8 +171,8 @@
 	if b == 0 {
 		t.Fatal("no second request")
 	}
-	f.Heard(b, began.Add(300*ms))
-	f.Heard(a, began.Add(400*ms))
+	f.MarkAlive(b, began.Add(300*ms))
+	f.MarkAlive(a, began.Add(400*ms))
 	if due, want := f.Due(), began.Add(400*ms+silenceTimeout); !due.Equal(want) {
 		t.Errorf("due after %v, want %v", due.Sub(began), want.Sub(began))
 	}
@@ -184,13 +184,13 @@
 	for _, refuses := range []bool{false, true} {
 		a := newFakeAgent(350, 1)
 		a.silent, a.refuses = true, refuses
-		mostOpen := 0
+		maxOpen := 0
 		for a.now.Sub(began) < time.Minute {
 			a.step()
-			mostOpen = max(mostOpen, len(a.follower.requests))
+			maxOpen = max(maxOpen, len(a.follower.requests))
 		}
-		if n := len(a.requested); n > 60*11 || n < 60*5 || mostOpen > maxOpenRequests {
-			t.Errorf("%d requests in a minute, %d open at once", n, mostOpen)
+		if n := len(a.requested); n > 60*11 || n < 60*5 || maxOpen > maxOpenRequests {
+			t.Errorf("%d requests in a minute, %d open at once", n, maxOpen)
 		}
 		if slices.Equal(intervals(a.requested[:10]), intervals(firstRequests(2, refuses))) {
 			t.Error("two gatherers send their requests at the same times")
@@ -221,8 +221,8 @@
 	for seed := range uint64(clients) {
 		f := New(Settings{Grace: grace, Within: within, Clients: clients, Seed: seed}, began)
 		id, _ := f.Run(began)
-		f.Brought(id, began)
-		f.Lost(id, began)
+		f.RecordUpdate(id, began)
+		f.RequestEnded(id, began)
 		at = append(at, f.Due().Sub(began))
 	}
 	slices.Sort(at)
@@ -231,7 +231,7 @@
 	}
 	silent := New(Settings{Grace: grace, Within: within, Clients: clients, Seed: 1}, began)
 	id, _ := silent.Run(began)
-	silent.Brought(id, began)
+	silent.RecordUpdate(id, began)
 	silent.Run(silent.Due())
 	if due := silent.Due().Sub(began); due < silenceTimeout || due+queueTimeout > silentNotifyDelay {
 		t.Errorf("the request after a silent watch is sent after %v", due)
@@ -243,17 +243,17 @@
 func TestSharedServiceIsCalledBeforeNotificationCounts(t *testing.T) {
 	for _, clients := range []int{1, 3, 300, 1024} {
 		for name, c := range map[string]struct {
-			fail func(f *Follower, id Ask, now time.Time) (reached time.Time) // of a call that begins now
+			fail func(f *Follower, id RequestID, now time.Time) (reached time.Time) // of a call that begins now
 		}{
-			"refused": {func(f *Follower, id Ask, now time.Time) time.Time { f.Lost(id, now); return now }},
-			"failed after its time in the queue": {func(f *Follower, id Ask, now time.Time) time.Time {
-				f.Lost(id, now.Add(queueTimeout))
+			"refused": {func(f *Follower, id RequestID, now time.Time) time.Time { f.RequestEnded(id, now); return now }},
+			"failed after its time in the queue": {func(f *Follower, id RequestID, now time.Time) time.Time {
+				f.RequestEnded(id, now.Add(queueTimeout))
 				return now.Add(queueTimeout)
 			}},
-			"given up": {func(_ *Follower, _ Ask, now time.Time) time.Time { return now }},
-			"a watch that ends": {func(f *Follower, id Ask, now time.Time) time.Time {
-				f.Brought(id, now)
-				f.Lost(id, now)
+			"given up": {func(_ *Follower, _ RequestID, now time.Time) time.Time { return now }},
+			"a watch that ends": {func(f *Follower, id RequestID, now time.Time) time.Time {
+				f.RecordUpdate(id, now)
+				f.RequestEnded(id, now)
 				return now
 			}},
 		} {
--- a/internal/follow/leaving_test.go
+++ b/internal/follow/leaving_test.go
@@ -17,11 +17,11 @@
 
 // fakeDiscovery is a fake of discovery at one address, with the list and the revisions that it knows.
 type fakeDiscovery struct {
-	name         string // unique: a fake that is set up anew gets another one
+	name         string // unique: a fake that is created again gets another one
 	revision     int64
 	members      map[string]catalog.Member
-	changed      map[string]int64  // the revision of each member's last change
-	requests     map[Ask]time.Time // open ones, by the time of their start
+	changed      map[string]int64        // the revision of each member's last change
+	requests     map[RequestID]time.Time // open ones, by the time of their start
 	follower     *Follower
 	readRevision int64 // the last revision that the gatherer has read here
 	unread       bool  // the gatherer has read nothing here yet
@@ -44,7 +44,7 @@
 	current       int  // the index of the discovery in use
 	moving        bool // the list is requested from the other discovery, too
 	silent        bool
-	pendingDrains []string             // searchers that discovery reports as leaving when it is silent no more
+	pendingDrains []string             // searchers that discovery reports as leaving once it is no longer silent
 	notified      map[string]time.Time // since when the gatherer counts as notified that a searcher leaves
 	left          map[string]time.Time // when searchers began to leave
 	members       map[string]catalog.Member
@@ -113,7 +113,7 @@
 
 func (w *simulation) follow(k int, revision int64, unread bool) {
 	a := w.discoveries[k]
-	a.follower, a.requests, a.readRevision, a.unread = New(w.settings, w.now), make(map[Ask]time.Time), revision, unread
+	a.follower, a.requests, a.readRevision, a.unread = New(w.settings, w.now), make(map[RequestID]time.Time), revision, unread
 }
 
 // list returns the complete list, or the changes since a revision.
@@ -127,7 +127,7 @@
 	return u
 }
 
-// stepDiscovery has one discovery answer what is open, and its Follower send what is due.
+// stepDiscovery makes one discovery answer its open requests, and its Follower send the requests that are due.
 func (w *simulation) stepDiscovery(k int, heartbeat bool) {
 	a := w.discoveries[k]
 	for id, since := range a.requests {
@@ -147,7 +147,7 @@
 			w.apply(eiderwinch.Changes, k, u)
 		}
 		a.readRevision = a.revision
-		for _, other := range a.follower.Brought(id, w.now) {
+		for _, other := range a.follower.RecordUpdate(id, w.now) {
 			delete(a.requests, other)
 		}
 		w.silentSince, w.lastReceived = time.Time{}, w.now
@@ -219,7 +219,7 @@
 	}
 }
 
-// drain has a searcher leave. notified is the earliest time at which the gatherer counts as notified of that.
+// drain makes a searcher leave. notified is the earliest time at which the gatherer counts as notified of that.
 func (w *simulation) drain(id string, notified time.Time) {
 	if w.silent {
 		w.pendingDrains = append(w.pendingDrains, id)
@@ -273,7 +273,7 @@
 			case "reset":
 				a := w.discoveries[w.current]
 				for requestID := range a.requests {
-					a.follower.Lost(requestID, w.now)
+					a.follower.RequestEnded(requestID, w.now)
 				}
 				clear(a.requests)
 			case "deaf": // the gatherer counts as notified of what an open watch misses 6 s later
--- a/internal/gatherer/attempts.go
+++ b/internal/gatherer/attempts.go
@@ -35,9 +35,9 @@
 // Decided returns the time of the turn in which the aggregator decided on the attempt.
 func (a *Attempt) Decided() time.Time { return a.decidedAt }
 
-// MayGoAgain reports whether the attempt's part may be sent again: it is not answered, and its
+// MayRetry reports whether the attempt's part may be sent again: it is not answered, and its
 // query is still open.
-func (a *Attempt) MayGoAgain() bool { return !a.part.removed && !a.part.answered }
+func (a *Attempt) MayRetry() bool { return !a.part.removed && !a.part.answered }
 
 // PartID returns the ID of the attempt's part as sent to searchers: the query's trace, the
 // shard, and ".b" in a second step. All attempts of a part have the same ID.
@@ -50,7 +50,7 @@
 }
 
 // startAttempt starts one attempt. Whatever the aggregator decided, it rejects a send
-// that would break a rule: for a removed part, beside another attempt in flight unless
+// that would break a rule: for a removed part, while another attempt is in flight unless
 // maySendSecondCopy allows it, beyond the limit on attempts, to a searcher that does not
 // hold the part's segment in the query's epoch, or to one that is not ready. It sends
 // nothing for a client that has disconnected either.
--- a/internal/gatherer/core.go
+++ b/internal/gatherer/core.go
@@ -126,7 +126,7 @@
 	openCount      int                 // number of open queries plus their parts
 	members        map[string]member
 	startTimes     startTimes
-	unconfirmed    []eiderwinch.Replica // ready entries of a stale member list with the start times listed there, see Believe
+	unconfirmed    []eiderwinch.Replica // ready entries of a stale member list with the start times listed there, see ConfirmMembers
 	liveSettings   *Live
 	openByClass    []int // number of open queries by class
 	layout         *layout.Layout
--- a/internal/gatherer/intake.go
+++ b/internal/gatherer/intake.go
@@ -169,7 +169,7 @@
 	}
 	event := eiderwinch.ListChange{Kind: kind}
 	listed := make(map[string]bool)
-	var unconfirmed []eiderwinch.Replica // for Believe
+	var unconfirmed []eiderwinch.Replica // for ConfirmMembers
 	c.startTimes.detectClockStep(now)
 	for _, m := range list {
 		started := c.startTimes.toMonotonic(now, m.Started, c.members[m.ID])
@@ -199,11 +199,11 @@
 	c.addEvent(now, event)
 }
 
-// Believe confirms the member list that the gatherer started with, because discovery has reported
+// ConfirmMembers confirms the member list that the gatherer started with, because discovery has reported
 // no changes to it or stays silent. Until then each ready searcher in it counts as started at this
 // gatherer's own start: the list does not show starts since it was made, and this gatherer counts as
 // notified of those from its first moment on.
-func (c *Core) Believe(now time.Time) {
+func (c *Core) ConfirmMembers(now time.Time) {
 	if len(c.unconfirmed) > 0 {
 		c.addEvent(now, eiderwinch.ListChange{Kind: eiderwinch.Changes, Replicas: c.unconfirmed})
 		c.unconfirmed = nil
--- a/internal/gatherer/start_times.go
+++ b/internal/gatherer/start_times.go
@@ -11,7 +11,7 @@
 )
 
 // startTimes converts the start times of searchers, which are reported as Unix times, to the monotonic clock.
-// The wall clock may be stepped while the process runs; a Unix time then no longer tells how long ago a start was.
+// The wall clock may be stepped while the process runs; how long ago a start was can then not be derived from its Unix time.
 type startTimes struct {
 	wallClock func(now time.Time) time.Time // returns the wall clock's reading at now
 	origin    time.Time
--- a/internal/limit/table.go
+++ b/internal/limit/table.go
@@ -9,10 +9,10 @@
 // can affect a client that did nothing wrong:
 //
 //  1. Notice. Before each answer the caller asks Notice whether the connection
-//     should end with it. With Bounds.Soft or more idle connections that holds
-//     for those that have carried one request only, with Bounds.Firm or more
-//     for all. The client reads "Connection: close" together with its answer
-//     (RFC 9112, section 9.6), so there is no race.
+//     should end with it. If Bounds.Soft or more connections are idle, each one
+//     ends that has carried one request only; if Bounds.Firm or more are idle,
+//     each one ends. The client reads "Connection: close" together with its
+//     answer (RFC 9112, section 9.6), so there is no race.
 //  2. Trim. While Bounds.Soft or more connections are idle, those idle for
 //     Bounds.KeptFor or longer are closed, the longest idle first. Otherwise
 //     clients that send one request and keep the connection open would take
@@ -130,8 +130,8 @@
 // Stage returns the connection's stage.
 func (s *Seat[T]) Stage() Stage { return s.stage }
 
-// Asked returns the number of requests answered on the connection.
-func (s *Seat[T]) Asked() int { return s.answered }
+// Answered returns the number of requests answered on the connection.
+func (s *Seat[T]) Answered() int { return s.answered }
 
 // Since returns the time at which the connection entered its stage.
 func (s *Seat[T]) Since() time.Time { return s.joined[stageList] }
@@ -327,7 +327,8 @@
 // OverLimit reports whether the table holds more connections than Bounds.Hard.
 func (t *Table[T]) OverLimit() bool { return t.held > t.bounds.Hard }
 
-// maxCandidates is the number of connections of one rank that Victim considers.
+// maxCandidates is the number of connections of one rank that Victim considers:
+// each call of skip costs a system call.
 const maxCandidates = 4
 
 // Victim chooses the connection to evict for newest, and returns its rank. skip
--- a/internal/limit/table_test.go
+++ b/internal/limit/table_test.go
@@ -202,8 +202,8 @@
 				counts := make(map[Stage]int)
 				for _, p := range m.conns {
 					counts[p.stage]++
-					if p.seat.Stage() != p.stage || p.seat.Asked() != p.answered || !p.seat.InTable() {
-						t.Fatalf("seat %d has stage %v, %d requests answered", p.seat.Owner, p.seat.Stage(), p.seat.Asked())
+					if p.seat.Stage() != p.stage || p.seat.Answered() != p.answered || !p.seat.InTable() {
+						t.Fatalf("seat %d has stage %v, %d requests answered", p.seat.Owner, p.seat.Stage(), p.seat.Answered())
 					}
 					idle := m.idle()
 					notice := idle >= b.Firm || idle >= b.Soft && p.answered == 0
--- a/internal/netio/clientconn.go
+++ b/internal/netio/clientconn.go
@@ -100,9 +100,10 @@
 	c.processRequests()
 }
 
-// recordArrival records when data was received. All data of an incomplete request that is next in turn counts as
-// received with its last bytes. Behind a request that waits for its answer, pieces beyond maxArrivals count as
-// received with the last piece that has an entry: the time of such a request may end early, never late.
+// recordArrival records when data was received. While no request waits for its answer, all data of the incomplete
+// request counts as received with its last bytes. Behind a request that waits for its answer, pieces beyond
+// maxArrivals count as received with the last piece that has an entry: the time of such a request may end early,
+// never late.
 func (c *clientConn) recordArrival(now time.Time, bytes int) {
 	c.received += uint64(bytes)
 	if !c.busy {
@@ -181,7 +182,7 @@
 // serve handles one request.
 func (c *clientConn) serve(r *http1.Request) {
 	c.busy, c.lastRequest = true, r.Close
-	if c.seat.Asked() > 0 {
+	if c.seat.Answered() > 0 {
 		c.node.stats.Reused++
 	}
 	c.setStage(limit.Busy)
@@ -192,7 +193,7 @@
 		if c.node.draining {
 			status = http.StatusServiceUnavailable
 			// Clients of kept connections need the place, because they can open no new connection.
-			c.lastRequest = c.lastRequest || c.seat.Asked() == 0 && !c.hasMoreInput()
+			c.lastRequest = c.lastRequest || c.seat.Answered() == 0 && !c.hasMoreInput()
 		}
 		c.respond(status, nil)
 	case r.Method != "POST":
@@ -399,7 +400,7 @@
 	c.processRequests()
 }
 
-// retryAfter returns the header that tells a client when to try again.
+// retryAfter returns the header with the time after which a client may try again.
 func retryAfter(wait time.Duration) http1.Field {
 	return http1.Field{Name: "Retry-After", Value: strconv.FormatFloat(wait.Seconds(), 'f', 3, 64)}
 }
@@ -416,7 +417,7 @@
 func (c *clientConn) hasMoreInput() bool { return !c.parser.Idle() || pendingBytes(c.conn.Fd()) > 0 }
 
 // endsWithAnswer reports whether the connection is to end with the answer that is about to be given, although the
-// client has not asked for that. The answer tells the client, so no request crosses the close.
+// client has not asked for that. The answer announces it to the client, so no request crosses the close.
 func (c *clientConn) endsWithAnswer(now time.Time) bool {
 	if c.node.draining { // the client could open no new connection: this one is kept for as long as there is time
 		return !now.Before(c.node.serveUntil) && (!now.Before(c.node.killAt) || !c.hasMoreInput())
@@ -537,8 +538,8 @@
 	})
 }
 
-// closeIfUnused closes a connection between requests whose client could not be told in an answer, and reports
-// whether it did: it does not if a request has come. Both directions are closed at once. A client repeats a
+// closeIfUnused closes a connection between requests, which no answer has announced to its client. It reports
+// whether it did: it does not if a request has been received. Both directions are closed at once. A client repeats a
 // request that crosses the close and was not read. If only the sending side were shut down and the rest discarded,
 // a request could be read that nobody answers.
 func (c *clientConn) closeIfUnused() bool {
--- a/internal/netio/clientconn_test.go
+++ b/internal/netio/clientconn_test.go
@@ -74,7 +74,7 @@
 		}
 	}
 	if stayed != 3 {
-		t.Errorf("%d stayed beside the returning client, want 3", stayed)
+		t.Errorf("%d stayed in addition to the returning client, want 3", stayed)
 	}
 	if exchange(t, returning, healthRequest) {
 		t.Error("the returning client was told to close")
@@ -90,7 +90,7 @@
 func TestFromTheFirmBoundAllClientsAreToldToClose(t *testing.T) {
 	h := startBounded(t, 2, 2, 100)
 	a, b, c := testpeer.NewClient(t, h.Addr()), testpeer.NewClient(t, h.Addr()), testpeer.NewClient(t, h.Addr())
-	c.Say(testpeer.Query("search", "t", time.Minute, 1)) // waits for its answer, so two may be idle beside it
+	c.Say(testpeer.Query("search", "t", time.Minute, 1)) // waits for its answer, so two others may be idle
 	p := h.nextPart()
 	exchange(t, a, healthRequest)
 	exchange(t, b, healthRequest)
--- a/internal/netio/configuredlist_test.go
+++ b/internal/netio/configuredlist_test.go
@@ -39,7 +39,7 @@
 				h.decide = func(eiderwinch.Event) []eiderwinch.Action { return nil }
 				h.cfg.Gatherer.Module.ColdFor = time.Minute
 				if c.reports {
-					h.cfg.DrainGrace = time.Minute // the list must not be believed because of silence
+					h.cfg.DrainGrace = time.Minute // the list must not be confirmed because of silence
 				}
 				h.rebuildCore()
 			})
--- a/internal/netio/drain.go
+++ b/internal/netio/drain.go
@@ -43,7 +43,7 @@
 func (n *Node) answerDeadline() time.Time { return n.killAt.Add(-answerMargin) }
 
 // drained reports whether a draining node has nothing left to do. It closes idle client connections and, once
-// their time is over, refuses incomplete requests.
+// it has waited long enough for their rest, refuses incomplete requests.
 func (n *Node) drained(now time.Time) bool {
 	if !n.draining || now.Before(n.drainUntil) || now.Before(n.serveUntil) && n.clientTable.Held() > 0 {
 		return false
--- a/internal/netio/drain_test.go
+++ b/internal/netio/drain_test.go
@@ -82,7 +82,7 @@
 	n, done := run(other.Addr().String())
 	select {
 	case <-n.Started():
-		t.Error("it started beside another listener")
+		t.Error("it started although another listener holds its address")
 	case err := <-done:
 		t.Errorf("it gave up: %v", err)
 	case <-time.After(100 * time.Millisecond):
--- a/internal/netio/eventloop/conn.go
+++ b/internal/netio/eventloop/conn.go
@@ -31,7 +31,7 @@
 	unsent        bytes.Buffer // bytes given to Write that the system has not accepted yet
 	registered    interest     // what it is registered for with the poller
 	paused        bool         // nothing is read or written until a timer resumes it
-	pauses        int          // in a row
+	pauses        int          // in a row, see pause
 	registerFails int          // failed registrations with the poller, in a row
 	closing       bool         // it will be closed in the next round
 	muted         bool         // nothing more is written
--- a/internal/netio/pool.go
+++ b/internal/netio/pool.go
@@ -70,7 +70,7 @@
 	for _, c := range s.conns {
 		switch {
 		case restarted && c.conn != nil && c.openedAtWallClock(now).Before(started):
-			p.node.stats.Outlived++
+			p.node.stats.ConnsToRestartedSearcher++
 			c.close()
 		case moved:
 			c.retired = c.retired || c.addr != addr
@@ -78,7 +78,7 @@
 	}
 }
 
-// resumeMoved sends calls that waited for a connection to a searcher's previous address.
+// resumeMoved sends the calls that waited for a connection to a searcher's previous address to its current one.
 func (p *pool) resumeMoved(now time.Time, id string) {
 	if s := p.searchers[id]; s != nil && len(s.queue) > 0 {
 		p.resumeQueued(now, s)
@@ -189,7 +189,7 @@
 	return nil
 }
 
-// dial opens connections for queued calls, as far as descriptors allow. A connection takes two descriptors from
+// dial opens connections for queued calls while there are descriptors for them. A connection takes two descriptors from
 // the time it is up until the loop has taken it over, and the loop may be busy in between, so each connection
 // being dialed counts as two.
 func (p *pool) dial(now time.Time, s *searcher) {
@@ -222,7 +222,7 @@
 		c.frameTimer.Value = func(time.Time) { c.closeMalformed("incomplete frame from searcher", c.parser.Buffered()) }
 		p.timers.Set(&c.dialTimer, now.Add(p.node.cfg.ConnectTimeout))
 		if slices.ContainsFunc(s.conns, func(c *searcherConn) bool { return c.conn != nil && !c.retired }) {
-			p.node.stats.Beside++
+			p.node.stats.ParallelDials++
 		}
 		s.conns = append(s.conns, c)
 		p.connCount++
@@ -232,8 +232,9 @@
 }
 
 // descriptorLimit returns how many descriptors connections to searchers may take, where those being dialed count
-// twice. It is half of the available ones, as far as clients leave that, and a quarter in any case: a gatherer
-// calls hundreds of searchers, and has to open a connection for each call to a searcher that has none.
+// twice. It is half of the available ones, or less if clients hold more than the other half, but never less than a
+// quarter: a gatherer calls hundreds of searchers, and has to open a connection for each call to a searcher that
+// has none.
 func (p *pool) descriptorLimit() int {
 	usable := p.node.cfg.Sockets - reservedDescriptors
 	return max(usable/4, min(usable/2, p.node.usableDescriptors()-p.node.clientTable.Held()))
@@ -277,7 +278,7 @@
 	}
 	id, blocked := a.PartID(), c.full() || c.conn.Buffered() > 0
 	c.checkHalfOpen(time.Now(), c.removeAttempt(a))
-	if blocked && a.MayGoAgain() {
+	if blocked && a.MayRetry() {
 		c.pool.node.stats.GivenUp++
 		c.close()
 		return
--- a/internal/netio/searcherconn.go
+++ b/internal/netio/searcherconn.go
@@ -212,7 +212,7 @@
 	if c.malformed {
 		return
 	}
-	c.pool.node.stats.Spoilt++
+	c.pool.node.stats.MalformedConns++
 	c.pool.node.log.Warn(what, "searcher", c.searcher.id, "parts", len(c.inFlight), "detail", detail)
 	c.malformed = true
 	c.pool.timers.Stop(&c.frameTimer)
@@ -254,7 +254,7 @@
 		c.pool.node.stats.Reports++
 		a.Load = &eiderwinch.Load{Waiting: answer.Report.Waiting}
 	case answer.Report.Spoilt:
-		c.pool.node.stats.ReportsBad++
+		c.pool.node.stats.MalformedReports++
 	}
 	c.pool.node.core.Result(now, a, statusByEnd[answer.End], answer.Score, answer.Value)
 	return nil
--- a/internal/netio/updates.go
+++ b/internal/netio/updates.go
@@ -35,7 +35,7 @@
 			}
 			if n.deferredSince.IsZero() {
 				n.deferredSince, n.deferredAtWakeup = now, n.wakeups
-				n.stats.NewsFirst++
+				n.stats.DelayedForUpdates++
 			}
 			return n.wakeups-n.deferredAtWakeup < minDeferWakeups || now.Sub(n.deferredSince) < min(n.cfg.DrainGrace/deferGraceShare, n.cfg.AnswerSlack)
 		}
@@ -65,11 +65,11 @@
 	}
 }
 
-// reviewDoubted readmits searchers that were reported ready again by a list that might have been an old one, once
-// it can no longer be old.
+// reviewDoubted reinstates the searchers that were reported as ready again by a list that might have been outdated,
+// once it can't be outdated any more.
 func (n *Node) reviewDoubted(now time.Time) {
-	if back := n.roster.Review(n.watch.lastUpdate); len(back) > 0 {
-		n.forwardMembers(now, eiderwinch.Changes, back)
+	if reinstated := n.roster.Review(n.watch.lastUpdate); len(reinstated) > 0 {
+		n.forwardMembers(now, eiderwinch.Changes, reinstated)
 	}
 }
 
--- a/internal/netio/watch.go
+++ b/internal/netio/watch.go
@@ -36,7 +36,7 @@
 	node           *Node
 	addr           string
 	follower       *follow.Follower
-	subscriptions  map[follow.Ask]*subscription
+	subscriptions  map[follow.RequestID]*subscription
 	needsWholeList bool      // nothing was received from this address yet: the whole list is requested first
 	revision       int64     // of the last list or change received
 	failures       int       // failed requests since the last update
@@ -47,7 +47,7 @@
 // subscription is one request of a watch to discovery.
 type subscription struct {
 	watch          *watch
-	id             follow.Ask
+	id             follow.RequestID
 	conn           *eventloop.Conn // nil while it is being dialed
 	ended          bool            // whatever it still receives is ignored
 	needsWholeList bool            // the whole list has not been received in full yet
@@ -64,7 +64,7 @@
 func newWatch(n *Node, addr string, revision int64) *watch {
 	m, now := n.cfg.Gatherer.Module, time.Now()
 	return &watch{
-		node: n, addr: addr, revision: revision, subscriptions: make(map[follow.Ask]*subscription), lastUpdate: now,
+		node: n, addr: addr, revision: revision, subscriptions: make(map[follow.RequestID]*subscription), lastUpdate: now,
 		follower: follow.New(follow.Settings{
 			Pushed: !m.AskForList, Grace: n.cfg.DrainGrace, Within: m.AskWithin, Clients: m.Brokers, Seed: m.Seed,
 		}, now),
@@ -90,7 +90,7 @@
 }
 
 // drop gives up requests.
-func (w *watch) drop(ids []follow.Ask) {
+func (w *watch) drop(ids []follow.RequestID) {
 	for _, id := range ids {
 		if s := w.subscriptions[id]; s != nil {
 			s.end()
@@ -163,12 +163,12 @@
 		s.updateReceived, s.bodyReceived = false, false
 		s.watch.recordUpdate(now, s)
 		if s.endsAfterList {
-			s.watch.follower.Lost(s.id, now)
+			s.watch.follower.RequestEnded(s.id, now)
 			s.end()
 		}
 	case r != nil && !s.headReceived:
 		s.headReceived = true
-		s.watch.follower.Heard(s.id, now)
+		s.watch.follower.MarkAlive(s.id, now)
 	}
 }
 
@@ -180,7 +180,7 @@
 		if err != nil {
 			// The list is not used in part, except for its leaving searchers: taking these
 			// out of service errs on the safe side.
-			s.watch.node.stats.ListsBad++
+			s.watch.node.stats.MalformedLists++
 			s.watch.node.applyUpdate(now, eiderwinch.Changes, s.watch.addr, u.Leaving())
 			return err
 		}
@@ -216,7 +216,7 @@
 
 // recordUpdate records that a subscription has received an update, or the empty line that says there is none.
 func (w *watch) recordUpdate(now time.Time, s *subscription) {
-	for _, id := range w.follower.Brought(s.id, now) {
+	for _, id := range w.follower.RecordUpdate(s.id, now) {
 		if other := w.subscriptions[id]; other != nil {
 			other.end()
 		}
@@ -225,7 +225,7 @@
 		w.node.log.Info("discovery responds again", "discovery", w.addr, "away", now.Sub(w.lastUpdate), "fails", w.failures, "revision", w.revision)
 	}
 	w.failures, w.lastFailure, w.lastUpdate = 0, "", now
-	w.node.core.Believe(now)
+	w.node.core.ConfirmMembers(now)
 }
 
 // fail ends a subscription for an error.
@@ -233,7 +233,7 @@
 	if s.ended {
 		return
 	}
-	s.watch.follower.Lost(s.id, time.Now())
+	s.watch.follower.RequestEnded(s.id, time.Now())
 	s.end()
 	s.watch.recordFailure(err.Error())
 }
--- a/internal/netio/watch_test.go
+++ b/internal/netio/watch_test.go
@@ -83,7 +83,7 @@
 			h.exec(func() {
 				ready <- h.core.Ready("s") || name == "a drain among invalid members" && h.core.Ready("other")
 				listed <- h.core.Listed("new")
-				bad <- h.stats.ListsBad
+				bad <- h.stats.MalformedLists
 			})
 			if <-ready {
 				t.Error("a drain was lost")
@@ -355,11 +355,11 @@
 	old := testpeer.Get(t, h.discovery.Watches, "a watch")
 	started := time.Now().UnixMilli()
 	old.Send(testpeer.List(42, false, testpeer.Member("s", later.Addr, "Ready", started)))
-	told := h.nextListChange().Replicas[0].Started
+	reported := h.nextListChange().Replicas[0].Started
 	h.Reload(moved.Addr)
 	moved.Tell(testpeer.List(7, true, testpeer.Member("s", h.searcher.Addr, "Ready", started-1000)))
-	if got := h.nextListChange(); got.Kind != eiderwinch.Whole || got.Replicas[0].Started != told {
-		t.Errorf("have %+v, want the start at %v", got, told)
+	if got := h.nextListChange(); got.Kind != eiderwinch.Whole || got.Replicas[0].Started != reported {
+		t.Errorf("have %+v, want the start at %v", got, reported)
 	}
 	client := h.sendQuery("search", "t", time.Minute, 1)
 	testpeer.Get(t, later.Parts, "a part").Answer("served", 1, "v")
--- a/internal/stats/stats.go
+++ b/internal/stats/stats.go
@@ -26,23 +26,23 @@
 
 	LeftUnread int // of Gone: noticed when parts were to be sent, before the end of the client's connection was read
 
-	Turns       int
-	Calls       int // calls given to the searcher connections
-	Sent        int // parts in these calls
-	SecondSteps int
-	Further     int // of Sent: attempts of a part after its first
-	Copies      int // of Further: sent while another attempt of the part was in flight
-	Cold        int // of Sent: parts to searchers that had started less than the configured cold time before
-	NotSent     int // sends that the core rejected
-	OK          int // outcomes of attempts, by kind
-	Errors      int
-	Skipped     int
-	TimedOut    int
-	Unconnected int
-	Reset       int
-	Cancelled   int
-	Reports     int // of OK, Errors and Skipped: answers with a load report that is used
-	ReportsBad  int // of OK, Errors and Skipped: answers with a load report that can't be used
+	Turns            int
+	Calls            int // calls given to the searcher connections
+	Sent             int // parts in these calls
+	SecondSteps      int
+	Further          int // of Sent: attempts of a part after its first
+	Copies           int // of Further: sent while another attempt of the part was in flight
+	Cold             int // of Sent: parts to searchers that had started less than the configured cold time before
+	NotSent          int // sends that the core rejected
+	OK               int // outcomes of attempts, by kind
+	Errors           int
+	Skipped          int
+	TimedOut         int
+	Unconnected      int
+	Reset            int
+	Cancelled        int
+	Reports          int // of OK, Errors and Skipped: answers with a load report that is used
+	MalformedReports int // of OK, Errors and Skipped: answers with a load report that can't be used
 
 	Clients int            // connections opened by clients
 	Reused  int            // requests on a client connection that had carried another before
@@ -54,26 +54,26 @@
 	Crossed int            // of Evicted: connections that had unread bytes or an unsent answer
 	Unread  int            // client connections closed because the client did not read its answers
 
-	Dialed     int // connections opened to searchers
-	DialFails  int // failed attempts to open one
-	IdleClosed int // connections to searchers closed because they were idle
-	Left       int // connections closed by their searcher
-	LeftOut    int // of Left: with attempts in flight
-	Beside     int // of Dialed and DialFails: dialed while another connection to the same searcher was open
-	HalfOpen   int // connections to searchers considered half-open because nothing was received while an attempt was in flight
-	Spoilt     int // connections to searchers closed because of a malformed response
-	HeldBack   int // connections closed because a part was still in their buffer when their searcher was reported as leaving
-	Outlived   int // connections closed because their searcher has restarted since they were opened
-	GivenUp    int // connections closed to give up an attempt, because they carried the maximum number of attempts
-	EndUnread  int // times that a connection was not used because its searcher had closed it, which was not read yet
-	Watches    int // watches opened
-	WatchFails int // watches that failed or ended
-	Updates    int // member lists and changes received
-	ListsBad   int // member lists and changes that can't be used
-	Twice      int // members that were listed twice in a list
-	NewsFirst  int // times that sends were delayed because an update had arrived that was not read yet
-	Doubted    int // members that an older list reported as ready, which was not believed
-	EmptyLists int // of Updates: complete lists without a single searcher, which were ignored
+	Dialed                   int // connections opened to searchers
+	DialFails                int // failed attempts to open one
+	IdleClosed               int // connections to searchers closed because they were idle
+	Left                     int // connections closed by their searcher
+	LeftOut                  int // of Left: with attempts in flight
+	ParallelDials            int // of Dialed and DialFails: dialed while another connection to the same searcher was open
+	HalfOpen                 int // connections to searchers considered half-open because nothing was received while an attempt was in flight
+	MalformedConns           int // connections to searchers closed because of a malformed response
+	HeldBack                 int // connections closed because a part was still in their buffer when their searcher was reported as leaving
+	ConnsToRestartedSearcher int // connections closed because their searcher has restarted since they were opened
+	GivenUp                  int // connections closed to give up an attempt, because they carried the maximum number of attempts
+	EndUnread                int // times that a connection was not used because its searcher had closed it, which was not read yet
+	Watches                  int // watches opened
+	WatchFails               int // watches that failed or ended
+	Updates                  int // member lists and changes received
+	MalformedLists           int // member lists and changes that can't be used
+	Twice                    int // members that were listed twice in a list
+	DelayedForUpdates        int // times that sends were delayed because an update had arrived that was not read yet
+	Doubted                  int // members that an older list reported as ready, which was not believed
+	EmptyLists               int // of Updates: complete lists without a single searcher, which were ignored
 
 	Epochs      int // epochs of the layout adopted
 	EpochsOld   int // epochs of the layout ignored because they were not newer than the current one
@@ -118,12 +118,12 @@
 		group("sent", "turns", c.Turns, "calls", c.Calls, "parts", c.Sent, "further", c.Further, "copies", c.Copies, "cold", c.Cold, "second_steps", c.SecondSteps,
 			"not_sent", c.NotSent, "dialed", c.Dialed, "dial_fails", c.DialFails,
 			"idle_closed", c.IdleClosed, "left", c.Left, "left_out", c.LeftOut,
-			"beside", c.Beside, "half_open", c.HalfOpen, "spoilt", c.Spoilt, "held_back", c.HeldBack,
-			"outlived", c.Outlived, "end_unread", c.EndUnread, "given_up", c.GivenUp),
+			"beside", c.ParallelDials, "half_open", c.HalfOpen, "spoilt", c.MalformedConns, "held_back", c.HeldBack,
+			"outlived", c.ConnsToRestartedSearcher, "end_unread", c.EndUnread, "given_up", c.GivenUp),
 		group("outcomes", "ok", c.OK, "errors", c.Errors, "skipped", c.Skipped, "timed_out", c.TimedOut,
-			"unconnected", c.Unconnected, "reset", c.Reset, "cancelled", c.Cancelled, "reports", c.Reports, "reports_bad", c.ReportsBad),
+			"unconnected", c.Unconnected, "reset", c.Reset, "cancelled", c.Cancelled, "reports", c.Reports, "reports_bad", c.MalformedReports),
 		group("discovery", "watches", c.Watches, "watch_fails", c.WatchFails, "updates", c.Updates, "empty_lists", c.EmptyLists,
-			"lists_bad", c.ListsBad, "twice", c.Twice, "news_first", c.NewsFirst, "doubted", c.Doubted),
+			"lists_bad", c.MalformedLists, "twice", c.Twice, "news_first", c.DelayedForUpdates, "doubted", c.Doubted),
 		group("layout", "epochs", c.Epochs, "epochs_old", c.EpochsOld, "epochs_ahead", c.EpochsAhead,
 			"translated", c.Translated),
 		group("config", "reloads", c.Reloads, "reload_fails", c.ReloadFails, "generations", c.Generations,
