--- a/cmd/eiderwinch/check.go
+++ b/cmd/eiderwinch/check.go
@@ -9,10 +9,10 @@
 
 // checkCommand checks a configuration file without serving.
 type checkCommand struct {
-	File string `arg:"" help:"A configuration in the platform's form, JSON."`
+	File string `arg:"" help:"A configuration in the platform's JSON format."`
 }
 
-// Run says what the file holds, or what is wrong with it.
+// Run prints a summary of the file, or returns what is wrong with it.
 func (c checkCommand) Run(e environment) error {
 	text, err := os.ReadFile(c.File)
 	if err != nil {
--- a/cmd/eiderwinch/rig_test.go
+++ b/cmd/eiderwinch/cluster_test.go
@@ -18,24 +18,24 @@
 // A longer run, or one that failed again: go test -run FleetUnderFaults ./cmd/eiderwinch -rig.seed 7
 // -rig.gatherers 9 -rig.for 10m, or with a plan of one's own in -rig.plan FILE.
 var (
-	rigSeed      = flag.Uint64("rig.seed", 1, "the seed of the rig's faults")
-	rigGatherers = flag.Int("rig.gatherers", 5, "processes of the program")
-	rigFor       = flag.Duration("rig.for", 40*time.Second, "how long faults are played, about")
-	rigSpan      = flag.Duration("rig.span", 2*time.Second, "how long a fault lasts, about")
-	rigLease     = flag.Duration("rig.lease", share.DefaultLease, "of the slots; 0: limits are not divided")
-	rigPlan      = flag.String("rig.plan", "", "a file with the plan to be played")
-	rigDir       = flag.String("rig.dir", "", "where logs and the history are left")
+	clusterSeed      = flag.Uint64("rig.seed", 1, "the seed of the rig's faults")
+	clusterGatherers = flag.Int("rig.gatherers", 5, "processes of the program")
+	clusterFaultTime = flag.Duration("rig.for", 40*time.Second, "how long faults are played, about")
+	clusterFaultSpan = flag.Duration("rig.span", 2*time.Second, "how long a fault lasts, about")
+	clusterLease     = flag.Duration("rig.lease", share.DefaultLease, "of the slots; 0: limits are not divided")
+	clusterPlan      = flag.String("rig.plan", "", "a file with the plan to be played")
+	clusterDir       = flag.String("rig.dir", "", "where logs and the history are left")
 )
 
 // Several processes of the program under faults among them: no slot of the fleet's limits is used by two within a
 // window, a cold searcher gets no more than the whole, every query has its answer, and the views settle.
 func TestAFleetUnderFaults(t *testing.T) {
-	dir := *rigDir
+	dir := *clusterDir
 	if dir == "" {
 		dir = t.TempDir()
 	}
 	r, err := rig.New(rig.Config{
-		Program: build(t), Dir: dir, Gatherers: *rigGatherers, Seed: *rigSeed, Keys: testpeer.KeyFile("k"), Lease: *rigLease, Settle: 15 * time.Second,
+		Program: buildProgram(t), Dir: dir, Gatherers: *clusterGatherers, Seed: *clusterSeed, Keys: testpeer.KeyFile("k"), Lease: *clusterLease, Settle: 15 * time.Second,
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -45,14 +45,14 @@
 			t.Error(err)
 		}
 	}()
-	plan := rig.NewPlan(*rigSeed, *rigGatherers, *rigFor, *rigSpan)
-	if *rigPlan != "" {
-		f, err := os.Open(*rigPlan)
+	plan := rig.NewPlan(*clusterSeed, *clusterGatherers, *clusterFaultTime, *clusterFaultSpan)
+	if *clusterPlan != "" {
+		f, err := os.Open(*clusterPlan)
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer f.Close()
-		if plan, err = rig.ReadPlan(f, *rigGatherers); err != nil {
+		if plan, err = rig.ReadPlan(f, *clusterGatherers); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -60,7 +60,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Logf("seed %d, %d gatherers, %d faults", *rigSeed, *rigGatherers, x.Steps)
+	t.Logf("seed %d, %d gatherers, %d faults", *clusterSeed, *clusterGatherers, x.Steps)
 	for _, s := range x.Settled {
 		slices.Sort(s.Times)
 		t.Logf("%-8s %-7s %3d times, settled after %5d ms (median), %5d ms (worst)", s.Kind, s.When, len(s.Times),
@@ -76,12 +76,12 @@
 		t.Errorf("%+v", q)
 	}
 	page := filepath.Join(dir, "fleet.html")
-	if code, out, errs := call(t, nil, "experiment", "fleet", filepath.Join(dir, "history.jsonl"), "--html", page); code != exitOK {
+	if code, out, errs := runCommand(t, nil, "experiment", "fleet", filepath.Join(dir, "history.jsonl"), "--html", page); code != exitOK {
 		t.Errorf("code %d, %s%s", code, out, errs)
 	} else if text, err := os.ReadFile(page); err != nil || strings.Count(string(text), "<svg") != 3 {
 		t.Errorf("the page: %v, %d bytes", err, len(text))
 	}
 	if t.Failed() {
-		t.Log(fmt.Sprintf("again: go test -run FleetUnderFaults ./cmd/eiderwinch -rig.seed %d -rig.gatherers %d -rig.for %v", *rigSeed, *rigGatherers, *rigFor))
+		t.Log(fmt.Sprintf("again: go test -run FleetUnderFaults ./cmd/eiderwinch -rig.seed %d -rig.gatherers %d -rig.for %v", *clusterSeed, *clusterGatherers, *clusterFaultTime))
 	}
 }
--- a/cmd/eiderwinch/commands_test.go
+++ b/cmd/eiderwinch/commands_test.go
@@ -10,8 +10,8 @@
 	"testing"
 )
 
-// call runs the program's command line in this process.
-func call(t *testing.T, signals chan os.Signal, args ...string) (code int, stdout, stderr string) {
+// runCommand runs the program's command line in this process.
+func runCommand(t *testing.T, signals chan os.Signal, args ...string) (code int, stdout, stderr string) {
 	t.Helper()
 	var out, errs bytes.Buffer
 	code = run(args, environment{getenv: func(string) string { return "" }, stdout: &out, stderr: &errs, signals: signals})
@@ -23,7 +23,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var c commands
+	var c commandLine
 	parser, err := newParser(&c, environment{}, nil)
 	if err != nil {
 		t.Fatal(err)
@@ -33,7 +33,7 @@
 		if !strings.Contains(string(readme), row) {
 			t.Errorf("README.md lacks the row %s", row)
 		}
-		code, out, _ := call(t, nil, append(strings.Fields(node.FullPath())[1:], "--help")...)
+		code, out, _ := runCommand(t, nil, append(strings.Fields(node.FullPath())[1:], "--help")...)
 		if code != exitOK || !strings.Contains(strings.Join(strings.Fields(out), " "), node.Help) {
 			t.Errorf("%s --help: code %d, %s", node.FullPath(), code, out)
 		}
@@ -45,7 +45,7 @@
 
 func TestDemoAnswersAllClasses(t *testing.T) {
 	for _, c := range []struct{ layout, answers string }{{"sets", "whole"}, {"ring", "partial"}, {"ring", "whole"}, {"sets", "partial"}} {
-		code, out, errs := call(t, nil, "demo", "--queries", "9", "--clients", "3", "--layout", c.layout, "--answers", c.answers)
+		code, out, errs := runCommand(t, nil, "demo", "--queries", "9", "--clients", "3", "--layout", c.layout, "--answers", c.answers)
 		if code != exitOK || !strings.Contains(out, "9 of 9 answered whole") || !strings.Contains(out, "0 reservations made twice") {
 			t.Errorf("%+v: code %d\n%s%s", c, code, out, errs)
 		}
@@ -58,16 +58,16 @@
 	}
 }
 
-func TestASignalEndsTheDemoCleanly(t *testing.T) {
+func TestSignalEndsDemoCleanly(t *testing.T) {
 	signals := make(chan os.Signal, 1)
 	signals <- syscall.SIGINT
-	code, out, errs := call(t, signals, "demo", "--queries", "10000")
+	code, out, errs := runCommand(t, signals, "demo", "--queries", "10000")
 	if code != exitOK || !strings.Contains(out, "Ended early") {
 		t.Errorf("code %d, %.300s%s", code, out, errs)
 	}
 }
 
-func TestCheckSaysWhatIsWrong(t *testing.T) {
+func TestCheckReportsFaults(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "c.json")
 	good := fmt.Sprintf(configText, "127.0.0.1:1", "", settingsText)
 	for _, c := range []struct {
@@ -81,27 +81,27 @@
 		if err := os.WriteFile(path, []byte(c.text), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		code, out, errs := call(t, nil, "check", path)
+		code, out, errs := runCommand(t, nil, "check", path)
 		if code != c.code || !strings.Contains(out, c.out) || !strings.Contains(errs, c.err) {
 			t.Errorf("%.40s: code %d, %q, %q", c.text, code, out, errs)
 		}
 	}
-	if code, _, errs := call(t, nil, "check", filepath.Join(t.TempDir(), "none")); code != exitConfig || errs == "" {
+	if code, _, errs := runCommand(t, nil, "check", filepath.Join(t.TempDir(), "none")); code != exitConfig || errs == "" {
 		t.Errorf("no file: code %d, %q", code, errs)
 	}
 }
 
-func TestTheCommandLineIsChecked(t *testing.T) {
+func TestInvalidCommandLinesAreRejected(t *testing.T) {
 	for _, args := range [][]string{{"nonsense"}, {"demo", "--queries", "0"}, {"demo", "--clients", "1000"}, {"check"}, {"serve", "--odd"}} {
-		if code, _, errs := call(t, nil, args...); code != exitConfig || !strings.Contains(errs, "--help") {
+		if code, _, errs := runCommand(t, nil, args...); code != exitConfig || !strings.Contains(errs, "--help") {
 			t.Errorf("%v: code %d, %q", args, code, errs)
 		}
 	}
-	if code, out, _ := call(t, nil, "version"); code != exitOK || !strings.Contains(out, "go1.") {
+	if code, out, _ := runCommand(t, nil, "version"); code != exitOK || !strings.Contains(out, "go1.") {
 		t.Errorf("version: %d, %q", code, out)
 	}
 	// Without a command it serves, so a missing configuration is at fault.
-	if code, _, errs := call(t, nil); code != exitConfig || !strings.Contains(errs, "LB_CONFIG") {
+	if code, _, errs := runCommand(t, nil); code != exitConfig || !strings.Contains(errs, "LB_CONFIG") {
 		t.Errorf("nothing: code %d, %q", code, errs)
 	}
 }
--- a/cmd/eiderwinch/config.go
+++ b/cmd/eiderwinch/config.go
@@ -15,14 +15,14 @@
 	"eiderwinch/internal/format/settings"
 )
 
-// toGatherer is how commands find a running gatherer.
-type toGatherer struct {
-	socket
-	Timeout time.Duration `default:"15s" help:"An answer is waited for so long."`
+// gathererTarget holds the flags by which a command reaches a running gatherer.
+type gathererTarget struct {
+	adminSocket
+	Timeout time.Duration `default:"15s" help:"How long to wait for an answer."`
 }
 
-// do asks a gatherer.
-func (c toGatherer) do(method, path string, in, out any) error {
+// do sends one request to the gatherer.
+func (c gathererTarget) do(method, path string, in, out any) error {
 	client, err := c.open(c.Timeout, "admin", func(f *settings.File) string { return f.Admin })
 	if err != nil {
 		return err
@@ -31,14 +31,14 @@
 	return client.Do(context.Background(), method, path, in, out)
 }
 
-// texts are the files of a configuration.
-type texts struct {
-	Operators string `placeholder:"FILE" help:"The operators' file to be put in force; without it that in force stays."`
-	Platform  string `placeholder:"FILE" help:"The platform's configuration; without it that in force stays."`
-	Layout    string `placeholder:"FILE" help:"The layout; without it that in force stays."`
+// proposedFiles holds the flags that name the files of a configuration to be staged or signed.
+type proposedFiles struct {
+	Operators string `placeholder:"FILE" help:"The operators' file to put in force; without it the one in force stays."`
+	Platform  string `placeholder:"FILE" help:"The platform's configuration; without it the one in force stays."`
+	Layout    string `placeholder:"FILE" help:"The layout; without it the one in force stays."`
 }
 
-func (c texts) read() (b bundle.Bundle, err error) {
+func (c proposedFiles) read() (b bundle.Bundle, err error) {
 	for _, part := range []struct {
 		path string
 		text *[]byte
@@ -54,18 +54,18 @@
 }
 
 type configSign struct {
-	texts
-	Keys string `required:"" placeholder:"FILE" help:"A key file after deploy/keys.xsd with a key that can sign."`
+	proposedFiles
+	Keys string `required:"" placeholder:"FILE" help:"A key file that conforms to deploy/keys.xsd, with a key that can sign."`
 	Key  string `required:"" help:"The key's name."`
 }
 
-// Run prints the signature of the parts.
+// Run prints the signature of the files.
 func (c configSign) Run(e environment) error {
 	keys, err := readKeys(c.Keys)
 	if err != nil {
 		return &exitError{exitConfig, err}
 	}
-	b, err := c.texts.read()
+	b, err := c.proposedFiles.read()
 	if err != nil {
 		return err
 	}
@@ -79,19 +79,19 @@
 }
 
 type configStage struct {
-	asJSON
-	toGatherer
-	texts
-	Signature string `help:"As config sign prints it, where the gatherer wants one."`
-	Against   uint64 `help:"The generation that it was made against; 0 is the one in force."`
-	Note      string `help:"Is shown with the change."`
+	outputFormat
+	gathererTarget
+	proposedFiles
+	Signature string `help:"The signature that config sign printed, if the gatherer requires one."`
+	Against   uint64 `help:"The generation that the change is based on; 0 is the one in force."`
+	Note      string `help:"A note that is shown with the change."`
 }
 
-// Run stages it.
+// Run stages the configuration.
 func (c configStage) Run(e environment) error {
 	p := keeper.Proposal{Against: change.Generation(c.Against), Note: c.Note, Signature: c.Signature}
 	var err error
-	if p.Bundle, err = c.texts.read(); err != nil {
+	if p.Bundle, err = c.proposedFiles.read(); err != nil {
 		return err
 	}
 	var s keeper.Staged
@@ -103,44 +103,45 @@
 	}
 	fmt.Fprintf(e.stdout, "staged as transaction %d, hash %.16s\n", s.Tx, s.Hash)
 	if len(s.Restart) > 0 {
-		fmt.Fprintf(e.stdout, "at the next start only: %v\n", s.Restart)
+		fmt.Fprintf(e.stdout, "these take effect only at the next start: %v\n", s.Restart)
 	}
 	return nil
 }
 
 type configApply struct {
-	toGatherer
+	gathererTarget
 	Transaction uint64        `arg:"" help:"The transaction's number."`
-	Within      time.Duration `help:"Its probation; 0 is what the configuration says."`
-	Confirm     string        `enum:"auto,hand,file" default:"file" help:"At the end of its probation: auto confirms it, hand undoes it where nobody has confirmed it, file does what the configuration says."`
+	Within      time.Duration `help:"The probation time; 0 means the one in the configuration."`
+	Confirm     string        `enum:"auto,hand,file" default:"file" help:"What happens at the end of the probation: auto confirms the change, hand undoes it unless it was confirmed, file does what the configuration says."`
 }
 
-// Run applies it.
+// Run applies the transaction.
 func (c configApply) Run(e environment) error {
 	a := keeper.Application{WithinMS: c.Within.Milliseconds()}
 	if c.Confirm != "file" {
 		auto := c.Confirm == "auto"
 		a.Auto = &auto
 	}
-	if err := c.do(http.MethodPost, txPath(c.Transaction, "apply"), a, nil); err != nil {
+	if err := c.do(http.MethodPost, transactionPath(c.Transaction, "apply"), a, nil); err != nil {
 		return err
 	}
 	fmt.Fprintf(e.stdout, "transaction %d is being applied\n", c.Transaction)
 	return nil
 }
 
-func txPath(tx uint64, verb string) string {
+// transactionPath returns the admin path of an operation on a transaction.
+func transactionPath(tx uint64, verb string) string {
 	return "/v1/config/" + strconv.FormatUint(tx, 10) + "/" + verb
 }
 
 type configConfirm struct {
-	toGatherer
+	gathererTarget
 	Transaction uint64 `arg:"" help:"The transaction's number."`
 }
 
-// Run confirms it.
+// Run confirms the transaction.
 func (c configConfirm) Run(e environment) error {
-	if err := c.do(http.MethodPost, txPath(c.Transaction, "confirm"), nil, nil); err != nil {
+	if err := c.do(http.MethodPost, transactionPath(c.Transaction, "confirm"), nil, nil); err != nil {
 		return err
 	}
 	fmt.Fprintf(e.stdout, "transaction %d is confirmed\n", c.Transaction)
@@ -148,14 +149,14 @@
 }
 
 type configUndo struct {
-	toGatherer
+	gathererTarget
 	Transaction uint64 `arg:"" help:"The transaction's number."`
-	Reason      string `default:"by hand" help:"Is shown with the change."`
+	Reason      string `default:"by hand" help:"A reason that is shown with the change."`
 }
 
-// Run undoes it.
+// Run undoes the transaction.
 func (c configUndo) Run(e environment) error {
-	if err := c.do(http.MethodPost, txPath(c.Transaction, "undo"), keeper.Withdrawal{Reason: c.Reason}, nil); err != nil {
+	if err := c.do(http.MethodPost, transactionPath(c.Transaction, "undo"), keeper.Withdrawal{Reason: c.Reason}, nil); err != nil {
 		return err
 	}
 	fmt.Fprintf(e.stdout, "transaction %d is being undone\n", c.Transaction)
@@ -163,11 +164,11 @@
 }
 
 type configStatus struct {
-	asJSON
-	toGatherer
+	outputFormat
+	gathererTarget
 }
 
-// Run prints what is in force, and what is under way.
+// Run prints the configuration in force and the transactions under way.
 func (c configStatus) Run(e environment) error {
 	var s keeper.Status
 	if err := c.do(http.MethodGet, "/v1/config", nil, &s); err != nil {
@@ -187,16 +188,16 @@
 		}
 	}
 	for _, f := range s.Falls {
-		fmt.Fprintln(e.stdout, "the guard saw:", f)
+		fmt.Fprintln(e.stdout, "the guard reported:", f)
 	}
 	return nil
 }
 
 type configHistory struct {
-	toGatherer
+	gathererTarget
 }
 
-// Run prints all transactions that are known.
+// Run prints all transactions that the gatherer knows.
 func (c configHistory) Run(e environment) error {
 	var s keeper.Status
 	if err := c.do(http.MethodGet, "/v1/config", nil, &s); err != nil {
@@ -211,12 +212,12 @@
 }
 
 type configShow struct {
-	toGatherer
+	gathererTarget
 	Generation uint64 `arg:"" help:"The generation's number."`
-	Part       string `enum:"operators,platform,layout" default:"operators" help:"Which text: operators, platform or layout."`
+	Part       string `enum:"operators,platform,layout" default:"operators" help:"Which file of it: operators, platform or layout."`
 }
 
-// Run prints a generation's text.
+// Run prints one file of a generation.
 func (c configShow) Run(e environment) error {
 	var b bundle.Bundle
 	if err := c.do(http.MethodGet, "/v1/config/generations/"+strconv.FormatUint(c.Generation, 10), nil, &b); err != nil {
--- a/cmd/eiderwinch/coordinate.go
+++ b/cmd/eiderwinch/coordinate.go
@@ -20,15 +20,16 @@
 	"eiderwinch/internal/layout/reshard"
 )
 
+// coordinateCommand runs a coordinator.
 type coordinateCommand struct {
-	File string `arg:"" help:"An operators' file after deploy/eiderwinch.xsd with the element coordinator."`
+	File string `arg:"" help:"An operators' file that conforms to deploy/eiderwinch.xsd, with the element coordinator."`
 }
 
-// Run runs the coordinator until a signal ends it. Changes under way go on where
-// it is started again.
+// Run runs the coordinator until a signal ends it. Changes under way continue when it is started
+// again.
 func (c coordinateCommand) Run(e environment) error {
 	log := slog.New(slog.NewTextHandler(e.stderr, nil))
-	ops, err := readOps(c.File)
+	ops, err := readOperatorsFile(c.File)
 	if err != nil {
 		return err
 	}
@@ -36,11 +37,11 @@
 	if co == nil {
 		return &exitError{exitConfig, fmt.Errorf("%s: found no coordinator, want that element", c.File)}
 	}
-	first, fleet, err := soundLayout(co.Layout)
+	first, fleet, err := readValidLayout(co.Layout)
 	if err != nil {
 		return err
 	}
-	peers := func(list []settings.Peer) (out []coordinator.Peer) {
+	toPeers := func(list []settings.Peer) (out []coordinator.Peer) {
 		for _, p := range list {
 			out = append(out, coordinator.Peer(p))
 		}
@@ -50,7 +51,7 @@
 	defer stop()
 	run, err := coordinator.Start(ctx, coordinator.Options{
 		Log: co.Log, First: first, Fleet: fleet, Limits: co.Limits, Measure: co.Measure, Poll: co.Poll, Timeout: co.Timeout,
-		Gatherers: peers(co.Gatherers), Searchers: peers(co.Searchers), Logger: log,
+		Gatherers: toPeers(co.Gatherers), Searchers: toPeers(co.Searchers), Logger: log,
 	})
 	if err != nil {
 		return &exitError{exitConfig, err}
@@ -65,14 +66,14 @@
 	return errors.Join(err, socket.Close())
 }
 
-// toCoordinator is how commands find a running coordinator.
-type toCoordinator struct {
-	socket
-	Timeout time.Duration `default:"5s" help:"An answer is waited for so long."`
+// coordinatorTarget holds the flags by which a command reaches a running coordinator.
+type coordinatorTarget struct {
+	adminSocket
+	Timeout time.Duration `default:"5s" help:"How long to wait for an answer."`
 }
 
 // client returns a client of the coordinator.
-func (c toCoordinator) client() (*admin.Client, error) {
+func (c coordinatorTarget) client() (*admin.Client, error) {
 	return c.open(c.Timeout, "coordinator", func(f *settings.File) string {
 		if f.Coordinator == nil {
 			return ""
@@ -82,12 +83,12 @@
 }
 
 type layoutStatus struct {
-	asJSON
-	toCoordinator
-	Layout bool `help:"Print the layout in force instead, as a file."`
+	outputFormat
+	coordinatorTarget
+	Layout bool `help:"Print the layout in force instead, as a layout file."`
 }
 
-// Run prints how things stand.
+// Run prints the coordinator's state, or the layout in force.
 func (c layoutStatus) Run(e environment) error {
 	client, err := c.client()
 	if err != nil {
@@ -113,6 +114,7 @@
 	return printStatus(e.stdout, s)
 }
 
+// printStatus prints a coordinator's state for people.
 func printStatus(w io.Writer, s admin.Status) error {
 	fmt.Fprintf(w, "epoch %d, %d segments, term %d, copies at up to %.0f rows a second", s.Epoch, s.Segments, s.Term, s.Rows)
 	if s.BaseMS > 0 {
@@ -145,16 +147,16 @@
 }
 
 type layoutApply struct {
-	asJSON
-	toCoordinator
-	Changes string        `arg:"" help:"Changes as layout plan --json prints them; - reads them from the standard input."`
-	Wait    time.Duration `placeholder:"TIME" help:"Wait so long until all are over, and fail where one is not done."`
+	outputFormat
+	coordinatorTarget
+	Changes string        `arg:"" help:"A file of changes as printed by layout plan --json; - reads standard input."`
+	Wait    time.Duration `placeholder:"TIME" help:"How long to wait until all changes are over; fails if any of them is not done."`
 }
 
-// maxChanges bounds a file of changes.
-const maxChanges = 1 << 20
+// maxChangesBytes bounds the size of a file of changes.
+const maxChangesBytes = 1 << 20
 
-// Run submits the changes and says what became of each.
+// Run submits the changes and prints the result of each.
 func (c layoutApply) Run(e environment) error {
 	client, err := c.client()
 	if err != nil {
@@ -170,7 +172,7 @@
 		defer f.Close()
 		in = f
 	}
-	text, err := io.ReadAll(io.LimitReader(in, maxChanges))
+	text, err := io.ReadAll(io.LimitReader(in, maxChangesBytes))
 	if err != nil {
 		return err
 	}
@@ -184,12 +186,12 @@
 		fmt.Fprintln(e.stdout, "nothing to change")
 		return nil
 	}
-	var taken []admin.Taken
-	if err := client.Do(context.Background(), http.MethodPost, "/v1/changes", s, &taken); err != nil {
+	var results []admin.Taken
+	if err := client.Do(context.Background(), http.MethodPost, "/v1/changes", s, &results); err != nil {
 		return err
 	}
 	var errs []error
-	for i, t := range taken {
+	for i, t := range results {
 		if t.Error != "" {
 			errs = append(errs, fmt.Errorf("change %d was refused: %s", i+1, t.Error))
 		} else if !c.JSON {
@@ -197,35 +199,35 @@
 		}
 	}
 	if c.JSON {
-		errs = append(errs, c.print(e.stdout, taken))
+		errs = append(errs, c.print(e.stdout, results))
 	}
 	if c.Wait > 0 {
-		errs = append(errs, c.await(e, client, taken))
+		errs = append(errs, c.await(e, client, results))
 	}
 	return errors.Join(errs...)
 }
 
-// askEvery is how often a coordinator is asked whether changes are over.
-const askEvery = 100 * time.Millisecond
+// statusInterval is the interval between requests for the status while changes are awaited.
+const statusInterval = 100 * time.Millisecond
 
-// await waits until the changes that were taken on are over.
-func (c layoutApply) await(e environment, client *admin.Client, taken []admin.Taken) error {
+// await waits until the accepted changes are over.
+func (c layoutApply) await(e environment, client *admin.Client, results []admin.Taken) error {
 	signalled, stop := e.untilSignal()
 	defer stop()
 	ctx, end := context.WithTimeout(signalled, c.Wait)
 	defer end()
 	waiting := make(map[reshard.JobID]bool)
-	for _, t := range taken {
+	for _, t := range results {
 		if t.Error == "" {
 			waiting[t.Job] = true
 		}
 	}
 	var errs []error
-	tick := time.NewTicker(askEvery)
+	tick := time.NewTicker(statusInterval)
 	defer tick.Stop()
 	for len(waiting) > 0 {
 		var s admin.Status
-		if err := client.Do(ctx, http.MethodGet, "/v1/status", nil, &s); err == nil { // else it may be about to be started again
+		if err := client.Do(ctx, http.MethodGet, "/v1/status", nil, &s); err == nil { // on an error the coordinator may be restarting, so the next tick asks again
 			for _, j := range s.Jobs {
 				if !waiting[j.Job] || !j.Over {
 					continue
@@ -251,12 +253,12 @@
 }
 
 type layoutAbort struct {
-	toCoordinator
+	coordinatorTarget
 	Job    uint64 `arg:"" help:"The job's number, see layout status."`
-	Reason string `default:"by hand" help:"Is shown with the change."`
+	Reason string `default:"by hand" help:"A reason that is shown with the change."`
 }
 
-// Run asks for it.
+// Run asks the coordinator to abort the job.
 func (c layoutAbort) Run(e environment) error {
 	client, err := c.client()
 	if err != nil {
--- a/cmd/eiderwinch/coordinate_test.go
+++ b/cmd/eiderwinch/coordinate_test.go
@@ -18,23 +18,23 @@
 	"eiderwinch/internal/trial/standin"
 )
 
-// moving is a deployment whose segments move: stand-in searchers, and the built
+// reshardDeployment is a deployment whose segments move: stand-in searchers, and the built
 // program as gatherer and coordinator.
-type moving struct {
+type reshardDeployment struct {
 	dir, path, ops string
-	world          *standin.Deployment
-	store          *standin.Warehouse
+	deployment     *standin.Deployment
+	warehouse      *standin.Warehouse
 }
 
-func newMoving(t *testing.T) *moving {
-	m := &moving{dir: t.TempDir(), path: build(t)}
+func newReshardDeployment(t *testing.T) *reshardDeployment {
+	m := &reshardDeployment{dir: t.TempDir(), path: buildProgram(t)}
 	m.ops = filepath.Join(m.dir, "eiderwinch.xml")
 	var err error
-	m.world, err = standin.NewDeployment(standin.DeploymentOptions{
+	m.deployment, err = standin.NewDeployment(standin.DeploymentOptions{
 		Searchers: 4, Zones: 2, Cells: 2, Seed: 1,
 		Work: func(l *layout.Layout) standin.Work {
-			m.store = standin.NewWarehouse(standin.WarehouseOptions{Keys: 20, Seed: 1}, l)
-			return m.store
+			m.warehouse = standin.NewWarehouse(standin.WarehouseOptions{Keys: 20, Seed: 1}, l)
+			return m.warehouse
 		},
 		Layout: func(ids, _ []string) *layout.Layout {
 			l, err := layout.First(layout.Segment{Holders: []string{ids[0], ids[2]}})
@@ -47,10 +47,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { _ = m.world.Close() })
+	t.Cleanup(func() { _ = m.deployment.Close() })
 	var peers strings.Builder
-	for _, s := range m.world.Searchers {
-		c := standin.NewCustodian(s.ID(), m.store, filepath.Join(m.dir, s.ID()))
+	for _, s := range m.deployment.Searchers {
+		c := standin.NewCustodian(s.ID(), m.warehouse, filepath.Join(m.dir, s.ID()))
 		if err := c.Open(); err != nil {
 			t.Fatal(err)
 		}
@@ -58,7 +58,7 @@
 		fmt.Fprintf(&peers, `<searcher name=%q endpoint=%q/>`, s.ID(), c.Endpoint())
 	}
 	var text strings.Builder
-	if err := layoutfile.Write(&text, m.world.First(), m.world.Fleet(2)); err != nil {
+	if err := layoutfile.Write(&text, m.deployment.First(), m.deployment.Fleet(2)); err != nil {
 		t.Fatal(err)
 	}
 	for name, text := range map[string]string{
@@ -75,35 +75,35 @@
 	return m
 }
 
-func (m *moving) gatherer(t *testing.T) (p *program, addr string) {
-	text, err := m.world.Config("g", "127.0.0.1:0")
+func (m *reshardDeployment) startGatherer(t *testing.T) (p *program, addr string) {
+	text, err := m.deployment.Config("g", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	p = launchWith(t, m.path, []string{"serve", "--file", m.ops}, string(text))
-	_, addr, _ = strings.Cut(p.logged(t, "msg=serving"), "addr=")
+	_, addr, _ = strings.Cut(p.waitForLog(t, "msg=serving"), "addr=")
 	addr, _, _ = strings.Cut(addr, " ")
 	return p, addr
 }
 
-func (m *moving) coordinator(t *testing.T) *program {
+func (m *reshardDeployment) startCoordinator(t *testing.T) *program {
 	p := launchWith(t, m.path, []string{"coordinate", m.ops}, "{}")
-	p.logged(t, "msg=coordinating")
+	p.waitForLog(t, "msg=coordinating")
 	return p
 }
 
-// until waits for a state of the coordinator.
-func (m *moving) until(t *testing.T, what string, is func(admin.Status) bool) admin.Status {
+// waitForStatus waits for a state of the coordinator.
+func (m *reshardDeployment) waitForStatus(t *testing.T, what string, is func(admin.Status) bool) admin.Status {
 	t.Helper()
-	return await(t, what, is, "layout", "status", "--json", "--file", m.ops)
+	return waitForJSON(t, what, is, "layout", "status", "--json", "--file", m.ops)
 }
 
-// await calls a command until the JSON that it prints is as wanted.
-func await[S any](t *testing.T, what string, is func(S) bool, args ...string) S {
+// waitForJSON calls a command until the JSON that it prints is as wanted.
+func waitForJSON[S any](t *testing.T, what string, is func(S) bool, args ...string) S {
 	t.Helper()
 	var s S
 	for end := time.Now().Add(30 * time.Second); time.Now().Before(end); {
-		code, out, _ := call(t, nil, args...)
+		code, out, _ := runCommand(t, nil, args...)
 		s = *new(S)
 		if code == exitOK && json.Unmarshal([]byte(out), &s) == nil && is(s) {
 			return s
@@ -113,8 +113,8 @@
 	return s
 }
 
-// search asks a gatherer about segment 0, and returns the answer without its body.
-func search(t *testing.T, addr, trace, statement string) *http.Response {
+// postSearch asks a gatherer about segment 0, and returns the answer without its body.
+func postSearch(t *testing.T, addr, trace, statement string) *http.Response {
 	t.Helper()
 	req, err := http.NewRequest(http.MethodPost, "http://"+addr+"/search", strings.NewReader(`{"tablets":[{"tablet":0,"fraction":1}],"statement":"`+statement+`"}`))
 	if err != nil {
@@ -130,10 +130,10 @@
 	return resp
 }
 
-// epoch asks a query and returns the epoch that it was answered in.
-func epoch(t *testing.T, addr, trace string) string {
+// queryEpoch asks a query and returns the queryEpoch that it was answered in.
+func queryEpoch(t *testing.T, addr, trace string) string {
 	t.Helper()
-	resp := search(t, addr, trace, "scan a z")
+	resp := postSearch(t, addr, trace, "scan a z")
 	if resp.StatusCode != http.StatusOK {
 		t.Errorf("%s: %s", trace, resp.Status)
 	}
@@ -149,12 +149,12 @@
 }
 
 // The built programs move a segment; each of them is killed on the way.
-func TestProgramsMoveASegmentAndAreKilled(t *testing.T) {
-	m := newMoving(t)
-	g, addr := m.gatherer(t)
-	co := m.coordinator(t)
-	m.until(t, "a gatherer that answers", func(s admin.Status) bool { return s.Epoch == 1 && s.Gatherers[0].Up })
-	if e := epoch(t, addr, "t1"); e != "1" {
+func TestSegmentMoveSurvivesKills(t *testing.T) {
+	m := newReshardDeployment(t)
+	g, addr := m.startGatherer(t)
+	co := m.startCoordinator(t)
+	m.waitForStatus(t, "a gatherer that answers", func(s admin.Status) bool { return s.Epoch == 1 && s.Gatherers[0].Up })
+	if e := queryEpoch(t, addr, "t1"); e != "1" {
 		t.Errorf("epoch %s, want 1", e)
 	}
 
@@ -165,57 +165,57 @@
 		}
 	}
 	put(`{"epoch":9,"changes":[{"change":"move","segments":[0],"holders":[["s-01","s-03"]]}]}`)
-	if code, _, errs := call(t, nil, "layout", "apply", "--file", m.ops, changes); code != exitServe || !strings.Contains(errs, "the changes are for epoch 9, in force is 1") {
+	if code, _, errs := runCommand(t, nil, "layout", "apply", "--file", m.ops, changes); code != exitFailure || !strings.Contains(errs, "the changes are for epoch 9, in force is 1") {
 		t.Errorf("for another epoch: code %d, %s", code, errs)
 	}
 	put(`{"changes":[{"change":"move","segments":[0],"holders":[["s-01"]]}]}`)
-	if code, _, errs := call(t, nil, "layout", "apply", "--file", m.ops, changes); code != exitServe || !strings.Contains(errs, "too few holders") {
+	if code, _, errs := runCommand(t, nil, "layout", "apply", "--file", m.ops, changes); code != exitFailure || !strings.Contains(errs, "too few holders") {
 		t.Errorf("to one holder: code %d, %s", code, errs)
 	}
 	put(`{"epoch":1,"changes":[{"change":"move","segments":[0],"holders":[["s-01","s-03"]]}]}`)
-	if code, out, errs := call(t, nil, "layout", "apply", "--at", "unix:"+m.dir+"/co", changes); code != exitOK || !strings.Contains(out, "is job 1") {
+	if code, out, errs := runCommand(t, nil, "layout", "apply", "--at", "unix:"+m.dir+"/co", changes); code != exitOK || !strings.Contains(out, "is job 1") {
 		t.Fatalf("code %d, %s%s", code, out, errs)
 	}
 	co.kill(t)
-	if code, _, _ := call(t, nil, "layout", "status", "--file", m.ops); code != exitServe {
+	if code, _, _ := runCommand(t, nil, "layout", "status", "--file", m.ops); code != exitFailure {
 		t.Errorf("status without a coordinator: code %d", code)
 	}
-	co = m.coordinator(t)
-	s := m.until(t, "the cut-over", func(s admin.Status) bool {
+	co = m.startCoordinator(t)
+	s := m.waitForStatus(t, "the cut-over", func(s admin.Status) bool {
 		return len(s.Jobs) == 1 && s.Jobs[0].Phase == reshard.Cutting.String() && s.Gatherers[0].Epoch == s.Epoch
 	})
 	if s.Term != 2 || s.Epoch < 3 {
 		t.Errorf("term %d, epoch %d", s.Term, s.Epoch)
 	}
-	if e := epoch(t, addr, "t2"); e != fmt.Sprint(s.Epoch) {
+	if e := queryEpoch(t, addr, "t2"); e != fmt.Sprint(s.Epoch) {
 		t.Errorf("epoch %s, want %d", e, s.Epoch)
 	}
-	if code, _, errs := call(t, nil, "layout", "abort", "--file", m.ops, "1"); code != exitServe || !strings.Contains(errs, "can only go forward") {
+	if code, _, errs := runCommand(t, nil, "layout", "abort", "--file", m.ops, "1"); code != exitFailure || !strings.Contains(errs, "can only go forward") {
 		t.Errorf("an abort after the cut-over: code %d, %s", code, errs)
 	}
-	if code, out, _ := call(t, nil, "layout", "status", "--file", m.ops); code != exitOK || !strings.Contains(out, "cutting") {
+	if code, out, _ := runCommand(t, nil, "layout", "status", "--file", m.ops); code != exitOK || !strings.Contains(out, "cutting") {
 		t.Errorf("status: code %d, %s", code, out)
 	}
 
 	// A gatherer that is killed never goes back to an older epoch.
 	co.kill(t)
 	g.kill(t)
-	g, addr = m.gatherer(t)
-	if e := epoch(t, addr, "t3"); e != fmt.Sprint(s.Epoch) {
+	g, addr = m.startGatherer(t)
+	if e := queryEpoch(t, addr, "t3"); e != fmt.Sprint(s.Epoch) {
 		t.Errorf("epoch %s after a restart, want %d", e, s.Epoch)
 	}
 	// A coordinator whose log is lost begins at the first layout. It must not rule.
 	if err := os.Remove(filepath.Join(m.dir, "changes.db")); err != nil {
 		t.Fatal(err)
 	}
-	lost := m.coordinator(t)
-	lost.logged(t, "searchers obey a coordinator of a later term")
+	lost := m.startCoordinator(t)
+	lost.waitForLog(t, "searchers obey a coordinator of a later term")
 	for range lost.lines {
 	}
-	if _ = lost.Wait(); lost.ProcessState.ExitCode() != exitServe {
+	if _ = lost.Wait(); lost.ProcessState.ExitCode() != exitFailure {
 		t.Errorf("it ended with %v", lost.ProcessState)
 	}
-	if held := m.store.Held("s-01"); len(held) != 1 {
+	if held := m.warehouse.Held("s-01"); len(held) != 1 {
 		t.Errorf("it made a new holder forget: %v", held)
 	}
 	_ = g.Process.Signal(syscall.SIGTERM)
--- a/cmd/eiderwinch/demo.go
+++ b/cmd/eiderwinch/demo.go
@@ -19,17 +19,17 @@
 	"eiderwinch/internal/trial/standin"
 )
 
-// demoCommand starts stand-ins and a gatherer on loopback and asks queries.
+// demoCommand starts a fake deployment and a gatherer on loopback and sends queries to it.
 type demoCommand struct {
-	Queries int    `default:"60" help:"How many queries to ask, 1 to 10000."`
-	Clients int    `default:"6" help:"How many ask at once, 1 to 200."`
-	Seed    uint64 `default:"1" help:"For the catalogue and the queries: the same seed asks the same."`
-	Layout  string `default:"sets" enum:"sets,ring" help:"Of the segments: ${enum}. Sets of searchers hold the same ones; in a ring the next searcher holds them as well."`
-	Answers string `default:"whole" enum:"whole,partial" help:"What classes there are: ${enum}. Whole: searches, reservations and reports in two steps; partial: batches, and wide reports that may be answered from half, for tenants, with keys and second copies."`
+	Queries int    `default:"60" help:"Number of queries, 1 to 10000."`
+	Clients int    `default:"6" help:"Number of concurrent clients, 1 to 200."`
+	Seed    uint64 `default:"1" help:"Seed of the catalogue and the queries; the same seed gives the same queries."`
+	Layout  string `default:"sets" enum:"sets,ring" help:"How segments are laid out: ${enum}. sets: groups of searchers hold the same segments; ring: each segment is also held by the next searcher."`
+	Answers string `default:"whole" enum:"whole,partial" help:"Which classes there are: ${enum}. whole: searches, reservations and reports in two steps; partial: batches, and wide reports that may be answered from half of their parts, with tenants, keys and second copies."`
 	Verbose bool   `short:"v" help:"Show the gatherer's own log on standard error."`
 }
 
-// Validate is called by the parser.
+// Validate checks the flags; the parser calls it.
 func (d demoCommand) Validate() error {
 	if d.Queries < 1 || d.Queries > 10_000 {
 		return fmt.Errorf("--queries is %d, want 1 to 10000", d.Queries)
@@ -40,10 +40,10 @@
 	return nil
 }
 
-// demoStart is how long the gatherer may take to come up.
-const demoStart = 5 * time.Second
+// startTimeout bounds the time that the gatherer takes to start serving.
+const startTimeout = 5 * time.Second
 
-// Run is the demo. It ends by itself, or cleanly at a signal.
+// Run runs the demo until all queries are answered or a signal comes, then drains the gatherer.
 func (d demoCommand) Run(e environment) (err error) {
 	ctx, stop := e.untilSignal()
 	defer stop()
@@ -55,20 +55,20 @@
 	if err != nil {
 		return err
 	}
-	world, node := l.world, l.node
-	defer func() { err = errors.Join(err, world.Close()) }()
+	deployment, node := l.deployment, l.node
+	defer func() { err = errors.Join(err, deployment.Close()) }()
 	fmt.Fprintf(e.stdout, "A gatherer on %s, discovery on %s, %d searchers in 3 zones that hold %d segments.\n\n",
-		node.Addr(), world.Discovery.Addr(), len(world.Searchers), world.Segments())
-	asker := newAsker(d, node.Addr(), world.Segments(), e.stdout)
-	asker.run(ctx)
+		node.Addr(), deployment.Discovery.Addr(), len(deployment.Searchers), deployment.Segments())
+	client := newDemoClient(d, node.Addr(), deployment.Segments(), e.stdout)
+	client.run(ctx)
 	if err := l.drain(); err != nil {
 		return err
 	}
-	return asker.report(ctx, world)
+	return client.report(ctx, deployment)
 }
 
-// asked is one query of the demo and what came of it.
-type asked struct {
+// demoQuery is one query of the demo and its result.
+type demoQuery struct {
 	class, trace, key, statement string
 	segments                     []int
 	about, tenant                string
@@ -80,41 +80,41 @@
 	err    error
 }
 
-// asker asks queries and keeps the books.
-type asker struct {
+// demoClient sends the queries and records their results.
+type demoClient struct {
 	demoCommand
-	addr   string
-	client *http.Client
-	out    io.Writer
-	list   []*asked
+	addr    string
+	client  *http.Client
+	out     io.Writer
+	queries []*demoQuery
 
 	mu   sync.Mutex // of out and done
-	done []*asked
+	done []*demoQuery
 }
 
 func (d demoCommand) partial() bool { return d.Answers == "partial" }
 
-// classes are those that it asks, and how often each of them is asked of seven times.
-func (d demoCommand) classes() (names, mix []string) {
+// classes returns the classes of the queries, and a list of seven that weights them for random choice.
+func (d demoCommand) classes() (names, weighted []string) {
 	if d.partial() {
 		return []string{"report", "lookup"}, []string{"report", "report", "lookup", "lookup", "lookup", "lookup", "lookup"}
 	}
 	return []string{"report", "search", "reserve"}, []string{"report", "search", "search", "search", "search", "reserve", "reserve"}
 }
 
-func newAsker(d demoCommand, addr string, segments int, out io.Writer) *asker {
-	a := &asker{demoCommand: d, addr: addr, out: out, client: &http.Client{
+func newDemoClient(d demoCommand, addr string, segments int, out io.Writer) *demoClient {
+	a := &demoClient{demoCommand: d, addr: addr, out: out, client: &http.Client{
 		Transport: &http.Transport{MaxIdleConnsPerHost: d.Clients, MaxConnsPerHost: d.Clients},
 	}}
 	rng := rand.New(rand.NewPCG(d.Seed, 2))
 	classes, mix := d.classes()
 	for i := range d.Queries {
-		// One class after the other first, so that a short demo shows all; then as branches ask.
+		// Each class comes once first, so that a short demo shows all; then they come in the weighted mix of branches.
 		class := classes[i%len(classes)]
 		if i >= len(classes) {
 			class = mix[rng.IntN(len(mix))]
 		}
-		q := &asked{class: class, trace: fmt.Sprintf("demo-%d-%d", d.Seed, i)}
+		q := &demoQuery{class: class, trace: fmt.Sprintf("demo-%d-%d", d.Seed, i)}
 		parts := map[string]int{"report": 4, "search": 3 + rng.IntN(2), "reserve": 1, "lookup": 4}[class]
 		if d.partial() {
 			if class == "report" {
@@ -134,14 +134,14 @@
 		default:
 			q.statement, q.key = "reserve one", fmt.Sprintf("key-%d-%d", d.Seed, i)
 		}
-		a.list = append(a.list, q)
+		a.queries = append(a.queries, q)
 	}
 	return a
 }
 
-// run asks all, d.Clients at a time, until ctx ends.
-func (a *asker) run(ctx context.Context) {
-	next := make(chan *asked)
+// run sends all queries, a.Clients at a time, until ctx ends.
+func (a *demoClient) run(ctx context.Context) {
+	next := make(chan *demoQuery)
 	var all sync.WaitGroup
 	for range a.Clients {
 		all.Add(1)
@@ -152,7 +152,7 @@
 			}
 		}()
 	}
-	for _, q := range a.list {
+	for _, q := range a.queries {
 		select {
 		case next <- q:
 			continue
@@ -165,12 +165,13 @@
 	a.client.CloseIdleConnections()
 }
 
-func (a *asker) ask(ctx context.Context, q *asked) {
+// ask sends one query, records it and prints its result.
+func (a *demoClient) ask(ctx context.Context, q *demoQuery) {
 	q.err = a.post(ctx, q)
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if ctx.Err() != nil {
-		return // it was broken off; nothing is to be said of it
+		return // the signal may have cancelled the query, so its result means nothing
 	}
 	a.done = append(a.done, q)
 	what := "not served"
@@ -186,8 +187,8 @@
 		float64(q.took.Microseconds())/1000, strings.Trim(fmt.Sprint(q.segments), "[]"), strings.Join(q.values, "; "))
 }
 
-// post asks one query and reads its answer.
-func (a *asker) post(ctx context.Context, q *asked) error {
+// post sends one query and reads its answer.
+func (a *demoClient) post(ctx context.Context, q *demoQuery) error {
 	got, err := ask.Do(ctx, a.client, a.addr, ask.Query{
 		Class: q.class, Trace: q.trace, Key: q.key, Expires: 4 * time.Second, Segments: q.segments, Statement: q.statement,
 		About: q.about, Tenant: q.tenant,
@@ -202,18 +203,18 @@
 	return err
 }
 
-// mostMS is the longest time that the histograms hold: no class waits for longer.
-const mostMS = 20_000
+// maxLatencyMS is the longest latency that the histograms hold; no class waits for longer.
+const maxLatencyMS = 20_000
 
-// report prints the summary, and returns an error if not all was answered whole.
-func (a *asker) report(ctx context.Context, world *standin.Deployment) error {
+// report prints the summary, and returns an error if a query was not answered whole.
+func (a *demoClient) report(ctx context.Context, deployment *standin.Deployment) error {
 	fmt.Fprintln(a.out)
 	table := tabwriter.NewWriter(a.out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(table, "class\tasked\twhole\tp50 ms\tp99 ms")
 	whole := 0
 	classes, _ := a.classes()
 	for _, class := range classes {
-		times := hdrhistogram.New(1, mostMS*1000, 3) // microseconds, to three digits
+		times := hdrhistogram.New(1, maxLatencyMS*1000, 3) // microseconds, to three digits
 		count, full := 0, 0
 		for _, q := range a.done {
 			if q.class != class {
@@ -221,7 +222,7 @@
 			}
 			if count++; q.status == http.StatusOK && q.full {
 				full++
-				_ = times.RecordValue(min(q.took.Microseconds(), mostMS*1000))
+				_ = times.RecordValue(min(q.took.Microseconds(), maxLatencyMS*1000))
 			}
 		}
 		whole += full
@@ -232,20 +233,20 @@
 		return err
 	}
 	calls, parts := 0, 0
-	for _, s := range world.Searchers {
+	for _, s := range deployment.Searchers {
 		n := s.Counts()
 		calls, parts = calls+n.Calls, parts+n.Parts
 	}
-	doubled := world.Stock.Doubled()
+	doubled := deployment.Stock.Doubled()
 	fmt.Fprintf(a.out, "\n%d of %d answered whole; %d parts in %d calls; %d reservations made twice.\n",
-		whole, len(a.list), parts, calls, len(doubled))
+		whole, len(a.queries), parts, calls, len(doubled))
 	switch {
 	case len(doubled) > 0:
 		return fmt.Errorf("reserved more than once: %s", strings.Join(doubled, ", "))
 	case ctx.Err() != nil:
 		fmt.Fprintf(a.out, "Ended early, after %d.\n", len(a.done))
-	case whole < len(a.list):
-		return fmt.Errorf("%d of %d were not answered whole", len(a.list)-whole, len(a.list))
+	case whole < len(a.queries):
+		return fmt.Errorf("%d of %d were not answered whole", len(a.queries)-whole, len(a.queries))
 	}
 	return nil
 }
--- a/cmd/eiderwinch/experiment.go
+++ b/cmd/eiderwinch/experiment.go
@@ -18,20 +18,21 @@
 	"eiderwinch/internal/trial/rig"
 )
 
-// experimentCommands play deployments in virtual time.
+// experimentCommands run deployments in virtual time.
 type experimentCommands struct {
-	Run    experimentRun    `cmd:"" help:"Play the scenarios of a file on the emulator, over seeds and swept values, and print how each class fared."`
-	Report experimentReport `cmd:"" help:"Make one page of plots out of an experiment's results."`
-	Fleet  experimentFleet  `cmd:"" help:"Make one page of plots out of the history of a fleet of processes under faults."`
+	Run    experimentRun    `cmd:"" help:"Run the scenarios of a file on the emulator, over seeds and swept values, and print the results by class."`
+	Report experimentReport `cmd:"" help:"Write one page of plots from an experiment's results."`
+	Fleet  experimentFleet  `cmd:"" help:"Write one page of plots from the history of a fleet of processes under faults."`
 }
 
 type experimentRun struct {
-	asJSON
-	File    string `arg:"" help:"An experiment after deploy/scenario.xsd."`
-	Out     string `placeholder:"FILE" help:"Where results are written, one run a line; what is there already is not played again. FILE.csv gets a table. Default: the experiment's name with .results."`
-	Workers int    `help:"Runs side by side; 0 is one for each core."`
+	outputFormat
+	File    string `arg:"" help:"An experiment that conforms to deploy/scenario.xsd."`
+	Out     string `placeholder:"FILE" help:"Where results are written, one run per line; runs already there are not repeated. FILE.csv gets a table. Default: the experiment's name with .results."`
+	Workers int    `help:"Number of concurrent runs; 0 means one per core."`
 }
 
+// results returns the path of the results.
 func (c experimentRun) results() string {
 	if c.Out != "" {
 		return c.Out
@@ -39,8 +40,8 @@
 	return strings.TrimSuffix(c.File, filepath.Ext(c.File)) + ".results"
 }
 
-// Run plays what is not played yet. A signal ends it; it goes on where it is called
-// again.
+// Run executes the runs that have no result yet. A signal ends it; the next call continues with the
+// remaining runs.
 func (c experimentRun) Run(e environment) error {
 	x, err := readForm(c.File, emulator.ReadExperiment)
 	if err != nil {
@@ -79,11 +80,11 @@
 
 type experimentReport struct {
 	File string `arg:"" help:"The experiment's file."`
-	Out  string `placeholder:"FILE" help:"Where its results are; as for run."`
+	Out  string `placeholder:"FILE" help:"Where the results are; see run."`
 	HTML string `placeholder:"FILE" help:"Where the page is written. Default: the experiment's name with .html."`
 }
 
-// Run makes the page.
+// Run writes the page.
 func (c experimentReport) Run(e environment) error {
 	x, err := readForm(c.File, emulator.ReadExperiment)
 	if err != nil {
@@ -112,11 +113,11 @@
 }
 
 type experimentFleet struct {
-	File string `arg:"" help:"A history.jsonl, as the test of a fleet under faults leaves it."`
+	File string `arg:"" help:"A history.jsonl that the test of a fleet under faults has written."`
 	HTML string `placeholder:"FILE" help:"Where the page is written. Default: the history's name with .html."`
 }
 
-// Run makes the page.
+// Run writes the page.
 func (c experimentFleet) Run(e environment) error {
 	f, err := os.Open(c.File)
 	if err != nil {
--- a/cmd/eiderwinch/faults_test.go
+++ b/cmd/eiderwinch/faults_test.go
@@ -30,25 +30,25 @@
 
 // Sizes of a run under faults.
 const (
-	faultClients = 12
-	faultQueries = 30              // of each client
-	faultWait    = 6 * time.Second // the queries' own time is 4 s
-	faultEnd     = 8 * time.Second // for the program to end once it is told to
-	faultGiveUp  = 2               // a client goes after so many requests without an answer
-	faultReuse   = 5               // a client opens a new connection after so many queries
+	faultClients         = 12
+	faultQueries         = 30              // of each client
+	faultAnswerTimeout   = 6 * time.Second // the queries' own time is 4 s
+	faultShutdownTimeout = 8 * time.Second // for the program to end once it is told to
+	faultMaxUnanswered   = 2               // a client goes after so many requests without an answer
+	faultQueriesPerConn  = 5               // a client opens a new connection after so many queries
 )
 
 // faultCases are failures that Linux documents and that pass.
 func faultCases() map[string][]faults.Fault {
-	const soon = 300 * time.Millisecond
+	const startDelay = 300 * time.Millisecond
 	once := func(call string, errno syscall.Errno) faults.Fault {
-		return faults.Fault{Call: call, Errno: errno, After: soon, Most: 1}
+		return faults.Fault{Call: call, Errno: errno, After: startDelay, Most: 1}
 	}
 	share := func(call string, errno syscall.Errno, to faults.Target, rate float64) faults.Fault {
-		return faults.Fault{Call: call, Errno: errno, Target: to, After: soon, Rate: rate}
+		return faults.Fault{Call: call, Errno: errno, Target: to, After: startDelay, Rate: rate}
 	}
 	span := func(call string, errno syscall.Errno) faults.Fault {
-		return faults.Fault{Call: call, Errno: errno, After: soon, For: 300 * time.Millisecond}
+		return faults.Fault{Call: call, Errno: errno, After: startDelay, For: 300 * time.Millisecond}
 	}
 	return map[string][]faults.Fault{
 		"accept, once":         {once("accept4", syscall.ENFILE)},
@@ -75,42 +75,42 @@
 
 // The built program loses no request and ends only when it is told to, while system calls fail for a moment.
 func TestNoRequestIsLostWhileSystemCallsFail(t *testing.T) {
-	path := build(t)
+	path := buildProgram(t)
 	for name, list := range faultCases() {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			playFaults(t, path, faults.Plan{Seed: 1, Faults: list})
+			runFaultPlan(t, path, faults.Plan{Seed: 1, Faults: list})
 		})
 	}
 }
 
 // The limit of descriptors may be lowered from outside for a moment: nothing new can be opened then.
-func TestNoRequestIsLostWhileTheLimitOfDescriptorsIsLow(t *testing.T) {
-	p := launchDeployed(t, exec.Command(build(t)), 1)
+func TestNoRequestIsLostWhileDescriptorLimitIsLow(t *testing.T) {
+	p := launchDeployed(t, exec.Command(buildProgram(t)), 1)
 	go func() {
-		var usual unix.Rlimit
+		var original unix.Rlimit
 		for range 3 {
 			time.Sleep(200 * time.Millisecond)
-			if err := unix.Prlimit(p.Process.Pid, unix.RLIMIT_NOFILE, nil, &usual); err != nil {
+			if err := unix.Prlimit(p.Process.Pid, unix.RLIMIT_NOFILE, nil, &original); err != nil {
 				t.Error(err)
 			}
-			low := unix.Rlimit{Cur: 8, Max: usual.Max}
+			low := unix.Rlimit{Cur: 8, Max: original.Max}
 			_ = unix.Prlimit(p.Process.Pid, unix.RLIMIT_NOFILE, &low, nil)
 			time.Sleep(150 * time.Millisecond)
-			_ = unix.Prlimit(p.Process.Pid, unix.RLIMIT_NOFILE, &usual, nil)
+			_ = unix.Prlimit(p.Process.Pid, unix.RLIMIT_NOFILE, &original, nil)
 		}
 	}()
-	p.account(t)
+	p.checkRequests(t)
 }
 
-// traced is a program under faults with a deployment round it.
-type traced struct {
+// tracedProgram is a program under faults with a deployment round it.
+type tracedProgram struct {
 	*program
-	world *standin.Deployment
+	deployment *standin.Deployment
 }
 
 // launchTraced starts the program under a plan.
-func launchTraced(t *testing.T, path string, plan faults.Plan) *traced {
+func launchTraced(t *testing.T, path string, plan faults.Plan) *tracedProgram {
 	t.Helper()
 	cmd, err := faults.Command(plan, path)
 	if err != nil {
@@ -120,28 +120,28 @@
 }
 
 // launchDeployed starts a command that runs the program, with a deployment round it.
-func launchDeployed(t *testing.T, cmd *exec.Cmd, seed uint64) *traced {
+func launchDeployed(t *testing.T, cmd *exec.Cmd, seed uint64) *tracedProgram {
 	t.Helper()
-	world, err := standin.NewDeployment(standin.DeploymentOptions{Seed: seed})
+	deployment, err := standin.NewDeployment(standin.DeploymentOptions{Seed: seed})
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { _ = world.Close() })
-	text, err := world.Config("n0", "127.0.0.1:0")
+	t.Cleanup(func() { _ = deployment.Close() })
+	text, err := deployment.Config("n0", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	p := launchCommand(t, cmd, string(text))
-	serving := p.logged(t, "msg=serving")
+	serving := p.waitForLog(t, "msg=serving")
 	_, after, _ := strings.Cut(serving, "addr=")
 	p.addr, _, _ = strings.Cut(after, " ")
-	return &traced{program: p, world: world}
+	return &tracedProgram{program: p, deployment: deployment}
 }
 
 // A configuration is read again though the disk or the system fails for a while as SIGHUP comes, and though
 // the file is found half written.
-func TestAReloadOutlastsFailuresOfTheDisk(t *testing.T) {
-	path := build(t)
+func TestReloadSurvivesDiskFailures(t *testing.T) {
+	path := buildProgram(t)
 	const down = 2 * time.Second
 	plan := faults.Plan{Faults: []faults.Fault{
 		{Call: "read", Errno: syscall.EIO, Target: faults.File, Path: "config.json", After: time.Second, For: down},
@@ -152,7 +152,7 @@
 	if err := p.Process.Signal(syscall.SIGHUP); err != nil {
 		t.Fatal(err)
 	}
-	p.logged(t, "configuration reloaded")
+	p.waitForLog(t, "configuration reloaded")
 	if took := time.Since(began); took < down/2 {
 		t.Errorf("it was read within %v: the fault has not struck", took)
 	}
@@ -165,20 +165,20 @@
 	if err := p.Process.Signal(syscall.SIGHUP); err != nil {
 		t.Fatal(err)
 	}
-	time.Sleep(contentTime / 2)
+	time.Sleep(contentTimeout / 2)
 	p.configure(t, string(whole))
-	p.logged(t, "configuration reloaded")
+	p.waitForLog(t, "configuration reloaded")
 }
 
-// logRig is a program whose log a test reads by hand, with a deployment round it.
-type logRig struct {
+// logHarness is a program whose log a test reads by hand, with a deployment round it.
+type logHarness struct {
 	*exec.Cmd
 	log   *os.File
 	addr  string
 	world *standin.Deployment
 }
 
-func newLogRig(t *testing.T, args ...string) *logRig {
+func newLogHarness(t *testing.T, args ...string) *logHarness {
 	t.Helper()
 	world, err := standin.NewDeployment(standin.DeploymentOptions{Searchers: 4})
 	if err != nil {
@@ -197,7 +197,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &logRig{Cmd: exec.Command(build(t), append([]string{"serve"}, args...)...), log: reader, world: world}
+	r := &logHarness{Cmd: exec.Command(buildProgram(t), append([]string{"serve"}, args...)...), log: reader, world: world}
 	r.Env = append(os.Environ(), "LB_CONFIG="+file, "LB_LISTEN=", "LB_DISCOVERY=", "LB_NAME=")
 	r.Stderr = writer
 	if err := r.Start(); err != nil {
@@ -219,8 +219,8 @@
 }
 
 // A gatherer whose log nobody reads any more goes on.
-func TestTheEndOfTheLogsReaderEndsNothing(t *testing.T) {
-	r := newLogRig(t)
+func TestClosedLogReaderDoesNotEndProgram(t *testing.T) {
+	r := newLogHarness(t)
 	_ = r.log.Close()
 	for range 5 {
 		_ = r.Process.Signal(syscall.SIGUSR1)
@@ -233,8 +233,8 @@
 }
 
 // Nor does a reader who stays and does not read hold up a query.
-func TestAReaderOfTheLogThatStandsStillHoldsUpNoQuery(t *testing.T) {
-	r := newLogRig(t, "--log", "debug")
+func TestStalledLogReaderDelaysNoQuery(t *testing.T) {
+	r := newLogHarness(t, "--log", "debug")
 	defer r.log.Close()
 	c := dialGatherer(r.addr)
 	defer c.close()
@@ -246,7 +246,7 @@
 }
 
 // A disk that fails for a while holds up a change of the configuration, and loses none.
-func TestAChangeOutlastsADiskThatFails(t *testing.T) {
+func TestConfigChangeSurvivesDiskFailures(t *testing.T) {
 	for name, list := range map[string][]faults.Fault{
 		"syncs":      {{Call: "fdatasync", Errno: syscall.EIO, Most: 5}},
 		"full":       {{Call: "pwrite64", Errno: syscall.ENOSPC, Target: faults.File, Path: ".db", Most: 5}},
@@ -254,8 +254,8 @@
 		"in between": {{Call: "fdatasync", Errno: syscall.EIO, Rate: 0.5}, {Call: "pwrite64", Errno: syscall.EIO, Rate: 0.2, Path: ".db", Target: faults.File}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			k := newKept(t)
-			k.put(t, `<guard probation="60s" auto="false"/>`)
+			k := newManagedProgram(t)
+			k.writeOperatorsFile(t, `<guard probation="60s" auto="false"/>`)
 			for i := range list {
 				list[i].After, list[i].For = time.Second, 3*time.Second
 			}
@@ -264,18 +264,18 @@
 				t.Fatal(err)
 			}
 			p := launchCommand(t, cmd, k.text)
-			p.logged(t, "msg=serving")
+			p.waitForLog(t, "msg=serving")
 			time.Sleep(time.Second) // the faults begin
-			k.put(t, `<guard probation="60s" auto="false"/><class name="search" open="50"/>`)
+			k.writeOperatorsFile(t, `<guard probation="60s" auto="false"/><class name="search" open="50"/>`)
 			_ = p.Process.Signal(syscall.SIGHUP)
-			p.logged(t, "a write fails; it is tried again")
-			k.until(t, "probation", state(1, "probation"))
-			if code, _, errs := call(t, nil, "config", "confirm", "--file", k.ops, "1"); code != exitOK {
+			p.waitForLog(t, "a write fails; it is tried again")
+			k.waitForStatus(t, "probation", lastTransaction(1, "probation"))
+			if code, _, errs := runCommand(t, nil, "config", "confirm", "--file", k.ops, "1"); code != exitOK {
 				t.Errorf("confirm: %s", errs)
 			}
 			p.kill(t)
 			p, _ = k.launch(t)
-			if s := k.until(t, "a status", func(keeper.Status) bool { return true }); s.Confirmed != 2 {
+			if s := k.waitForStatus(t, "a status", func(keeper.Status) bool { return true }); s.Confirmed != 2 {
 				t.Errorf("after the kill: %+v", s)
 			}
 			_ = p.Process.Kill()
@@ -284,7 +284,7 @@
 }
 
 // A start outlasts a disk that fails and sockets that can't be had for a while.
-func TestAStartOutlastsFailures(t *testing.T) {
+func TestStartSurvivesTransientFailures(t *testing.T) {
 	const down = 1500 * time.Millisecond
 	fails := func(call string, errno syscall.Errno, to faults.Target, path string) faults.Fault {
 		return faults.Fault{Call: call, Errno: errno, Target: to, Path: path, For: down}
@@ -296,8 +296,8 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			k := newKept(t)
-			k.put(t, "")
+			k := newManagedProgram(t)
+			k.writeOperatorsFile(t, "")
 			if name == "sockets" { // the runtime has an eventfd of its own, which it can't do without
 				list[1].After = 200 * time.Millisecond
 			}
@@ -307,7 +307,7 @@
 			}
 			began := time.Now()
 			p := launchCommand(t, cmd, k.text)
-			p.logged(t, "msg=serving")
+			p.waitForLog(t, "msg=serving")
 			if took := time.Since(began); took < down/2 {
 				t.Errorf("it started within %v: the fault has not struck", took)
 			}
@@ -316,13 +316,13 @@
 	}
 }
 
-// playFaults holds a program to account under a plan.
-func playFaults(t *testing.T, path string, plan faults.Plan) {
-	launchTraced(t, path, plan).account(t)
+// runFaultPlan holds a program to account under a plan.
+func runFaultPlan(t *testing.T, path string, plan faults.Plan) {
+	launchTraced(t, path, plan).checkRequests(t)
 }
 
-// account asks queries, ends the program, and tells what was lost.
-func (p *traced) account(t *testing.T) {
+// checkRequests asks queries, ends the program, and tells what was lost.
+func (p *tracedProgram) checkRequests(t *testing.T) {
 	t.Helper()
 	var all sync.WaitGroup
 	results := make(chan string, faultClients*faultQueries)
@@ -342,16 +342,16 @@
 	if err := p.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Errorf("it has ended by itself: %v", err)
 	}
-	kill := time.AfterFunc(faultEnd, func() { _ = p.Process.Kill() })
+	kill := time.AfterFunc(faultShutdownTimeout, func() { _ = p.Process.Kill() })
 	defer kill.Stop()
 	var log []string
-	told := false
+	draining := false
 	for line := range p.lines {
-		told = told || strings.Contains(line, "msg=draining")
+		draining = draining || strings.Contains(line, "msg=draining")
 		log = append(log, line)
 	}
-	if err := p.Wait(); err != nil || !told {
-		t.Errorf("it ended with %v, told to: %v", err, told)
+	if err := p.Wait(); err != nil || !draining {
+		t.Errorf("it ended with %v, told to: %v", err, draining)
 	}
 	total, whole := faultClients*faultQueries, count["200"]
 	refused := count["503"] + count["429"]
@@ -365,18 +365,18 @@
 
 // ask asks one client's queries one after the other. No client asks again by itself: http.Transport would
 // send a query once more on another connection where the one it has kept breaks.
-func (p *traced) ask(client int, results chan<- string) {
+func (p *tracedProgram) ask(client int, results chan<- string) {
 	var connection *clientConn
 	lost := 0
 	for i := range faultQueries {
-		if i%faultReuse == 0 {
+		if i%faultQueriesPerConn == 0 {
 			connection.close()
 			connection = dialGatherer(p.addr)
 		}
-		result := connection.ask(fmt.Sprintf("f-%d-%d", client, i), (client+i)%(p.world.Segments()-1))
+		result := connection.ask(fmt.Sprintf("f-%d-%d", client, i), (client+i)%(p.deployment.Segments()-1))
 		results <- result
 		if result == noAnswer {
-			if lost++; lost == faultGiveUp {
+			if lost++; lost == faultMaxUnanswered {
 				break
 			}
 		}
@@ -436,7 +436,7 @@
 // send sends a query for two segments from one on.
 func (c *clientConn) send(trace string, segment int, expires time.Duration) error {
 	body := fmt.Sprintf(`{"tablets":[{"tablet":%d,"fraction":0.5},{"tablet":%d,"fraction":0.5}],"statement":"find fullest"}`, segment, segment+1)
-	_ = c.SetDeadline(time.Now().Add(faultWait))
+	_ = c.SetDeadline(time.Now().Add(faultAnswerTimeout))
 	_, err := fmt.Fprintf(c, "POST /search HTTP/1.1\r\nHost: h\r\nX-Trace-Id: %s\r\nX-Qos: search\r\nX-Expires-In-Ms: %d\r\nContent-Length: %d\r\n\r\n%s",
 		trace, expires.Milliseconds(), len(body), body)
 	return err
--- a/cmd/eiderwinch/faultsoak_test.go
+++ b/cmd/eiderwinch/faultsoak_test.go
@@ -18,14 +18,14 @@
 // Times of a soak. The kill comes at the earliest that the platform allows: 3 s, since the longest deadline is
 // above that, and 0.7 s.
 const (
-	soakServe    = 1500 * time.Millisecond
-	soakKill     = 3700 * time.Millisecond
-	soakSeeds    = 6 // where soakVariable does not say how many
-	soakClients  = 8
-	soakExpires  = 1500 * time.Millisecond
-	soakCrowd    = 150 // idle connections, on every third seed
-	soakVariable = "EIDERWINCH_SOAK_SEEDS"
-	resetTime    = 50 * time.Millisecond // for a reset to come back over loopback
+	soakServeTime     = 1500 * time.Millisecond
+	soakKillTimeout   = 3700 * time.Millisecond
+	soakSeeds         = 6 // where soakVariable does not say how many
+	soakClients       = 8
+	soakQueryTimeout  = 1500 * time.Millisecond
+	soakIdleConns     = 150 // idle connections, on every third seed
+	soakSeedsVariable = "EIDERWINCH_SOAK_SEEDS"
+	resetDelay        = 50 * time.Millisecond // for a reset to come back over loopback
 )
 
 // soakFaults are what a soak draws from. Each may pass at any time.
@@ -60,7 +60,7 @@
 	plan := faults.Plan{Seed: seed}
 	for range 2 + random.IntN(4) {
 		f := soakFaults[random.IntN(len(soakFaults))]
-		f.After = 300*time.Millisecond + time.Duration(random.Int64N(int64(soakServe)))
+		f.After = 300*time.Millisecond + time.Duration(random.Int64N(int64(soakServeTime)))
 		if random.IntN(2) == 0 {
 			f.For = 100*time.Millisecond + time.Duration(random.Int64N(int64(time.Second)))
 		}
@@ -73,31 +73,31 @@
 // was read gets its answer, and the process ends by itself in time.
 func TestASoakUnderFaults(t *testing.T) {
 	seeds := soakSeeds
-	if s := os.Getenv(soakVariable); s != "" {
+	if s := os.Getenv(soakSeedsVariable); s != "" {
 		var err error
 		if seeds, err = strconv.Atoi(s); err != nil || seeds < 1 {
-			t.Fatalf("%s is %q, want a number from 1 on", soakVariable, s)
+			t.Fatalf("%s is %q, want a number from 1 on", soakSeedsVariable, s)
 		}
 	}
-	path := build(t)
-	room := make(chan struct{}, 4)
+	path := buildProgram(t)
+	slots := make(chan struct{}, 4)
 	for seed := range seeds {
 		t.Run(fmt.Sprintf("seed %d", seed+1), func(t *testing.T) {
 			t.Parallel()
-			room <- struct{}{}
-			defer func() { <-room }()
+			slots <- struct{}{}
+			defer func() { <-slots }()
 			soakOnce(t, path, drawPlan(uint64(seed+1)))
 		})
 	}
 }
 
-// tally counts results of requests.
-type tally struct {
+// resultCounts counts results of requests.
+type resultCounts struct {
 	mu    sync.Mutex
 	count map[string]int
 }
 
-func (c *tally) add(result string) {
+func (c *resultCounts) add(result string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.count[result]++
@@ -114,13 +114,13 @@
 		log <- kept
 	}()
 	if plan.Seed%3 == 0 {
-		for range soakCrowd {
+		for range soakIdleConns {
 			if c := dialGatherer(p.addr); c != nil {
 				defer c.close()
 			}
 		}
 	}
-	results := &tally{count: make(map[string]int)}
+	results := &resultCounts{count: make(map[string]int)}
 	stop := make(chan struct{})
 	var clients sync.WaitGroup
 	for client := range soakClients {
@@ -136,10 +136,10 @@
 		}
 	}
 	signal(syscall.SIGHUP, syscall.SIGUSR1, syscall.SIGHUP)
-	time.Sleep(soakServe)
-	kill := time.After(soakKill) // counted from the first SIGTERM
+	time.Sleep(soakServeTime)
+	kill := time.After(soakKillTimeout) // counted from the first SIGTERM
 	signal(syscall.SIGTERM)
-	time.Sleep(soakServe / 2)
+	time.Sleep(soakServeTime / 2)
 	signal(syscall.SIGTERM, syscall.SIGHUP)
 	var lines []string
 	select {
@@ -166,7 +166,7 @@
 }
 
 // useConnections asks on one connection until the gatherer ends it, then on the next, until none can be opened.
-func (p *traced) useConnections(seed uint64, client int, results *tally, stop <-chan struct{}) {
+func (p *tracedProgram) useConnections(seed uint64, client int, results *resultCounts, stop <-chan struct{}) {
 	random := rand.New(rand.NewPCG(seed, uint64(client)))
 	for number := 0; ; {
 		c := dialGatherer(p.addr)
@@ -180,7 +180,7 @@
 				return
 			case <-time.After(time.Duration(random.Int64N(int64(40 * time.Millisecond)))):
 			}
-			open = c.askOnce(fmt.Sprintf("s-%d-%d-%d", seed, client, number), random.IntN(p.world.Segments()-1), results)
+			open = c.askOnce(fmt.Sprintf("s-%d-%d-%d", seed, client, number), random.IntN(p.deployment.Segments()-1), results)
 		}
 		c.close()
 	}
@@ -188,8 +188,8 @@
 
 // askOnce asks one query, and tells whether the connection goes on. A request that crosses the connection's end
 // unread counts as none: its client would send it once more.
-func (c *clientConn) askOnce(trace string, segment int, results *tally) (open bool) {
-	if err := c.send(trace, segment, soakExpires); err != nil {
+func (c *clientConn) askOnce(trace string, segment int, results *resultCounts) (open bool) {
+	if err := c.send(trace, segment, soakQueryTimeout); err != nil {
 		return false
 	}
 	r, err := c.receive()
@@ -209,7 +209,7 @@
 	if errors.Is(err, syscall.ECONNRESET) || errors.Is(err, syscall.EPIPE) {
 		return true
 	}
-	time.Sleep(resetTime)
+	time.Sleep(resetDelay)
 	_, err = c.Conn.Write([]byte("\n"))
 	return err != nil
 }
--- a/cmd/eiderwinch/fleet.go
+++ b/cmd/eiderwinch/fleet.go
@@ -25,17 +25,17 @@
 	"eiderwinch/internal/netio"
 )
 
-// joinFleet starts a gatherer's view of its fleet, as an operators' file says.
+// joinFleet starts a gatherer's fleet node as an operators' file configures it.
 func joinFleet(f *settings.Fleet, file string, cfg *config.Config, log *slog.Logger) (*fleetnet.Node, error) {
 	if cfg.Name == "" {
 		return nil, errors.New("fleet: the gatherer has no name, want LB_NAME")
 	}
-	keys, err := readForm(beside(file, f.Keys), signature.Read)
+	keys, err := readForm(resolveBeside(file, f.Keys), signature.Read)
 	if err != nil {
 		return nil, fmt.Errorf("fleet: %w", err)
 	}
 	now := time.Now()
-	// Without a seed two starts would draw the same: then the time stands in.
+	// With a seed of 0 two starts would draw the same numbers, so the time replaces it.
 	seed := cmp.Or(cfg.Settings.Module.Seed, uint64(now.UnixNano()))
 	sealer, err := seal.New(keys, f.Key, f.Name, rand.New(rand.NewPCG(seed, 0x73656564)).Uint64()|1)
 	if err != nil {
@@ -62,7 +62,7 @@
 	return n, nil
 }
 
-// listenFleet joins, again where the system fails for a while.
+// listenFleet opens the fleet node, and retries for a while if the system fails.
 func listenFleet(c fleetnet.Config) (n *fleetnet.Node, err error) {
 	err = durable.Within(durable.ReadTime, func() error {
 		n, err = fleetnet.Listen(c)
@@ -71,16 +71,16 @@
 	return n, err
 }
 
-// sharing tells a gatherer what it may use of its fleet's limits, until it leaves.
-type sharing struct {
+// shareForwarder tells a gatherer its share of the fleet's limits until the gatherer leaves the fleet.
+type shareForwarder struct {
 	fleet *fleetnet.Node
 	node  *netio.Node
 	mu    sync.Mutex
 	left  bool
 }
 
-// run hands on what changes, until the fleet's node ends.
-func (s *sharing) run() {
+// run forwards changes of the share until the fleet node closes.
+func (s *shareForwarder) run() {
 	<-s.node.Started()
 	for x := range s.fleet.Shares() {
 		s.mu.Lock()
@@ -91,15 +91,15 @@
 	}
 }
 
-// leave has the gatherer leave its fleet. Its slots go to others only once it uses none of them
-// itself: its port is closed after that.
-func (s *sharing) leave(ctx context.Context) error {
+// leave makes the gatherer leave its fleet. Other gatherers take its slots once its fleet port is closed, so
+// the port is closed only after the gatherer has stopped using the slots.
+func (s *shareForwarder) leave(ctx context.Context) error {
 	if _, divided := s.fleet.Share(); divided {
 		s.mu.Lock()
 		s.left = true
-		s.node.Share(0, time.Now().Add(forGood))
+		s.node.Share(0, time.Now().Add(noExpiry))
 		s.mu.Unlock()
-		if _, ok := s.node.State(ctx, 1<<62); !ok { // in the loop's order, so what was told before is in force
+		if _, ok := s.node.State(ctx, 1<<62); !ok { // the event loop handles requests in order, so the share set above is in force once this returns
 			return netio.ErrNotServing
 		}
 	}
@@ -108,14 +108,14 @@
 	return nil
 }
 
-// forGood is longer than any process lives.
-const forGood = 100 * 365 * 24 * time.Hour
+// noExpiry is the lease of a share that does not expire: longer than any process runs.
+const noExpiry = 100 * 365 * 24 * time.Hour
 
-// describeEvery is how often what a gatherer serves is looked at, give or take a quarter.
-const describeEvery = time.Second
+// publishInterval is the mean interval between publications; each varies by up to a quarter.
+const publishInterval = time.Second
 
-// describe tells the fleet what a gatherer serves, until ctx ends.
-func describe(ctx context.Context, fleet *fleetnet.Node, node *netio.Node, seed uint64) {
+// publishState publishes a gatherer's configuration generation and layout epoch to the fleet until ctx ends.
+func publishState(ctx context.Context, fleet *fleetnet.Node, node *netio.Node, seed uint64) {
 	rng := rand.New(rand.NewPCG(seed, 0x64657363))
 	for {
 		if s, ok := node.State(ctx, 1<<62); ok {
@@ -124,33 +124,34 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(describeEvery*3/4 + time.Duration(rng.Int64N(int64(describeEvery/2)))):
+		case <-time.After(publishInterval*3/4 + time.Duration(rng.Int64N(int64(publishInterval/2)))):
 		}
 	}
 }
 
-// fleetCommands ask a gatherer how it sees its fleet.
+// fleetCommands query a gatherer's view of its fleet.
 type fleetCommands struct {
-	Status  fleetStatus  `cmd:"" help:"Say which view a gatherer has of its fleet, and what it has counted."`
-	Members fleetMembers `cmd:"" help:"List the gatherers that one knows, those that are gone among them."`
+	Status  fleetStatus  `cmd:"" help:"Print a summary of a gatherer's view of its fleet."`
+	Members fleetMembers `cmd:"" help:"List the gatherers that a gatherer knows, including those that are gone."`
 	Watch   fleetWatch   `cmd:"" help:"Print a line for each change of a gatherer's view, until a signal ends it."`
-	Check   fleetCheck   `cmd:"" help:"Ask several gatherers, and say whether their fleet has settled and who disagrees."`
-	Leave   fleetLeave   `cmd:"" help:"Have a gatherer leave its fleet and give up its slots; it goes on serving."`
+	Check   fleetCheck   `cmd:"" help:"Ask several gatherers, and report whether their fleet has settled and which of them disagree."`
+	Leave   fleetLeave   `cmd:"" help:"Make a gatherer leave its fleet and give up its slots; it keeps serving."`
 }
 
-// fleetAsk is how either of them asks.
-type fleetAsk struct {
-	asJSON
-	toGatherer
+// fleetRequest holds the flags of the commands that read one view.
+type fleetRequest struct {
+	outputFormat
+	gathererTarget
 }
 
-func (c fleetAsk) state() (s admin.FleetState, err error) {
+// state returns the gatherer's view of its fleet.
+func (c fleetRequest) state() (s admin.FleetState, err error) {
 	return s, c.do(http.MethodGet, "/v1/fleet", nil, &s)
 }
 
-type fleetStatus struct{ fleetAsk }
+type fleetStatus struct{ fleetRequest }
 
-// Run prints the view in short.
+// Run prints a summary of the view.
 func (c fleetStatus) Run(e environment) error {
 	s, err := c.state()
 	if err != nil {
@@ -169,14 +170,14 @@
 		fmt.Fprintf(e.stdout, "holds %d slots of the fleet's limits\n", s.Share.Slots)
 	}
 	if s.Over {
-		fmt.Fprintln(e.stdout, "it takes no part any more: a newer process bears its name")
+		fmt.Fprintln(e.stdout, "it no longer takes part: a newer process bears its name")
 	}
 	return nil
 }
 
-type fleetMembers struct{ fleetAsk }
+type fleetMembers struct{ fleetRequest }
 
-// Run prints a line a member.
+// Run prints one line per member.
 func (c fleetMembers) Run(e environment) error {
 	s, err := c.state()
 	if err != nil {
@@ -194,11 +195,11 @@
 }
 
 type fleetWatch struct {
-	fleetAsk
-	Every time.Duration `default:"500ms" help:"Look so often, a quarter more or less."`
+	fleetRequest
+	Every time.Duration `default:"500ms" help:"Mean interval between looks; each varies by a quarter."`
 }
 
-// Run prints changes. A gatherer that does not answer is a change, too.
+// Run prints each change of the view; a failure to answer counts as a change.
 func (c fleetWatch) Run(e environment) error {
 	if c.Every < 10*time.Millisecond {
 		return &exitError{exitConfig, fmt.Errorf("--every: found %v, want 10ms at least", c.Every)}
@@ -220,13 +221,13 @@
 	}
 }
 
-// line is a view in one line: who is not well is named.
+// line formats a view in one line, which names the members that are not alive.
 func (c fleetWatch) line(s admin.FleetState, err error) string {
 	if err != nil {
 		return err.Error()
 	}
 	if c.JSON {
-		s.Counts = fleetnet.Counts{} // they change all the time
+		s.Counts = fleetnet.Counts{} // they change with each message
 		b, err := json.Marshal(s)
 		if err != nil {
 			return err.Error()
@@ -246,21 +247,21 @@
 }
 
 type fleetCheck struct {
-	asJSON
-	Endpoints []string      `arg:"" help:"The admin sockets of some gatherers of one fleet, unix:PATH or a loopback address and a port."`
-	Timeout   time.Duration `default:"5s" help:"An answer is waited for so long."`
+	outputFormat
+	Endpoints []string      `arg:"" help:"The admin sockets of gatherers of one fleet, each unix:PATH or a loopback address and a port."`
+	Timeout   time.Duration `default:"5s" help:"How long to wait for an answer."`
 }
 
-// fleetFinding is what is wrong, for programs.
+// fleetFinding is the JSON output of fleet check.
 type fleetFinding struct {
 	Settled bool     `json:"settled"`
 	Asked   int      `json:"asked"`
-	Counted int      `json:"counted"` // by the first that answered
-	Slots   int      `json:"slots"`   // held by those that were asked, together
+	Counted int      `json:"counted"` // members counted by the first gatherer that answered
+	Slots   int      `json:"slots"`   // held in total by the gatherers that answered
 	Faults  []string `json:"faults"`
 }
 
-// Run asks all, and is not content where views differ or somebody is not well.
+// Run asks all gatherers, and fails if views differ or a member is suspect or dead.
 func (c fleetCheck) Run(e environment) error {
 	f := fleetFinding{Asked: len(c.Endpoints), Faults: []string{}}
 	fault := func(format string, args ...any) { f.Faults = append(f.Faults, fmt.Sprintf(format, args...)) }
@@ -282,11 +283,11 @@
 			fault("%s counts %d with digest %s, %s counts %d with digest %s", s.Name, s.Counted, s.Digest, first, f.Counted, digest)
 		}
 		if s.Over {
-			fault("%s takes no part any more: a newer process bears its name", s.Name)
+			fault("%s no longer takes part: a newer process bears its name", s.Name)
 		}
 		for _, m := range s.Members {
 			if m.State == view.Suspect.String() || m.State == view.Dead.String() {
-				fault("%s holds %s at %s for %s", s.Name, m.Name, m.Addr, m.State)
+				fault("%s considers %s at %s %s", s.Name, m.Name, m.Addr, m.State)
 			}
 		}
 		if s.Share != nil {
@@ -299,7 +300,7 @@
 			return err
 		}
 	} else {
-		fmt.Fprintf(e.stdout, "asked %d: %d are counted, %d slots are held by those that were asked\n", f.Asked, f.Counted, f.Slots)
+		fmt.Fprintf(e.stdout, "asked %d gatherers: %d members are counted, %d slots are held by the gatherers that answered\n", f.Asked, f.Counted, f.Slots)
 		for _, x := range f.Faults {
 			fmt.Fprintln(e.stdout, x)
 		}
@@ -310,13 +311,13 @@
 	return nil
 }
 
-type fleetLeave struct{ toGatherer }
+type fleetLeave struct{ gathererTarget }
 
-// Run has the gatherer leave.
+// Run makes the gatherer leave its fleet.
 func (c fleetLeave) Run(e environment) error {
 	if err := c.do(http.MethodPost, "/v1/fleet/leave", nil, nil); err != nil {
 		return err
 	}
-	fmt.Fprintln(e.stdout, "it has left its fleet, and serves on; it joins again with its next start")
+	fmt.Fprintln(e.stdout, "the gatherer has left its fleet and keeps serving; it joins again at its next start")
 	return nil
 }
--- a/cmd/eiderwinch/fleet_test.go
+++ b/cmd/eiderwinch/fleet_test.go
@@ -21,25 +21,25 @@
 	ops, listen string
 }
 
-// fleetOf starts gatherers that find each other by the first.
-type fleetOf struct {
-	t    *testing.T
-	path string
-	dir  string
-	d    *testpeer.Discovery
-	seed string // an address
-	n    int    // starts so far
+// testFleet starts gatherers that find each other by the first.
+type testFleet struct {
+	t         *testing.T
+	path      string
+	dir       string
+	discovery *testpeer.Discovery
+	seed      string // an address
+	starts    int    // starts so far
 
 	slots []string // by number, where limits are divided
 }
 
-func newFleetOf(t *testing.T) *fleetOf {
-	f := &fleetOf{t: t, path: build(t), dir: t.TempDir(), d: testpeer.NewDiscovery(t)}
-	f.write("keys.xml", testpeer.KeyFile("k"))
+func newTestFleet(t *testing.T) *testFleet {
+	f := &testFleet{t: t, path: buildProgram(t), dir: t.TempDir(), discovery: testpeer.NewDiscovery(t)}
+	f.writeFile("keys.xml", testpeer.KeyFile("k"))
 	return f
 }
 
-func (f *fleetOf) write(name, text string) string {
+func (f *testFleet) writeFile(name, text string) string {
 	path := filepath.Join(f.dir, name)
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		f.t.Fatal(err)
@@ -47,8 +47,8 @@
 	return path
 }
 
-// free is an address on which nobody listens.
-func free(t *testing.T) string {
+// freeAddr is an address on which nobody listens.
+func freeAddr(t *testing.T) string {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -58,16 +58,16 @@
 }
 
 // start starts a gatherer of a name; listen is empty, or where it was before.
-func (f *fleetOf) start(name, listen string) *member {
+func (f *testFleet) start(name, listen string) *member {
 	f.t.Helper()
 	if listen == "" {
-		listen = free(f.t)
+		listen = freeAddr(f.t)
 	}
 	if f.seed == "" {
 		f.seed = listen
 	}
-	f.n++
-	file := fmt.Sprint(name, ".", f.n)
+	f.starts++
+	file := fmt.Sprint(name, ".", f.starts)
 	slots, settings := "", settingsText
 	for i, addr := range f.slots {
 		slots += fmt.Sprintf("<slot number=\"%d\" addr=%q/>", i, addr)
@@ -75,23 +75,23 @@
 			settings = strings.Replace(settingsText, "{", fmt.Sprintf(`{"balancers":%d,"my_number":%d,`, len(f.slots), i), 1)
 		}
 	}
-	m := &member{listen: listen, ops: f.write(file+".xml", fmt.Sprintf(`<eiderwinch xmlns="urn:eiderwinch:operators:1"><admin endpoint="unix:%s/%s"/>`+
+	m := &member{listen: listen, ops: f.writeFile(file+".xml", fmt.Sprintf(`<eiderwinch xmlns="urn:eiderwinch:operators:1"><admin endpoint="unix:%s/%s"/>`+
 		`<fleet name="test" listen=%q keys="keys.xml" key="k" lease="300ms"><seed addr=%q/>%s</fleet></eiderwinch>`, f.dir, file, listen, f.seed, slots))}
 	m.program = launchWith(f.t, f.path, []string{"serve", "--file", m.ops},
-		fmt.Sprintf(configText, f.d.Addr, testpeer.Member("s", "127.0.0.1:1", "Ready", 0), settings), "LB_NAME="+name)
-	_, m.addr, _ = strings.Cut(m.logged(f.t, "msg=serving"), "addr=")
+		fmt.Sprintf(configText, f.discovery.Addr, testpeer.Member("s", "127.0.0.1:1", "Ready", 0), settings), "LB_NAME="+name)
+	_, m.addr, _ = strings.Cut(m.waitForLog(f.t, "msg=serving"), "addr=")
 	m.addr, _, _ = strings.Cut(m.addr, " ")
 	return m
 }
 
 // state asks a gatherer.
 func (m *member) state(t *testing.T) (s admin.FleetState, ok bool) {
-	code, out, _ := call(t, nil, "fleet", "status", "--json", "--file", m.ops)
+	code, out, _ := runCommand(t, nil, "fleet", "status", "--json", "--file", m.ops)
 	return s, code == exitOK && json.Unmarshal([]byte(out), &s) == nil
 }
 
-// settled waits until all count so many, with one digest, and returns how long that took.
-func (f *fleetOf) settled(what string, most time.Duration, want int, members ...*member) {
+// waitConverged waits until all count so many, with one digest, and returns how long that took.
+func (f *testFleet) waitConverged(what string, most time.Duration, want int, members ...*member) {
 	f.t.Helper()
 	began := time.Now()
 	testpeer.Until(f.t, what, func() bool {
@@ -114,68 +114,68 @@
 
 // Gatherers of the built program find each other, see who dies, who is stopped and wakes, who ends and who comes again.
 // The times are those of a machine that does much beside; docs/fleet-view.md has what was measured.
-func TestGatherersKeepAViewOfTheirFleet(t *testing.T) {
-	f := newFleetOf(t)
+func TestFleetViewsConverge(t *testing.T) {
+	f := newTestFleet(t)
 	var all []*member
 	for i := range 4 {
 		all = append(all, f.start(fmt.Sprint("g", i), ""))
 	}
-	f.settled("four start", 10*time.Second, 4, all...)
+	f.waitConverged("four start", 10*time.Second, 4, all...)
 
 	_ = all[3].Process.Kill()
-	f.settled("one is killed", 10*time.Second, 3, all[:3]...)
+	f.waitConverged("one is killed", 10*time.Second, 3, all[:3]...)
 	all[3] = f.start("g3", all[3].listen)
-	f.settled("it comes again", 10*time.Second, 4, all...)
+	f.waitConverged("it comes again", 10*time.Second, 4, all...)
 
 	_ = all[2].Process.Signal(syscall.SIGSTOP)
-	f.settled("one is stopped", 10*time.Second, 3, all[0], all[1], all[3])
+	f.waitConverged("one is stopped", 10*time.Second, 3, all[0], all[1], all[3])
 	_ = all[2].Process.Signal(syscall.SIGCONT)
-	f.settled("it wakes", 10*time.Second, 4, all...)
+	f.waitConverged("it wakes", 10*time.Second, 4, all...)
 
 	_ = all[1].Process.Signal(syscall.SIGTERM)
-	all[1].logged(t, "msg=counters")
-	f.settled("one ends", 10*time.Second, 3, all[0], all[2], all[3])
+	all[1].waitForLog(t, "msg=counters")
+	f.waitConverged("one ends", 10*time.Second, 3, all[0], all[2], all[3])
 
-	newer := f.start("g3", free(t)) // a second process of a name
-	await(t, "the older steps down", func(s admin.FleetState) bool { return s.Over }, "fleet", "status", "--json", "--file", all[3].ops)
-	f.settled("the newer counts", 10*time.Second, 3, all[0], all[2], newer)
-	code, out, _ := call(t, nil, "fleet", "members", "--file", all[0].ops)
+	newer := f.start("g3", freeAddr(t)) // a second process of a name
+	waitForJSON(t, "the older steps down", func(s admin.FleetState) bool { return s.Over }, "fleet", "status", "--json", "--file", all[3].ops)
+	f.waitConverged("the newer counts", 10*time.Second, 3, all[0], all[2], newer)
+	code, out, _ := runCommand(t, nil, "fleet", "members", "--file", all[0].ops)
 	if code != exitOK || !strings.Contains(out, newer.listen) || !strings.Contains(out, "left") {
 		t.Errorf("code %d\n%s", code, out)
 	}
-	if code, out, _ := call(t, nil, "fleet", "status", "--file", all[3].ops); code != exitOK || !strings.Contains(out, "a newer process bears its name") {
+	if code, out, _ := runCommand(t, nil, "fleet", "status", "--file", all[3].ops); code != exitOK || !strings.Contains(out, "a newer process bears its name") {
 		t.Errorf("code %d\n%s", code, out)
 	}
 }
 
 // Gatherers with slots: one leaves, and goes on serving; the next one has its slot.
-func TestAGathererThatLeavesGivesUpItsSlots(t *testing.T) {
-	f := newFleetOf(t)
+func TestLeavingGathererReleasesItsSlots(t *testing.T) {
+	f := newTestFleet(t)
 	var all []*member
 	for range 3 {
-		f.slots = append(f.slots, free(t))
+		f.slots = append(f.slots, freeAddr(t))
 	}
 	for i := range 3 {
 		all = append(all, f.start(fmt.Sprint("g", i), f.slots[i]))
 	}
-	f.settled("three start", 10*time.Second, 3, all...)
+	f.waitConverged("three start", 10*time.Second, 3, all...)
 	endpoint := func(m *member) string { return "unix:" + strings.TrimSuffix(m.ops, ".xml") }
 	check := func() (code int, out string) {
-		code, out, _ = call(t, nil, "fleet", "check", endpoint(all[0]), endpoint(all[1]), endpoint(all[2]))
+		code, out, _ = runCommand(t, nil, "fleet", "check", endpoint(all[0]), endpoint(all[1]), endpoint(all[2]))
 		return code, out
 	}
 	testpeer.Until(t, "all hold their slots", func() bool { code, out := check(); return code == exitOK && strings.Contains(out, "3 slots") })
 	signals := make(chan os.Signal, 1)
 	seen := make(chan string)
 	go func() {
-		_, out, _ := call(t, signals, "fleet", "watch", "--every", "20ms", "--file", all[2].ops)
+		_, out, _ := runCommand(t, signals, "fleet", "watch", "--every", "20ms", "--file", all[2].ops)
 		seen <- out
 	}()
-	if code, out, errs := call(t, nil, "fleet", "leave", "--file", all[1].ops); code != exitOK {
+	if code, out, errs := runCommand(t, nil, "fleet", "leave", "--file", all[1].ops); code != exitOK {
 		t.Fatalf("code %d %s%s", code, out, errs)
 	}
-	await(t, "the next one has its slot", func(s admin.FleetState) bool { return s.Share.Slots == 2 }, "fleet", "status", "--json", "--file", all[2].ops)
-	if code, out := check(); code != exitServe || !strings.Contains(out, "left its fleet") || !strings.Contains(out, "3 slots") {
+	waitForJSON(t, "the next one has its slot", func(s admin.FleetState) bool { return s.Share.Slots == 2 }, "fleet", "status", "--json", "--file", all[2].ops)
+	if code, out := check(); code != exitFailure || !strings.Contains(out, "left its fleet") || !strings.Contains(out, "3 slots") {
 		t.Errorf("code %d, %s", code, out)
 	}
 	c := testpeer.NewClient(t, all[1].addr)
@@ -187,19 +187,19 @@
 	if out := testpeer.Get(t, seen, "the watch ends"); !strings.Contains(out, "holds 2 slots, g1 left") {
 		t.Errorf("have %s", out)
 	}
-	if code, out, _ := call(t, nil, "fleet", "check", "--json", endpoint(all[0]), endpoint(all[2])); code != exitOK || !strings.Contains(out, `"settled": true`) {
+	if code, out, _ := runCommand(t, nil, "fleet", "check", "--json", endpoint(all[0]), endpoint(all[2])); code != exitOK || !strings.Contains(out, `"settled": true`) {
 		t.Errorf("code %d, %s", code, out)
 	}
 }
 
-func TestAFleetThatCannotBeJoined(t *testing.T) {
-	f := newFleetOf(t)
+func TestFailedFleetJoinEndsProgram(t *testing.T) {
+	f := newTestFleet(t)
 	for what, c := range map[string]struct{ name, ops, want string }{
 		"no name":      {"", `key="k"`, "LB_NAME"},
 		"no such key":  {"g", `key="x"`, "unknown key"},
 		"a port taken": {"g", `key="k"`, "address already in use"},
 	} {
-		listen := free(t)
+		listen := freeAddr(t)
 		if what == "a port taken" {
 			l, err := net.Listen("tcp", listen)
 			if err != nil {
@@ -207,13 +207,13 @@
 			}
 			defer l.Close()
 		}
-		ops := f.write("ops.xml", fmt.Sprintf(`<eiderwinch xmlns="urn:eiderwinch:operators:1"><fleet name="test" listen=%q keys="keys.xml" %s/></eiderwinch>`, listen, c.ops))
+		ops := f.writeFile("ops.xml", fmt.Sprintf(`<eiderwinch xmlns="urn:eiderwinch:operators:1"><fleet name="test" listen=%q keys="keys.xml" %s/></eiderwinch>`, listen, c.ops))
 		p := launchWith(t, f.path, []string{"serve", "--file", ops},
-			strings.Replace(fmt.Sprintf(configText, f.d.Addr, testpeer.Member("s", "127.0.0.1:1", "Ready", 0), settingsText), `"name":"n0"`, `"name":""`, 1), "LB_NAME="+c.name)
-		p.logged(t, c.want)
+			strings.Replace(fmt.Sprintf(configText, f.discovery.Addr, testpeer.Member("s", "127.0.0.1:1", "Ready", 0), settingsText), `"name":"n0"`, `"name":""`, 1), "LB_NAME="+c.name)
+		p.waitForLog(t, c.want)
 		for range p.lines {
 		}
-		if _ = p.Wait(); p.ProcessState.ExitCode() != exitServe {
+		if _ = p.Wait(); p.ProcessState.ExitCode() != exitFailure {
 			t.Errorf("%s: it ended with %v", what, p.ProcessState)
 		}
 	}
--- a/cmd/eiderwinch/layout.go
+++ b/cmd/eiderwinch/layout.go
@@ -19,23 +19,24 @@
 	"eiderwinch/internal/layout/reshard"
 )
 
-// layoutCommands look into layouts.
+// layoutCommands inspect and change layouts.
 type layoutCommands struct {
-	Check  layoutCheck  `cmd:"" help:"Check a layout file and the fleet in it, and say all that is wrong."`
-	Diff   layoutDiff   `cmd:"" help:"Say in which ways a second layout differs from a first."`
+	Check  layoutCheck  `cmd:"" help:"Check a layout file and the fleet in it, and report all faults."`
+	Diff   layoutDiff   `cmd:"" help:"Print the differences between two layouts."`
 	Plan   layoutPlan   `cmd:"" help:"Propose splits, merges and moves from the load of each segment."`
-	Status layoutStatus `cmd:"" help:"Say how a running coordinator's changes, gatherers and searchers are."`
-	Apply  layoutApply  `cmd:"" help:"Ask a running coordinator for changes."`
-	Abort  layoutAbort  `cmd:"" help:"Ask a running coordinator to undo a change that is not cut over."`
+	Status layoutStatus `cmd:"" help:"Print the state of a running coordinator's changes, gatherers and searchers."`
+	Apply  layoutApply  `cmd:"" help:"Submit changes to a running coordinator."`
+	Abort  layoutAbort  `cmd:"" help:"Ask a running coordinator to undo a change that has not been cut over."`
 	Soak   layoutSoak   `cmd:"" help:"Split, merge and move segments of a loopback deployment under load, with kills, and audit every answer."`
 }
 
-// asJSON is how commands that print for people print for programs.
-type asJSON struct {
+// outputFormat holds the flag by which a command prints JSON instead of text.
+type outputFormat struct {
 	JSON bool `name:"json" help:"Print JSON for programs."`
 }
 
-func (a asJSON) print(w io.Writer, v any) error {
+// print prints v as indented JSON.
+func (a outputFormat) print(w io.Writer, v any) error {
 	e := json.NewEncoder(w)
 	e.SetIndent("", "  ")
 	return e.Encode(v)
@@ -54,9 +55,9 @@
 	return l, fleet, nil
 }
 
-// soundLayout reads a layout file and checks it on its fleet. Where it can be
-// read but is not in order, it is returned beside the error.
-func soundLayout(path string) (*layout.Layout, layout.Fleet, error) {
+// readValidLayout reads a layout file and checks the layout against its fleet. A layout that can be read but
+// is invalid is returned together with the error.
+func readValidLayout(path string) (*layout.Layout, layout.Fleet, error) {
 	l, fleet, err := readLayout(path)
 	if err != nil {
 		return nil, fleet, err
@@ -68,19 +69,19 @@
 }
 
 type layoutCheck struct {
-	asJSON
-	File string `arg:"" help:"A layout after deploy/layout.xsd."`
+	outputFormat
+	File string `arg:"" help:"A layout that conforms to deploy/layout.xsd."`
 }
 
-// Run reads the file and checks the layout on its fleet.
+// Run reads the file and checks the layout against its fleet.
 func (c layoutCheck) Run(e environment) error {
-	l, fleet, err := soundLayout(c.File)
+	l, fleet, err := readValidLayout(c.File)
 	if !c.JSON {
 		if err != nil {
 			return err
 		}
 		fmt.Fprintf(e.stdout, "%s: in order: epoch %d, %s, %d searchers, %d replicas\n",
-			c.File, l.Epoch(), count(l), len(fleet.Zones), fleet.Replicas)
+			c.File, l.Epoch(), describeSegments(l), len(fleet.Zones), fleet.Replicas)
 		return nil
 	}
 	type fault struct {
@@ -96,9 +97,9 @@
 		Faults   []fault        `json:"faults,omitempty"`
 	}{File: c.File, OK: err == nil}
 	if l != nil {
-		out.Epoch, out.Segments = l.Epoch(), states(l)
+		out.Epoch, out.Segments = l.Epoch(), segmentCounts(l)
 	}
-	for _, f := range parts(err) {
+	for _, f := range joinedErrors(err) {
 		var at layoutfile.Fault
 		errors.As(f, &at)
 		out.Faults = append(out.Faults, fault{at.Line, at.Element, f.Error()})
@@ -109,8 +110,8 @@
 	return err
 }
 
-// parts are the errors that one joins.
-func parts(err error) (out []error) {
+// joinedErrors returns the errors that err joins, or err alone.
+func joinedErrors(err error) (out []error) {
 	if err == nil {
 		return nil
 	}
@@ -122,7 +123,8 @@
 	return []error{err}
 }
 
-func states(l *layout.Layout) map[string]int {
+// segmentCounts returns the number of segments by state.
+func segmentCounts(l *layout.Layout) map[string]int {
 	n := make(map[string]int)
 	for s := range l.Segments() {
 		n[s.State.String()]++
@@ -130,18 +132,19 @@
 	return n
 }
 
-func count(l *layout.Layout) string {
-	n := states(l)
+// describeSegments formats the number of segments by state.
+func describeSegments(l *layout.Layout) string {
+	n := segmentCounts(l)
 	return fmt.Sprintf("%d segments serving, %d preparing, %d retiring", n["serving"], n["preparing"], n["retiring"])
 }
 
 type layoutDiff struct {
-	asJSON
+	outputFormat
 	Old string `arg:"" help:"The first layout."`
 	New string `arg:"" help:"The second layout."`
 }
 
-// Run prints the differences, one a line.
+// Run prints the differences, one per line.
 func (c layoutDiff) Run(e environment) error {
 	old, _, err := readLayout(c.Old)
 	if err != nil {
@@ -172,13 +175,13 @@
 }
 
 type layoutPlan struct {
-	asJSON
+	outputFormat
 	File   string  `arg:"" help:"The layout."`
-	Loads  string  `arg:"" help:"A CSV file: segment, parts a second, median key, share below it."`
-	Target float64 `default:"50" help:"Parts a second that a segment is meant for."`
+	Loads  string  `arg:"" help:"A CSV file with the columns segment, parts per second, median key, share of the load below it."`
+	Target float64 `default:"50" help:"Target load of a segment in parts per second."`
 }
 
-// Run proposes changes as though the loads had lasted for as many windows as are asked for.
+// Run proposes changes as if the loads had lasted for as many windows as the planner requires.
 func (c layoutPlan) Run(e environment) error {
 	l, fleet, err := readLayout(c.File)
 	if err != nil {
@@ -212,7 +215,7 @@
 	return table.Flush()
 }
 
-// readLoads reads the load by segment.
+// readLoads reads the load of each segment from a CSV file.
 func readLoads(path string, l *layout.Layout) (map[layout.SegmentID]reshard.Load, error) {
 	f, err := os.Open(path)
 	if err != nil {
--- a/cmd/eiderwinch/layout_test.go
+++ b/cmd/eiderwinch/layout_test.go
@@ -21,7 +21,7 @@
 </layout>
 `
 
-func write(t *testing.T, name, text string) string {
+func writeFile(t *testing.T, name, text string) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), name)
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
@@ -31,22 +31,22 @@
 }
 
 func TestLayoutCheck(t *testing.T) {
-	good := write(t, "good.xml", layoutText)
-	if code, out, errs := call(t, nil, "layout", "check", good); code != exitOK || !strings.Contains(out, "2 segments serving") {
+	good := writeFile(t, "good.xml", layoutText)
+	if code, out, errs := runCommand(t, nil, "layout", "check", good); code != exitOK || !strings.Contains(out, "2 segments serving") {
 		t.Errorf("code %d, %q, %q", code, out, errs)
 	}
-	bad := write(t, "bad.xml", strings.NewReplacer(`zone="x"/><searcher id="b"`, `/><searcher id="b"`, `id="1"`, `id="x"`).Replace(layoutText))
-	code, _, errs := call(t, nil, "layout", "check", bad)
+	bad := writeFile(t, "bad.xml", strings.NewReplacer(`zone="x"/><searcher id="b"`, `/><searcher id="b"`, `id="1"`, `id="x"`).Replace(layoutText))
+	code, _, errs := runCommand(t, nil, "layout", "check", bad)
 	if code != exitConfig || !strings.Contains(errs, "bad.xml:2: <searcher>") || !strings.Contains(errs, "bad.xml:4: <segment>") {
 		t.Errorf("code %d, %q", code, errs)
 	}
-	lonely := write(t, "lonely.xml", strings.Replace(layoutText, `<holder searcher="b"/></segment>`, `</segment>`, 1))
+	lonely := writeFile(t, "lonely.xml", strings.Replace(layoutText, `<holder searcher="b"/></segment>`, `</segment>`, 1))
 	for _, at := range []struct {
 		path   string
 		ok     bool
 		faults int
 	}{{good, true, 0}, {bad, false, 2}, {lonely, false, 1}} {
-		code, out, _ := call(t, nil, "layout", "check", "--json", at.path)
+		code, out, _ := runCommand(t, nil, "layout", "check", "--json", at.path)
 		var got struct {
 			OK     bool
 			Faults []struct{ Line int }
@@ -58,29 +58,29 @@
 }
 
 func TestLayoutDiff(t *testing.T) {
-	old := write(t, "old.xml", layoutText)
-	next := write(t, "new.xml", strings.Replace(strings.Replace(layoutText, `epoch="1"`, `epoch="2"`, 1), `<holder searcher="b"/></segment>`, `<holder searcher="d"/></segment>`, 1))
-	if code, out, _ := call(t, nil, "layout", "diff", old, next); code != exitOK || !strings.Contains(out, "1 differences") || !strings.Contains(out, "segment 0: holders [a d]") {
+	old := writeFile(t, "old.xml", layoutText)
+	next := writeFile(t, "new.xml", strings.Replace(strings.Replace(layoutText, `epoch="1"`, `epoch="2"`, 1), `<holder searcher="b"/></segment>`, `<holder searcher="d"/></segment>`, 1))
+	if code, out, _ := runCommand(t, nil, "layout", "diff", old, next); code != exitOK || !strings.Contains(out, "1 differences") || !strings.Contains(out, "segment 0: holders [a d]") {
 		t.Errorf("code %d, %q", code, out)
 	}
-	if _, out, _ := call(t, nil, "layout", "diff", "--json", old, next); !strings.Contains(out, `"kind": "moved"`) {
+	if _, out, _ := runCommand(t, nil, "layout", "diff", "--json", old, next); !strings.Contains(out, `"kind": "moved"`) {
 		t.Errorf("have %s", out)
 	}
 }
 
 func TestLayoutPlan(t *testing.T) {
-	file := write(t, "l.xml", layoutText)
-	loads := write(t, "loads.csv", "# segment, parts a second, median key, share below\n0, 300, f, 0.5\n1, 20, p, 0.5\n")
-	code, out, errs := call(t, nil, "layout", "plan", file, loads)
+	file := writeFile(t, "l.xml", layoutText)
+	loads := writeFile(t, "loads.csv", "# segment, parts a second, median key, share below\n0, 300, f, 0.5\n1, 20, p, 0.5\n")
+	code, out, errs := runCommand(t, nil, "layout", "plan", file, loads)
 	if code != exitOK || !strings.Contains(out, `split [0] at "f"`) || !strings.Contains(out, "300.0 parts a second") {
 		t.Errorf("code %d, %q, %q", code, out, errs)
 	}
-	quiet := write(t, "quiet.csv", "0, 50, f, 0.5\n1, 50, p, 0.5\n")
-	if _, out, _ := call(t, nil, "layout", "plan", "--json", file, quiet); strings.Contains(out, "split") {
+	quiet := writeFile(t, "quiet.csv", "0, 50, f, 0.5\n1, 50, p, 0.5\n")
+	if _, out, _ := runCommand(t, nil, "layout", "plan", "--json", file, quiet); strings.Contains(out, "split") {
 		t.Errorf("have %s", out)
 	}
 	for text, want := range map[string]string{"9, 1, a, 0\n": `found segment "9"`, "0, x, a, 0\n": `found "x" parts`, "0, 1, a, 2\n": `found share "2"`, "0, 1\n": "wrong number of fields"} {
-		if code, _, errs := call(t, nil, "layout", "plan", file, write(t, "bad.csv", text)); code != exitConfig || !strings.Contains(errs, want) {
+		if code, _, errs := runCommand(t, nil, "layout", "plan", file, writeFile(t, "bad.csv", text)); code != exitConfig || !strings.Contains(errs, want) {
 			t.Errorf("%q: code %d, %q", text, code, errs)
 		}
 	}
@@ -88,11 +88,11 @@
 
 // The layout that serve is given binds queries to its epochs, SIGHUP brings the
 // next one, and a faulty one changes nothing.
-func TestServeFollowsALayoutFile(t *testing.T) {
+func TestServeReloadsLayoutFile(t *testing.T) {
 	s, d := testpeer.NewSearcher(t), testpeer.NewDiscovery(t)
-	file := write(t, "layout.xml", serveLayout(1, 1, `<segment id="0"><holder searcher="s"/></segment>`))
-	p := launchWith(t, build(t), []string{"serve", "--layout", file}, fmt.Sprintf(configText, d.Addr, testpeer.Member("s", s.Addr, "Ready", 0), settingsText))
-	_, addr, _ := strings.Cut(p.logged(t, "msg=serving"), "addr=")
+	file := writeFile(t, "layout.xml", serveLayout(1, 1, `<segment id="0"><holder searcher="s"/></segment>`))
+	p := launchWith(t, buildProgram(t), []string{"serve", "--layout", file}, fmt.Sprintf(configText, d.Addr, testpeer.Member("s", s.Addr, "Ready", 0), settingsText))
+	_, addr, _ := strings.Cut(p.waitForLog(t, "msg=serving"), "addr=")
 	addr, _, _ = strings.Cut(addr, " ")
 	c := testpeer.NewClient(t, addr)
 	ask := func(trace string, segments ...int) {
@@ -118,7 +118,7 @@
 			t.Fatal(err)
 		}
 		_ = p.Process.Signal(syscall.SIGHUP)
-		p.logged(t, logged)
+		p.waitForLog(t, logged)
 	}
 	put("<layout", "layout not reloaded")
 	ask("t2", 0)
@@ -137,10 +137,10 @@
 	return fmt.Sprintf(`<layout xmlns="urn:eiderwinch:layout:1" epoch="%d" next="%d" replicas="1"><searcher id="s" zone="x"/>%s</layout>`, epoch, next, segments)
 }
 
-func TestServeRefusesAFaultyLayout(t *testing.T) {
-	file := write(t, "layout.xml", serveLayout(1, 1, `<segment id="0" to="k"><holder searcher="s"/></segment>`))
-	p := launchWith(t, build(t), []string{"serve", "--layout", file}, fmt.Sprintf(configText, "127.0.0.1:1", "", settingsText))
-	p.logged(t, "keys that no serving segment holds")
+func TestServeRejectsInvalidLayout(t *testing.T) {
+	file := writeFile(t, "layout.xml", serveLayout(1, 1, `<segment id="0" to="k"><holder searcher="s"/></segment>`))
+	p := launchWith(t, buildProgram(t), []string{"serve", "--layout", file}, fmt.Sprintf(configText, "127.0.0.1:1", "", settingsText))
+	p.waitForLog(t, "keys that no serving segment holds")
 	for range p.lines {
 	}
 	if _ = p.Wait(); p.ProcessState.ExitCode() != exitConfig {
--- a/cmd/eiderwinch/leaving_test.go
+++ b/cmd/eiderwinch/leaving_test.go
@@ -15,22 +15,22 @@
 	"eiderwinch/internal/trial/testpeer"
 )
 
-// recorder is a searcher that answers each part after hold and notes when parts came.
-type recorder struct {
+// recordingSearcher is a searcher that answers each part after hold and notes when parts came.
+type recordingSearcher struct {
 	*testpeer.Searcher
 	id string
 
-	mu   sync.Mutex
-	n    int
-	last time.Time
+	mu    sync.Mutex
+	parts int
+	last  time.Time
 }
 
-func newRecorder(t *testing.T, id string, hold time.Duration) *recorder {
-	r := &recorder{Searcher: testpeer.NewSearcher(t), id: id}
+func newRecordingSearcher(t *testing.T, id string, hold time.Duration) *recordingSearcher {
+	r := &recordingSearcher{Searcher: testpeer.NewSearcher(t), id: id}
 	go func() {
 		for p := range r.Parts {
 			r.mu.Lock()
-			r.n, r.last = r.n+1, time.Now()
+			r.parts, r.last = r.parts+1, time.Now()
 			r.mu.Unlock()
 			time.AfterFunc(hold, func() { p.Answer("served", 1, "v") })
 		}
@@ -38,18 +38,18 @@
 	return r
 }
 
-func (r *recorder) seen() (int, time.Time) {
+func (r *recordingSearcher) seen() (int, time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.n, r.last
+	return r.parts, r.last
 }
 
-func (r *recorder) member(phase string) standin.Member {
+func (r *recordingSearcher) member(phase string) standin.Member {
 	return standin.Member{ID: r.id, Addr: r.Addr, Zone: "a", Phase: phase, Size: 1}
 }
 
-// keepAsking asks a gatherer one query after another with pauses, until it is gone or stop is closed.
-func keepAsking(t *testing.T, addr, name string, pause time.Duration, stop <-chan struct{}) {
+// sendQueries asks a gatherer one query after another with pauses, until it is gone or stop is closed.
+func sendQueries(t *testing.T, addr, name string, pause time.Duration, stop <-chan struct{}) {
 	c, answer := testpeer.NewClient(t, addr), make([]byte, 1<<12)
 	for i := 0; ; i++ {
 		select {
@@ -70,9 +70,9 @@
 // Several gatherers, one discovery. Whatever happens to their watches, none sends anything to a searcher later than
 // 500 ms after the news of its leaving counts: when the agent has it, at its return from a silence, from the first
 // moment of a new process, and 6 s after an open watch has fallen silent.
-func TestNoGathererSendsToALeavingSearcherWhateverHappensToDiscovery(t *testing.T) {
+func TestNoSendsToLeavingSearcherUnderDiscoveryFaults(t *testing.T) {
 	const gatherers, clients, grace = 3, 3, 500 * time.Millisecond
-	path := build(t)
+	path := buildProgram(t)
 	d, err := standin.NewDiscovery()
 	if err != nil {
 		t.Fatal(err)
@@ -80,7 +80,7 @@
 	t.Cleanup(func() { _ = d.Close() })
 	// Only while it holds a part does the other one surely get the next: of two idle searchers the one that was
 	// quicker in the first calls gets all, as counted on a busy machine (7 parts of 11,578 in 19 s).
-	stays := newRecorder(t, "stays", 10*time.Millisecond)
+	stays := newRecordingSearcher(t, "stays", 10*time.Millisecond)
 	d.Tell(stays.member(standin.Ready))
 	var running []*program
 	var stop chan struct{}
@@ -95,11 +95,11 @@
 		for i := range gatherers {
 			text := fmt.Sprintf(configText, d.Addr(), strings.Trim(string(list), "[]"), strings.Replace(settingsText, "{", `{"balancers":350,`, 1))
 			p := launch(t, path, text)
-			_, addr, _ := strings.Cut(p.logged(t, "msg=serving"), "addr=")
+			_, addr, _ := strings.Cut(p.waitForLog(t, "msg=serving"), "addr=")
 			addr, _, _ = strings.Cut(addr, " ")
 			running = append(running, p)
 			for k := range clients {
-				go keepAsking(t, addr, fmt.Sprint(i, ".", k), time.Duration(5+4*k)*time.Millisecond, stop) // apart, so that they share no call
+				go sendQueries(t, addr, fmt.Sprint(i, ".", k), time.Duration(5+4*k)*time.Millisecond, stop) // apart, so that they share no call
 			}
 		}
 	}
@@ -141,7 +141,7 @@
 			return counts
 		}},
 	} {
-		leaves := newRecorder(t, fmt.Sprint("leaves", i), 0)
+		leaves := newRecordingSearcher(t, fmt.Sprint("leaves", i), 0)
 		d.Tell(leaves.member(standin.Ready))
 		testpeer.Until(t, c.name+": parts before the news", func() bool { n, _ := leaves.seen(); return n > 20 })
 		counts := c.fault(func() { d.Tell(leaves.member(standin.Terminating)) })
@@ -157,7 +157,7 @@
 
 // A fleet of 1,024 gatherers before 1,024 searchers is within every bound: in the list that is known, in an indented
 // one that discovery sends, and in the settings.
-func TestAFleetOfAThousandIsWithinEveryBound(t *testing.T) {
+func TestFleetOfAThousandFitsAllBounds(t *testing.T) {
 	const size = 1024
 	s := testpeer.NewSearcher(t)
 	d, err := standin.NewDiscovery()
@@ -182,9 +182,9 @@
 	list, _ := json.Marshal(known.Members)
 	settings := strings.NewReplacer(`"places":1`, fmt.Sprint(`"places":`, size), `"shards":4`, fmt.Sprint(`"shards":`, size),
 		`{"membership_mode"`, fmt.Sprintf(`{"balancers":%d,"my_number":%d,"membership_mode"`, size, size-1)).Replace(settingsText)
-	path, began := build(t), time.Now()
+	path, began := buildProgram(t), time.Now()
 	p := launch(t, path, fmt.Sprintf(configText, d.Addr(), strings.Trim(string(list), "[]"), settings))
-	line := p.logged(t, "msg=serving")
+	line := p.waitForLog(t, "msg=serving")
 	if !strings.Contains(line, fmt.Sprint("searchers=", size, " gatherers=", size)) {
 		t.Errorf("have %s", line)
 	}
@@ -192,7 +192,7 @@
 	addr, _, _ = strings.Cut(addr, " ")
 	testpeer.Until(t, "the list is in", func() bool {
 		_ = p.Process.Signal(syscall.SIGUSR1)
-		return strings.Contains(p.logged(t, "msg=counters"), "discovery.updates=2 ")
+		return strings.Contains(p.waitForLog(t, "msg=counters"), "discovery.updates=2 ")
 	})
 	t.Logf("the list is in after %v", time.Since(began))
 	query := strings.NewReplacer(`"tablet":0`, fmt.Sprint(`"tablet":`, size-1), "Content-Length: 62", "Content-Length: 65").Replace(
@@ -204,15 +204,15 @@
 	if resp, _ := c.Hear(); resp.StatusCode != 200 {
 		t.Errorf("have %s", resp.Status)
 	}
-	if rss := resident(t, p.Process.Pid); rss > 64<<10 {
+	if rss := residentKB(t, p.Process.Pid); rss > 64<<10 {
 		t.Errorf("%d KB resident, want 64 MB at most", rss)
 	} else {
 		t.Logf("%d KB resident", rss)
 	}
 }
 
-// resident is the memory that a process takes, in KB.
-func resident(t *testing.T, pid int) int {
+// residentKB is the memory that a process takes, in KB.
+func residentKB(t *testing.T, pid int) int {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 	if err != nil {
 		t.Fatal(err)
--- a/cmd/eiderwinch/load.go
+++ b/cmd/eiderwinch/load.go
@@ -15,26 +15,26 @@
 	"eiderwinch/internal/trial/standin"
 )
 
-// loopback is a stand-in deployment with a gatherer.
-type loopback struct {
-	world *standin.Deployment
-	node  *netio.Node
-	ended chan error
+// loopbackDeployment is a fake deployment on loopback with a gatherer.
+type loopbackDeployment struct {
+	deployment *standin.Deployment
+	node       *netio.Node
+	ended      chan error
 }
 
-// startLoopback starts one.
-func startLoopback(o standin.DeploymentOptions, log *slog.Logger) (l *loopback, err error) {
-	world, err := standin.NewDeployment(o)
+// startLoopback starts a fake deployment and a gatherer, and waits until the gatherer serves.
+func startLoopback(o standin.DeploymentOptions, log *slog.Logger) (l *loopbackDeployment, err error) {
+	deployment, err := standin.NewDeployment(o)
 	if err != nil {
 		return nil, err
 	}
 	defer func() {
 		if err != nil { // l may be nil by now
-			err = errors.Join(err, world.Close())
+			err = errors.Join(err, deployment.Close())
 		}
 	}()
-	l = &loopback{world: world, ended: make(chan error, 1)}
-	text, err := world.Config("demo", "127.0.0.1:0")
+	l = &loopbackDeployment{deployment: deployment, ended: make(chan error, 1)}
+	text, err := deployment.Config("demo", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
@@ -49,28 +49,30 @@
 		return l, nil
 	case err := <-l.ended:
 		return nil, err
-	case <-time.After(demoStart):
-		return nil, errors.New("the gatherer did not come up")
+	case <-time.After(startTimeout):
+		return nil, errors.New("the gatherer did not start in time")
 	}
 }
 
-// drain ends the gatherer once it has answered all; the rest is ended by close.
-func (l *loopback) drain() error {
+// drain ends the gatherer once it has answered all queries. The rest of the deployment keeps running until its
+// Close.
+func (l *loopbackDeployment) drain() error {
 	l.node.Drain()
 	return <-l.ended
 }
 
+// loadCommand sends queries to a gatherer at a fixed mean rate.
 type loadCommand struct {
-	asJSON
-	At       string        `placeholder:"ADDRESS" help:"A gatherer that runs; without it one is started on loopback with stand-ins round it."`
-	Segments int           `default:"12" help:"Segments of the catalogue at --at."`
-	Rate     float64       `default:"200" help:"Queries a second, at random times."`
-	Duration time.Duration `default:"10s" help:"For so long."`
-	Open     int           `default:"2000" help:"Queries open at once; those that would be more are not asked, and counted."`
-	Seed     uint64        `default:"1" help:"For what is asked and when."`
+	outputFormat
+	At       string        `placeholder:"ADDRESS" help:"Address of a running gatherer; without it a gatherer and a fake deployment are started on loopback."`
+	Segments int           `default:"12" help:"Number of segments of the catalogue at --at."`
+	Rate     float64       `default:"200" help:"Queries per second, sent at random times."`
+	Duration time.Duration `default:"10s" help:"Length of the load."`
+	Open     int           `default:"2000" help:"Bound of the queries open at once; those beyond it are not sent but counted."`
+	Seed     uint64        `default:"1" help:"Seed of the queries and their times."`
 }
 
-// Validate is called by the parser.
+// Validate checks the flags; the parser calls it.
 func (c loadCommand) Validate() error {
 	if !(c.Rate > 0) || c.Duration <= 0 || c.Segments < 6 || c.Open < 1 {
 		return fmt.Errorf("--rate, --duration and --open must be above 0, --segments 6 or more")
@@ -78,10 +80,10 @@
 	return nil
 }
 
-// loadTimeout is above the longest deadline of a class, 12 s.
+// loadTimeout bounds the wait for an answer. It is above the longest deadline of a class, 12 s.
 const loadTimeout = 15 * time.Second
 
-// Run asks and prints how each class fared.
+// Run sends the queries and prints the results of each class.
 func (c loadCommand) Run(e environment) (err error) {
 	ctx, stop := e.untilSignal()
 	defer stop()
@@ -93,8 +95,8 @@
 		if startErr != nil {
 			return startErr
 		}
-		defer func() { err = errors.Join(err, l.drain(), l.world.Close()) }()
-		o.Addr, o.Segments = l.node.Addr(), l.world.Segments()
+		defer func() { err = errors.Join(err, l.drain(), l.deployment.Close()) }()
+		o.Addr, o.Segments = l.node.Addr(), l.deployment.Segments()
 	}
 	reports, err := load.Run(ctx, o)
 	if err != nil {
@@ -117,7 +119,7 @@
 		return c.print(e.stdout, rows)
 	}
 	table := tabwriter.NewWriter(e.stdout, 0, 0, 2, ' ', tabwriter.AlignRight)
-	fmt.Fprintln(table, "class\tasked\twhole\tpartly\trefused\tfailed\tnot asked\tp50\tp90\tp99\tp99.9\tmost\tasked late by\t")
+	fmt.Fprintln(table, "class\tasked\twhole\tpartial\trefused\tfailed\tnot asked\tp50\tp90\tp99\tp99.9\tmax\tasked late by\t")
 	for _, r := range reports {
 		fmt.Fprintf(table, "%s\t%d\t%d\t%d\t%d\t%d\t%d\t", r.Class, r.Asked, r.Whole, r.Partial, r.Refused, r.Failed, r.Unasked)
 		for _, q := range quantiles {
--- a/cmd/eiderwinch/main.go
+++ b/cmd/eiderwinch/main.go
@@ -1,5 +1,5 @@
 // Command eiderwinch is a gatherer: it takes queries from clients, sends their
-// parts to searchers and answers. Without a sub-command it serves.
+// parts to searchers and answers the clients. Without a sub-command it serves.
 package main
 
 import (
@@ -16,12 +16,12 @@
 
 // Exit codes.
 const (
-	exitOK     = 0
-	exitServe  = 1 // it could not serve, or not all of a demo was answered
-	exitConfig = 2 // the configuration or the command line is at fault
+	exitOK      = 0
+	exitFailure = 1 // a command failed: serving failed, or a demo query got no whole answer
+	exitConfig  = 2 // the configuration or the command line is invalid
 )
 
-// exitError is an error with the code that the process ends with.
+// exitError is an error that carries the exit code of the process.
 type exitError struct {
 	code int
 	err  error
@@ -30,31 +30,31 @@
 func (e *exitError) Error() string { return e.err.Error() }
 func (e *exitError) Unwrap() error { return e.err }
 
-// commands is the command line.
-type commands struct {
-	Serve      serveCommand       `cmd:"" default:"1" help:"Serve as the environment and the file that LB_CONFIG names say."`
+// commandLine lists the sub-commands. Kong derives their names from the field names.
+type commandLine struct {
+	Serve      serveCommand       `cmd:"" default:"1" help:"Run a gatherer, configured by the environment and the file that LB_CONFIG names."`
 	Demo       demoCommand        `cmd:"" help:"Start a whole deployment on loopback, ask it queries of all classes and print the answers."`
-	Check      checkCommand       `cmd:"" help:"Check a configuration file and say what is wrong with it."`
-	Layout     layoutCommands     `cmd:"" help:"Look into layouts and change them: which segments there are and who holds them."`
-	Coordinate coordinateCommand  `cmd:"" help:"Run the coordinator of layouts that the operators' file names."`
-	Config     configCommands     `cmd:"" help:"Look into the operators' file, and change the configuration of a running gatherer."`
+	Check      checkCommand       `cmd:"" help:"Check a configuration file and report what is wrong with it."`
+	Layout     layoutCommands     `cmd:"" help:"Inspect and change layouts, which say what segments there are and who holds them."`
+	Coordinate coordinateCommand  `cmd:"" help:"Run the layout coordinator that an operators' file configures."`
+	Config     configCommands     `cmd:"" help:"Inspect operators' files, and change the configuration of a running gatherer."`
 	Fleet      fleetCommands      `cmd:"" help:"Ask a running gatherer how it sees its fleet."`
-	Load       loadCommand        `cmd:"" help:"Ask a gatherer queries at random times, whether answers come or not, and print percentiles by class."`
-	Experiment experimentCommands `cmd:"" help:"Play deployments in virtual time, at sizes that sockets do not reach."`
+	Load       loadCommand        `cmd:"" help:"Send queries to a gatherer at random times, without waiting for earlier answers, and print latency percentiles by class."`
+	Experiment experimentCommands `cmd:"" help:"Run deployments in virtual time, at sizes beyond what sockets allow."`
 	Version    versionCommand     `cmd:"" help:"Print the version, and what the program was built from."`
 }
 
-// environment is what a command may use of the world.
+// environment holds the process state that a command may use; tests replace it.
 type environment struct {
 	getenv         func(string) string
 	stdout, stderr io.Writer
-	signals        <-chan os.Signal // that end the process
+	signals        <-chan os.Signal // SIGTERM and SIGINT, which end the process
 	reloads        <-chan os.Signal // SIGHUP
 	reports        <-chan os.Signal // SIGUSR1
 	stdin          io.Reader
 }
 
-// untilSignal returns a context that ends at the first signal, or when stop is called.
+// untilSignal returns a context that is cancelled by the first signal that ends or reloads the process, or by stop.
 func (e environment) untilSignal() (ctx context.Context, stop context.CancelFunc) {
 	ctx, stop = context.WithCancel(context.Background())
 	go func() {
@@ -70,50 +70,52 @@
 }
 
 func main() {
-	// Before all else: until then SIGHUP would end the process.
+	// The channels are set up first: until SIGHUP is caught it would end the process.
 	e := environment{
 		getenv: os.Getenv, stdout: os.Stdout, stderr: os.Stderr, stdin: os.Stdin,
-		signals: catch(syscall.SIGTERM, syscall.SIGINT), reloads: catch(syscall.SIGHUP), reports: catch(syscall.SIGUSR1),
+		signals: signalChannel(syscall.SIGTERM, syscall.SIGINT), reloads: signalChannel(syscall.SIGHUP), reports: signalChannel(syscall.SIGUSR1),
 	}
 	os.Exit(run(os.Args[1:], e))
 }
 
-// catch returns a channel of its own for signals that mean one thing. One that waits there stands
-// for all that come behind it, and those of other kinds, however many, take no place from it.
-func catch(kind ...os.Signal) <-chan os.Signal {
+// signalChannel returns a channel for signals that have the same effect. It holds one signal: one that
+// waits there stands for all that follow it. Signals with other effects have channels of their own, so that
+// they can't fill this one, however many come.
+func signalChannel(kind ...os.Signal) <-chan os.Signal {
 	c := make(chan os.Signal, 1)
 	signal.Notify(c, kind...)
 	return c
 }
 
-// newParser returns the parser of the command line, which fills c.
-func newParser(c *commands, e environment, exit func(int)) (*kong.Kong, error) {
+// newParser returns a parser that fills c from the command line and calls exit after printing help.
+func newParser(c *commandLine, e environment, exit func(int)) (*kong.Kong, error) {
 	return kong.New(c,
 		kong.Name("eiderwinch"),
-		kong.Description("A gatherer for a catalogue that is split over searchers."),
+		kong.Description("A gatherer of queries over a catalogue that is split among searchers."),
 		kong.Writers(e.stdout, e.stderr),
 		kong.Exit(exit),
 		kong.Bind(e),
 	)
 }
 
-// helped is what a parser's exit after --help is turned into.
-type helped struct{ code int }
+// parserExit is the panic value that replaces the parser's exit after --help, so that run can return the code.
+type parserExit struct{ code int }
 
+// run executes one command line and returns the exit code.
 func run(args []string, e environment) (code int) {
 	defer func() {
 		if h := recover(); h != nil {
-			asked, ok := h.(helped)
+			exit, ok := h.(parserExit)
 			if !ok {
 				panic(h)
 			}
-			code = asked.code
+			code = exit.code
 		}
 	}()
-	var c commands
-	parser, err := newParser(&c, e, func(code int) { panic(helped{code}) })
+	var c commandLine
+	parser, err := newParser(&c, e, func(code int) { panic(parserExit{code}) })
 	if err != nil {
-		panic(err) // the struct above is at fault
+		panic(err) // the tags of commandLine are invalid
 	}
 	command, err := parser.Parse(args)
 	if err != nil {
@@ -126,7 +128,7 @@
 		if errors.As(err, &coded) {
 			return coded.code
 		}
-		return exitServe
+		return exitFailure
 	}
 	return exitOK
 }
--- a/cmd/eiderwinch/main_test.go
+++ b/cmd/eiderwinch/main_test.go
@@ -29,8 +29,8 @@
 	"classes":[{"name":"search","aim":60000000000,"deadline":60000000000,"effect":"safe","worth":1}],
 	"policy_limits":{"cancel":true,"attempts_cap":4}}`
 
-// build builds the program as it is deployed.
-func build(t *testing.T) string {
+// buildProgram builds the program as it is deployed.
+func buildProgram(t *testing.T) string {
 	path := filepath.Join(t.TempDir(), "eiderwinch")
 	if out, err := exec.Command("go", "build", "-o", path, ".").CombinedOutput(); err != nil {
 		t.Fatalf("%v: %s", err, out)
@@ -79,8 +79,8 @@
 	return p
 }
 
-// logged waits for a line of the log.
-func (p *program) logged(t *testing.T, part string) string {
+// waitForLog waits for a line of the log.
+func (p *program) waitForLog(t *testing.T, part string) string {
 	t.Helper()
 	for {
 		line := testpeer.Get(t, p.lines, part)
@@ -98,8 +98,8 @@
 	text := func(discovery string) string {
 		return fmt.Sprintf(configText, discovery, testpeer.Member("s", s.Addr, "Ready", 0), settingsText)
 	}
-	p := launch(t, build(t), text(d.Addr), "LB_DISCOVERY="+d.Addr)
-	_, addr, _ := strings.Cut(p.logged(t, "msg=serving"), "addr=")
+	p := launch(t, buildProgram(t), text(d.Addr), "LB_DISCOVERY="+d.Addr)
+	_, addr, _ := strings.Cut(p.waitForLog(t, "msg=serving"), "addr=")
 	addr, _, _ = strings.Cut(addr, " ")
 
 	c := testpeer.NewClient(t, addr)
@@ -113,7 +113,7 @@
 		t.Errorf("have %s %s", resp.Status, body)
 	}
 	_ = p.Process.Signal(syscall.SIGUSR1)
-	if line := p.logged(t, "msg=counters"); !strings.Contains(line, "counters.in.taken=1 ") {
+	if line := p.waitForLog(t, "msg=counters"); !strings.Contains(line, "counters.in.taken=1 ") {
 		t.Errorf("counters: %s", line)
 	}
 
@@ -121,7 +121,7 @@
 	testpeer.Get(t, d.Watches, "a watch")
 	p.configure(t, text("nowhere"))
 	_ = p.Process.Signal(syscall.SIGHUP)
-	if line := p.logged(t, "not reloaded"); !strings.Contains(line, "discovery") {
+	if line := p.waitForLog(t, "not reloaded"); !strings.Contains(line, "discovery") {
 		t.Errorf("the key at fault is not named: %s", line)
 	}
 	p.configure(t, text(moved.Addr))
@@ -135,7 +135,7 @@
 	c.Say(testpeer.Query("search", "t2", time.Minute, 1))
 	part := testpeer.Get(t, s.Parts, "a part")
 	_ = p.Process.Signal(syscall.SIGTERM)
-	p.logged(t, "msg=draining")
+	p.waitForLog(t, "msg=draining")
 	_ = p.Process.Signal(syscall.SIGHUP) // harmless now
 	if resp, _ := idle.Say("GET /_health HTTP/1.1\r\n\r\n").Hear(); resp.StatusCode != 503 || resp.Close {
 		t.Errorf("health of a draining program: %s", resp.Status)
@@ -151,7 +151,7 @@
 	for _, c := range []*testpeer.Client{c, late, idle} {
 		c.Closed()
 	}
-	p.logged(t, "msg=counters")
+	p.waitForLog(t, "msg=counters")
 	for range p.lines { // until the program has closed its log
 	}
 	if err := p.Wait(); err != nil {
@@ -159,14 +159,14 @@
 	}
 }
 
-func TestProgramNamesWhatIsWrongWithItsConfiguration(t *testing.T) {
-	path := build(t)
+func TestInvalidConfigurationIsNamed(t *testing.T) {
+	path := buildProgram(t)
 	for text, want := range map[string]string{
 		"{": "config.json",
 		fmt.Sprintf(configText, "127.0.0.1:1", "", `{"membership_mode":"odd","domain":{"places":1,"in_a_row":1,"shards":1}}`): "membership_mode",
 	} {
 		p := launch(t, path, text)
-		p.logged(t, want)
+		p.waitForLog(t, want)
 		for range p.lines {
 		}
 		if _ = p.Wait(); p.ProcessState.ExitCode() != exitConfig {
--- a/cmd/eiderwinch/ops.go
+++ b/cmd/eiderwinch/operatorsfile.go
@@ -17,7 +17,8 @@
 	"eiderwinch/internal/trial/emulator"
 )
 
-// readForm reads a file of one of the forms; what is wrong with it is the caller's fault.
+// readForm reads an XML file. Its errors carry exitConfig, because a file that can't be read is a fault of the
+// configuration.
 func readForm[T any](path string, read func(file string, r io.Reader) (*T, error)) (*T, error) {
 	text, err := durable.ReadFile(path)
 	if err != nil {
@@ -30,9 +31,9 @@
 	return v, nil
 }
 
-// readOps reads an operators' file. The files that it names lie beside it where
-// they are not absolute.
-func readOps(path string) (*settings.File, error) {
+// readOperatorsFile reads an operators' file. It resolves relative paths of the files that it names against
+// the folder of the operators' file.
+func readOperatorsFile(path string) (*settings.File, error) {
 	f, err := readForm(path, settings.Read)
 	if err != nil {
 		return nil, err
@@ -43,41 +44,41 @@
 	}
 	for _, name := range names {
 		if *name != "" {
-			*name = beside(path, *name)
+			*name = resolveBeside(path, *name)
 		}
 	}
 	return f, nil
 }
 
-// beside is where a file lies that another names.
-func beside(path, name string) string {
+// resolveBeside returns name if it is absolute, else name in the folder of path.
+func resolveBeside(path, name string) string {
 	if filepath.IsAbs(name) {
 		return name
 	}
 	return filepath.Join(filepath.Dir(path), name)
 }
 
-// configCommands look into the operators' file, and change what is in force.
+// configCommands inspect operators' files, and change the configuration in force.
 type configCommands struct {
-	Check   configCheck    `cmd:"" help:"Check an operators' file and the layouts that it names, and say all that is wrong."`
-	Format  configFormat   `cmd:"" name:"fmt" help:"Print an operators' file in its one form."`
-	Diff    configDiff     `cmd:"" help:"Say in which values two operators' files differ, defaults included."`
-	Explain explainCommand `cmd:"" help:"Say what an element or attribute of the operators' file, of layouts or key files means."`
-	Schema  schemaCommand  `cmd:"" help:"Print the schema of the operators' file, of layouts or of key files."`
-	Sign    configSign     `cmd:"" help:"Sign a configuration with a key of a key file."`
-	Stage   configStage    `cmd:"" help:"Check a configuration at a running gatherer, try it on the world as it is, and stage it."`
-	Apply   configApply    `cmd:"" help:"Put a staged configuration in force, on probation."`
-	Confirm configConfirm  `cmd:"" help:"Make a configuration on probation stay."`
-	Undo    configUndo     `cmd:"" help:"Take back a configuration that is not confirmed."`
-	Status  configStatus   `cmd:"" help:"Say which configuration is in force, and what is under way."`
-	History configHistory  `cmd:"" help:"List the changes of the configuration."`
-	Show    configShow     `cmd:"" help:"Print the text of a generation."`
-	Soak    configSoak     `cmd:"" help:"Change the configuration of a loopback deployment under load, one change in four bad, and audit every answer."`
+	Check   configCheck   `cmd:"" help:"Check an operators' file and the layouts that it names, and report all faults."`
+	Format  configFormat  `cmd:"" name:"fmt" help:"Print an operators' file in canonical form."`
+	Diff    configDiff    `cmd:"" help:"Print the values in which two operators' files differ, defaults included."`
+	Explain configExplain `cmd:"" help:"Explain an element or attribute of operators' files, layouts, key files or scenarios."`
+	Schema  configSchema  `cmd:"" help:"Print the schema of operators' files, layouts, key files or scenarios."`
+	Sign    configSign    `cmd:"" help:"Sign a configuration with a key of a key file."`
+	Stage   configStage   `cmd:"" help:"Check a configuration at a running gatherer, dry-run it against the current state, and stage it."`
+	Apply   configApply   `cmd:"" help:"Put a staged configuration in force, on probation."`
+	Confirm configConfirm `cmd:"" help:"Confirm a configuration that is on probation."`
+	Undo    configUndo    `cmd:"" help:"Undo a configuration that has not been confirmed."`
+	Status  configStatus  `cmd:"" help:"Print which configuration is in force and which changes are under way."`
+	History configHistory `cmd:"" help:"List the changes of the configuration."`
+	Show    configShow    `cmd:"" help:"Print the text of a generation."`
+	Soak    configSoak    `cmd:"" help:"Change the configuration of a loopback deployment under load, one change in four bad, and audit every answer."`
 }
 
-// begins is the layout that a new log of the coordinator begins with; empty if
-// there is none.
-func begins(f *settings.File) string {
+// initialLayout returns the path of the layout with which a new log of the coordinator begins, or an empty
+// string if there is no coordinator.
+func initialLayout(f *settings.File) string {
 	if f.Coordinator == nil {
 		return ""
 	}
@@ -85,13 +86,13 @@
 }
 
 type configCheck struct {
-	File     string `arg:"" help:"An operators' file after deploy/eiderwinch.xsd."`
-	Platform string `placeholder:"FILE" help:"The platform's configuration that it is to fit."`
+	File     string `arg:"" help:"An operators' file that conforms to deploy/eiderwinch.xsd."`
+	Platform string `placeholder:"FILE" help:"The platform's configuration to check the file against."`
 }
 
-// Run reads the file, and the layouts that it names.
+// Run checks the file and the layouts that it names.
 func (c configCheck) Run(e environment) error {
-	f, err := readOps(c.File)
+	f, err := readOperatorsFile(c.File)
 	if err != nil {
 		return err
 	}
@@ -108,9 +109,9 @@
 		}
 		errs = append(errs, err)
 	}
-	for _, path := range []string{f.Layout, begins(f)} {
+	for _, path := range []string{f.Layout, initialLayout(f)} {
 		if path != "" {
-			_, _, err := soundLayout(path)
+			_, _, err := readValidLayout(path)
 			errs = append(errs, err)
 		}
 	}
@@ -128,8 +129,8 @@
 	return nil
 }
 
-// form is a file's form by name.
-func form(name string) *xmlform.Form {
+// formByName returns the form of a kind of file. The default is the operators' file.
+func formByName(name string) *xmlform.Form {
 	switch name {
 	case "layout":
 		return layoutfile.Form()
@@ -141,29 +142,29 @@
 	return settings.Form()
 }
 
-type explainCommand struct {
-	Form string `enum:"operators,layout,keys,scenario" default:"operators" help:"Of which file: operators, layout, keys or scenario."`
-	What string `arg:"" optional:"" help:"An element, or an attribute as element/attribute. Without it all elements are listed."`
+type configExplain struct {
+	Form string `enum:"operators,layout,keys,scenario" default:"operators" help:"The kind of file: operators, layout, keys or scenario."`
+	What string `arg:"" optional:"" help:"An element, or an attribute as element/attribute. Without it, all elements are listed."`
 }
 
-// Run prints meaning, unit, default and bounds.
-func (c explainCommand) Run(e environment) error {
-	if err := form(c.Form).Explain(e.stdout, c.What); err != nil {
+// Run prints the meaning, unit, default and bounds of an element or attribute.
+func (c configExplain) Run(e environment) error {
+	if err := formByName(c.Form).Explain(e.stdout, c.What); err != nil {
 		return &exitError{exitConfig, fmt.Errorf("explain: %w", err)}
 	}
 	return nil
 }
 
-type schemaCommand struct {
-	Form string `arg:"" enum:"operators,layout,keys,scenario" help:"Of which file: operators, layout, keys or scenario."`
+type configSchema struct {
+	Form string `arg:"" enum:"operators,layout,keys,scenario" help:"The kind of file: operators, layout, keys or scenario."`
 }
 
 // Run prints the schema.
-func (c schemaCommand) Run(e environment) error { return form(c.Form).Schema(e.stdout) }
+func (c configSchema) Run(e environment) error { return formByName(c.Form).Schema(e.stdout) }
 
 type configFormat struct {
 	File  string `arg:"" help:"An operators' file."`
-	Write bool   `help:"Write it back instead of printing it."`
+	Write bool   `help:"Write the result back to the file instead of printing it."`
 }
 
 // Run formats the file.
--- a/cmd/eiderwinch/serve.go
+++ b/cmd/eiderwinch/serve.go
@@ -21,35 +21,34 @@
 	"eiderwinch/internal/stats"
 )
 
-// serveCommand is one real gatherer. The environment tells it where its
-// configuration is, see package config.
+// serveCommand runs one gatherer. The environment names its configuration file, see package config.
 type serveCommand struct {
-	File   string        `placeholder:"FILE" help:"An operators' file after deploy/eiderwinch.xsd: an admin socket, own limits, changes as transactions. Without one all that is off."`
-	Layout string        `placeholder:"FILE" help:"A layout after deploy/layout.xsd: queries are bound to its epochs. SIGHUP reads it again. Without one the platform's cells say who holds what."`
-	Log    slog.Level    `default:"info" placeholder:"LEVEL" help:"Log from this level on: debug, info, warn or error. debug tells of each part when it was decided and left, and of each searcher when it was told to leave. An operators' file's own level goes before it."`
-	Report time.Duration `placeholder:"SPAN" help:"Log the counters so often, as 1s; to a quarter of a second. Without it they are logged on SIGUSR1 and at the end."`
+	File   string        `placeholder:"FILE" help:"An operators' file that conforms to deploy/eiderwinch.xsd. It configures the admin socket, further limits and transactional changes, which are all off without it."`
+	Layout string        `placeholder:"FILE" help:"A layout that conforms to deploy/layout.xsd, whose epochs queries are bound to. SIGHUP reads it again. Without one, the platform's cells say which searcher holds what."`
+	Log    slog.Level    `default:"info" placeholder:"LEVEL" help:"Minimum log level: debug, info, warn or error. debug logs when each part was decided and sent, and when each searcher was reported as leaving. The level in an operators' file takes precedence."`
+	Report time.Duration `placeholder:"SPAN" help:"Interval at which the counters are logged, such as 1s, in steps of a quarter of a second. Without it, they are logged on SIGUSR1 and at the end."`
 }
 
 // Run serves until a signal ends it.
 func (c serveCommand) Run(e environment) error {
-	signal.Ignore(syscall.SIGPIPE) // a reader of the log that goes must not take the gatherer along
+	signal.Ignore(syscall.SIGPIPE) // otherwise a log reader that closes the pipe would end the gatherer
 	level := new(slog.LevelVar)
 	level.Set(c.Log)
-	lines := asynclog.New(e.stderr) // the event loop logs: whoever reads slowly must not hold it up
+	lines := asynclog.New(e.stderr) // the event loop logs, and a slow log reader must not block it
 	defer lines.Close()
 	log := slog.New(slog.NewTextHandler(lines, &slog.HandlerOptions{Level: level}))
 	cfg, err := config.Load(e.getenv)
 	if err != nil {
 		return &exitError{exitConfig, fmt.Errorf("configuration: %w", err)}
 	}
-	debug.SetMemoryLimit(cfg.Memory / 4 * 3) // the rest is for stacks, the runtime and the kernel's part
+	debug.SetMemoryLimit(cfg.Memory / 4 * 3) // the remaining quarter is for stacks, the runtime and kernel memory
 	log = log.With("node", cfg.Name)
 	if c.File != "" {
-		return c.kept(e, cfg, level, log)
+		return c.serveWithOperatorsFile(e, cfg, level, log)
 	}
 	options := daemon.Options{Report: c.Report}
 	if c.Layout != "" {
-		if options.Layout, _, err = soundLayout(c.Layout); err != nil {
+		if options.Layout, _, err = readValidLayout(c.Layout); err != nil {
 			return err
 		}
 	}
@@ -61,37 +60,37 @@
 	})
 }
 
-// runNode runs a gatherer, and calls reload at SIGHUP. A reload reads files, which may take its
-// time: it must hold up neither an end nor a report, so each kind of signal has a goroutine.
+// runNode runs a gatherer, and calls reload at SIGHUP. A reload reads files and may be slow. It must delay
+// neither a shutdown nor a report, so each kind of signal has its own goroutine.
 func runNode(e environment, node *netio.Node, counters *stats.Counters, log *slog.Logger, reload func()) error {
-	follow := func(signals <-chan os.Signal, do func()) {
-		<-node.Started() // what came before waits for it
+	handle := func(signals <-chan os.Signal, do func()) {
+		<-node.Started() // signals that came before the start wait for it
 		for range signals {
 			do()
 		}
 	}
-	go follow(e.signals, node.Drain)
-	go follow(e.reloads, reload)
-	go follow(e.reports, node.Report)
+	go handle(e.signals, node.Drain)
+	go handle(e.reloads, reload)
+	go handle(e.reports, node.Report)
 	err := node.Run()
 	log.Info("counters", "counters", counters)
 	if err != nil {
-		return &exitError{exitServe, err}
+		return &exitError{exitFailure, err}
 	}
 	return nil
 }
 
-// kept runs a gatherer with an operators' file: what it is told changes as
-// transactions only, at SIGHUP as well.
-func (c serveCommand) kept(e environment, cfg *config.Config, level *slog.LevelVar, log *slog.Logger) (err error) {
-	ops, err := readOps(c.File)
+// serveWithOperatorsFile runs a gatherer with an operators' file. Its configuration changes only by
+// transactions, also at SIGHUP.
+func (c serveCommand) serveWithOperatorsFile(e environment, cfg *config.Config, level *slog.LevelVar, log *slog.Logger) (err error) {
+	ops, err := readOperatorsFile(c.File)
 	if err != nil {
 		return err
 	}
-	f := files{platform: e.getenv("LB_CONFIG"), operators: c.File, layout: c.Layout}
+	f := configFiles{platform: e.getenv("LB_CONFIG"), operators: c.File, layout: c.Layout}
 	if ops.Layout != "" {
 		if c.Layout != "" {
-			return &exitError{exitConfig, fmt.Errorf("a layout is named by --layout and by %s, want one", c.File)}
+			return &exitError{exitConfig, fmt.Errorf("a layout is named both by --layout and by %s, want only one of them", c.File)}
 		}
 		f.layout = ops.Layout
 	}
@@ -103,7 +102,7 @@
 	var fleet *fleetnet.Node
 	if ops.Fleet != nil {
 		if fleet, err = joinFleet(ops.Fleet, c.File, cfg, log); err != nil {
-			return &exitError{exitServe, err}
+			return &exitError{exitFailure, err}
 		}
 		defer func() {
 			fleet.Leave()
@@ -111,12 +110,12 @@
 		}()
 	}
 	counters := stats.New()
-	options := daemon.Options{Layout: b.candidate.Layout, Live: b.live(), Record: true, Report: c.Report}
+	options := daemon.Options{Layout: b.candidate.Layout, Live: b.initialLive(), Record: true, Report: c.Report}
 	share, divided := fleet.Share()
 	options.Share = share.Until
 	node := daemon.New(b.candidate.Config, options, counters, log)
 	ctx, stop := context.WithCancel(context.Background())
-	k := b.keep(ctx, f, node, level, log)
+	k := b.startManager(ctx, f, node, level, log)
 	defer func() {
 		stop()
 		err = errors.Join(err, k.Wait())
@@ -124,21 +123,21 @@
 			err = errors.Join(err, b.history.Close())
 		}
 	}()
-	shares := &sharing{fleet: fleet, node: node}
+	forwarder := &shareForwarder{fleet: fleet, node: node}
 	if fleet != nil {
-		go describe(ctx, fleet, node, cfg.Settings.Module.Seed)
+		go publishState(ctx, fleet, node, cfg.Settings.Module.Seed)
 	}
 	if divided {
-		go shares.run()
+		go forwarder.run()
 	}
 	if ops.Admin != "" {
-		g := &admin.Gatherer{Name: cfg.Name, Node: node, Keeper: k.Handle, Fleet: fleet, Leave: shares.leave}
+		g := &admin.Gatherer{Name: cfg.Name, Node: node, Keeper: k.Handle, Fleet: fleet, Leave: forwarder.leave}
 		if ops.Follow {
 			g.Layout = ops.Layout
 		}
 		socket, err := admin.Serve(ops.Admin, g.Handler())
 		if err != nil {
-			return &exitError{exitServe, err}
+			return &exitError{exitFailure, err}
 		}
 		log.Info("admin socket", "endpoint", socket.Endpoint())
 		defer func() {
@@ -149,7 +148,7 @@
 	}
 	return runNode(e, node, counters, log, func() {
 		go func() {
-			if err := durable.Within(reloadTime, func() error { return k.Reload(ctx) }); err != nil {
+			if err := durable.Within(reloadTimeout, func() error { return k.Reload(ctx) }); err != nil {
 				log.Error("configuration not reloaded, the old one stays", "err", err)
 				node.ReloadFailed()
 			}
@@ -157,13 +156,13 @@
 	})
 }
 
-// reloadLayout reads the layout again. One that is at fault, or not newer than the
-// one in force, changes nothing.
+// reloadLayout reads the layout again. A layout that is invalid, or not newer than the one in force, changes
+// nothing.
 func (c serveCommand) reloadLayout(node *netio.Node, log *slog.Logger) {
 	if c.Layout == "" {
 		return
 	}
-	l, _, err := soundLayout(c.Layout)
+	l, _, err := readValidLayout(c.Layout)
 	if err != nil {
 		log.Error("layout not reloaded, the old one stays", "err", err)
 		return
@@ -171,17 +170,18 @@
 	node.Adopt(l)
 }
 
-// How long a configuration that was asked to be read again is tried: where the disk fails, and where what it
-// holds can't be used, since it may be in the middle of being written.
+// A reload is retried for reloadTimeout while the disk fails. A file that can be read but is invalid may be
+// half written, so it is read again for contentTimeout.
 const (
-	reloadTime  = time.Minute
-	contentTime = time.Second
-	contentWait = 50 * time.Millisecond
+	reloadTimeout        = time.Minute
+	contentTimeout       = time.Second
+	contentRetryInterval = 50 * time.Millisecond
 )
 
-// reloadOnce reads the configuration until it can be used or can't be read.
+// reloadOnce reads the configuration until it is valid, reading fails with a transient error, or contentTimeout
+// has passed.
 func reloadOnce(e environment) (*config.Config, error) {
-	for end := time.Now().Add(contentTime); ; time.Sleep(contentWait) {
+	for end := time.Now().Add(contentTimeout); ; time.Sleep(contentRetryInterval) {
 		next, err := config.Reload(e.getenv)
 		if err == nil || durable.Transient(err) || time.Now().After(end) {
 			return next, err
@@ -189,10 +189,10 @@
 	}
 }
 
-// reload reads the configuration again. One that is at fault changes nothing.
+// reload reads the configuration again. An invalid one changes nothing.
 func reload(e environment, cfg *config.Config, node *netio.Node, log *slog.Logger) {
 	var next *config.Config
-	err := durable.Within(reloadTime, func() (err error) {
+	err := durable.Within(reloadTimeout, func() (err error) {
 		next, err = reloadOnce(e)
 		return err
 	})
--- a/cmd/eiderwinch/signals_test.go
+++ b/cmd/eiderwinch/signals_test.go
@@ -13,10 +13,10 @@
 
 // A reload reads files, and these may be slow. An end must wait for none, however many reloads were asked for
 // before it: a signal that finds no place is lost, and the kill comes all the same.
-func TestAnEndIsNotHeldUpByReloads(t *testing.T) {
+func TestShutdownIsNotDelayedByReloads(t *testing.T) {
 	s, d := testpeer.NewSearcher(t), testpeer.NewDiscovery(t)
-	p := launch(t, build(t), fmt.Sprintf(configText, d.Addr, testpeer.Member("s", s.Addr, "Ready", 0), settingsText))
-	p.logged(t, "msg=serving")
+	p := launch(t, buildProgram(t), fmt.Sprintf(configText, d.Addr, testpeer.Member("s", s.Addr, "Ready", 0), settingsText))
+	p.waitForLog(t, "msg=serving")
 	if err := os.Remove(p.file); err != nil {
 		t.Fatal(err)
 	}
@@ -34,10 +34,10 @@
 	for range 20 {
 		_ = p.Process.Signal(syscall.SIGHUP)
 		_ = p.Process.Signal(syscall.SIGUSR1)
-		p.logged(t, "msg=counters") // the signal has been taken
+		p.waitForLog(t, "msg=counters") // the signal has been taken
 	}
 	_ = p.Process.Signal(syscall.SIGTERM)
-	p.logged(t, "msg=draining")
+	p.waitForLog(t, "msg=draining")
 	_ = p.Process.Signal(syscall.SIGTERM) // once more changes nothing
 	for range p.lines {
 	}
@@ -47,7 +47,7 @@
 }
 
 // Signals that come before the loop runs wait for it.
-func TestSignalsBeforeTheStartAreKept(t *testing.T) {
+func TestSignalsBeforeStartAreHandled(t *testing.T) {
 	d := testpeer.NewDiscovery(t)
 	file := filepath.Join(t.TempDir(), "config.json")
 	if err := os.WriteFile(file, []byte(fmt.Sprintf(configText, d.Addr, "", settingsText)), 0o600); err != nil {
--- a/cmd/eiderwinch/soak.go
+++ b/cmd/eiderwinch/soak.go
@@ -13,16 +13,16 @@
 
 // layoutSoak changes the layout of a loopback deployment under load.
 type layoutSoak struct {
-	asJSON
-	Rounds  int           `default:"3" help:"Rounds, each a quiet window and one with changes."`
+	outputFormat
+	Rounds  int           `default:"3" help:"Number of rounds, each a quiet window and a window with changes."`
 	Quiet   time.Duration `default:"30s" help:"Length of a quiet window."`
 	Changes time.Duration `default:"60s" help:"Length of a window with changes."`
-	Every   time.Duration `default:"10s" help:"A split, merge or move is asked for so often."`
-	Rate    float64       `default:"120" help:"Queries a second."`
-	Seed    uint64        `default:"1" help:"For what is asked, changed and killed."`
+	Every   time.Duration `default:"10s" help:"Interval between splits, merges and moves."`
+	Rate    float64       `default:"120" help:"Queries per second."`
+	Seed    uint64        `default:"1" help:"Seed of the queries, changes and kills."`
 }
 
-// Validate is called by the parser.
+// Validate checks the flags; the parser calls it.
 func (c layoutSoak) Validate() error {
 	if c.Rounds < 1 || c.Quiet <= 0 || c.Changes <= 0 || c.Every <= 0 || !(c.Rate > 0) {
 		return fmt.Errorf("--rounds, --quiet, --changes, --every and --rate must be above 0")
@@ -30,23 +30,23 @@
 	return nil
 }
 
-// Run runs it to its end, or until a signal.
+// Run runs the soak to its end or until a signal.
 func (c layoutSoak) Run(e environment) error {
-	return runSoak(e, c.asJSON, func(ctx context.Context, dir string, progress io.Writer) (soak.Report, error) {
+	return runSoak(e, c.outputFormat, func(ctx context.Context, dir string, progress io.Writer) (soak.Report, error) {
 		return soak.Run(ctx, soak.Options{
 			Rounds: c.Rounds, Quiet: c.Quiet, Changes: c.Changes, Every: c.Every, Rate: c.Rate, Seed: c.Seed, Dir: dir, Out: progress,
 		})
 	}, layoutRows)
 }
 
-// row is one line of a report for people.
-type row struct {
-	what  string
+// reportRow is one line of a report in text form.
+type reportRow struct {
+	label string
 	value any
 }
 
-// runSoak runs a soak to its end, or until a signal, and prints its report.
-func runSoak[R interface{ Err() error }](e environment, as asJSON, run func(ctx context.Context, dir string, progress io.Writer) (R, error), rows func(R) []row) error {
+// runSoak runs a soak to its end or until a signal, prints its report and returns the report's error.
+func runSoak[R interface{ Err() error }](e environment, as outputFormat, run func(ctx context.Context, dir string, progress io.Writer) (R, error), rows func(R) []reportRow) error {
 	ctx, stop := e.untilSignal()
 	defer stop()
 	dir, err := os.MkdirTemp("", "eiderwinch-soak-")
@@ -70,7 +70,7 @@
 	}
 	table := tabwriter.NewWriter(e.stdout, 0, 0, 2, ' ', 0)
 	for _, row := range rows(r) {
-		fmt.Fprintf(table, "%s\t%v\n", row.what, row.value)
+		fmt.Fprintf(table, "%s\t%v\n", row.label, row.value)
 	}
 	if err := table.Flush(); err != nil {
 		return err
@@ -78,20 +78,21 @@
 	return r.Err()
 }
 
-func layoutRows(r soak.Report) []row {
-	return []row{
+// layoutRows formats a report of a layout soak.
+func layoutRows(r soak.Report) []reportRow {
+	return []reportRow{
 		{"queries asked", r.Asked},
-		{"answered whole, partly, refused, failed", fmt.Sprint(r.Whole, r.Partial, r.Refused, r.Failed)},
-		{"taken, ended by the gatherers' books", fmt.Sprint(r.Taken, r.Ended)},
-		{"lost, mixed, marked whole but not, reserved twice", fmt.Sprint(r.Lost, r.Mixed, r.NotWhole, r.Doubled)},
-		{"reservations one after the other", r.Linearizable},
-		{"reservations run, repeats among them", fmt.Sprint(r.Reserved, r.Repeated)},
+		{"answered whole, answered partially, refused, failed", fmt.Sprint(r.Whole, r.Partial, r.Refused, r.Failed)},
+		{"taken, ended according to the gatherers' records", fmt.Sprint(r.Taken, r.Ended)},
+		{"lost, mixed, marked whole but incomplete, reserved twice", fmt.Sprint(r.Lost, r.Mixed, r.NotWhole, r.Doubled)},
+		{"reservations linearizable", r.Linearizable},
+		{"reservations run, of these repeats", fmt.Sprint(r.Reserved, r.Repeated)},
 		{"splits, merges, moves done", fmt.Sprint(r.Splits, r.Merges, r.Moves)},
 		{"changes asked, refused, undone", fmt.Sprint(r.Jobs.Submitted, r.Jobs.Refused, r.Jobs.Undone)},
 		{"searchers, coordinators killed", fmt.Sprint(r.SearcherKills, r.CoordinatorKills)},
-		{"orders to searchers, lost, passed over as older", fmt.Sprint(r.Orders, r.Missed, r.LateOrders)},
+		{"orders to searchers, failed, ignored as older", fmt.Sprint(r.Orders, r.Missed, r.LateOrders)},
 		{"times copies were slowed down", r.Slowed},
 		{"epochs, queries translated", fmt.Sprint(r.Epochs, r.Translated)},
-		{"p99 of searches with changes over without", fmt.Sprintf("%.2f (rounds %.2f)", r.MedianRatio(), r.Ratio)},
+		{"p99 of searches, ratio with changes to without", fmt.Sprintf("%.2f (rounds %.2f)", r.MedianRatio(), r.Ratio)},
 	}
 }
--- a/cmd/eiderwinch/socket.go
+++ b/cmd/eiderwinch/socket.go
@@ -9,20 +9,20 @@
 	"eiderwinch/internal/format/settings"
 )
 
-// socket is how commands find the admin socket of a running program.
-type socket struct {
-	At   string `placeholder:"ENDPOINT" help:"Its admin socket: unix:PATH, or a loopback address and a port."`
-	File string `placeholder:"FILE" help:"The operators' file that names it."`
+// adminSocket holds the flags that name the admin socket of a running program.
+type adminSocket struct {
+	At   string `placeholder:"ENDPOINT" help:"The admin socket: unix:PATH, or a loopback address and a port."`
+	File string `placeholder:"FILE" help:"The operators' file that names the admin socket."`
 }
 
-// open returns a client of the socket. In an operators' file an element names it;
-// endpoint returns what that says, empty where it is not there.
-func (c socket) open(timeout time.Duration, element string, endpoint func(*settings.File) string) (*admin.Client, error) {
+// open returns a client of the socket. Given an operators' file, endpoint returns the socket that the file's
+// element names, or an empty string if it has no such element.
+func (c adminSocket) open(timeout time.Duration, element string, endpoint func(*settings.File) string) (*admin.Client, error) {
 	switch {
 	case (c.At == "") == (c.File == ""):
 		return nil, &exitError{exitConfig, errors.New("want one of --at and --file")}
 	case c.File != "":
-		ops, err := readOps(c.File)
+		ops, err := readOperatorsFile(c.File)
 		if err != nil {
 			return nil, err
 		}
--- a/cmd/eiderwinch/keep.go
+++ b/cmd/eiderwinch/startup.go
@@ -22,22 +22,22 @@
 	"eiderwinch/internal/netio"
 )
 
-// files are the files of a gatherer's configuration.
-type files struct {
+// configFiles names the files of a gatherer's configuration.
+type configFiles struct {
 	platform, operators string
-	layout              string // as the operators' file or --layout names it
+	layout              string // named by the operators' file or --layout; empty: none
 }
 
-// How often files are read until they are the same twice, and how long in between.
-// Whoever replaces a file by writing into it takes some milliseconds.
+// Files are read until two consecutive readings are the same, at most readAttempts times with readPause
+// in between: a program that replaces a file by writing into it takes some milliseconds.
 const (
-	readTries = 10
-	readPause = 20 * time.Millisecond
+	readAttempts = 10
+	readPause    = 20 * time.Millisecond
 )
 
-// signed reads the files, and the signature that lies beside the operators' file
-// as FILE.sig where there is one.
-func (f files) signed() (b bundle.Bundle, sig string, err error) {
+// readSigned reads the files, and the signature in FILE.sig next to the operators' file FILE, if there is
+// one.
+func (f configFiles) readSigned() (b bundle.Bundle, sig string, err error) {
 	if b, err = f.read(); err != nil {
 		return b, "", err
 	}
@@ -48,9 +48,9 @@
 	return b, string(text), err
 }
 
-// verifier checks signatures with the keys of a file, which is read each time: keys
-// change without a restart.
-func verifier(path string) func(change.Hash, string) error {
+// signatureVerifier returns a check of signatures with the keys of a file. The file is read for each check, so
+// that keys can change without a restart.
+func signatureVerifier(path string) func(change.Hash, string) error {
 	return func(hash change.Hash, sig string) error {
 		keys, err := readKeys(path)
 		if err != nil {
@@ -60,6 +60,7 @@
 	}
 }
 
+// readKeys reads a key file.
 func readKeys(path string) (*signature.Keys, error) {
 	text, err := durable.ReadFile(path)
 	if err != nil {
@@ -68,16 +69,15 @@
 	return signature.Read(path, bytes.NewReader(text))
 }
 
-// read reads the files until nothing changes any more: one may be replaced while
-// it is being read.
-func (f files) read() (bundle.Bundle, error) {
-	return stable(f.readOnce, func() { time.Sleep(readPause) })
+// read reads the files until they stop changing, since one may be replaced while it is being read.
+func (f configFiles) read() (bundle.Bundle, error) {
+	return readUntilStable(f.readOnce, func() { time.Sleep(readPause) })
 }
 
-// stable reads until two readings one after the other are the same.
-func stable(read func() (bundle.Bundle, error), pause func()) (bundle.Bundle, error) {
+// readUntilStable calls read until two consecutive readings are the same.
+func readUntilStable(read func() (bundle.Bundle, error), pause func()) (bundle.Bundle, error) {
 	last, err := read()
-	for range readTries {
+	for range readAttempts {
 		pause()
 		b, again := read()
 		if err == nil && again == nil && b.Hash() == last.Hash() {
@@ -88,10 +88,11 @@
 	if err != nil {
 		return bundle.Bundle{}, err
 	}
-	return bundle.Bundle{}, errors.New("the configuration is being replaced while it is read")
+	return bundle.Bundle{}, errors.New("the configuration files kept changing while they were read")
 }
 
-func (f files) readOnce() (b bundle.Bundle, err error) {
+// readOnce reads each file once.
+func (f configFiles) readOnce() (b bundle.Bundle, err error) {
 	var errs []error
 	for path, text := range map[string]*[]byte{f.platform: &b.Platform, f.operators: &b.Operators} {
 		read, err := durable.ReadFile(path)
@@ -100,10 +101,10 @@
 	if err := errors.Join(errs...); err != nil {
 		return bundle.Bundle{}, err
 	}
-	// The operators' file may name another layout by now.
+	// The operators' file may name another layout than at the start.
 	path := f.layout
 	if ops, err := settings.Read(f.operators, bytes.NewReader(b.Operators)); err == nil && ops.Layout != "" {
-		path = beside(f.operators, ops.Layout)
+		path = resolveBeside(f.operators, ops.Layout)
 	}
 	if path != "" {
 		b.Layout, err = durable.ReadFile(path)
@@ -111,28 +112,29 @@
 	return b, err
 }
 
-func (f files) names() bundle.Names {
-	return bundle.Names{Platform: f.platform, Operators: f.operators, Layout: cmpOr(f.layout, "layout")}
+// names returns the names of the files in error messages.
+func (f configFiles) names() bundle.Names {
+	return bundle.Names{Platform: f.platform, Operators: f.operators, Layout: orDefault(f.layout, "layout")}
 }
 
-func cmpOr(s, or string) string {
+func orDefault(s, fallback string) string {
 	if s == "" {
-		return or
+		return fallback
 	}
 	return s
 }
 
-// booted is what a gatherer with an operators' file starts with.
-type booted struct {
-	candidate *bundle.Candidate
-	machine   *change.Machine
-	history   *history.History // nil: in memory
-	gen       change.Generation
+// bootState is the configuration with which a gatherer with an operators' file starts.
+type bootState struct {
+	candidate  *bundle.Candidate
+	machine    *change.Machine
+	history    *history.History // nil: changes are kept in memory only
+	generation change.Generation
 }
 
-// boot reads the files, and the history where there is one: that has the last
-// word, since what the files hold may never have been confirmed.
-func boot(f files, cfg *config.Config, log *slog.Logger) (*booted, error) {
+// boot reads the files, and the history if there is one. The history takes precedence, because what the
+// files hold may never have been confirmed.
+func boot(f configFiles, cfg *config.Config, log *slog.Logger) (*bootState, error) {
 	b, err := f.read()
 	if err != nil {
 		return nil, &exitError{exitConfig, err}
@@ -141,36 +143,36 @@
 	if err != nil {
 		return nil, &exitError{exitConfig, err}
 	}
-	out := &booted{candidate: c, gen: 1}
+	out := &bootState{candidate: c, generation: 1}
 	defer func() {
-		// What the environment says wins, as without an operators' file.
+		// The environment takes precedence, as it does without an operators' file.
 		out.candidate.Config.Name, out.candidate.Config.Listen, out.candidate.Config.Discovery = cfg.Name, cfg.Listen, cfg.Discovery
 		out.candidate.Config.Sockets, out.candidate.Config.Memory = cfg.Sockets, cfg.Memory
 		out.candidate.Config.Settings.Module.Seed = cfg.Settings.Module.Seed
 	}()
 	path := c.File.History
 	if path == "" {
-		log.Warn("changes of the configuration are in memory only: there is no history file")
+		log.Warn("configuration changes are kept in memory only: no history file is configured")
 		out.machine = change.New(c.Hash, change.Limits{})
 		return out, nil
 	}
 	var h *history.History
 	err = durable.Within(durable.StartTime, func() error {
-		h, err = history.Open(beside(f.operators, path))
+		h, err = history.Open(resolveBeside(f.operators, path))
 		return err
 	})
 	if err != nil {
-		return nil, &exitError{exitServe, err}
+		return nil, &exitError{exitFailure, err}
 	}
-	if err := out.recover(h, f, log); err != nil {
-		return nil, &exitError{exitServe, errors.Join(err, h.Close())}
+	if err := out.recoverHistory(h, f, log); err != nil {
+		return nil, &exitError{exitFailure, errors.Join(err, h.Close())}
 	}
 	out.history = h
 	return out, nil
 }
 
-// recover goes on from a history.
-func (b *booted) recover(h *history.History, f files, log *slog.Logger) error {
+// recoverHistory continues from a history: it undoes what was not confirmed and takes the last confirmed configuration.
+func (b *bootState) recoverHistory(h *history.History, f configFiles, log *slog.Logger) error {
 	write := func(records []change.Record) error {
 		return durable.AtStart(log, "records of configuration changes", func() error { return h.Append(records, nil) })
 	}
@@ -192,10 +194,11 @@
 	}
 	for _, r := range result.Records {
 		if r.State == change.Undone {
-			log.Warn("a configuration change was cut short, and is undone", "transaction", uint64(r.Tx), "reason", r.Reason)
+			log.Warn("interrupted configuration change undone", "transaction", uint64(r.Tx), "reason", r.Reason)
 		}
 	}
-	// What was staged is known by its text only, and checked anew where it is applied.
+	// Of a staged configuration only the text is known, and it has to be checked again before it is applied, so
+	// it is undone.
 	for _, t := range m.Txs() {
 		if t.State == change.Staged {
 			r := m.Step(time.Now(), change.Undo{Tx: t.Tx, Reason: "the process ended"})
@@ -206,11 +209,11 @@
 	}
 	b.machine = m
 	var hash change.Hash
-	if b.gen, hash = m.Confirmed(); hash == b.candidate.Hash {
+	if b.generation, hash = m.Confirmed(); hash == b.candidate.Hash {
 		return nil
 	}
 	log.Warn("the files differ from the last confirmed configuration, which stays in force: reload to apply them",
-		"generation", uint64(b.gen), "hash", fmt.Sprintf("%x", hash[:8]), "files", fmt.Sprintf("%x", b.candidate.Hash[:8]))
+		"generation", uint64(b.generation), "hash", fmt.Sprintf("%x", hash[:8]), "files", fmt.Sprintf("%x", b.candidate.Hash[:8]))
 	text, err := h.Text(hash)
 	if err != nil {
 		return err
@@ -219,28 +222,28 @@
 	return err
 }
 
-// live is what the gatherer begins with.
-func (b *booted) live() *netio.Live {
-	l := daemon.Live(b.candidate, b.gen)
+// initialLive returns the live settings that the gatherer starts with.
+func (b *bootState) initialLive() *netio.Live {
+	l := daemon.Live(b.candidate, b.generation)
 	return &l
 }
 
-// keep starts the keeper of a gatherer's configuration.
-func (b *booted) keep(ctx context.Context, f files, node *netio.Node, level *slog.LevelVar, log *slog.Logger) *keeper.Keeper {
+// startManager starts the manager of a gatherer's configuration.
+func (b *bootState) startManager(ctx context.Context, f configFiles, node *netio.Node, level *slog.LevelVar, log *slog.Logger) *keeper.Keeper {
 	o := keeper.Options{
-		Node: node, Boot: b.candidate, Machine: b.machine, Names: f.names(), Read: f.signed, Live: daemon.Live, Logger: log,
+		Node: node, Boot: b.candidate, Machine: b.machine, Names: f.names(), Read: f.readSigned, Live: daemon.Live, Logger: log,
 		Applied: func(c *bundle.Candidate) { level.Set(logLevel(c)) },
 	}
 	if b.history != nil {
 		o.History = b.history
 	}
 	if path := b.candidate.File.Signing; path != "" {
-		o.Verify = verifier(beside(f.operators, path))
+		o.Verify = signatureVerifier(resolveBeside(f.operators, path))
 	}
 	return keeper.Start(ctx, o)
 }
 
-// logLevel is the level that a configuration names.
+// logLevel returns the log level that a configuration names, or info.
 func logLevel(c *bundle.Candidate) slog.Level {
 	names := []string{"debug", "info", "warn", "error"}
 	levels := []slog.Level{slog.LevelDebug, slog.LevelInfo, slog.LevelWarn, slog.LevelError}
--- a/cmd/eiderwinch/version.go
+++ b/cmd/eiderwinch/version.go
@@ -6,7 +6,7 @@
 	"runtime/debug"
 )
 
-// versionCommand tells what the program is.
+// versionCommand prints the version of the program.
 type versionCommand struct{}
 
 // Run prints the version, the commit and the toolchain as the build recorded them.
