--- a/cmd/eiderwinch/cluster_test.go
+++ b/cmd/eiderwinch/cluster_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"flag"
-	"fmt"
 	"os"
 	"path/filepath"
 	"slices"
@@ -15,20 +14,22 @@
 	"eiderwinch/internal/trial/testpeer"
 )
 
-// A longer run, or one that failed again: go test -run FleetUnderFaults ./cmd/eiderwinch -rig.seed 7
-// -rig.gatherers 9 -rig.for 10m, or with a plan of one's own in -rig.plan FILE.
+// Flags of TestAFleetUnderFaults, for longer runs or to repeat a failed one:
+// go test -run FleetUnderFaults ./cmd/eiderwinch -rig.seed 7 -rig.gatherers 9 -rig.for 10m, or with another plan of
+// faults in -rig.plan FILE.
 var (
-	clusterSeed      = flag.Uint64("rig.seed", 1, "the seed of the rig's faults")
-	clusterGatherers = flag.Int("rig.gatherers", 5, "processes of the program")
-	clusterFaultTime = flag.Duration("rig.for", 40*time.Second, "how long faults are played, about")
-	clusterFaultSpan = flag.Duration("rig.span", 2*time.Second, "how long a fault lasts, about")
-	clusterLease     = flag.Duration("rig.lease", share.DefaultLease, "of the slots; 0: limits are not divided")
-	clusterPlan      = flag.String("rig.plan", "", "a file with the plan to be played")
-	clusterDir       = flag.String("rig.dir", "", "where logs and the history are left")
+	clusterSeed      = flag.Uint64("rig.seed", 1, "seed of the faults")
+	clusterGatherers = flag.Int("rig.gatherers", 5, "number of gatherer processes")
+	clusterFaultTime = flag.Duration("rig.for", 40*time.Second, "approximate time with faults")
+	clusterFaultSpan = flag.Duration("rig.span", 2*time.Second, "approximate length of a fault")
+	clusterLease     = flag.Duration("rig.lease", share.DefaultLease, "lease of the slots; with 0 the limits are not divided")
+	clusterPlan      = flag.String("rig.plan", "", "file with the plan of faults to run")
+	clusterDir       = flag.String("rig.dir", "", "folder for logs and the history")
 )
 
-// Several processes of the program under faults among them: no slot of the fleet's limits is used by two within a
-// window, a cold searcher gets no more than the whole, every query has its answer, and the views settle.
+// Several processes of the program run with faults between them. No slot of the fleet's limits may be used by two
+// processes within a window, a cold searcher must get no more than the fleet's whole limit, each query must get its
+// answer, and the views must converge.
 func TestAFleetUnderFaults(t *testing.T) {
 	dir := *clusterDir
 	if dir == "" {
@@ -67,7 +68,7 @@
 			s.Times[len(s.Times)/2].Milliseconds(), s.Times[len(s.Times)-1].Milliseconds())
 	}
 	t.Logf("queries %+v", x.Queries)
-	t.Logf("%d changes of views, %d of them without a fault; %d slots of gone ones held at most", x.Views, x.Quiet, x.Held)
+	t.Logf("%d changes of views, %d of them without a fault; at most %d slots of gone gatherers held", x.Views, x.Quiet, x.Held)
 	t.Logf("cold searcher: %d parts, %d in its fullest window, where %.0f are allowed", x.Parts, x.Most, x.Allowed)
 	for _, f := range x.Faults {
 		t.Error(f)
@@ -79,9 +80,9 @@
 	if code, out, errs := runCommand(t, nil, "experiment", "fleet", filepath.Join(dir, "history.jsonl"), "--html", page); code != exitOK {
 		t.Errorf("code %d, %s%s", code, out, errs)
 	} else if text, err := os.ReadFile(page); err != nil || strings.Count(string(text), "<svg") != 3 {
-		t.Errorf("the page: %v, %d bytes", err, len(text))
+		t.Errorf("fleet page: %v, %d bytes", err, len(text))
 	}
 	if t.Failed() {
-		t.Log(fmt.Sprintf("again: go test -run FleetUnderFaults ./cmd/eiderwinch -rig.seed %d -rig.gatherers %d -rig.for %v", *clusterSeed, *clusterGatherers, *clusterFaultTime))
+		t.Logf("to repeat: go test -run FleetUnderFaults ./cmd/eiderwinch -rig.seed %d -rig.gatherers %d -rig.for %v", *clusterSeed, *clusterGatherers, *clusterFaultTime)
 	}
 }
--- a/cmd/eiderwinch/commands_test.go
+++ b/cmd/eiderwinch/commands_test.go
@@ -10,7 +10,7 @@
 	"testing"
 )
 
-// runCommand runs the program's command line in this process.
+// runCommand runs one command line of the program in this process.
 func runCommand(t *testing.T, signals chan os.Signal, args ...string) (code int, stdout, stderr string) {
 	t.Helper()
 	var out, errs bytes.Buffer
@@ -18,6 +18,7 @@
 	return code, out.String(), errs.String()
 }
 
+// README.md has a row for each command with the same text as --help, and no further rows.
 func TestReadmeAndHelpAgree(t *testing.T) {
 	readme, err := os.ReadFile("../../README.md")
 	if err != nil {
@@ -39,7 +40,7 @@
 		}
 	}
 	if rows := strings.Count(string(readme), "| `eiderwinch "); rows != len(parser.Model.Leaves(true)) {
-		t.Errorf("README.md has %d rows of commands, the program %d commands", rows, len(parser.Model.Leaves(true)))
+		t.Errorf("README.md has %d rows of commands, the program has %d commands", rows, len(parser.Model.Leaves(true)))
 	}
 }
 
@@ -52,7 +53,7 @@
 		classes, _ := demoCommand{Answers: c.answers}.classes()
 		for _, class := range classes {
 			if !strings.Contains(out, class+" ") {
-				t.Errorf("%+v: no %s in\n%s", c, class, out)
+				t.Errorf("%+v: no line for class %s in\n%s", c, class, out)
 			}
 		}
 	}
@@ -100,8 +101,8 @@
 	if code, out, _ := runCommand(t, nil, "version"); code != exitOK || !strings.Contains(out, "go1.") {
 		t.Errorf("version: %d, %q", code, out)
 	}
-	// Without a command it serves, so a missing configuration is at fault.
+	// Without a command the program serves, so the missing configuration is the error.
 	if code, _, errs := runCommand(t, nil); code != exitConfig || !strings.Contains(errs, "LB_CONFIG") {
-		t.Errorf("nothing: code %d, %q", code, errs)
+		t.Errorf("no arguments: code %d, %q", code, errs)
 	}
 }
--- a/cmd/eiderwinch/config_test.go
+++ b/cmd/eiderwinch/config_test.go
@@ -13,76 +13,77 @@
 	"eiderwinch/internal/trial/standin"
 )
 
-// managedProgram is the built program with an operators' file, round which a stand-in
-// deployment runs.
+// managedProgram is the built program with an operators' file and a fake deployment around it.
 type managedProgram struct {
 	path, ops  string
 	deployment *standin.Deployment
-	text       string // the platform's configuration
+	text       string // of the platform's configuration
 }
 
 func newManagedProgram(t *testing.T) *managedProgram {
-	k := &managedProgram{path: buildProgram(t), ops: filepath.Join(t.TempDir(), "eiderwinch.xml")}
+	m := &managedProgram{path: buildProgram(t), ops: filepath.Join(t.TempDir(), "eiderwinch.xml")}
 	var err error
-	if k.deployment, err = standin.NewDeployment(standin.DeploymentOptions{Searchers: 4, Seed: 1}); err != nil {
+	if m.deployment, err = standin.NewDeployment(standin.DeploymentOptions{Searchers: 4, Seed: 1}); err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { _ = k.deployment.Close() })
-	text, err := k.deployment.Config("g", "127.0.0.1:0")
+	t.Cleanup(func() { _ = m.deployment.Close() })
+	text, err := m.deployment.Config("g", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	k.text = string(text)
-	return k
+	m.text = string(text)
+	return m
 }
 
-// writeOperatorsFile writes the operators' file.
-func (k *managedProgram) writeOperatorsFile(t *testing.T, inner string) {
+// writeOperatorsFile writes the operators' file with further elements.
+func (m *managedProgram) writeOperatorsFile(t *testing.T, inner string) {
 	t.Helper()
 	text := fmt.Sprintf(`<eiderwinch xmlns="urn:eiderwinch:operators:1"><admin endpoint="unix:%s/g"/><history file="history.db"/>%s</eiderwinch>`,
-		filepath.Dir(k.ops), inner)
-	if err := os.WriteFile(k.ops, []byte(text), 0o600); err != nil {
+		filepath.Dir(m.ops), inner)
+	if err := os.WriteFile(m.ops, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
 }
 
-func (k *managedProgram) launch(t *testing.T) (p *program, addr string) {
+// launch starts the program, waits until it serves and returns its address.
+func (m *managedProgram) launch(t *testing.T) (p *program, addr string) {
 	t.Helper()
-	p = launchWith(t, k.path, []string{"serve", "--file", k.ops}, k.text)
+	p = launchWith(t, m.path, []string{"serve", "--file", m.ops}, m.text)
 	_, addr, _ = strings.Cut(p.waitForLog(t, "msg=serving"), "addr=")
 	addr, _, _ = strings.Cut(addr, " ")
 	return p, addr
 }
 
-// waitForStatus waits for a state of the keeper.
-func (k *managedProgram) waitForStatus(t *testing.T, what string, is func(keeper.Status) bool) keeper.Status {
+// waitForStatus waits until the status of the configuration satisfies is.
+func (m *managedProgram) waitForStatus(t *testing.T, what string, is func(keeper.Status) bool) keeper.Status {
 	t.Helper()
-	return waitForJSON(t, what, is, "config", "status", "--json", "--file", k.ops)
+	return waitForJSON(t, what, is, "config", "status", "--json", "--file", m.ops)
 }
 
-// queryGeneration asks a query, and returns the queryGeneration that it was answered under.
+// queryGeneration sends a query and returns the configuration generation under which it was answered.
 func queryGeneration(t *testing.T, addr, trace string) string {
 	t.Helper()
 	return postSearch(t, addr, trace, "find x").Header.Get("X-Config-Generation")
 }
 
+// lastTransaction returns a check that there are n transactions, the last of them in the wanted state.
 func lastTransaction(n int, want string) func(keeper.Status) bool {
 	return func(s keeper.Status) bool { return len(s.Transactions) == n && s.Transactions[n-1].State == want }
 }
 
-// A change goes through SIGHUP and the admin socket, and the program is killed
-// while one is on probation.
+// Changes are made through SIGHUP and the admin socket. The program is killed while one is on probation: after
+// the restart that change is undone and the last confirmed generation is in force.
 func TestConfigChangesAreTransactions(t *testing.T) {
-	k := newManagedProgram(t)
-	k.writeOperatorsFile(t, `<guard probation="60s" auto="false"/>`)
-	p, addr := k.launch(t)
+	m := newManagedProgram(t)
+	m.writeOperatorsFile(t, `<guard probation="60s" auto="false"/>`)
+	p, addr := m.launch(t)
 	if g := queryGeneration(t, addr, "t1"); g != "1" {
 		t.Errorf("generation %q, want 1", g)
 	}
 	hup := func() { _ = p.Process.Signal(syscall.SIGHUP) }
 
-	// All faults of the file in one go; nothing changes.
-	k.writeOperatorsFile(t, `<class name="search" within="20s" attempts="9"/><class name="nobody"/>`)
+	// A reload reports all faults of the file at once, and changes nothing.
+	m.writeOperatorsFile(t, `<class name="search" within="20s" attempts="9"/><class name="nobody"/>`)
 	hup()
 	line := p.waitForLog(t, "configuration not reloaded")
 	for _, want := range []string{"at most the deadline of search, 4s", "at most attempts_cap, 4", "one of report, search, reserve"} {
@@ -91,70 +92,71 @@
 		}
 	}
 
-	// Applied by SIGHUP, confirmed by hand.
-	k.writeOperatorsFile(t, `<guard probation="60s" auto="false"/><class name="search" open="50"/>`)
+	// Applied by SIGHUP, confirmed by the operator.
+	m.writeOperatorsFile(t, `<guard probation="60s" auto="false"/><class name="search" open="50"/>`)
 	hup()
-	k.waitForStatus(t, "probation", lastTransaction(1, "probation"))
+	m.waitForStatus(t, "probation", lastTransaction(1, "probation"))
 	if g := queryGeneration(t, addr, "t2"); g != "2" {
 		t.Errorf("generation %q, want 2", g)
 	}
-	if code, _, errs := runCommand(t, nil, "config", "confirm", "--file", k.ops, "1"); code != exitOK {
+	if code, _, errs := runCommand(t, nil, "config", "confirm", "--file", m.ops, "1"); code != exitOK {
 		t.Errorf("confirm: %s", errs)
 	}
-	if code, out, _ := runCommand(t, nil, "config", "show", "--file", k.ops, "2"); code != exitOK || !strings.Contains(out, `open="50"`) {
+	if code, out, _ := runCommand(t, nil, "config", "show", "--file", m.ops, "2"); code != exitOK || !strings.Contains(out, `open="50"`) {
 		t.Errorf("show: %s", out)
 	}
 
-	// Staged and applied by hand; a second one is refused; then a kill.
-	k.writeOperatorsFile(t, `<guard probation="60s" auto="false"/><class name="search" open="60"/>`)
-	if code, out, errs := runCommand(t, nil, "config", "stage", "--file", k.ops, "--operators", k.ops, "--against", "2", "--note", "more"); code != exitOK || !strings.Contains(out, "transaction 2") {
+	// Staged and applied by the operator. A second change is refused meanwhile; then the program is killed.
+	m.writeOperatorsFile(t, `<guard probation="60s" auto="false"/><class name="search" open="60"/>`)
+	if code, out, errs := runCommand(t, nil, "config", "stage", "--file", m.ops, "--operators", m.ops, "--against", "2", "--note", "more"); code != exitOK || !strings.Contains(out, "transaction 2") {
 		t.Fatalf("stage: %s%s", out, errs)
 	}
-	if code, _, errs := runCommand(t, nil, "config", "apply", "--file", k.ops, "2"); code != exitOK {
+	if code, _, errs := runCommand(t, nil, "config", "apply", "--file", m.ops, "2"); code != exitOK {
 		t.Fatalf("apply: %s", errs)
 	}
-	k.waitForStatus(t, "probation", lastTransaction(2, "probation"))
-	hup() // the same again
+	m.waitForStatus(t, "probation", lastTransaction(2, "probation"))
+	hup() // a second change while the first is on probation
 	if line := p.waitForLog(t, "configuration not"); !strings.Contains(line, "another change is under way") {
 		t.Errorf("a second change: %s", line)
 	}
 	p.kill(t)
-	p, addr = k.launch(t)
-	s := k.waitForStatus(t, "a status", func(keeper.Status) bool { return true })
+	p, addr = m.launch(t)
+	s := m.waitForStatus(t, "a status", func(keeper.Status) bool { return true })
 	if s.Confirmed != 2 || s.InForce != 2 || !s.Durable || s.Transactions[1].State != "undone" || !strings.Contains(s.Transactions[1].Reason, "the process ended") {
 		t.Errorf("after the kill: %+v", s)
 	}
 	if g := queryGeneration(t, addr, "t3"); g != "2" {
 		t.Errorf("generation %q, want 2: the last that was confirmed", g)
 	}
-	if code, out, _ := runCommand(t, nil, "config", "history", "--file", k.ops); code != exitOK || !strings.Contains(out, "undone") {
+	if code, out, _ := runCommand(t, nil, "config", "history", "--file", m.ops); code != exitOK || !strings.Contains(out, "undone") {
 		t.Errorf("history: %s", out)
 	}
 
-	// A confirm that comes after the undo began.
+	// A confirmation is refused once the undo has begun.
 	hup()
 	n := len(s.Transactions) + 1
-	k.waitForStatus(t, "probation", lastTransaction(n, "probation"))
-	tx := fmt.Sprint(k.waitForStatus(t, "a status", func(keeper.Status) bool { return true }).Transactions[n-1].Tx)
-	if code, _, errs := runCommand(t, nil, "config", "undo", "--file", k.ops, tx); code != exitOK {
+	m.waitForStatus(t, "probation", lastTransaction(n, "probation"))
+	tx := fmt.Sprint(m.waitForStatus(t, "a status", func(keeper.Status) bool { return true }).Transactions[n-1].Tx)
+	if code, _, errs := runCommand(t, nil, "config", "undo", "--file", m.ops, tx); code != exitOK {
 		t.Errorf("undo: %s", errs)
 	}
-	if code, _, errs := runCommand(t, nil, "config", "confirm", "--file", k.ops, tx); code != exitFailure || !strings.Contains(errs, "it is in another state") {
-		t.Errorf("a late confirm: code %d, %s", code, errs)
+	if code, _, errs := runCommand(t, nil, "config", "confirm", "--file", m.ops, tx); code != exitFailure || !strings.Contains(errs, "it is in another state") {
+		t.Errorf("confirmation after the undo: code %d, %s", code, errs)
 	}
-	k.waitForStatus(t, "the undo", lastTransaction(n, "undone"))
+	m.waitForStatus(t, "the undo", lastTransaction(n, "undone"))
 	_ = p.Process.Signal(syscall.SIGTERM)
 	for range p.lines {
 	}
 	if err := p.Wait(); err != nil {
-		t.Errorf("it ended with %v", err)
+		t.Errorf("the program ended with %v", err)
 	}
 }
 
-// A file that is replaced while it is read is read again.
+// A file may be replaced while it is read, so that the reading finds it half written or missing. It is read
+// again until two consecutive readings are the same.
 func TestReadIsRepeatedWhileFileIsReplaced(t *testing.T) {
 	for name, c := range map[string]struct {
-		readings []string // the last one over and over; "!" can't be read
+		readings []string // the last one is repeated; "!" stands for a failed reading
 		want     string
 	}{
 		"at rest":           {[]string{"a"}, "a"},
@@ -176,9 +178,9 @@
 	}
 	n := 0
 	if _, err := readUntilStable(func() (bundle.Bundle, error) { n++; return bundle.Bundle{Operators: fmt.Append(nil, n)}, nil }, func() {}); err == nil {
-		t.Error("one that changes all the time was taken")
+		t.Error("files that keep changing were accepted")
 	}
-	// And from real files.
+	// The same with real files.
 	dir := t.TempDir()
 	f := configFiles{platform: filepath.Join(dir, "p"), operators: filepath.Join(dir, "o")}
 	for _, path := range []string{f.platform, f.operators} {
@@ -217,11 +219,11 @@
 	}
 }
 
-// Where signing is asked for, nothing is staged without a signature that holds, by
-// hand or by SIGHUP.
+// If signing is configured, no configuration is staged without a valid signature, neither by command nor by
+// SIGHUP.
 func TestUnsignedConfigurationsAreRejected(t *testing.T) {
-	k := newManagedProgram(t)
-	dir := filepath.Dir(k.ops)
+	m := newManagedProgram(t)
+	dir := filepath.Dir(m.ops)
 	keys := filepath.Join(dir, "keys.xml")
 	keyText := func(name, from, until string) string {
 		return fmt.Sprintf(`<key name=%q algorithm="blake3" value="%s=" from="%s-01-01T00:00:00Z" until="%s-01-01T00:00:00Z"/>`, name, strings.Repeat("A", 43), from, until)
@@ -229,18 +231,18 @@
 	if err := os.WriteFile(keys, []byte(`<keys xmlns="urn:eiderwinch:keys:1">`+keyText("now", "2020", "9000")+keyText("then", "2020", "2021")+`</keys>`), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	k.writeOperatorsFile(t, `<signing keys="keys.xml"/>`)
-	p, _ := k.launch(t)
-	k.writeOperatorsFile(t, `<signing keys="keys.xml"/><class name="search" open="9"/>`)
+	m.writeOperatorsFile(t, `<signing keys="keys.xml"/>`)
+	p, _ := m.launch(t)
+	m.writeOperatorsFile(t, `<signing keys="keys.xml"/><class name="search" open="9"/>`)
 	_ = p.Process.Signal(syscall.SIGHUP)
 	p.waitForLog(t, "the configuration is not signed")
 
-	code, sig, errs := runCommand(t, nil, "config", "sign", "--keys", keys, "--key", "now", "--operators", k.ops)
+	code, sig, errs := runCommand(t, nil, "config", "sign", "--keys", keys, "--key", "now", "--operators", m.ops)
 	if code != exitOK {
 		t.Fatal(errs)
 	}
 	stage := func(sig string) (int, string) {
-		code, out, errs := runCommand(t, nil, "config", "stage", "--file", k.ops, "--operators", k.ops, "--signature", sig)
+		code, out, errs := runCommand(t, nil, "config", "stage", "--file", m.ops, "--operators", m.ops, "--signature", sig)
 		return code, out + errs
 	}
 	sig = strings.TrimSpace(sig)
@@ -255,7 +257,7 @@
 	if code, out := stage(sig); code != exitOK || !strings.Contains(out, "transaction 1") {
 		t.Errorf("signed: code %d, %s", code, out)
 	}
-	if code, _, errs := runCommand(t, nil, "config", "sign", "--keys", keys, "--key", "then", "--operators", k.ops); code != exitConfig || !strings.Contains(errs, "does not hold now") {
-		t.Errorf("an expired key signs: %s", errs)
+	if code, _, errs := runCommand(t, nil, "config", "sign", "--keys", keys, "--key", "then", "--operators", m.ops); code != exitConfig || !strings.Contains(errs, "does not hold now") {
+		t.Errorf("signing with an expired key: %s", errs)
 	}
 }
--- a/cmd/eiderwinch/coordinate.go
+++ b/cmd/eiderwinch/coordinate.go
@@ -227,7 +227,8 @@
 	defer tick.Stop()
 	for len(waiting) > 0 {
 		var s admin.Status
-		if err := client.Do(ctx, http.MethodGet, "/v1/status", nil, &s); err == nil { // on an error the coordinator may be restarting, so the next tick asks again
+		// On an error the coordinator may be restarting, so the next tick asks again.
+		if err := client.Do(ctx, http.MethodGet, "/v1/status", nil, &s); err == nil {
 			for _, j := range s.Jobs {
 				if !waiting[j.Job] || !j.Over {
 					continue
--- a/cmd/eiderwinch/coordinate_test.go
+++ b/cmd/eiderwinch/coordinate_test.go
@@ -18,8 +18,8 @@
 	"eiderwinch/internal/trial/standin"
 )
 
-// reshardDeployment is a deployment whose segments move: stand-in searchers, and the built
-// program as gatherer and coordinator.
+// reshardDeployment is a deployment whose layout changes: fake searchers, and the built program as gatherer
+// and as coordinator.
 type reshardDeployment struct {
 	dir, path, ops string
 	deployment     *standin.Deployment
@@ -75,6 +75,7 @@
 	return m
 }
 
+// startGatherer starts a gatherer, waits until it serves and returns its address.
 func (m *reshardDeployment) startGatherer(t *testing.T) (p *program, addr string) {
 	text, err := m.deployment.Config("g", "127.0.0.1:0")
 	if err != nil {
@@ -86,19 +87,20 @@
 	return p, addr
 }
 
+// startCoordinator starts a coordinator and waits until it runs.
 func (m *reshardDeployment) startCoordinator(t *testing.T) *program {
 	p := launchWith(t, m.path, []string{"coordinate", m.ops}, "{}")
 	p.waitForLog(t, "msg=coordinating")
 	return p
 }
 
-// waitForStatus waits for a state of the coordinator.
+// waitForStatus waits until the status of the coordinator satisfies is.
 func (m *reshardDeployment) waitForStatus(t *testing.T, what string, is func(admin.Status) bool) admin.Status {
 	t.Helper()
 	return waitForJSON(t, what, is, "layout", "status", "--json", "--file", m.ops)
 }
 
-// waitForJSON calls a command until the JSON that it prints is as wanted.
+// waitForJSON repeats a command until the JSON that it prints satisfies is, for at most 30 s.
 func waitForJSON[S any](t *testing.T, what string, is func(S) bool, args ...string) S {
 	t.Helper()
 	var s S
@@ -109,11 +111,11 @@
 			return s
 		}
 	}
-	t.Fatalf("%s did not come about: %+v", what, s)
+	t.Fatalf("timed out waiting for %s: %+v", what, s)
 	return s
 }
 
-// postSearch asks a gatherer about segment 0, and returns the answer without its body.
+// postSearch sends a gatherer a query for segment 0 and returns the answer without its body.
 func postSearch(t *testing.T, addr, trace, statement string) *http.Response {
 	t.Helper()
 	req, err := http.NewRequest(http.MethodPost, "http://"+addr+"/search", strings.NewReader(`{"tablets":[{"tablet":0,"fraction":1}],"statement":"`+statement+`"}`))
@@ -130,7 +132,7 @@
 	return resp
 }
 
-// queryEpoch asks a query and returns the queryEpoch that it was answered in.
+// queryEpoch sends a query and returns the layout epoch in which it was answered.
 func queryEpoch(t *testing.T, addr, trace string) string {
 	t.Helper()
 	resp := postSearch(t, addr, trace, "scan a z")
@@ -140,6 +142,7 @@
 	return resp.Header.Get("X-Layout-Epoch")
 }
 
+// kill kills the program and waits for its end.
 func (p *program) kill(t *testing.T) {
 	t.Helper()
 	_ = p.Process.Kill()
@@ -148,7 +151,8 @@
 	_ = p.Wait()
 }
 
-// The built programs move a segment; each of them is killed on the way.
+// Built programs move a segment between searchers. Gatherer and coordinator are killed during the move: the
+// change continues after the restart, and no process goes back to an older epoch.
 func TestSegmentMoveSurvivesKills(t *testing.T) {
 	m := newReshardDeployment(t)
 	g, addr := m.startGatherer(t)
@@ -204,7 +208,7 @@
 	if e := queryEpoch(t, addr, "t3"); e != fmt.Sprint(s.Epoch) {
 		t.Errorf("epoch %s after a restart, want %d", e, s.Epoch)
 	}
-	// A coordinator whose log is lost begins at the first layout. It must not rule.
+	// A coordinator whose log is lost starts from the first layout. The searchers must not obey it.
 	if err := os.Remove(filepath.Join(m.dir, "changes.db")); err != nil {
 		t.Fatal(err)
 	}
@@ -213,10 +217,10 @@
 	for range lost.lines {
 	}
 	if _ = lost.Wait(); lost.ProcessState.ExitCode() != exitFailure {
-		t.Errorf("it ended with %v", lost.ProcessState)
+		t.Errorf("the coordinator without its log ended with %v", lost.ProcessState)
 	}
 	if held := m.warehouse.Held("s-01"); len(held) != 1 {
-		t.Errorf("it made a new holder forget: %v", held)
+		t.Errorf("it made a new holder drop its segment: %v", held)
 	}
 	_ = g.Process.Signal(syscall.SIGTERM)
 	for range g.lines {
--- a/cmd/eiderwinch/faults_test.go
+++ b/cmd/eiderwinch/faults_test.go
@@ -28,17 +28,17 @@
 	os.Exit(m.Run())
 }
 
-// Sizes of a run under faults.
+// Sizes and timeouts of a run under faults.
 const (
 	faultClients         = 12
-	faultQueries         = 30              // of each client
-	faultAnswerTimeout   = 6 * time.Second // the queries' own time is 4 s
-	faultShutdownTimeout = 8 * time.Second // for the program to end once it is told to
-	faultMaxUnanswered   = 2               // a client goes after so many requests without an answer
-	faultQueriesPerConn  = 5               // a client opens a new connection after so many queries
+	faultQueries         = 30              // per client
+	faultAnswerTimeout   = 6 * time.Second // above the queries' deadline of 4 s
+	faultShutdownTimeout = 8 * time.Second // for the program to end after SIGTERM
+	faultMaxUnanswered   = 2               // a client gives up after this number of requests without an answer
+	faultQueriesPerConn  = 5               // a client opens a new connection after this number of queries
 )
 
-// faultCases are failures that Linux documents and that pass.
+// faultCases returns transient failures of system calls that Linux documents.
 func faultCases() map[string][]faults.Fault {
 	const startDelay = 300 * time.Millisecond
 	once := func(call string, errno syscall.Errno) faults.Fault {
@@ -73,7 +73,7 @@
 	}
 }
 
-// The built program loses no request and ends only when it is told to, while system calls fail for a moment.
+// System calls of the built program fail for a moment. It must answer or refuse each request, and end only on SIGTERM.
 func TestNoRequestIsLostWhileSystemCallsFail(t *testing.T) {
 	path := buildProgram(t)
 	for name, list := range faultCases() {
@@ -84,7 +84,7 @@
 	}
 }
 
-// The limit of descriptors may be lowered from outside for a moment: nothing new can be opened then.
+// The limit of descriptors is lowered from outside for a moment, in which no descriptor can be opened.
 func TestNoRequestIsLostWhileDescriptorLimitIsLow(t *testing.T) {
 	p := launchDeployed(t, exec.Command(buildProgram(t)), 1)
 	go func() {
@@ -103,13 +103,13 @@
 	p.checkRequests(t)
 }
 
-// tracedProgram is a program under faults with a deployment round it.
+// tracedProgram is the program, possibly under faults, with a fake deployment around it.
 type tracedProgram struct {
 	*program
 	deployment *standin.Deployment
 }
 
-// launchTraced starts the program under a plan.
+// launchTraced starts the program under a plan of faults.
 func launchTraced(t *testing.T, path string, plan faults.Plan) *tracedProgram {
 	t.Helper()
 	cmd, err := faults.Command(plan, path)
@@ -119,7 +119,7 @@
 	return launchDeployed(t, cmd, plan.Seed)
 }
 
-// launchDeployed starts a command that runs the program, with a deployment round it.
+// launchDeployed starts a command that runs the program, with a fake deployment around it.
 func launchDeployed(t *testing.T, cmd *exec.Cmd, seed uint64) *tracedProgram {
 	t.Helper()
 	deployment, err := standin.NewDeployment(standin.DeploymentOptions{Seed: seed})
@@ -138,8 +138,8 @@
 	return &tracedProgram{program: p, deployment: deployment}
 }
 
-// A configuration is read again though the disk or the system fails for a while as SIGHUP comes, and though
-// the file is found half written.
+// Reading the configuration file fails for a while as SIGHUP comes, then the file is found half written. The
+// reload is retried and succeeds in both cases.
 func TestReloadSurvivesDiskFailures(t *testing.T) {
 	path := buildProgram(t)
 	const down = 2 * time.Second
@@ -154,7 +154,7 @@
 	}
 	p.waitForLog(t, "configuration reloaded")
 	if took := time.Since(began); took < down/2 {
-		t.Errorf("it was read within %v: the fault has not struck", took)
+		t.Errorf("reloaded within %v: the fault had no effect", took)
 	}
 
 	whole, err := os.ReadFile(p.file)
@@ -170,22 +170,22 @@
 	p.waitForLog(t, "configuration reloaded")
 }
 
-// logHarness is a program whose log a test reads by hand, with a deployment round it.
+// logHarness is a program whose log the test reads directly, with a fake deployment around it.
 type logHarness struct {
 	*exec.Cmd
-	log   *os.File
-	addr  string
-	world *standin.Deployment
+	log        *os.File
+	addr       string
+	deployment *standin.Deployment
 }
 
 func newLogHarness(t *testing.T, args ...string) *logHarness {
 	t.Helper()
-	world, err := standin.NewDeployment(standin.DeploymentOptions{Searchers: 4})
+	deployment, err := standin.NewDeployment(standin.DeploymentOptions{Searchers: 4})
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { _ = world.Close() })
-	text, err := world.Config("n1", "127.0.0.1:0")
+	t.Cleanup(func() { _ = deployment.Close() })
+	text, err := deployment.Config("n1", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -197,7 +197,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &logHarness{Cmd: exec.Command(buildProgram(t), append([]string{"serve"}, args...)...), log: reader, world: world}
+	r := &logHarness{Cmd: exec.Command(buildProgram(t), append([]string{"serve"}, args...)...), log: reader, deployment: deployment}
 	r.Env = append(os.Environ(), "LB_CONFIG="+file, "LB_LISTEN=", "LB_DISCOVERY=", "LB_NAME=")
 	r.Stderr = writer
 	if err := r.Start(); err != nil {
@@ -218,7 +218,8 @@
 	return r
 }
 
-// A gatherer whose log nobody reads any more goes on.
+// The reader of the log closes the pipe, so that writes to it raise SIGPIPE or fail. The gatherer keeps running
+// and drains cleanly.
 func TestClosedLogReaderDoesNotEndProgram(t *testing.T) {
 	r := newLogHarness(t)
 	_ = r.log.Close()
@@ -228,24 +229,25 @@
 	}
 	_ = r.Process.Signal(syscall.SIGTERM)
 	if err := r.Wait(); err != nil {
-		t.Errorf("it ended with %v", err)
+		t.Errorf("the program ended with %v", err)
 	}
 }
 
-// Nor does a reader who stays and does not read hold up a query.
+// The reader of the log keeps the pipe open but stops reading, so that the pipe fills. No query is delayed.
 func TestStalledLogReaderDelaysNoQuery(t *testing.T) {
 	r := newLogHarness(t, "--log", "debug")
 	defer r.log.Close()
 	c := dialGatherer(r.addr)
 	defer c.close()
-	for i := range 500 { // some 200 KB of log, where a pipe holds 64 KiB
-		if got := c.ask(fmt.Sprintf("t-%d", i), i%(r.world.Segments()-1)); got != "200" {
+	for i := range 500 { // about 200 KB of log; a pipe holds 64 KiB
+		if got := c.ask(fmt.Sprintf("t-%d", i), i%(r.deployment.Segments()-1)); got != "200" {
 			t.Fatalf("query %d: %s", i, got)
 		}
 	}
 }
 
-// A disk that fails for a while holds up a change of the configuration, and loses none.
+// A disk that fails for a while delays a change of the configuration, but the change is not lost: it survives a
+// kill after its confirmation.
 func TestConfigChangeSurvivesDiskFailures(t *testing.T) {
 	for name, list := range map[string][]faults.Fault{
 		"syncs":      {{Call: "fdatasync", Errno: syscall.EIO, Most: 5}},
@@ -254,28 +256,28 @@
 		"in between": {{Call: "fdatasync", Errno: syscall.EIO, Rate: 0.5}, {Call: "pwrite64", Errno: syscall.EIO, Rate: 0.2, Path: ".db", Target: faults.File}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			k := newManagedProgram(t)
-			k.writeOperatorsFile(t, `<guard probation="60s" auto="false"/>`)
+			m := newManagedProgram(t)
+			m.writeOperatorsFile(t, `<guard probation="60s" auto="false"/>`)
 			for i := range list {
 				list[i].After, list[i].For = time.Second, 3*time.Second
 			}
-			cmd, err := faults.Command(faults.Plan{Seed: 1, Faults: list}, k.path, "serve", "--file", k.ops)
+			cmd, err := faults.Command(faults.Plan{Seed: 1, Faults: list}, m.path, "serve", "--file", m.ops)
 			if err != nil {
 				t.Fatal(err)
 			}
-			p := launchCommand(t, cmd, k.text)
+			p := launchCommand(t, cmd, m.text)
 			p.waitForLog(t, "msg=serving")
-			time.Sleep(time.Second) // the faults begin
-			k.writeOperatorsFile(t, `<guard probation="60s" auto="false"/><class name="search" open="50"/>`)
+			time.Sleep(time.Second) // until the faults begin
+			m.writeOperatorsFile(t, `<guard probation="60s" auto="false"/><class name="search" open="50"/>`)
 			_ = p.Process.Signal(syscall.SIGHUP)
 			p.waitForLog(t, "a write fails; it is tried again")
-			k.waitForStatus(t, "probation", lastTransaction(1, "probation"))
-			if code, _, errs := runCommand(t, nil, "config", "confirm", "--file", k.ops, "1"); code != exitOK {
+			m.waitForStatus(t, "probation", lastTransaction(1, "probation"))
+			if code, _, errs := runCommand(t, nil, "config", "confirm", "--file", m.ops, "1"); code != exitOK {
 				t.Errorf("confirm: %s", errs)
 			}
 			p.kill(t)
-			p, _ = k.launch(t)
-			if s := k.waitForStatus(t, "a status", func(keeper.Status) bool { return true }); s.Confirmed != 2 {
+			p, _ = m.launch(t)
+			if s := m.waitForStatus(t, "a status", func(keeper.Status) bool { return true }); s.Confirmed != 2 {
 				t.Errorf("after the kill: %+v", s)
 			}
 			_ = p.Process.Kill()
@@ -283,7 +285,7 @@
 	}
 }
 
-// A start outlasts a disk that fails and sockets that can't be had for a while.
+// A start succeeds although the disk fails or sockets can't be opened for a while.
 func TestStartSurvivesTransientFailures(t *testing.T) {
 	const down = 1500 * time.Millisecond
 	fails := func(call string, errno syscall.Errno, to faults.Target, path string) faults.Fault {
@@ -296,32 +298,33 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			k := newManagedProgram(t)
-			k.writeOperatorsFile(t, "")
-			if name == "sockets" { // the runtime has an eventfd of its own, which it can't do without
+			m := newManagedProgram(t)
+			m.writeOperatorsFile(t, "")
+			if name == "sockets" { // the Go runtime opens an eventfd at its start and can't run without it
 				list[1].After = 200 * time.Millisecond
 			}
-			cmd, err := faults.Command(faults.Plan{Faults: list}, k.path, "serve", "--file", k.ops)
+			cmd, err := faults.Command(faults.Plan{Faults: list}, m.path, "serve", "--file", m.ops)
 			if err != nil {
 				t.Fatal(err)
 			}
 			began := time.Now()
-			p := launchCommand(t, cmd, k.text)
+			p := launchCommand(t, cmd, m.text)
 			p.waitForLog(t, "msg=serving")
 			if took := time.Since(began); took < down/2 {
-				t.Errorf("it started within %v: the fault has not struck", took)
+				t.Errorf("started within %v: the fault had no effect", took)
 			}
 			_ = p.Process.Kill()
 		})
 	}
 }
 
-// runFaultPlan holds a program to account under a plan.
+// runFaultPlan runs the program under a plan of faults and checks its requests.
 func runFaultPlan(t *testing.T, path string, plan faults.Plan) {
 	launchTraced(t, path, plan).checkRequests(t)
 }
 
-// checkRequests asks queries, ends the program, and tells what was lost.
+// checkRequests sends queries, ends the program, and checks that it drained and that each request was answered or
+// refused.
 func (p *tracedProgram) checkRequests(t *testing.T) {
 	t.Helper()
 	var all sync.WaitGroup
@@ -340,7 +343,7 @@
 		count[r]++
 	}
 	if err := p.Process.Signal(syscall.SIGTERM); err != nil {
-		t.Errorf("it has ended by itself: %v", err)
+		t.Errorf("the program ended before SIGTERM: %v", err)
 	}
 	kill := time.AfterFunc(faultShutdownTimeout, func() { _ = p.Process.Kill() })
 	defer kill.Stop()
@@ -351,7 +354,7 @@
 		log = append(log, line)
 	}
 	if err := p.Wait(); err != nil || !draining {
-		t.Errorf("it ended with %v, told to: %v", err, draining)
+		t.Errorf("the program ended with %v, draining logged: %v", err, draining)
 	}
 	total, whole := faultClients*faultQueries, count["200"]
 	refused := count["503"] + count["429"]
@@ -363,8 +366,8 @@
 	}
 }
 
-// ask asks one client's queries one after the other. No client asks again by itself: http.Transport would
-// send a query once more on another connection where the one it has kept breaks.
+// ask sends the queries of one client one after the other. It doesn't use http.Transport, which would resend a
+// query on another connection if its idle connection breaks.
 func (p *tracedProgram) ask(client int, results chan<- string) {
 	var connection *clientConn
 	lost := 0
@@ -385,14 +388,16 @@
 	connection.close()
 }
 
+// noAnswer is the result of a request without an answer.
 const noAnswer = "no answer"
 
-// clientConn is one connection of a client.
+// clientConn is one connection of a client to a gatherer.
 type clientConn struct {
 	net.Conn
 	in *bufio.Reader
 }
 
+// dialGatherer connects to a gatherer, and returns nil if that fails.
 func dialGatherer(addr string) *clientConn {
 	conn, err := net.Dial("tcp", addr)
 	if err != nil {
@@ -401,13 +406,14 @@
 	return &clientConn{conn, bufio.NewReader(conn)}
 }
 
+// close closes the connection, if there is one.
 func (c *clientConn) close() {
 	if c != nil {
 		_ = c.Conn.Close()
 	}
 }
 
-// ask asks for two segments from one on, and returns the status or "no answer".
+// ask sends a query for a segment and the next one, and returns the status or noAnswer.
 func (c *clientConn) ask(trace string, segment int) string {
 	if c == nil {
 		return noAnswer
@@ -422,7 +428,7 @@
 	return strconv.Itoa(r.StatusCode)
 }
 
-// receive reads an answer whole. Where it stops short, both the answer and an error are returned.
+// receive reads a whole answer. For a truncated one it returns both the answer and an error.
 func (c *clientConn) receive() (*http.Response, error) {
 	r, err := http.ReadResponse(c.in, nil)
 	if err != nil {
@@ -433,7 +439,7 @@
 	return r, err
 }
 
-// send sends a query for two segments from one on.
+// send sends a query for a segment and the next one.
 func (c *clientConn) send(trace string, segment int, expires time.Duration) error {
 	body := fmt.Sprintf(`{"tablets":[{"tablet":%d,"fraction":0.5},{"tablet":%d,"fraction":0.5}],"statement":"find fullest"}`, segment, segment+1)
 	_ = c.SetDeadline(time.Now().Add(faultAnswerTimeout))
--- a/cmd/eiderwinch/faultsoak_test.go
+++ b/cmd/eiderwinch/faultsoak_test.go
@@ -15,20 +15,20 @@
 	"eiderwinch/internal/trial/faults"
 )
 
-// Times of a soak. The kill comes at the earliest that the platform allows: 3 s, since the longest deadline is
-// above that, and 0.7 s.
+// Sizes and times of a soak. The kill comes as early as the platform allows: the longest deadline, but 3 s at the
+// most, which applies here, and 0.7 s more.
 const (
 	soakServeTime     = 1500 * time.Millisecond
 	soakKillTimeout   = 3700 * time.Millisecond
-	soakSeeds         = 6 // where soakVariable does not say how many
+	soakSeeds         = 6 // unless soakSeedsVariable gives another number
 	soakClients       = 8
 	soakQueryTimeout  = 1500 * time.Millisecond
-	soakIdleConns     = 150 // idle connections, on every third seed
+	soakIdleConns     = 150 // idle connections, for every third seed
 	soakSeedsVariable = "EIDERWINCH_SOAK_SEEDS"
-	resetDelay        = 50 * time.Millisecond // for a reset to come back over loopback
+	resetDelay        = 50 * time.Millisecond // for a reset to arrive over loopback
 )
 
-// soakFaults are what a soak draws from. Each may pass at any time.
+// soakFaults are the faults that a soak draws from. All of them are transient.
 var soakFaults = []faults.Fault{
 	{Call: "accept4", Errno: syscall.ECONNABORTED, Rate: 0.2},
 	{Call: "accept4", Errno: syscall.ENFILE, Rate: 0.3},
@@ -54,7 +54,7 @@
 	{Call: "fcntl", Errno: syscall.EMFILE, Rate: 0.1},
 }
 
-// drawPlan draws some faults that begin once the program serves.
+// drawPlan draws two to five faults that begin once the program serves.
 func drawPlan(seed uint64) faults.Plan {
 	random := rand.New(rand.NewPCG(seed, 1))
 	plan := faults.Plan{Seed: seed}
@@ -69,8 +69,8 @@
 	return plan
 }
 
-// Clients use their connections until the kill, signals come in series, system calls fail: each request that
-// was read gets its answer, and the process ends by itself in time.
+// Clients use their connections until the kill, signals come in series and system calls fail. Each request that
+// was read must get its answer, and the process must end by itself before the kill.
 func TestASoakUnderFaults(t *testing.T) {
 	seeds := soakSeeds
 	if s := os.Getenv(soakSeedsVariable); s != "" {
@@ -91,7 +91,7 @@
 	}
 }
 
-// resultCounts counts results of requests.
+// resultCounts counts the results of requests.
 type resultCounts struct {
 	mu    sync.Mutex
 	count map[string]int
@@ -103,6 +103,7 @@
 	c.count[result]++
 }
 
+// soakOnce runs the soak under one plan of faults.
 func soakOnce(t *testing.T, path string, plan faults.Plan) {
 	p := launchTraced(t, path, plan)
 	log := make(chan []string, 1)
@@ -145,18 +146,18 @@
 	select {
 	case lines = <-log:
 	case <-kill:
-		t.Error("the kill comes before its end")
+		t.Error("the program was still running at the kill")
 		_ = p.Process.Kill()
 		lines = <-log
 	}
-	if err := p.Wait(); err != nil { // not before its log has ended: Wait closes the pipe
-		t.Errorf("it ended with %v", err)
+	if err := p.Wait(); err != nil { // called only after the log has ended, because Wait closes the pipe
+		t.Errorf("the program ended with %v", err)
 	}
 	close(stop)
 	clients.Wait()
 	served := results.count["200"]
 	if results.count[noAnswer] > 0 || served < 100 {
-		t.Errorf("%v, want no request without an answer, and 100 served", results.count)
+		t.Errorf("%v, want no request without an answer, and at least 100 served", results.count)
 	}
 	t.Log(results.count)
 	if t.Failed() {
@@ -165,7 +166,8 @@
 	}
 }
 
-// useConnections asks on one connection until the gatherer ends it, then on the next, until none can be opened.
+// useConnections sends queries on one connection until the gatherer closes it, then on the next, until none can be
+// opened or stop is closed.
 func (p *tracedProgram) useConnections(seed uint64, client int, results *resultCounts, stop <-chan struct{}) {
 	random := rand.New(rand.NewPCG(seed, uint64(client)))
 	for number := 0; ; {
@@ -186,8 +188,8 @@
 	}
 }
 
-// askOnce asks one query, and tells whether the connection goes on. A request that crosses the connection's end
-// unread counts as none: its client would send it once more.
+// askOnce sends one query, and reports whether the connection stays open. A request that the gatherer had not read
+// when it closed the connection is not counted: a client would send it again.
 func (c *clientConn) askOnce(trace string, segment int, results *resultCounts) (open bool) {
 	if err := c.send(trace, segment, soakQueryTimeout); err != nil {
 		return false
@@ -197,14 +199,14 @@
 	case err == nil:
 		results.add(strconv.Itoa(r.StatusCode))
 		return !r.Close
-	case r != nil || !c.wasUnread(err): // an answer that stops short was read
+	case r != nil || !c.wasUnread(err): // a truncated answer means that the request was read
 		results.add(noAnswer)
 	}
 	return false
 }
 
-// wasUnread tells whether a connection ended before its last request was read: the system answers what comes
-// after the close by a reset.
+// wasUnread reports whether a connection was closed before its last request was read: the kernel answers data
+// that arrives after the close with a reset.
 func (c *clientConn) wasUnread(err error) bool {
 	if errors.Is(err, syscall.ECONNRESET) || errors.Is(err, syscall.EPIPE) {
 		return true
--- a/cmd/eiderwinch/fleet.go
+++ b/cmd/eiderwinch/fleet.go
@@ -99,7 +99,8 @@
 		s.left = true
 		s.node.Share(0, time.Now().Add(noExpiry))
 		s.mu.Unlock()
-		if _, ok := s.node.State(ctx, 1<<62); !ok { // the event loop handles requests in order, so the share set above is in force once this returns
+		// The event loop handles requests in order, so the share set above is in force once this returns.
+		if _, ok := s.node.State(ctx, 1<<62); !ok {
 			return netio.ErrNotServing
 		}
 	}
@@ -227,7 +228,7 @@
 		return err.Error()
 	}
 	if c.JSON {
-		s.Counts = fleetnet.Counts{} // they change with each message
+		s.Counts = fleetnet.Counts{} // the counters change all the time
 		b, err := json.Marshal(s)
 		if err != nil {
 			return err.Error()
--- a/cmd/eiderwinch/fleet_test.go
+++ b/cmd/eiderwinch/fleet_test.go
@@ -21,16 +21,16 @@
 	ops, listen string
 }
 
-// testFleet starts gatherers that find each other by the first.
+// testFleet starts gatherers that discover each other through the first one, the seed.
 type testFleet struct {
 	t         *testing.T
 	path      string
 	dir       string
 	discovery *testpeer.Discovery
-	seed      string // an address
-	starts    int    // starts so far
+	seed      string // address of the first gatherer
+	starts    int    // number of starts so far
 
-	slots []string // by number, where limits are divided
+	slots []string // addresses by slot number, if the limits are divided
 }
 
 func newTestFleet(t *testing.T) *testFleet {
@@ -47,7 +47,7 @@
 	return path
 }
 
-// freeAddr is an address on which nobody listens.
+// freeAddr returns an address on which nobody listens.
 func freeAddr(t *testing.T) string {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -57,7 +57,7 @@
 	return l.Addr().String()
 }
 
-// start starts a gatherer of a name; listen is empty, or where it was before.
+// start starts a gatherer with a name. listen is its fleet address, or empty for a new one.
 func (f *testFleet) start(name, listen string) *member {
 	f.t.Helper()
 	if listen == "" {
@@ -84,13 +84,14 @@
 	return m
 }
 
-// state asks a gatherer.
+// state returns a gatherer's view of the fleet.
 func (m *member) state(t *testing.T) (s admin.FleetState, ok bool) {
 	code, out, _ := runCommand(t, nil, "fleet", "status", "--json", "--file", m.ops)
 	return s, code == exitOK && json.Unmarshal([]byte(out), &s) == nil
 }
 
-// waitConverged waits until all count so many, with one digest, and returns how long that took.
+// waitConverged waits until all members count the wanted number of members with the same digest, logs how long
+// that took, and fails the test if it took longer than most.
 func (f *testFleet) waitConverged(what string, most time.Duration, want int, members ...*member) {
 	f.t.Helper()
 	began := time.Now()
@@ -106,14 +107,14 @@
 		return true
 	})
 	took := time.Since(began)
-	f.t.Logf("%s: settled after %v", what, took.Round(time.Millisecond))
+	f.t.Logf("%s: converged after %v", what, took.Round(time.Millisecond))
 	if took > most {
-		f.t.Errorf("%s: settled after %v, want %v", what, took, most)
+		f.t.Errorf("%s: converged after %v, want at most %v", what, took, most)
 	}
 }
 
-// Gatherers of the built program find each other, see who dies, who is stopped and wakes, who ends and who comes again.
-// The times are those of a machine that does much beside; docs/fleet-view.md has what was measured.
+// Gatherers of the built program discover each other and notice when one is killed, restarted, stopped, continued,
+// or ends. The bounds allow for a machine under other load; see docs/fleet-view.md for measured times.
 func TestFleetViewsConverge(t *testing.T) {
 	f := newTestFleet(t)
 	var all []*member
@@ -136,7 +137,7 @@
 	all[1].waitForLog(t, "msg=counters")
 	f.waitConverged("one ends", 10*time.Second, 3, all[0], all[2], all[3])
 
-	newer := f.start("g3", freeAddr(t)) // a second process of a name
+	newer := f.start("g3", freeAddr(t)) // a second process with the same name
 	waitForJSON(t, "the older steps down", func(s admin.FleetState) bool { return s.Over }, "fleet", "status", "--json", "--file", all[3].ops)
 	f.waitConverged("the newer counts", 10*time.Second, 3, all[0], all[2], newer)
 	code, out, _ := runCommand(t, nil, "fleet", "members", "--file", all[0].ops)
@@ -148,7 +149,7 @@
 	}
 }
 
-// Gatherers with slots: one leaves, and goes on serving; the next one has its slot.
+// A gatherer with a slot leaves its fleet and keeps serving. The gatherer with the next slot takes over its slot.
 func TestLeavingGathererReleasesItsSlots(t *testing.T) {
 	f := newTestFleet(t)
 	var all []*member
@@ -180,7 +181,7 @@
 	}
 	c := testpeer.NewClient(t, all[1].addr)
 	if resp, _ := c.Say("GET /_health HTTP/1.1\r\n\r\n").Hear(); resp.StatusCode != 200 {
-		t.Errorf("the one that left: health %s", resp.Status)
+		t.Errorf("health of the gatherer that left: %s", resp.Status)
 	}
 	time.Sleep(100 * time.Millisecond) // so that the watch sees it
 	signals <- syscall.SIGTERM
@@ -192,6 +193,7 @@
 	}
 }
 
+// A gatherer that can't join its fleet logs the reason and exits.
 func TestFailedFleetJoinEndsProgram(t *testing.T) {
 	f := newTestFleet(t)
 	for what, c := range map[string]struct{ name, ops, want string }{
@@ -214,7 +216,7 @@
 		for range p.lines {
 		}
 		if _ = p.Wait(); p.ProcessState.ExitCode() != exitFailure {
-			t.Errorf("%s: it ended with %v", what, p.ProcessState)
+			t.Errorf("%s: the program ended with %v", what, p.ProcessState)
 		}
 	}
 }
--- a/cmd/eiderwinch/layout_test.go
+++ b/cmd/eiderwinch/layout_test.go
@@ -21,6 +21,7 @@
 </layout>
 `
 
+// writeFile writes a file in a new folder and returns its path.
 func writeFile(t *testing.T, name, text string) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), name)
@@ -86,8 +87,8 @@
 	}
 }
 
-// The layout that serve is given binds queries to its epochs, SIGHUP brings the
-// next one, and a faulty one changes nothing.
+// serve --layout binds queries to the epochs of the layout file. SIGHUP reads the next epoch from it; an invalid
+// file changes nothing.
 func TestServeReloadsLayoutFile(t *testing.T) {
 	s, d := testpeer.NewSearcher(t), testpeer.NewDiscovery(t)
 	file := writeFile(t, "layout.xml", serveLayout(1, 1, `<segment id="0"><holder searcher="s"/></segment>`))
@@ -106,7 +107,7 @@
 		}
 		slices.Sort(got)
 		if resp, body := c.Hear(); resp.StatusCode != 200 || !slices.Equal(got, segments) {
-			t.Errorf("%s: %s %s, asked %v", trace, resp.Status, body, got)
+			t.Errorf("%s: %s %s, parts of segments %v", trace, resp.Status, body, got)
 		} else if epoch := resp.Header.Get("X-Layout-Epoch"); epoch != map[int]string{1: "1", 2: "3"}[len(segments)] {
 			t.Errorf("%s: epoch %q", trace, epoch)
 		}
@@ -129,10 +130,11 @@
 	for range p.lines {
 	}
 	if err := p.Wait(); err != nil {
-		t.Errorf("it ended with %v", err)
+		t.Errorf("the program ended with %v", err)
 	}
 }
 
+// serveLayout returns a layout file with one searcher.
 func serveLayout(epoch, next int, segments string) string {
 	return fmt.Sprintf(`<layout xmlns="urn:eiderwinch:layout:1" epoch="%d" next="%d" replicas="1"><searcher id="s" zone="x"/>%s</layout>`, epoch, next, segments)
 }
@@ -144,6 +146,6 @@
 	for range p.lines {
 	}
 	if _ = p.Wait(); p.ProcessState.ExitCode() != exitConfig {
-		t.Errorf("it ended with %v", p.ProcessState)
+		t.Errorf("the program ended with %v", p.ProcessState)
 	}
 }
--- a/cmd/eiderwinch/leaving_test.go
+++ b/cmd/eiderwinch/leaving_test.go
@@ -15,7 +15,7 @@
 	"eiderwinch/internal/trial/testpeer"
 )
 
-// recordingSearcher is a searcher that answers each part after hold and notes when parts came.
+// recordingSearcher is a searcher that counts its parts and records when the last one arrived.
 type recordingSearcher struct {
 	*testpeer.Searcher
 	id string
@@ -25,6 +25,7 @@
 	last  time.Time
 }
 
+// newRecordingSearcher starts a searcher that answers each part after hold.
 func newRecordingSearcher(t *testing.T, id string, hold time.Duration) *recordingSearcher {
 	r := &recordingSearcher{Searcher: testpeer.NewSearcher(t), id: id}
 	go func() {
@@ -38,17 +39,20 @@
 	return r
 }
 
+// seen returns the number of parts so far and when the last one arrived.
 func (r *recordingSearcher) seen() (int, time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.parts, r.last
 }
 
+// member returns the searcher's entry in the member list.
 func (r *recordingSearcher) member(phase string) standin.Member {
 	return standin.Member{ID: r.id, Addr: r.Addr, Zone: "a", Phase: phase, Size: 1}
 }
 
-// sendQueries asks a gatherer one query after another with pauses, until it is gone or stop is closed.
+// sendQueries sends a gatherer one query after another with pauses in between, until the gatherer is gone or stop is
+// closed.
 func sendQueries(t *testing.T, addr, name string, pause time.Duration, stop <-chan struct{}) {
 	c, answer := testpeer.NewClient(t, addr), make([]byte, 1<<12)
 	for i := 0; ; i++ {
@@ -67,9 +71,10 @@
 	}
 }
 
-// Several gatherers, one discovery. Whatever happens to their watches, none sends anything to a searcher later than
-// 500 ms after the news of its leaving counts: when the agent has it, at its return from a silence, from the first
-// moment of a new process, and 6 s after an open watch has fallen silent.
+// Several gatherers follow one discovery, whose watches fail in different ways. No gatherer may send anything to a
+// leaving searcher later than 500 ms after the update about it counts. The update counts from the moment at which
+// discovery has it, at which discovery answers again after a silence, or at which a new process starts; and 6 s after
+// an open watch has fallen silent.
 func TestNoSendsToLeavingSearcherUnderDiscoveryFaults(t *testing.T) {
 	const gatherers, clients, grace = 3, 3, 500 * time.Millisecond
 	path := buildProgram(t)
@@ -78,8 +83,8 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = d.Close() })
-	// Only while it holds a part does the other one surely get the next: of two idle searchers the one that was
-	// quicker in the first calls gets all, as counted on a busy machine (7 parts of 11,578 in 19 s).
+	// This searcher holds each part for 10 ms, so that the other one gets parts meanwhile. Of two idle searchers the
+	// one that was faster in the first calls gets nearly all parts: on a busy machine the other got 7 of 11,578 in 19 s.
 	stays := newRecordingSearcher(t, "stays", 10*time.Millisecond)
 	d.Tell(stays.member(standin.Ready))
 	var running []*program
@@ -99,7 +104,8 @@
 			addr, _, _ = strings.Cut(addr, " ")
 			running = append(running, p)
 			for k := range clients {
-				go sendQueries(t, addr, fmt.Sprint(i, ".", k), time.Duration(5+4*k)*time.Millisecond, stop) // apart, so that they share no call
+				// At different intervals, so that the clients' parts do not share a call.
+				go sendQueries(t, addr, fmt.Sprint(i, ".", k), time.Duration(5+4*k)*time.Millisecond, stop)
 			}
 		}
 	}
@@ -143,20 +149,20 @@
 	} {
 		leaves := newRecordingSearcher(t, fmt.Sprint("leaves", i), 0)
 		d.Tell(leaves.member(standin.Ready))
-		testpeer.Until(t, c.name+": parts before the news", func() bool { n, _ := leaves.seen(); return n > 20 })
+		testpeer.Until(t, c.name+": parts before the update", func() bool { n, _ := leaves.seen(); return n > 20 })
 		counts := c.fault(func() { d.Tell(leaves.member(standin.Terminating)) })
 		time.Sleep(time.Until(counts.Add(grace)))
 		n, _ := leaves.seen()
 		other, _ := stays.seen()
-		testpeer.Until(t, c.name+": service after it", func() bool { m, _ := stays.seen(); return m > other+20 })
+		testpeer.Until(t, c.name+": service after the update", func() bool { m, _ := stays.seen(); return m > other+20 })
 		if m, last := leaves.seen(); m > n {
-			t.Errorf("%s: %d parts later than %v after the news counts, the last after %v", c.name, m-n, grace, last.Sub(counts))
+			t.Errorf("%s: %d parts later than %v after the update counts, the last after %v", c.name, m-n, grace, last.Sub(counts))
 		}
 	}
 }
 
-// A fleet of 1,024 gatherers before 1,024 searchers is within every bound: in the list that is known, in an indented
-// one that discovery sends, and in the settings.
+// A deployment of 1,024 gatherers and 1,024 searchers is within all size bounds: those of the known member list, of an
+// indented list from discovery and of the settings. The gatherer stays within 64 MB of memory.
 func TestFleetOfAThousandFitsAllBounds(t *testing.T) {
 	const size = 1024
 	s := testpeer.NewSearcher(t)
@@ -190,11 +196,11 @@
 	}
 	_, addr, _ := strings.Cut(line, "addr=")
 	addr, _, _ = strings.Cut(addr, " ")
-	testpeer.Until(t, "the list is in", func() bool {
+	testpeer.Until(t, "the member list", func() bool {
 		_ = p.Process.Signal(syscall.SIGUSR1)
 		return strings.Contains(p.waitForLog(t, "msg=counters"), "discovery.updates=2 ")
 	})
-	t.Logf("the list is in after %v", time.Since(began))
+	t.Logf("member list received after %v", time.Since(began))
 	query := strings.NewReplacer(`"tablet":0`, fmt.Sprint(`"tablet":`, size-1), "Content-Length: 62", "Content-Length: 65").Replace(
 		testpeer.Query("search", "t", time.Minute, 1))
 	body := query[strings.Index(query, "\r\n\r\n")+4:]
@@ -211,7 +217,7 @@
 	}
 }
 
-// residentKB is the memory that a process takes, in KB.
+// residentKB returns the resident memory of a process in KB.
 func residentKB(t *testing.T, pid int) int {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 	if err != nil {
--- a/cmd/eiderwinch/main_test.go
+++ b/cmd/eiderwinch/main_test.go
@@ -14,12 +14,12 @@
 	"eiderwinch/internal/trial/testpeer"
 )
 
-// program is the built program, running.
+// program is a running process of the built program.
 type program struct {
 	*exec.Cmd
 	addr  string
-	file  string      // its configuration
-	lines chan string // of its log; closed at its end
+	file  string      // its configuration file
+	lines chan string // of its log; closed when the log ends
 }
 
 const configText = `{"name":"n0","listen":"127.0.0.1:0","discovery":%q,"limits":{"memory_mb":192,"sockets":1024},
@@ -29,7 +29,7 @@
 	"classes":[{"name":"search","aim":60000000000,"deadline":60000000000,"effect":"safe","worth":1}],
 	"policy_limits":{"cancel":true,"attempts_cap":4}}`
 
-// buildProgram builds the program as it is deployed.
+// buildProgram builds the program and returns its path.
 func buildProgram(t *testing.T) string {
 	path := filepath.Join(t.TempDir(), "eiderwinch")
 	if out, err := exec.Command("go", "build", "-o", path, ".").CombinedOutput(); err != nil {
@@ -38,17 +38,19 @@
 	return path
 }
 
-// configure writes the configuration.
+// configure writes the configuration file.
 func (p *program) configure(t *testing.T, text string) {
 	if err := os.WriteFile(p.file, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
 }
 
+// launch starts the built program with a configuration and further environment variables.
 func launch(t *testing.T, path, text string, env ...string) *program {
 	return launchWith(t, path, nil, text, env...)
 }
 
+// launchWith starts the built program with arguments.
 func launchWith(t *testing.T, path string, args []string, text string, env ...string) *program {
 	return launchCommand(t, exec.Command(path, args...), text, env...)
 }
@@ -79,7 +81,7 @@
 	return p
 }
 
-// waitForLog waits for a line of the log.
+// waitForLog waits for a line of the log that contains part, and returns it.
 func (p *program) waitForLog(t *testing.T, part string) string {
 	t.Helper()
 	for {
@@ -93,6 +95,8 @@
 	}
 }
 
+// The program serves, logs its counters on SIGUSR1, follows discovery to another address on SIGHUP, and answers all
+// queries after SIGTERM.
 func TestProgramServesAndDrains(t *testing.T) {
 	s, d, moved := testpeer.NewSearcher(t), testpeer.NewDiscovery(t), testpeer.NewDiscovery(t)
 	text := func(discovery string) string {
@@ -117,12 +121,12 @@
 		t.Errorf("counters: %s", line)
 	}
 
-	// SIGHUP with a faulty file changes nothing, with a good one it moves the watch.
+	// SIGHUP with an invalid file changes nothing; with a valid one the watch moves to the new address.
 	testpeer.Get(t, d.Watches, "a watch")
 	p.configure(t, text("nowhere"))
 	_ = p.Process.Signal(syscall.SIGHUP)
 	if line := p.waitForLog(t, "not reloaded"); !strings.Contains(line, "discovery") {
-		t.Errorf("the key at fault is not named: %s", line)
+		t.Errorf("the invalid key is not named: %s", line)
 	}
 	p.configure(t, text(moved.Addr))
 	_ = p.Process.Signal(syscall.SIGHUP)
@@ -136,29 +140,30 @@
 	part := testpeer.Get(t, s.Parts, "a part")
 	_ = p.Process.Signal(syscall.SIGTERM)
 	p.waitForLog(t, "msg=draining")
-	_ = p.Process.Signal(syscall.SIGHUP) // harmless now
+	_ = p.Process.Signal(syscall.SIGHUP) // has no effect while draining
 	if resp, _ := idle.Say("GET /_health HTTP/1.1\r\n\r\n").Hear(); resp.StatusCode != 503 || resp.Close {
 		t.Errorf("health of a draining program: %s", resp.Status)
 	}
-	late := testpeer.NewClient(t, addr).Say(testpeer.Query("search", "t3", time.Minute, 1)) // still taken
+	late := testpeer.NewClient(t, addr).Say(testpeer.Query("search", "t3", time.Minute, 1)) // still accepted
 	testpeer.Get(t, s.Parts, "a part").Answer("served", 1, "d")
 	part.Answer("served", 1, "c")
 	for _, c := range []*testpeer.Client{c, late} {
 		if resp, body := c.Hear(); resp.StatusCode != 200 || !strings.Contains(body, "cell") {
-			t.Errorf("while draining: %s %s", resp.Status, body)
+			t.Errorf("answer while draining: %s %s", resp.Status, body)
 		}
 	}
 	for _, c := range []*testpeer.Client{c, late, idle} {
 		c.Closed()
 	}
 	p.waitForLog(t, "msg=counters")
-	for range p.lines { // until the program has closed its log
+	for range p.lines { // until the program closes its log
 	}
 	if err := p.Wait(); err != nil {
-		t.Errorf("it ended with %v", err)
+		t.Errorf("the program ended with %v", err)
 	}
 }
 
+// The log names the file or key that is invalid.
 func TestInvalidConfigurationIsNamed(t *testing.T) {
 	path := buildProgram(t)
 	for text, want := range map[string]string{
@@ -170,7 +175,7 @@
 		for range p.lines {
 		}
 		if _ = p.Wait(); p.ProcessState.ExitCode() != exitConfig {
-			t.Errorf("it ended with %v", p.ProcessState)
+			t.Errorf("the program ended with %v", p.ProcessState)
 		}
 	}
 }
--- a/cmd/eiderwinch/signals_test.go
+++ b/cmd/eiderwinch/signals_test.go
@@ -11,8 +11,8 @@
 	"eiderwinch/internal/trial/testpeer"
 )
 
-// A reload reads files, and these may be slow. An end must wait for none, however many reloads were asked for
-// before it: a signal that finds no place is lost, and the kill comes all the same.
+// A reload reads files, which may be slow. A shutdown must not wait for reloads, however many were requested before
+// it: were the channel full, SIGTERM would be lost, and the kill would come all the same.
 func TestShutdownIsNotDelayedByReloads(t *testing.T) {
 	s, d := testpeer.NewSearcher(t), testpeer.NewDiscovery(t)
 	p := launch(t, buildProgram(t), fmt.Sprintf(configText, d.Addr, testpeer.Member("s", s.Addr, "Ready", 0), settingsText))
@@ -27,26 +27,26 @@
 	var writer *os.File
 	testpeer.Until(t, "the file is being read", func() (ok bool) {
 		var err error
-		writer, err = os.OpenFile(p.file, os.O_WRONLY|syscall.O_NONBLOCK, 0) // only beside a reader
+		writer, err = os.OpenFile(p.file, os.O_WRONLY|syscall.O_NONBLOCK, 0) // succeeds only while a reader has it open
 		return err == nil
 	})
-	defer writer.Close() // nothing is written, so that the reload goes on
+	defer writer.Close() // nothing is written, so that the reload does not finish
 	for range 20 {
 		_ = p.Process.Signal(syscall.SIGHUP)
 		_ = p.Process.Signal(syscall.SIGUSR1)
-		p.waitForLog(t, "msg=counters") // the signal has been taken
+		p.waitForLog(t, "msg=counters") // the signal has been handled
 	}
 	_ = p.Process.Signal(syscall.SIGTERM)
 	p.waitForLog(t, "msg=draining")
-	_ = p.Process.Signal(syscall.SIGTERM) // once more changes nothing
+	_ = p.Process.Signal(syscall.SIGTERM) // a second one changes nothing
 	for range p.lines {
 	}
 	if err := p.Wait(); err != nil {
-		t.Errorf("it ended with %v", err)
+		t.Errorf("the program ended with %v", err)
 	}
 }
 
-// Signals that come before the loop runs wait for it.
+// Signals that come before the event loop runs are handled once it does.
 func TestSignalsBeforeStartAreHandled(t *testing.T) {
 	d := testpeer.NewDiscovery(t)
 	file := filepath.Join(t.TempDir(), "config.json")
@@ -69,6 +69,6 @@
 	done := make(chan int, 1)
 	go func() { done <- run(nil, e) }()
 	if code := testpeer.Get(t, done, "the end"); code != exitOK || !bytes.Contains(log.Bytes(), []byte("msg=draining")) {
-		t.Errorf("it ended with %d: %s", code, log.String())
+		t.Errorf("the program ended with %d: %s", code, log.String())
 	}
 }
