--- a/admission.go
+++ b/admission.go
@@ -29,8 +29,8 @@
 		q.endAt = min(q.endAt, q.aimAt)
 	}
 	q.aimAt = min(q.aimAt, q.endAt)
-	q.neededWeight, q.floorWeight, q.finalAimAt = c.Need, c.Floor, q.aimAt
-	if c.Fetch > 0 {
+	q.neededWeight, q.floorWeight, q.finalAimAt = c.WholeShare, c.MinShare, q.aimAt
+	if c.SecondStepParts > 0 {
 		q.aimAt -= a.overdueAfter(c) // the second step takes another call
 	}
 	slices.SortStableFunc(q.Parts, func(x, y Part) int { return cmp.Compare(y.Weight, x.Weight) })
@@ -47,7 +47,7 @@
 	if share >= 1 || query.floorWeight >= query.neededWeight {
 		return len(query.Parts)
 	}
-	weight, earns := 0.0, a.worthPerPart(query)*float64(len(query.Parts))*query.class.Partial/query.class.Need
+	weight, earns := 0.0, a.worthPerPart(query)*float64(len(query.Parts))*query.class.PartialWorth/query.class.WholeShare
 	for i, p := range query.Parts {
 		if weight >= query.floorWeight && earns*p.Weight < (1-share)*a.typicalWorth {
 			query.wantedWeight = min(weight, query.neededWeight)
@@ -130,7 +130,7 @@
 	if len(a.tenantMix) == 0 {
 		return 1
 	} else if tenant < 0 || tenant >= len(a.tenantMix) {
-		return a.settings.OverShare
+		return a.settings.OverShareWorth
 	}
 	for i := range a.tenantMix {
 		a.tenantMix[i] *= 1 - slowSmoothing
@@ -138,7 +138,7 @@
 	a.tenantMix[tenant] += slowSmoothing
 	share, mix := a.settings.Tenants[tenant].Share, a.tenantMix[tenant]
 	within := min(share*(1-mix)/max((1-share)*mix, weightSlack), 1)
-	return within + (1-within)*a.settings.OverShare
+	return within + (1-within)*a.settings.OverShareWorth
 }
 
 // adjustAdmission raises the admission shares of a query's replica groups after an early answer and
--- a/aggregator.go
+++ b/aggregator.go
@@ -131,8 +131,8 @@
 		tenantMix:          make([]float64, len(s.Tenants)),
 		crashesBySignature: make(map[string]time.Duration),
 	}
-	a.settings.Brokers, a.settings.Batch, a.settings.Cells =
-		max(s.Brokers, 1), max(s.Batch, 1), max(s.Cells, 1)
+	a.settings.Gatherers, a.settings.MaxBatch, a.settings.Cells =
+		max(s.Gatherers, 1), max(s.MaxBatch, 1), max(s.Cells, 1)
 	for _, c := range s.Classes {
 		a.classes = append(a.classes, &class{Class: c, partWork: float64(c.Aim) / initialWorkAimDivisor})
 	}
@@ -165,9 +165,9 @@
 		}
 	}
 	maps.DeleteFunc(a.crashesBySignature, func(_ string, at time.Duration) bool {
-		return now-at >= a.settings.ColdFor
+		return now-at >= a.settings.ColdDuration
 	})
-	if a.settings.AskForList && !a.subscribed && a.now >= a.subscribeAt {
+	if a.settings.SubscribeToList && !a.subscribed && a.now >= a.subscribeAt {
 		a.subscribed = true
 		a.emit(Subscribe{})
 	}
--- a/aggregator_test.go
+++ b/aggregator_test.go
@@ -19,18 +19,18 @@
 // testSettings returns settings with four cells in a ring, each shard on two of them.
 func testSettings() Settings {
 	class := Class{
-		Name: "read", Aim: 1000 * ms, Deadline: 4000 * ms, Worth: 1, Effect: Safe, Need: 1, Floor: 1, Partial: 0.9,
+		Name: "read", Aim: 1000 * ms, Deadline: 4000 * ms, Worth: 1, Effect: Safe, WholeShare: 1, MinShare: 1, PartialWorth: 0.9,
 		RepeatWindow: 2000 * ms,
 	}
 	keyed, unsafe, some := class, class, class
 	keyed.Name, keyed.Effect, keyed.LateWorth = "keyed", Keyed, 0.5
 	unsafe.Name, unsafe.Effect, unsafe.LateWorth = "unsafe", Unsafe, 0.5
-	some.Name, some.Floor = "some", 0.5
+	some.Name, some.MinShare = "some", 0.5
 	return Settings{
-		Brokers: 2, Tick: 5 * ms, Classes: []Class{class, keyed, unsafe, some},
-		Shards: 4, Cells: 4, Reach: 2, Batch: 4, CallCost: 50 * ms,
+		Gatherers: 2, Tick: 5 * ms, Classes: []Class{class, keyed, unsafe, some},
+		Shards: 4, Cells: 4, ReplicasPerShard: 2, MaxBatch: 4, CallCost: 50 * ms,
 		MaxAttempts: 3, MayCancel: true, SecondCopies: true, RetryAdvice: true, MaxRetryAdvice: 1000 * ms,
-		ColdShare: 0.2, ColdFor: 10_000 * ms, ColdMultiple: 2, ColdOverloads: 2000 * ms,
+		ColdShare: 0.2, ColdDuration: 10_000 * ms, ColdMultiple: 2, ColdOverloadWindow: 2000 * ms,
 	}
 }
 
@@ -113,7 +113,7 @@
 
 func TestBatchOverflowsToTheNextBestCover(t *testing.T) {
 	s := testSettings()
-	s.Batch = 1
+	s.MaxBatch = 1
 	c := startAggregator(t, s)
 	n := sendsByReplica(c.turn(newQuery(1, 0, 0, 0)))
 	c.want("sends", n, map[string]int{"a": 1, "b": 1})
@@ -244,7 +244,7 @@
 		turns := 0
 		for number := range 40 {
 			s := testSettings()
-			s.Brokers, s.Number = 40, number
+			s.Gatherers, s.GathererNumber = 40, number
 			c := startAggregator(t, s)
 			list := replicaRing("a", "b", "c", "d")
 			list[0].Started = c.now - age*1000*ms
@@ -289,7 +289,7 @@
 
 func TestRetryBudget(t *testing.T) {
 	s := testSettings()
-	s.BudgetFree, s.BudgetRatio, s.BudgetWindow = 1, 0, 5000*ms
+	s.RetryBudgetFree, s.RetryBudgetRatio, s.RetryBudgetWindow = 1, 0, 5000*ms
 	c := startAggregator(t, s)
 	c.turn(newQuery(1, 0, 0), newQuery(2, 0, 0))
 	n := 0
@@ -428,7 +428,7 @@
 
 func TestListIsRequestedAgainAfterFailure(t *testing.T) {
 	s := testSettings()
-	s.AskForList, s.AskWithin = true, 10_000*ms
+	s.SubscribeToList, s.SubscribeWithin = true, 10_000*ms
 	c := &driver{t: t, aggregator: New(s), now: 1000 * ms}
 	c.want("at start", len(actionsOf[Subscribe](c.turn(ListChange{Kind: Stale}))), 1)
 	c.want("at once after a failure", len(actionsOf[Subscribe](c.turn(ListChange{Kind: NoList}))), 0)
@@ -453,7 +453,7 @@
 
 func TestEmptySettings(t *testing.T) {
 	c := startAggregator(t, Settings{
-		Shards: 1, Reach: 1, Classes: []Class{{Aim: 1000 * ms, Deadline: 2000 * ms, Need: 1, Floor: 1}},
+		Shards: 1, ReplicasPerShard: 1, Classes: []Class{{Aim: 1000 * ms, Deadline: 2000 * ms, WholeShare: 1, MinShare: 1}},
 	})
 	c.want("sends", len(actionsOf[Send](c.turn(newQuery(1, 0, 0)))), 1)
 	c.want("final answers", len(actionsOf[Refuse](c.after(3000*ms))), 1)
@@ -737,7 +737,7 @@
 func TestTenantOverItsShareIsShedFirst(t *testing.T) {
 	sent := func(tenant int) (n int) {
 		s := testSettings()
-		s.Tenants, s.OverShare = []Tenant{{"small", 0.2}, {"large", 0.8}}, 0.1
+		s.Tenants, s.OverShareWorth = []Tenant{{"small", 0.2}, {"large", 0.8}}, 0.1
 		c := startAggregator(t, s)
 		for i := range uint64(120) { // the small tenant sends nine in ten
 			q := newQuery(i+1, 0, int(i%4))
--- a/api.go
+++ b/api.go
@@ -14,17 +14,17 @@
 
 // Class describes a class of queries.
 type Class struct {
-	Name         string
-	Aim          time.Duration // an answer within it earns Worth
-	Deadline     time.Duration // how long the client waits in total, over all its tries
-	Worth        float64       // what a whole answer in time earns
-	LateWorth    float64       // the share of Worth that an answer earns after Aim
-	Effect       Effect
-	RepeatWindow time.Duration // Keyed: how long repeats are dropped, from the first attempt on
-	Need         float64       // share of the parts' weight that makes an answer whole
-	Floor        float64       // least share that a query may be answered from
-	Partial      float64       // an answer under Need earns Partial x share / Need
-	Fetch        int           // parts of a second step that the first Answer brings; 0 for one step only
+	Name            string
+	Aim             time.Duration // an answer within it earns Worth
+	Deadline        time.Duration // how long the client waits in total, over all its tries
+	Worth           float64       // what a whole answer in time earns
+	LateWorth       float64       // the share of Worth that an answer earns after Aim
+	Effect          Effect
+	RepeatWindow    time.Duration // Keyed: how long repeats are dropped, from the first attempt on
+	WholeShare      float64       // share of the parts' weight that makes an answer whole
+	MinShare        float64       // least share that a query may be answered from
+	PartialWorth    float64       // an answer under WholeShare earns PartialWorth x share / WholeShare
+	SecondStepParts int           // parts of a second step that the first Answer brings; 0 for one step only
 }
 
 // Tenant is one of the parties that share a service.
@@ -36,23 +36,23 @@
 // Settings configures an Aggregator. The zero value of a limit or rule means that it does not apply, except
 // where noted.
 type Settings struct {
-	Seed           uint64 // the only source of randomness
-	Brokers        int    // number of gatherers that share the searchers, this one included
-	Number         int    // this gatherer's number among them, from 0
-	Zone           string // the zone of this gatherer
-	Tick           time.Duration
-	Classes        []Class // Query.Class is an index into it
-	Shards         int
-	Cells          int // shard s is held by cells (s+j) mod Cells, for j from 0 to Reach-1
-	Reach          int
-	Batch          int           // most parts in one call
-	CallCost       time.Duration // work of a call in addition to that of its parts
-	WarmKeys       bool          // a replica does less work for a key that it has met recently
-	CrossZoneCosts bool          // attempts that cross zones have a price
-	AskForList     bool          // the member list comes only after Subscribe
-	Tenants        []Tenant      // who share the service; Query.Tenant counts from 1 here
-	OverShare      float64       // share of its worth that a query beyond its tenant's share keeps
-	WorthByWork    bool          // a query's worth grows with its work; else all of a class have the same
+	Seed             uint64 // the only source of randomness
+	Gatherers        int    // number of gatherers that share the searchers, this one included
+	GathererNumber   int    // this gatherer's number among them, from 0
+	Zone             string // the zone of this gatherer
+	Tick             time.Duration
+	Classes          []Class // Query.Class is an index into it
+	Shards           int
+	Cells            int // shard s is held by cells (s+j) mod Cells, for j from 0 to ReplicasPerShard-1
+	ReplicasPerShard int
+	MaxBatch         int           // most parts in one call
+	CallCost         time.Duration // work of a call in addition to that of its parts
+	WarmKeys         bool          // a replica does less work for a key that it has met recently
+	CrossZoneCosts   bool          // attempts that cross zones have a price
+	SubscribeToList  bool          // the member list comes only after Subscribe
+	Tenants          []Tenant      // who share the service; Query.Tenant counts from 1 here
+	OverShareWorth   float64       // share of its worth that a query beyond its tenant's share keeps
+	WorthByWork      bool          // a query's worth grows with its work; else all of a class have the same
 
 	MaxAttempts    int // of one part; 0 means no limit
 	MayCancel      bool
@@ -61,14 +61,14 @@
 	RetryAdvice    bool // clients are told when to retry
 	MaxRetryAdvice time.Duration
 
-	AskWithin     time.Duration // AskForList: the longest time to go without a subscription
-	BudgetRatio   float64       // retries allowed for each query and part that arrives
-	BudgetFree    float64       // retries allowed in addition
-	BudgetWindow  time.Duration // the time over which both are counted; 0 means no budget
-	ColdShare     float64       // least share of its capacity that a replica has just after its start
-	ColdFor       time.Duration // how long after its start a replica is cold
-	ColdMultiple  float64       // a cold replica fails if sent more than this multiple of its capacity
-	ColdOverloads time.Duration // for this long
+	SubscribeWithin    time.Duration // SubscribeToList: the longest time to go without a subscription
+	RetryBudgetRatio   float64       // retries allowed for each query and part that arrives
+	RetryBudgetFree    float64       // retries allowed in addition
+	RetryBudgetWindow  time.Duration // the time over which both are counted; 0 means no budget
+	ColdShare          float64       // least share of its capacity that a replica has just after its start
+	ColdDuration       time.Duration // how long after its start a replica is cold
+	ColdMultiple       float64       // a cold replica fails if sent more than this multiple of its capacity
+	ColdOverloadWindow time.Duration // for this long
 }
 
 // Event is something that has happened: Query, SecondStep, Outcome, Gone, ListChange, Share or Woken.
@@ -101,9 +101,9 @@
 	Holders []string
 }
 
-// SecondStep brings the parts of a query's second step, which its first Answer requests where Class.Fetch is
+// SecondStep brings the parts of a query's second step, which its first Answer requests where Class.SecondStepParts is
 // above 0. The query's time continues, and one more final answer is due. It is whole only if the first was
-// and all of these parts are answered. Where Floor is under Need, Floor is the least share of them.
+// and all of these parts are answered. Where MinShare is under WholeShare, MinShare is the least share of them.
 type SecondStep struct {
 	Query uint64
 	Parts []Part
@@ -179,7 +179,7 @@
 }
 
 // Share gives how much of the fleet's limits this aggregator may use until clock time Until: the shares of
-// Slots gatherers out of Settings.Brokers, which are those of its own number and of the numbers right before
+// Slots gatherers out of Settings.Gatherers, which are those of its own number and of the numbers right before
 // it. After Until, and before the first Share, it has its own share only; 0 means none. Whoever sends it
 // ensures that no two aggregators use the share of the same number.
 type Share struct {
@@ -203,7 +203,7 @@
 type Action interface{ action() }
 
 // Send starts an attempt of a part. All Sends of one turn to one replica travel as one call of at most
-// Settings.Batch parts.
+// Settings.MaxBatch parts.
 type Send struct {
 	Part    uint64
 	Replica string
@@ -216,7 +216,7 @@
 	Attempt int
 }
 
-// Answer is a final answer from the answered parts, except for the first one where Class.Fetch is above 0:
+// Answer is a final answer from the answered parts, except for the first one where Class.SecondStepParts is above 0:
 // that one brings a SecondStep in the next turn.
 type Answer struct {
 	Query uint64
--- a/assignment.go
+++ b/assignment.go
@@ -62,9 +62,9 @@
 // costs little more than a small one. A busy one gets no call that its window would cut, and second
 // copies only if it has no more than one part in flight.
 func (a *Aggregator) coveredParts(searcher *searcher) []*part {
-	room := min(int(searcher.window)-len(searcher.inFlight), a.settings.Batch)
+	room := min(int(searcher.window)-len(searcher.inFlight), a.settings.MaxBatch)
 	if len(searcher.inFlight) == 0 {
-		room = a.settings.Batch
+		room = a.settings.MaxBatch
 	}
 	if searcher.ejected {
 		room = min(room, 1)
@@ -74,7 +74,7 @@
 	retries := 0
 	var work time.Duration
 	for _, p := range searcher.pendingParts {
-		if len(covered) >= room && (room <= 0 || len(covered) >= a.settings.Batch || searcher.ejected) {
+		if len(covered) >= room && (room <= 0 || len(covered) >= a.settings.MaxBatch || searcher.ejected) {
 			break
 		}
 		if p.inFlight > 0 && p.attempts[len(p.attempts)-1].sentAt == a.now || !a.isEligible(searcher, p) {
@@ -178,30 +178,30 @@
 // one core could be overloaded, see coldOvercommit.
 func (a *Aggregator) hasColdCapacity(searcher *searcher, more time.Duration) bool {
 	age := a.now - searcher.Started
-	if searcher.Started <= 0 || a.settings.ColdFor <= 0 || age >= a.settings.ColdFor {
+	if searcher.Started <= 0 || a.settings.ColdDuration <= 0 || age >= a.settings.ColdDuration {
 		searcher.coldWork = nil
 		return true
 	}
-	for len(searcher.coldWork) > 0 && searcher.coldWork[0].sentAt <= a.now-a.settings.ColdOverloads {
+	for len(searcher.coldWork) > 0 && searcher.coldWork[0].sentAt <= a.now-a.settings.ColdOverloadWindow {
 		searcher.coldWork = searcher.coldWork[1:]
 	}
 	for _, sent := range searcher.coldWork {
 		more += sent.work
 	}
-	share := a.settings.ColdShare + (1-a.settings.ColdShare)*max(float64(age), 0)/float64(a.settings.ColdFor)
-	capacity := share * a.settings.ColdMultiple * float64(a.settings.ColdOverloads) * coldOvercommit
-	if searcher.lastAnswerAt > searcher.Started && a.now-searcher.lastAnswerAt < a.settings.ColdOverloads &&
+	share := a.settings.ColdShare + (1-a.settings.ColdShare)*max(float64(age), 0)/float64(a.settings.ColdDuration)
+	capacity := share * a.settings.ColdMultiple * float64(a.settings.ColdOverloadWindow) * coldOvercommit
+	if searcher.lastAnswerAt > searcher.Started && a.now-searcher.lastAnswerAt < a.settings.ColdOverloadWindow &&
 		searcher.relativeLatency < 1+latencyMargin {
 		capacity *= quickColdFactor
 	}
 	// The number of gatherers that may send at the same time: the capacity allows one call for each.
 	senders := min(
-		max(int(capacity/float64(a.settings.CallCost+a.estimatedWork(nil))), 1), a.settings.Brokers)
-	position := a.settings.Number + int(stableHash("", searcher.ID)%uint64(a.settings.Brokers))
-	position += senders * int(max(age, 0)/max(a.settings.ColdOverloads, 1))
+		max(int(capacity/float64(a.settings.CallCost+a.estimatedWork(nil))), 1), a.settings.Gatherers)
+	position := a.settings.GathererNumber + int(stableHash("", searcher.ID)%uint64(a.settings.Gatherers))
+	position += senders * int(max(age, 0)/max(a.settings.ColdOverloadWindow, 1))
 	ownTurns := 0.0
 	for n := range a.ownSlots() {
-		if (position+a.settings.Brokers-n)%a.settings.Brokers < senders {
+		if (position+a.settings.Gatherers-n)%a.settings.Gatherers < senders {
 			ownTurns++
 		}
 	}
@@ -242,7 +242,7 @@
 	}
 	a.markBusy(searcher)
 	searcher.inFlight = append(searcher.inFlight, started)
-	if searcher.Started > 0 && a.now-searcher.Started < a.settings.ColdFor {
+	if searcher.Started > 0 && a.now-searcher.Started < a.settings.ColdDuration {
 		searcher.coldWork = append(searcher.coldWork, sentWork{a.now, work})
 	}
 	if searcher.ejected {
--- a/bench_test.go
+++ b/bench_test.go
@@ -10,7 +10,7 @@
 	for _, searchers := range []int{15, 150} {
 		b.Run(fmt.Sprint(searchers, " searchers"), func(b *testing.B) {
 			s := testSettings()
-			s.Cells, s.Shards, s.Reach, s.Brokers = searchers, 2*searchers, 3, searchers/2
+			s.Cells, s.Shards, s.ReplicasPerShard, s.Gatherers = searchers, 2*searchers, 3, searchers/2
 			c := &driver{aggregator: New(s), now: 100_000 * ms}
 			var ids []string
 			for i := range searchers {
@@ -41,7 +41,7 @@
 	for _, searchers := range []int{12, 350, 1024} {
 		b.Run(fmt.Sprint(searchers, " searchers"), func(b *testing.B) {
 			s := testSettings()
-			s.Cells, s.Shards, s.Reach, s.Brokers = searchers/3, searchers, 1, searchers
+			s.Cells, s.Shards, s.ReplicasPerShard, s.Gatherers = searchers/3, searchers, 1, searchers
 			c := &driver{aggregator: New(s), now: 100_000 * ms}
 			list := ListChange{Kind: Whole}
 			for i := range searchers {
--- a/cmd/eiderwinch/fleet.go
+++ b/cmd/eiderwinch/fleet.go
@@ -52,7 +52,7 @@
 		Self:     view.Member{Name: cfg.Name, Addr: f.Listen, Zone: cfg.Settings.Module.Zone, Incarnation: view.Incarnation{Start: uint64(now.UnixMicro())}},
 		Settings: set, Sealer: sealer, Seeds: f.Seeds, Seed: seed, Log: log, Advertise: f.Advertise, Slots: f.Slots,
 		Share: share.Settings{
-			Slots: len(f.Slots), Number: cfg.Settings.Module.Number, Lease: f.Lease, Window: cfg.Settings.Module.ColdOverloads, Seed: seed,
+			Slots: len(f.Slots), Number: cfg.Settings.Module.GathererNumber, Lease: f.Lease, Window: cfg.Settings.Module.ColdOverloadWindow, Seed: seed,
 		},
 	})
 	if err != nil {
--- a/cmd/eiderwinch/serve.go
+++ b/cmd/eiderwinch/serve.go
@@ -46,7 +46,7 @@
 	if c.File != "" {
 		return c.serveWithOperatorsFile(e, cfg, level, log)
 	}
-	options := daemon.Options{Report: c.Report}
+	options := daemon.Options{ReportEvery: c.Report}
 	if c.Layout != "" {
 		if options.Layout, _, err = readValidLayout(c.Layout); err != nil {
 			return err
@@ -110,9 +110,9 @@
 		}()
 	}
 	counters := stats.New()
-	options := daemon.Options{Layout: b.candidate.Layout, Live: b.initialLive(), Record: true, Report: c.Report}
+	options := daemon.Options{Layout: b.candidate.Layout, Live: b.initialLive(), Record: true, ReportEvery: c.Report}
 	share, divided := fleet.Share()
-	options.Share = share.Until
+	options.NoShareUntil = share.Until
 	node := daemon.New(b.candidate.Config, options, counters, log)
 	ctx, stop := context.WithCancel(context.Background())
 	k := b.startManager(ctx, f, node, level, log)
--- a/cmd/eiderwinch/startup.go
+++ b/cmd/eiderwinch/startup.go
@@ -223,7 +223,7 @@
 }
 
 // initialLive returns the live settings that the gatherer starts with.
-func (b *bootState) initialLive() *netio.Live {
+func (b *bootState) initialLive() *netio.LiveSettings {
 	l := daemon.Live(b.candidate, b.generation)
 	return &l
 }
--- a/cold_searcher_test.go
+++ b/cold_searcher_test.go
@@ -25,7 +25,7 @@
 
 const coldCapacity = 2 * 0.7 // of a warm searcher: two slow cores
 
-// worstLoad returns the largest load that the cold searcher gets within any Settings.ColdOverloads from the
+// worstLoad returns the largest load that the cold searcher gets within any Settings.ColdOverloadWindow from the
 // gatherers that have been notified. It is relative to what the settings allow plus what is attributed to
 // chance: N calls and 2 x root of N + 2.
 func (f coldFleet) worstLoad() (worst float64) {
@@ -56,7 +56,7 @@
 	for i := range gatherers {
 		a := &gatherers[i]
 		s := f.Settings
-		s.Brokers, s.Number = f.gatherers, i
+		s.Gatherers, s.GathererNumber = f.gatherers, i
 		a.Aggregator, a.queryGap = New(s), float64(f.gatherers)/f.queryRate
 		if f.unevenTraffic {
 			a.queryGap = float64(i+1) * math.Log(float64(f.gatherers)+1) / f.queryRate
@@ -66,12 +66,12 @@
 		a.events = []Event{list(0)}
 	}
 	share := func(at time.Duration) float64 {
-		return min(f.ColdShare+(1-f.ColdShare)*float64(at-startedAt)/float64(f.ColdFor), 1)
+		return min(f.ColdShare+(1-f.ColdShare)*float64(at-startedAt)/float64(f.ColdDuration), 1)
 	}
 	freeAt, id := make(map[string]time.Duration), uint64(0)
 	var inFlight []attemptInFlight
 	var received []call
-	for now := startedAt; now < startedAt+f.ColdFor; now += f.Tick {
+	for now := startedAt; now < startedAt+f.ColdDuration; now += f.Tick {
 		kept := inFlight[:0]
 		for _, x := range inFlight {
 			if x.endsAt > now {
@@ -134,7 +134,7 @@
 				}
 			}
 		}
-		for len(received) > 0 && received[0].at <= now-f.ColdOverloads {
+		for len(received) > 0 && received[0].at <= now-f.ColdOverloadWindow {
 			received = received[1:]
 		}
 		sum := 0.0
@@ -142,7 +142,7 @@
 			sum += c.work
 		}
 		mean := float64(f.CallCost + f.partWork)
-		n := f.ColdMultiple * coldCapacity * share(now) * float64(f.ColdOverloads) / mean
+		n := f.ColdMultiple * coldCapacity * share(now) * float64(f.ColdOverloadWindow) / mean
 		worst = max(worst, sum/mean/(n+2*math.Sqrt(n)+2))
 	}
 	return worst
@@ -154,15 +154,15 @@
 // more than all searchers can serve.
 func TestColdSearcherIsNotOverloadedByAllGatherers(t *testing.T) {
 	base := Settings{
-		Tick: 5 * ms, Shards: 1, Cells: 1, Reach: 1, Batch: 4, CallCost: 68 * ms, MaxAttempts: 4, MayCancel: true,
+		Tick: 5 * ms, Shards: 1, Cells: 1, ReplicasPerShard: 1, MaxBatch: 4, CallCost: 68 * ms, MaxAttempts: 4, MayCancel: true,
 		Classes: []Class{{
-			Name: "c", Aim: 1500 * ms, Deadline: 4000 * ms, Worth: 1, LateWorth: 0.1, Need: 1, Floor: 1, Partial: 1,
+			Name: "c", Aim: 1500 * ms, Deadline: 4000 * ms, Worth: 1, LateWorth: 0.1, WholeShare: 1, MinShare: 1, PartialWorth: 1,
 		}},
-		ColdShare: 0.18, ColdFor: 18_000 * ms, ColdMultiple: 2.5, ColdOverloads: 3000 * ms,
+		ColdShare: 0.18, ColdDuration: 18_000 * ms, ColdMultiple: 2.5, ColdOverloadWindow: 3000 * ms,
 	}
 	short, expensive := base, base
-	short.CallCost, short.ColdShare, short.ColdOverloads = 57*ms, 0.17, 1500*ms
-	expensive.CallCost, expensive.ColdMultiple, expensive.ColdOverloads = 95*ms, 2.2, 2000*ms
+	short.CallCost, short.ColdShare, short.ColdOverloadWindow = 57*ms, 0.17, 1500*ms
+	expensive.CallCost, expensive.ColdMultiple, expensive.ColdOverloadWindow = 95*ms, 2.2, 2000*ms
 	for name, c := range map[string]struct {
 		s    Settings
 		work time.Duration
--- a/completion.go
+++ b/completion.go
@@ -59,13 +59,13 @@
 // isTooLateForSecondStep reports whether a first answer now would leave no time for the second step, so
 // that the query would be lost.
 func (a *Aggregator) isTooLateForSecondStep(q *query) bool {
-	return q.step == stepFirst && q.class.Fetch > 0 && (a.now >= q.endAt || a.isTooLateForCall(q))
+	return q.step == stepFirst && q.class.SecondStepParts > 0 && (a.now >= q.endAt || a.isTooLateForCall(q))
 }
 
 // answer ends a query, or its first step where there is a second one: the query then waits for more
 // parts.
 func (a *Aggregator) answer(q *query, whole bool) {
-	if q.step == stepFirst && q.class.Fetch > 0 {
+	if q.step == stepFirst && q.class.SecondStepParts > 0 {
 		a.withdrawParts(q)
 		q.step, q.firstStepWhole = stepAwaitingSecond, whole
 	} else {
--- a/example_test.go
+++ b/example_test.go
@@ -10,9 +10,9 @@
 // A gatherer passes the events to Turn and carries out the actions that it returns.
 func Example() {
 	a := eiderwinch.New(eiderwinch.Settings{
-		Brokers: 1, Tick: time.Millisecond, Shards: 2, Cells: 2, Reach: 2, Batch: 8, MaxAttempts: 3,
+		Gatherers: 1, Tick: time.Millisecond, Shards: 2, Cells: 2, ReplicasPerShard: 2, MaxBatch: 8, MaxAttempts: 3,
 		Classes: []eiderwinch.Class{{
-			Name: "lookup", Aim: time.Second, Deadline: 3 * time.Second, Worth: 1, Need: 1, Floor: 1, Fetch: 1,
+			Name: "lookup", Aim: time.Second, Deadline: 3 * time.Second, Worth: 1, WholeShare: 1, MinShare: 1, SecondStepParts: 1,
 		}},
 	})
 	now := 10 * time.Second // any clock that never goes back
--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -25,7 +25,7 @@
 }
 
 func (n *fakeNode) State(context.Context, int64) (netio.State, bool) {
-	return netio.State{Epoch: n.epoch, Oldest: 1}, !n.ended
+	return netio.State{Epoch: n.epoch, OldestEpoch: 1}, !n.ended
 }
 
 func (n *fakeNode) Adopt(l *layout.Layout) {
--- a/internal/admin/gatherer.go
+++ b/internal/admin/gatherer.go
@@ -151,7 +151,7 @@
 		Refuse(w, http.StatusServiceUnavailable, errNotServing)
 		return
 	}
-	Answer(w, http.StatusOK, GathererState{g.Name, s.Epoch, s.Oldest, s.Draining, s.Service})
+	Answer(w, http.StatusOK, GathererState{g.Name, s.Epoch, s.OldestEpoch, s.Draining, s.Service})
 }
 
 func (g *Gatherer) layout(w http.ResponseWriter, r *http.Request) {
@@ -187,7 +187,7 @@
 		}
 		g.Node.Adopt(l)
 	}
-	Answer(w, http.StatusOK, GathererState{Name: g.Name, Epoch: l.Epoch(), Oldest: s.Oldest, Draining: s.Draining})
+	Answer(w, http.StatusOK, GathererState{Name: g.Name, Epoch: l.Epoch(), Oldest: s.OldestEpoch, Draining: s.Draining})
 }
 
 // Keep replaces a file's contents atomically and durably: if the machine stops at
--- a/internal/configuration/guard/guard.go
+++ b/internal/configuration/guard/guard.go
@@ -110,7 +110,7 @@
 	ended    int             // answered, refused or failed
 	gone     int             // their client left
 	bad      [unanswered]int // by metric; without slow, which depends on the baseline
-	times    []service.Count
+	times    []service.Bucket
 	answered int
 }
 
@@ -151,9 +151,9 @@
 	g.watching, g.changeSecond = true, at
 	for _, c := range g.classes {
 		c.afterChange, c.worseSeconds = nil, [metricCount]int{}
-		sum := service.NewSum()
+		sum := service.NewTotals()
 		for _, s := range c.baseline {
-			sum.Add(service.Class{Times: s.times})
+			sum.Add(service.ClassCounts{Times: s.times})
 		}
 		if c.baselineP99 = 0; isSufficient(c.baseline) {
 			c.baselineP99 = sum.Quantile(0.99)
@@ -231,7 +231,7 @@
 }
 
 // summarize counts the queries of a class in one second.
-func summarize(at int64, k service.Class, aim time.Duration) secondCounts {
+func summarize(at int64, k service.ClassCounts, aim time.Duration) secondCounts {
 	s := secondCounts{second: at, taken: k.Taken, gone: k.Gone, times: k.Times}
 	s.answered = k.Whole + k.Partial
 	s.ended = s.answered + k.Refused + k.Failed
@@ -379,9 +379,9 @@
 
 // p99 returns the 99th percentile of the latencies in some seconds.
 func (c *classState) p99(list []secondCounts) time.Duration {
-	sum := service.NewSum()
+	sum := service.NewTotals()
 	for _, s := range list {
-		sum.Add(service.Class{Times: s.times})
+		sum.Add(service.ClassCounts{Times: s.times})
 	}
 	return sum.Quantile(0.99)
 }
--- a/internal/configuration/guard/guard_test.go
+++ b/internal/configuration/guard/guard_test.go
@@ -27,7 +27,7 @@
 func (g *generator) second(f fault) service.Window {
 	g.now++
 	sum := make(map[int64]int64)
-	c := service.Class{Name: "search"}
+	c := service.ClassCounts{Name: "search"}
 	burst := 0.0
 	if g.rng.Float64() < 0.1 {
 		burst = 0.08
@@ -53,9 +53,9 @@
 		}
 	}
 	for us, n := range sum {
-		c.Times = append(c.Times, service.Count{Micros: us, N: n})
+		c.Times = append(c.Times, service.Bucket{Micros: us, N: n})
 	}
-	return service.Window{Second: g.now, Classes: []service.Class{c}}
+	return service.Window{Second: g.now, Classes: []service.ClassCounts{c}}
 }
 
 func startWatching(seed uint64, rate int) (*Guard, *generator) {
--- a/internal/configuration/keeper/keeper.go
+++ b/internal/configuration/keeper/keeper.go
@@ -26,7 +26,7 @@
 // Node is the gatherer whose configuration is managed.
 type Node interface {
 	State(ctx context.Context, after int64) (netio.State, bool)
-	Apply(ctx context.Context, l netio.Live) error
+	Apply(ctx context.Context, l netio.LiveSettings) error
 	Searchers(ctx context.Context) ([]netio.Searcher, bool)
 	Generations(ctx context.Context) ([]uint64, bool)
 }
@@ -49,7 +49,7 @@
 	// Verify returns an error if the signature of a hash is not valid; nil: no
 	// signature is required.
 	Verify  func(hash change.Hash, signature string) error
-	Live    func(*bundle.Candidate, change.Generation) netio.Live
+	Live    func(*bundle.Candidate, change.Generation) netio.LiveSettings
 	Applied func(*bundle.Candidate) // called after a successful swap, for settings outside the node; may be nil
 	Logger  *slog.Logger
 }
@@ -219,7 +219,7 @@
 		case e = <-k.swaps:
 		}
 		var to *bundle.Candidate
-		var live netio.Live
+		var live netio.LiveSettings
 		var gen change.Generation
 		prepare := func() {
 			switch e := e.(type) {
@@ -248,7 +248,7 @@
 
 // liveSettings returns the settings that the node is given for a candidate. A layout
 // that is put in force again gets a newer epoch, because epochs only increase.
-func (k *Keeper) liveSettings(to *bundle.Candidate, gen change.Generation) netio.Live {
+func (k *Keeper) liveSettings(to *bundle.Candidate, gen change.Generation) netio.LiveSettings {
 	live := k.opts.Live(to, gen)
 	live.Layout = nil
 	if k.layout == nil || to.Layout == nil || to.File.Follow {
--- a/internal/configuration/keeper/keeper_test.go
+++ b/internal/configuration/keeper/keeper_test.go
@@ -28,7 +28,7 @@
 // fakeNode is a gatherer whose service windows the test sets.
 type fakeNode struct {
 	mu        sync.Mutex
-	applied   []netio.Live
+	applied   []netio.LiveSettings
 	windows   []service.Window
 	applyErr  error
 	searchers []netio.Searcher
@@ -46,7 +46,7 @@
 	return s, true
 }
 
-func (n *fakeNode) Apply(_ context.Context, l netio.Live) error {
+func (n *fakeNode) Apply(_ context.Context, l netio.LiveSettings) error {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.applyErr != nil {
@@ -136,7 +136,7 @@
 		t.Fatal(err)
 	}
 	testpeer.Until(t, "probation", func() bool { return k.stateOf(t, tx) == "probation" })
-	if l := n.applied[0]; l.Core.Generation != 2 || l.Core.Classes[0].Open != 7 || l.Core.Classes[0].Attempts != 2 || l.Multiplex != 3 || l.Core.MaxOpen != 1000 {
+	if l := n.applied[0]; l.Core.Generation != 2 || l.Core.Classes[0].MaxOpen != 7 || l.Core.Classes[0].Attempts != 2 || l.Multiplex != 3 || l.Core.MaxOpen != 1000 {
 		t.Errorf("applied %+v with %+v", l, l.Core)
 	}
 	other := stage(t, k, `<pools multiplex="4"/>`)
@@ -174,8 +174,8 @@
 		n.mu.Lock()
 		defer n.mu.Unlock()
 		second++
-		n.windows = append(n.windows, service.Window{Second: second, Classes: []service.Class{{
-			Name: "search", Taken: 100, Whole: 100 - failed, Failed: failed, Times: []service.Count{{Micros: 20_000, N: int64(100 - failed)}},
+		n.windows = append(n.windows, service.Window{Second: second, Classes: []service.ClassCounts{{
+			Name: "search", Taken: 100, Whole: 100 - failed, Failed: failed, Times: []service.Bucket{{Micros: 20_000, N: int64(100 - failed)}},
 		}}})
 	}
 	for range 60 {
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -20,11 +20,11 @@
 
 // Options configure a gatherer beyond its configuration file.
 type Options struct {
-	Layout *layout.Layout // nil: the platform's cells determine which searchers hold which shards
-	Live   *netio.Live    // the settings that can change while the gatherer runs; nil: those of the configuration
-	Record bool           // record the results of queries, for the admin socket
-	Share  time.Time      // until when no slots of the fleet's limits may be used; zero: the gatherer's own share may be used from the start
-	Report time.Duration  // interval at which the counters are logged; 0 means only on request
+	Layout       *layout.Layout      // nil: the platform's cells determine which searchers hold which shards
+	Live         *netio.LiveSettings // the settings that can change while the gatherer runs; nil: those of the configuration
+	Record       bool                // record the results of queries, for the admin socket
+	NoShareUntil time.Time           // until when no slots of the fleet's limits may be used; zero: the gatherer's own share may be used from the start
+	ReportEvery  time.Duration       // interval at which the counters are logged; 0 means only on request
 }
 
 // New returns a gatherer, which is started with its Run method.
@@ -38,17 +38,17 @@
 		}
 		recorder = service.New(names)
 	}
-	live := netio.Live{Multiplex: limits.Multiplex, ConnectTimeout: limits.ConnectTimeout, ConnIdle: limits.ConnIdle}
+	live := netio.LiveSettings{Multiplex: limits.Multiplex, ConnectTimeout: limits.ConnectTimeout, ConnIdle: limits.ConnIdle}
 	if o.Live != nil {
 		live = *o.Live
 	}
 	return netio.New(netio.Config{
-		Listen: cfg.Listen, Discovery: cfg.Discovery, Known: cfg.Known, Memory: cfg.Memory, Sockets: cfg.Sockets,
-		ReportEvery: o.Report, Multiplex: live.Multiplex, ConnectTimeout: live.ConnectTimeout, ConnIdle: live.ConnIdle,
-		DrainGrace: limits.DrainGrace, AnswerSlack: limits.AnswerSlack, NoShareUntil: o.Share,
+		Listen: cfg.Listen, Discovery: cfg.Discovery, InitialMembers: cfg.Known, MemoryLimit: cfg.Memory, MaxDescriptors: cfg.Sockets,
+		ReportEvery: o.ReportEvery, Multiplex: live.Multiplex, ConnectTimeout: live.ConnectTimeout, ConnIdle: live.ConnIdle,
+		DrainGrace: limits.DrainGrace, AnswerSlack: limits.AnswerSlack, NoShareUntil: o.NoShareUntil,
 		Gatherer: gatherer.Settings{
 			Module: cfg.Settings.Module, Tick: limits.Tick, MaxOpen: limits.MaxOpen,
-			Layout: o.Layout, Live: live.Core, Service: recorder,
+			Layout: o.Layout, LiveSettings: live.Core, Service: recorder,
 		},
 	}, eiderwinch.New(cfg.Settings.Module), counters, log)
 }
@@ -56,18 +56,18 @@
 // Live returns the settings that a running gatherer takes from a candidate, as the
 // given generation. Values in c.File.Live that are not zero override the limits in
 // c.Config.
-func Live(c *bundle.Candidate, gen change.Generation) netio.Live {
+func Live(c *bundle.Candidate, gen change.Generation) netio.LiveSettings {
 	limits, overrides := c.Config.Settings.Limits, c.File.Live
-	core := &gatherer.Live{Generation: uint64(gen), MaxOpen: cmp.Or(overrides.Admission.Open, limits.MaxOpen)}
+	core := &gatherer.LiveSettings{Generation: uint64(gen), MaxOpen: cmp.Or(overrides.Admission.Open, limits.MaxOpen)}
 	core.Classes = make([]gatherer.ClassLimits, len(c.Config.Settings.Module.Classes))
 	for i, k := range c.Config.Settings.Module.Classes {
 		for _, o := range overrides.Classes {
 			if o.Name == k.Name {
-				core.Classes[i] = gatherer.ClassLimits{Within: o.Within, Attempts: o.Attempts, Open: o.Open}
+				core.Classes[i] = gatherer.ClassLimits{MaxDuration: o.Within, Attempts: o.Attempts, MaxOpen: o.Open}
 			}
 		}
 	}
-	return netio.Live{
+	return netio.LiveSettings{
 		Core: core, Multiplex: cmp.Or(overrides.Pools.Multiplex, limits.Multiplex),
 		ConnectTimeout: cmp.Or(overrides.Pools.ConnectTimeout, limits.ConnectTimeout), ConnIdle: cmp.Or(overrides.Pools.Idle, limits.ConnIdle),
 		Discovery: c.Config.Discovery, Layout: c.Layout,
--- a/internal/due/due.go
+++ b/internal/due/due.go
@@ -17,8 +17,8 @@
 	index    int    // position in the queue plus 1; 0 if the timer is not set
 }
 
-// Set reports whether the timer is in a queue.
-func (t *Timer[T]) Set() bool { return t.index > 0 }
+// IsSet reports whether the timer is in a queue.
+func (t *Timer[T]) IsSet() bool { return t.index > 0 }
 
 // At returns the time for which the timer was last set.
 func (t *Timer[T]) At() time.Time { return t.at }
--- a/internal/due/due_test.go
+++ b/internal/due/due_test.go
@@ -57,7 +57,7 @@
 					}
 					return
 				}
-				if got == nil || got.Value != model[0] || got.Set() {
+				if got == nil || got.Value != model[0] || got.IsSet() {
 					t.Fatalf("got %+v, want timer %d", got, model[0])
 				}
 				model = model[1:]
@@ -71,8 +71,8 @@
 					t.Fatalf("%d timers, the next at %v; want %d at %v", q.Len(), q.Next(), len(model), want)
 				}
 				for i, timer := range timers {
-					if timer.Set() != slices.Contains(model, i) {
-						t.Fatalf("timer %d is set: %v", i, timer.Set())
+					if timer.IsSet() != slices.Contains(model, i) {
+						t.Fatalf("timer %d is set: %v", i, timer.IsSet())
 					}
 				}
 			},
--- a/internal/fleet/view/updates.go
+++ b/internal/fleet/view/updates.go
@@ -35,7 +35,7 @@
 func (c *Core) queueUpdate(u update) {
 	c.queue = slices.DeleteFunc(c.queue, func(q *queuedUpdate) bool { return q.Name == u.Name })
 	c.queue = append(c.queue, &queuedUpdate{u, c.now, u.size() + ageBytes, c.settings.Repeat * int(math.Ceil(c.logSize()))})
-	if !c.gossipTimer.Set() {
+	if !c.gossipTimer.IsSet() {
 		c.timers.Set(&c.gossipTimer, c.now.Add(c.jitter(c.settings.Gossip)))
 	}
 }
@@ -274,7 +274,7 @@
 // setState records a new state of a member.
 func (c *Core) setState(p *peer, state State) {
 	previous := p.State
-	if previous == state && p.timer.Set() == (state != Alive) {
+	if previous == state && p.timer.IsSet() == (state != Alive) {
 		return
 	}
 	p.State, p.stateSince = state, c.now
--- a/internal/follow/follow.go
+++ b/internal/follow/follow.go
@@ -4,7 +4,7 @@
 //
 // A gatherer counts as notified that a searcher leaves even while it has no watch open: if
 // the list comes from an agent on the gatherer's own machine, from the moment at which the
-// agent has the update. Settings.Grace later nothing may be sent to the searcher any more.
+// agent has the update. Settings.DrainGrace later nothing may be sent to the searcher any more.
 // So a Follower that has lost its watch sends the next request within a fraction of that
 // grace, and does not wait until a request has failed: requests that hang stay open along
 // with the next ones, and the first one that receives an update is used.
@@ -55,11 +55,11 @@
 
 // Settings configure a Follower.
 type Settings struct {
-	Pushed  bool          // an agent on this machine has the list, and requests to it cost nothing
-	Grace   time.Duration // how long attempts may still be sent to a searcher after the notification that it is leaving
-	Within  time.Duration // not Pushed: the maximum time without a watch; 0 means that none is set
-	Clients int           // gatherers in the fleet
-	Seed    uint64
+	Pushed              bool          // an agent on this machine has the list, and requests to it cost nothing
+	DrainGrace          time.Duration // how long attempts may still be sent to a searcher after the notification that it is leaving
+	MaxTimeWithoutWatch time.Duration // not Pushed: the maximum time without a watch; 0 means that none is set
+	Gatherers           int           // gatherers in the fleet
+	Seed                uint64
 }
 
 // RequestID identifies one request to discovery, which has a connection of its own.
@@ -88,7 +88,7 @@
 func New(settings Settings, now time.Time) *Follower {
 	return &Follower{
 		settings: settings, rng: rand.New(rand.NewPCG(settings.Seed, 0x666f6c6c)),
-		backoff:     backoff.New(settings.Seed, settings.Clients),
+		backoff:     backoff.New(settings.Seed, settings.Gatherers),
 		nextRequest: now, lostSince: now,
 	}
 }
@@ -170,7 +170,7 @@
 	if !f.settings.Pushed {
 		return sharedRequestTimeout + f.backoff.NextWithin(maxWaitAfterGivenUp)
 	}
-	longest := min(max(2*f.settings.Grace/agentIntervalShare, time.Millisecond), maxAgentInterval)
+	longest := min(max(2*f.settings.DrainGrace/agentIntervalShare, time.Millisecond), maxAgentInterval)
 	return longest/2 + time.Duration(f.rng.Int64N(int64(longest/2)+1))
 }
 
@@ -225,8 +225,8 @@
 // maxWait returns the maximum wait for the next call to a shared service after one that was
 // refused or has ended.
 func (f *Follower) maxWait() time.Duration {
-	if f.settings.Within > 0 {
-		return min(f.settings.Within/2, maxWaitAfterRefusal)
+	if f.settings.MaxTimeWithoutWatch > 0 {
+		return min(f.settings.MaxTimeWithoutWatch/2, maxWaitAfterRefusal)
 	}
 	return maxWaitAfterRefusal
 }
--- a/internal/follow/follow_test.go
+++ b/internal/follow/follow_test.go
@@ -37,7 +37,7 @@
 
 func newFakeAgent(clients int, seed uint64) *fakeAgent {
 	return &fakeAgent{
-		follower: New(Settings{Pushed: true, Grace: grace, Clients: clients, Seed: seed}, began),
+		follower: New(Settings{Pushed: true, DrainGrace: grace, Gatherers: clients, Seed: seed}, began),
 		now:      began, lastHeartbeat: began, open: make(map[RequestID]time.Time), delay: ms,
 	}
 }
@@ -165,7 +165,7 @@
 // Several requests may be alive, each with its own time of the last data: Due uses the latest. With an
 // earlier one Run would be due again at once, and the event loop would spin.
 func TestDueWithTwoLiveWatches(t *testing.T) {
-	f := New(Settings{Pushed: true, Grace: grace, Seed: 1}, began)
+	f := New(Settings{Pushed: true, DrainGrace: grace, Seed: 1}, began)
 	a, _ := f.Run(began)
 	b, _ := f.Run(f.Due())
 	if b == 0 {
@@ -219,7 +219,7 @@
 	const clients, within = 300, 10 * time.Second
 	var at []time.Duration
 	for seed := range uint64(clients) {
-		f := New(Settings{Grace: grace, Within: within, Clients: clients, Seed: seed}, began)
+		f := New(Settings{DrainGrace: grace, MaxTimeWithoutWatch: within, Gatherers: clients, Seed: seed}, began)
 		id, _ := f.Run(began)
 		f.RecordUpdate(id, began)
 		f.RequestEnded(id, began)
@@ -229,7 +229,7 @@
 	if at[0] < 100*ms || at[clients-1] > within/2 || at[clients*3/4]-at[clients/4] < time.Second {
 		t.Errorf("next requests after %v to %v, quartiles %v and %v", at[0], at[clients-1], at[clients/4], at[clients*3/4])
 	}
-	silent := New(Settings{Grace: grace, Within: within, Clients: clients, Seed: 1}, began)
+	silent := New(Settings{DrainGrace: grace, MaxTimeWithoutWatch: within, Gatherers: clients, Seed: 1}, began)
 	id, _ := silent.Run(began)
 	silent.RecordUpdate(id, began)
 	silent.Run(silent.Due())
@@ -260,7 +260,7 @@
 			worst := time.Duration(0)
 			for seed := range uint64(60) {
 				within := []time.Duration{0, 10 * time.Second, 40 * time.Second}[seed%3]
-				f := New(Settings{Grace: grace, Within: within, Clients: clients, Seed: seed}, began)
+				f := New(Settings{DrainGrace: grace, MaxTimeWithoutWatch: within, Gatherers: clients, Seed: seed}, began)
 				reached := began // when the service could first be reached after the call before
 				for range 12 {
 					now := f.Due()
@@ -301,22 +301,22 @@
 		"a later start":                {"b", 0, list(1, true, ready("s", 8)), catalog.Ready},
 		"too late for an old list":     {"b", maxListAge, list(1, true, ready("s", 7)), catalog.Ready},
 	} {
-		var r Roster
-		r.Take(began, "a", list(41, true, ready("s", 7), ready("o", 1)))
-		r.Take(began, "a", list(42, true, ready("o", 1)))
-		if got := r.Take(began.Add(c.after), c.source, c.u); got[0].Phase != c.want {
+		var r MemberFilter
+		r.Apply(began, "a", list(41, true, ready("s", 7), ready("o", 1)))
+		r.Apply(began, "a", list(42, true, ready("o", 1)))
+		if got := r.Apply(began.Add(c.after), c.source, c.u); got[0].Phase != c.want {
 			t.Errorf("%s: have %s, want %s", name, got[0].Phase, c.want)
 		}
 	}
-	var r Roster
-	r.Take(began, "a", list(41, true, ready("s", 7)))
-	r.Take(began, "a", list(42, true)) // as from a discovery that has lost its state
-	if got := r.Take(began, "b", list(1, true, ready("s", 7))); got[0].Phase != catalog.Ready {
+	var r MemberFilter
+	r.Apply(began, "a", list(41, true, ready("s", 7)))
+	r.Apply(began, "a", list(42, true)) // as from a discovery that has lost its state
+	if got := r.Apply(began, "b", list(1, true, ready("s", 7))); got[0].Phase != catalog.Ready {
 		t.Errorf("after an empty list: have %s", got[0].Phase)
 	}
 	for i := range int64(100) { // new searchers with new ids: those that left must not be kept forever
-		r.Take(began.Add(time.Duration(i)*time.Second), "b", list(2+i, true, ready(string(rune('a'+i)), 1)))
-		r.Review(began.Add(time.Duration(i) * time.Second))
+		r.Apply(began.Add(time.Duration(i)*time.Second), "b", list(2+i, true, ready(string(rune('a'+i)), 1)))
+		r.Reinstated(began.Add(time.Duration(i) * time.Second))
 	}
 	if len(r.serving) != 1 || len(r.leaving) > 10 {
 		t.Errorf("%d ready and %d leaving searchers are kept", len(r.serving), len(r.leaving))
@@ -344,15 +344,15 @@
 		"a higher revision: a clock went back": {"a", 43, 0, 7, 7},
 		"a later start, from any address":      {"b", 1, 0, 9, 9},
 	} {
-		var r Roster
-		r.Take(began, "a", catalog.Update{Revision: 42, Members: []catalog.Member{ready(8, "new:1")}})
+		var r MemberFilter
+		r.Apply(began, "a", catalog.Update{Revision: 42, Members: []catalog.Member{ready(8, "new:1")}})
 		addr := "old:1"
-		got := r.Take(began.Add(c.after), c.source, catalog.Update{Revision: c.revision, Members: []catalog.Member{ready(c.started, addr)}})[0]
+		got := r.Apply(began.Add(c.after), c.source, catalog.Update{Revision: c.revision, Members: []catalog.Member{ready(c.started, addr)}})[0]
 		if c.want == 8 {
 			addr = "new:1"
 		}
-		if got != ready(c.want, addr) || (r.Doubted == 1) != (c.want == 8) {
-			t.Errorf("%s: have %+v, doubted %d", name, got, r.Doubted)
+		if got != ready(c.want, addr) || (r.Rejected == 1) != (c.want == 8) {
+			t.Errorf("%s: have %+v, doubted %d", name, got, r.Rejected)
 		}
 	}
 }
@@ -381,19 +381,19 @@
 		"too late for an old list":              {"b", maxListAge, list(1, member(catalog.Ready, 7)), catalog.Ready},
 		"gone":                                  {"b", 0, list(1, member(catalog.Gone, 7)), catalog.Gone},
 	} {
-		var r Roster
-		r.Take(began, "a", list(42, member(catalog.Terminating, 7)))
-		if got := r.Take(began.Add(c.after), c.source, c.u); got[0].Phase != c.want {
+		var r MemberFilter
+		r.Apply(began, "a", list(42, member(catalog.Terminating, 7)))
+		if got := r.Apply(began.Add(c.after), c.source, c.u); got[0].Phase != c.want {
 			t.Errorf("%s: have %s, want %s", name, got[0].Phase, c.want)
 		}
 	}
-	var r Roster
-	r.Take(began, "a", list(42, member(catalog.Terminating, 7)))
-	r.Take(began, "b", list(1, member(catalog.Ready, 7)))
-	if got := r.Review(began.Add(maxListAge - ms)); len(got) > 0 {
+	var r MemberFilter
+	r.Apply(began, "a", list(42, member(catalog.Terminating, 7)))
+	r.Apply(began, "b", list(1, member(catalog.Ready, 7)))
+	if got := r.Reinstated(began.Add(maxListAge - ms)); len(got) > 0 {
 		t.Errorf("reinstated too soon: %+v", got)
 	}
-	if got := r.Review(began.Add(maxListAge)); len(got) != 1 || got[0].Phase != catalog.Ready || len(r.leaving) > 0 {
+	if got := r.Reinstated(began.Add(maxListAge)); len(got) != 1 || got[0].Phase != catalog.Ready || len(r.leaving) > 0 {
 		t.Errorf("not reinstated: %+v, %d leaving searchers are kept", got, len(r.leaving))
 	}
 }
--- a/internal/follow/leaving_test.go
+++ b/internal/follow/leaving_test.go
@@ -32,14 +32,14 @@
 	a.members[m.ID], a.changed[m.ID] = m, a.revision
 }
 
-// simulation is one gatherer in virtual time, with its real core, Roster and Followers. Its decision module keeps
+// simulation is one gatherer in virtual time, with its real core, MemberFilter and Followers. Its decision module keeps
 // sending parts to all searchers it has ever known. Each call waits up to 250 ms for a connection.
 type simulation struct {
 	t             *rapid.T
 	settings      Settings
 	now           time.Time
 	core          *gatherer.Core
-	roster        Roster
+	memberFilter  MemberFilter
 	discoveries   [2]*fakeDiscovery
 	current       int  // the index of the discovery in use
 	moving        bool // the list is requested from the other discovery, too
@@ -88,25 +88,25 @@
 func (*simulation) Abandon(*gatherer.Attempt) {}
 func (*simulation) CloseIdle(string)          {}
 func (*simulation) Reply(gatherer.Reply)      {}
-func (*simulation) Left() bool                { return false }
+func (*simulation) Disconnected() bool        { return false }
 
 func (w *simulation) apply(kind eiderwinch.ListKind, from int, u catalog.Update) {
 	states := map[catalog.Phase]eiderwinch.State{
 		catalog.Ready: eiderwinch.Ready, catalog.Terminating: eiderwinch.Draining, catalog.Gone: eiderwinch.Removed,
 	}
 	var list []gatherer.Member
-	for _, m := range w.roster.Take(w.now, w.discoveries[from].name, u) {
+	for _, m := range w.memberFilter.Apply(w.now, w.discoveries[from].name, u) {
 		list = append(list, gatherer.Member{ID: m.ID, State: states[m.Phase], Started: m.Started()})
 	}
-	w.core.List(w.now, kind, list)
+	w.core.UpdateMembers(w.now, kind, list)
 }
 
 // start starts the gatherer process with a known list.
 func (w *simulation) start(known catalog.Update) {
 	w.core = gatherer.New(gatherer.Settings{Tick: 5 * ms, Module: eiderwinch.Settings{
-		Shards: 1, Classes: []eiderwinch.Class{{Name: "c", Aim: time.Second, Deadline: time.Second, Need: 1, Floor: 1}},
+		Shards: 1, Classes: []eiderwinch.Class{{Name: "c", Aim: time.Second, Deadline: time.Second, WholeShare: 1, MinShare: 1}},
 	}}, w, w, stats.New(), slog.New(slog.DiscardHandler), w.now)
-	w.roster, w.calls, w.moving, w.silentSince = Roster{}, nil, false, time.Time{}
+	w.memberFilter, w.calls, w.moving, w.silentSince = MemberFilter{}, nil, false, time.Time{}
 	w.follow(w.current, known.Revision, false)
 	w.apply(eiderwinch.Stale, w.current, known)
 }
@@ -186,13 +186,13 @@
 	}
 	if w.now.UnixMilli()%250 == 0 {
 		var reinstated catalog.Update
-		reinstated.Members = w.roster.Review(w.lastReceived)
+		reinstated.Members = w.memberFilter.Reinstated(w.lastReceived)
 		for _, m := range reinstated.Members {
-			w.core.List(w.now, eiderwinch.Changes, []gatherer.Member{{ID: m.ID, State: eiderwinch.Ready, Started: m.Started()}})
+			w.core.UpdateMembers(w.now, eiderwinch.Changes, []gatherer.Member{{ID: m.ID, State: eiderwinch.Ready, Started: m.Started()}})
 		}
 	}
 	if w.now.UnixMilli()%20 == 0 {
-		_, _ = w.core.Take(w.now, gatherer.Ask{Trace: w.now.String(), Class: "c", Parts: []gatherer.AskPart{{Weight: 1}}}, w)
+		_, _ = w.core.Take(w.now, gatherer.QueryRequest{Trace: w.now.String(), Class: "c", Parts: []gatherer.PartRequest{{Weight: 1}}}, w)
 	}
 	w.core.Run(w.now)
 	waiting := w.calls[:0]
@@ -201,7 +201,7 @@
 		case w.now.Before(c.at):
 			waiting = append(waiting, c)
 		case !w.core.MaySend(w.now, c.attempt):
-			w.core.Unsent(w.now, c.attempt)
+			w.core.NotSent(w.now, c.attempt)
 		default:
 			w.sent++
 			if notified, ok := w.notified[c.attempt.Searcher]; ok && w.now.Sub(notified) > grace {
@@ -247,7 +247,7 @@
 func TestNothingIsSentToLeavingSearcher(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := &simulation{t: t, now: began, lastHeartbeat: began, notified: make(map[string]time.Time), members: make(map[string]catalog.Member), left: make(map[string]time.Time), settings: Settings{
-			Pushed: true, Grace: grace, Clients: rapid.SampledFrom([]int{1, 350}).Draw(t, "gatherers"), Seed: rapid.Uint64().Draw(t, "seed"),
+			Pushed: true, DrainGrace: grace, Gatherers: rapid.SampledFrom([]int{1, 350}).Draw(t, "gatherers"), Seed: rapid.Uint64().Draw(t, "seed"),
 		}}
 		for k := range w.discoveries {
 			w.discoveries[k] = &fakeDiscovery{name: fmt.Sprint(k), members: make(map[string]catalog.Member), changed: make(map[string]int64)}
--- a/internal/follow/roster.go
+++ b/internal/follow/roster.go
@@ -30,30 +30,30 @@
 	revision int64
 }
 
-// Roster keeps which searchers were reported as leaving, so that an older list does not
+// MemberFilter keeps which searchers were reported as leaving, so that an older list does not
 // make them ready again. A list may be older if it comes from another discovery address,
 // because revisions of different addresses can't be compared, or if its revision is not
 // higher than that of the update. Such a list is believed once it can't be outdated any more.
 //
 // A searcher that a complete list omits counts as leaving too.
 //
-// Roster also keeps the latest start of each searcher. A list with an earlier start is
+// MemberFilter also keeps the latest start of each searcher. A list with an earlier start is
 // older, and its network address may be that of the previous process, so an earlier start
 // does not replace a later one, unless the same discovery address reports it with a higher
 // revision.
-type Roster struct {
-	leaving map[string]*leaving // by id
-	serving map[string]serving  // by id
-	Doubted int                 // entries of lists that were not believed
+type MemberFilter struct {
+	leaving  map[string]*leaving // by id
+	serving  map[string]serving  // by id
+	Rejected int                 // entries of lists that were not believed
 }
 
-// Take applies a list, or changes to one, and returns its members with the entries that
+// Apply applies a list, or changes to one, and returns its members with the entries that
 // are not believed corrected. It does not modify u.
-func (r *Roster) Take(now time.Time, source string, u catalog.Update) []catalog.Member {
+func (r *MemberFilter) Apply(now time.Time, source string, u catalog.Update) []catalog.Member {
 	if r.leaving == nil {
 		r.leaving, r.serving = make(map[string]*leaving), make(map[string]serving)
 	}
-	if u.Complete && len(u.Members) > 0 { // an empty list is ignored, see gatherer.Core.List
+	if u.Complete && len(u.Members) > 0 { // an empty list is ignored, see gatherer.Core.UpdateMembers
 		r.recordOmitted(now, source, u)
 	}
 	out := slices.Clone(u.Members)
@@ -69,7 +69,7 @@
 			delete(r.serving, m.ID)
 		case old == nil:
 			if known := r.serving[m.ID]; m.UpSinceMS < known.UpSinceMS && (source != known.source || u.Revision <= known.revision) {
-				r.Doubted++
+				r.Rejected++
 				out[i] = known.Member
 				break
 			}
@@ -78,7 +78,7 @@
 			delete(r.leaving, m.ID)
 			r.serving[m.ID] = serving{m, source, u.Revision}
 		default:
-			r.Doubted++
+			r.Rejected++
 			entry := m
 			old.rejected = &entry
 			out[i].Phase = catalog.Terminating
@@ -89,7 +89,7 @@
 
 // recordOmitted records as leaving the searchers that were ready and that a complete list
 // omits.
-func (r *Roster) recordOmitted(now time.Time, source string, u catalog.Update) {
+func (r *MemberFilter) recordOmitted(now time.Time, source string, u catalog.Update) {
 	listed := make(map[string]bool, len(u.Members))
 	for _, m := range u.Members {
 		listed[m.ID] = true
@@ -102,12 +102,12 @@
 	}
 }
 
-// Review returns the searchers that a list reported as ready again, if that list was not
+// Reinstated returns the searchers that a list reported as ready again, if that list was not
 // believed before and is now. It forgets the searchers that left so long ago that no list
 // about them can be outdated. lastReceived is when the discovery address in use last sent
 // anything: a silent address may have learned nothing since, so the time of its silence does
 // not make its lists more credible.
-func (r *Roster) Review(lastReceived time.Time) (reinstated []catalog.Member) {
+func (r *MemberFilter) Reinstated(lastReceived time.Time) (reinstated []catalog.Member) {
 	for id, l := range r.leaving {
 		if lastReceived.Sub(l.notified) < maxListAge {
 			continue
--- a/internal/format/config/config_test.go
+++ b/internal/format/config/config_test.go
@@ -48,7 +48,7 @@
 	if c.Settings.Limits != want {
 		t.Errorf("limits %+v", c.Settings.Limits)
 	}
-	if m := c.Settings.Module; m.Tick != want.Tick || m.Seed != 0x8c1f30d27a5be964 || m.Shards != 2 || m.Classes[0].Fetch != 3 || m.Classes[0].Need != 1 {
+	if m := c.Settings.Module; m.Tick != want.Tick || m.Seed != 0x8c1f30d27a5be964 || m.Shards != 2 || m.Classes[0].SecondStepParts != 3 || m.Classes[0].WholeShare != 1 {
 		t.Errorf("module %+v", m)
 	}
 }
--- a/internal/format/config/settings.go
+++ b/internal/format/config/settings.go
@@ -205,19 +205,19 @@
 
 func (e *settings) module() eiderwinch.Settings {
 	s := eiderwinch.Settings{
-		Brokers: e.Gatherers, Number: e.Number, Zone: e.Zone, Tick: time.Duration(e.Tick),
-		Shards: e.Domain.Shards, Cells: e.Domain.Cells, Reach: e.Domain.Reach,
-		Batch: e.Domain.Batch, CallCost: time.Duration(e.Domain.CallCost),
+		Gatherers: e.Gatherers, GathererNumber: e.Number, Zone: e.Zone, Tick: time.Duration(e.Tick),
+		Shards: e.Domain.Shards, Cells: e.Domain.Cells, ReplicasPerShard: e.Domain.Reach,
+		MaxBatch: e.Domain.Batch, CallCost: time.Duration(e.Domain.CallCost),
 		WarmKeys: e.Domain.WarmKeys, CrossZoneCosts: e.Prices.CrossZone > 0,
-		MarksRepeats: e.Callers.MarksRepeats, OverShare: e.OverShare, WorthByWork: e.ValueBy == valueByWork,
-		AskForList:  e.MembershipMode == "on_request",
-		MaxAttempts: e.Limits.MaxAttempts, MayCancel: e.Limits.MayCancel, SecondCopies: e.Limits.SecondCopies,
+		MarksRepeats: e.Callers.MarksRepeats, OverShareWorth: e.OverShare, WorthByWork: e.ValueBy == valueByWork,
+		SubscribeToList: e.MembershipMode == "on_request",
+		MaxAttempts:     e.Limits.MaxAttempts, MayCancel: e.Limits.MayCancel, SecondCopies: e.Limits.SecondCopies,
 		RetryAdvice: e.Limits.RetryAdvice, MaxRetryAdvice: time.Duration(e.Limits.MaxRetryAdvice),
-		AskWithin:   time.Duration(e.Rules.AskWithin),
-		BudgetRatio: e.Rules.RetryBudgetRatio, BudgetFree: e.Rules.RetryBudgetFree,
-		BudgetWindow: time.Duration(e.Rules.RetryBudgetWindow),
-		ColdShare:    e.Rules.ColdShare, ColdFor: time.Duration(e.Rules.ColdFor),
-		ColdMultiple: e.Rules.ColdMultiple, ColdOverloads: time.Duration(e.Rules.ColdOverload),
+		SubscribeWithin:  time.Duration(e.Rules.AskWithin),
+		RetryBudgetRatio: e.Rules.RetryBudgetRatio, RetryBudgetFree: e.Rules.RetryBudgetFree,
+		RetryBudgetWindow: time.Duration(e.Rules.RetryBudgetWindow),
+		ColdShare:         e.Rules.ColdShare, ColdDuration: time.Duration(e.Rules.ColdFor),
+		ColdMultiple: e.Rules.ColdMultiple, ColdOverloadWindow: time.Duration(e.Rules.ColdOverload),
 	}
 	for _, t := range e.Tenants {
 		s.Tenants = append(s.Tenants, eiderwinch.Tenant{Name: t.Name, Share: t.Share})
@@ -226,10 +226,10 @@
 		class := eiderwinch.Class{
 			Name: c.Name, Aim: time.Duration(c.Aim), Deadline: time.Duration(c.Deadline),
 			Worth: c.Worth, LateWorth: c.LateWorth, Effect: effects[c.Effect], RepeatWindow: time.Duration(c.RepeatWindow),
-			Need: shareOfClass(e.Domain.WholeAt, i), Floor: shareOfClass(e.Domain.Floor, i), Partial: shareOfClass(e.Domain.Partial, i),
+			WholeShare: shareOfClass(e.Domain.WholeAt, i), MinShare: shareOfClass(e.Domain.Floor, i), PartialWorth: shareOfClass(e.Domain.Partial, i),
 		}
 		if i < len(e.Domain.Fetch) {
-			class.Fetch = e.Domain.Fetch[i]
+			class.SecondStepParts = e.Domain.Fetch[i]
 		}
 		s.Classes = append(s.Classes, class)
 	}
--- a/internal/format/settings/settings.go
+++ b/internal/format/settings/settings.go
@@ -340,10 +340,10 @@
 		}
 	}
 	if fl := f.Fleet; fl != nil && len(fl.Slots) > 0 {
-		if have, want := len(fl.Slots), max(c.Module.Brokers, 1); have != want {
+		if have, want := len(fl.Slots), max(c.Module.Gatherers, 1); have != want {
 			faults.Add(fl.Line, "fleet", fmt.Sprintf("%d slots", have), fmt.Sprintf("balancers, %d", want))
-		} else if own := fl.Slots[c.Module.Number]; own != fl.Listen {
-			faults.Add(fl.Line, "fleet", fmt.Sprintf("slot %d, which is this gatherer's, at %.80q", c.Module.Number, own), fmt.Sprintf("listen, %q", fl.Listen))
+		} else if own := fl.Slots[c.Module.GathererNumber]; own != fl.Listen {
+			faults.Add(fl.Line, "fleet", fmt.Sprintf("slot %d, which is this gatherer's, at %.80q", c.Module.GathererNumber, own), fmt.Sprintf("listen, %q", fl.Listen))
 		}
 	}
 	p, l := f.Live.Pools, c.Limits
--- a/internal/format/settings/settings_test.go
+++ b/internal/format/settings/settings_test.go
@@ -154,7 +154,7 @@
 		{2, 0, `found slot 0, which is this gatherer's, at "127.0.0.1:7301", want listen, "127.0.0.1:7300"`},
 	} {
 		var s config.Settings
-		s.Module.Brokers, s.Module.Number = c.gatherers, c.number
+		s.Module.Gatherers, s.Module.GathererNumber = c.gatherers, c.number
 		if err := f.Fit("e.xml", s); (err == nil) != (c.want == "") || err != nil && !strings.Contains(err.Error(), c.want) {
 			t.Errorf("%d gatherers, number %d: %v, want %q", c.gatherers, c.number, err, c.want)
 		}
--- a/internal/format/wire/wire.go
+++ b/internal/format/wire/wire.go
@@ -264,7 +264,7 @@
 	}
 	for i, c := range settings.Classes {
 		s.classes[c.Name] = i
-		s.hasSecondStep = append(s.hasSecondStep, c.Fetch > 0)
+		s.hasSecondStep = append(s.hasSecondStep, c.SecondStepParts > 0)
 	}
 	r.instances[in.Instance] = s
 	in.Events = nil
--- a/internal/format/wire/wire_test.go
+++ b/internal/format/wire/wire_test.go
@@ -55,8 +55,8 @@
 		t.Errorf("have %+v\nwant %+v", b.Inputs[0].Events, want)
 	}
 	s := b.Inputs[0].Init
-	if s == nil || s.Seed != 9 || s.Zone != "z1" || s.Cells != 4 || s.Classes[0].Need != 0.67 ||
-		s.Classes[0].Partial != 1 || s.ColdFor != 7 || len(s.Tenants) != 2 || s.Tenants[1].Share != 0.6 || s.OverShare != 0.2 || s.Tick != 5*time.Millisecond {
+	if s == nil || s.Seed != 9 || s.Zone != "z1" || s.Cells != 4 || s.Classes[0].WholeShare != 0.67 ||
+		s.Classes[0].PartialWorth != 1 || s.ColdDuration != 7 || len(s.Tenants) != 2 || s.Tenants[1].Share != 0.6 || s.OverShareWorth != 0.2 || s.Tick != 5*time.Millisecond {
 		t.Errorf("settings %+v", s)
 	}
 }
@@ -97,7 +97,7 @@
 	}
 	s, err := ParseSettings([]byte(`{"membership_mode":"pushed","domain":{"places":1,"in_a_row":1,"shards":1,"class_fetch":[2]},` +
 		`"classes":[{"name":"a","aim":1,"deadline":1,"effect":"safe"},{"name":"b","aim":1,"deadline":1,"effect":"safe"}]}`))
-	if err != nil || len(s.Tenants) != 0 || s.Classes[0].Fetch != 2 || s.Classes[1].Fetch != 0 {
+	if err != nil || len(s.Tenants) != 0 || s.Classes[0].SecondStepParts != 2 || s.Classes[1].SecondStepParts != 0 {
 		t.Errorf("settings %+v, %v", s, err)
 	}
 }
--- a/internal/gatherer/admission.go
+++ b/internal/gatherer/admission.go
@@ -7,16 +7,16 @@
 // retry advice for the client, which is 0 if clients get no advice. A query that is
 // not admitted must not reach the aggregator: this bounds the open queries, and so
 // the memory in use.
-func (c *Core) admit(ask Ask, class int) (retryAfter time.Duration, ok bool) {
-	classLimit := c.liveSettings.class(class).Open
+func (c *Core) admit(request QueryRequest, class int) (retryAfter time.Duration, ok bool) {
+	classLimit := c.liveSettings.class(class).MaxOpen
 	switch {
 	case classLimit > 0 && c.openByClass[class] >= classLimit:
-		c.stats.ClassFull++
-	case c.liveSettings.MaxOpen == 0 || c.openCount+1+len(ask.Parts) <= c.liveSettings.MaxOpen:
+		c.stats.RefusedAtClassLimit++
+	case c.liveSettings.MaxOpen == 0 || c.openCount+1+len(request.Parts) <= c.liveSettings.MaxOpen:
 		return 0, true
 	}
 	c.stats.Refused++
-	c.stats.Full++
+	c.stats.RefusedAtLimit++
 	return c.retryAdvice(), false
 }
 
--- a/internal/gatherer/attempts.go
+++ b/internal/gatherer/attempts.go
@@ -11,15 +11,15 @@
 
 // Attempt is one attempt of a part at a searcher.
 type Attempt struct {
-	Searcher string
-	Trace    string
-	Shard    int
-	Text     string
-	Key      string
-	Second   bool  // the part belongs to a second step
-	From     []int // Second: the shards whose parts were answered in the first step
-	Whole    bool  // Second: the first step was whole
-	Deadline time.Time
+	Searcher        string
+	Trace           string
+	Shard           int
+	Text            string
+	Key             string
+	IsSecondStep    bool  // the part belongs to a second step
+	FirstStepShards []int // IsSecondStep: the shards whose parts were answered in the first step
+	FirstStepWhole  bool  // IsSecondStep: the first step was whole
+	Deadline        time.Time
 
 	// Load is the load that the searcher reported with its answer; nil if it reported
 	// none. It is set before Core.Result is called.
@@ -32,8 +32,8 @@
 	deadlineTimer due.Timer[*Attempt] // expires at Deadline
 }
 
-// Decided returns the time of the turn in which the aggregator decided on the attempt.
-func (a *Attempt) Decided() time.Time { return a.decidedAt }
+// DecidedAt returns the time of the turn in which the aggregator decided on the attempt.
+func (a *Attempt) DecidedAt() time.Time { return a.decidedAt }
 
 // MayRetry reports whether the attempt's part may be sent again: it is not answered, and its
 // query is still open.
@@ -43,7 +43,7 @@
 // shard, and ".b" in a second step. All attempts of a part have the same ID.
 func (a *Attempt) PartID() string {
 	id := a.Trace + "." + strconv.Itoa(a.Shard)
-	if a.Second {
+	if a.IsSecondStep {
 		id += ".b"
 	}
 	return id
@@ -71,7 +71,7 @@
 	if forbidden || c.clientDisconnected(p.query) {
 		if forbidden {
 			c.log.Warn("send rejected", "trace", p.query.trace, "shard", p.shard, "searcher", send.Replica)
-			c.stats.NotSent++
+			c.stats.RejectedSends++
 		}
 		c.addEvent(c.now, eiderwinch.Outcome{
 			Part: p.id, Attempt: p.attempts, Replica: send.Replica, Status: eiderwinch.NotSent,
@@ -85,24 +85,24 @@
 	}
 	a := &Attempt{
 		Searcher: send.Replica, Trace: p.query.trace, Shard: p.shard, Text: p.query.text, Key: p.query.key,
-		Second: p.secondStep, Deadline: c.now.Add(timeout), part: p, number: p.attempts, decidedAt: c.now,
+		IsSecondStep: p.secondStep, Deadline: c.now.Add(timeout), part: p, number: p.attempts, decidedAt: c.now,
 	}
 	if p.secondStep {
-		a.From, a.Whole = p.query.firstStepShards, p.query.firstStepWhole
+		a.FirstStepShards, a.FirstStepWhole = p.query.firstStepShards, p.query.firstStepWhole
 	}
 	p.query.sent = true
 	if p.firstDecidedAt.IsZero() {
 		p.firstDecidedAt = c.now
 	}
 	if p.attempts > 0 {
-		c.stats.Further++
+		c.stats.Retries++
 	}
-	if started := c.members[send.Replica].startedAt; !started.IsZero() && c.now.Sub(started) < c.settings.Module.ColdFor {
-		c.stats.Cold++
+	if started := c.members[send.Replica].startedAt; !started.IsZero() && c.now.Sub(started) < c.settings.Module.ColdDuration {
+		c.stats.SentToCold++
 	}
 	p.attempts++
 	if len(p.inFlight) > 0 {
-		c.stats.Copies++
+		c.stats.SecondCopies++
 	}
 	p.inFlight = append(p.inFlight, a)
 	a.deadlineTimer.Value = a
@@ -149,9 +149,9 @@
 func (c *Core) clientDisconnected(q *query) bool {
 	if !q.disconnected && !q.clientCheckedAt.Equal(c.now) {
 		q.clientCheckedAt = c.now
-		if q.disconnected = q.client.Left(); q.disconnected {
+		if q.disconnected = q.client.Disconnected(); q.disconnected {
 			c.disconnected = append(c.disconnected, q)
-			c.stats.LeftUnread++
+			c.stats.DisconnectedUnread++
 		}
 	}
 	return q.disconnected
@@ -166,7 +166,7 @@
 // unwanted reports whether the result of an attempt in flight is no longer needed: its query or
 // step has ended and the aggregator has not cancelled the attempt yet or may not, or the client
 // has disconnected.
-func (a *Attempt) unwanted() bool { return a.part.removed || a.part.query.client.Left() }
+func (a *Attempt) unwanted() bool { return a.part.removed || a.part.query.client.Disconnected() }
 
 // repeatWindowOver reports whether an attempt of a keyed part, of which another attempt may have
 // been executed, would arrive too late for its searcher to recognize it as a repeat. The aggregator
--- a/internal/gatherer/completion.go
+++ b/internal/gatherer/completion.go
@@ -23,9 +23,9 @@
 	}
 }
 
-// Unsent ends an attempt that was never written, so it certainly was not executed. The outcome
+// NotSent ends an attempt that was never written, so it certainly was not executed. The outcome
 // is NoConnection, which counts against the searcher, only if the result was still wanted.
-func (c *Core) Unsent(now time.Time, a *Attempt) {
+func (c *Core) NotSent(now time.Time, a *Attempt) {
 	status := eiderwinch.NoConnection
 	if !a.ended && a.unwanted() {
 		status = eiderwinch.NotSent
@@ -33,8 +33,8 @@
 	c.endAttempt(now, a, status)
 }
 
-// Broken ends an attempt whose connection broke after the attempt may have arrived.
-func (c *Core) Broken(now time.Time, a *Attempt) { c.endAttempt(now, a, eiderwinch.Reset) }
+// ConnectionBroken ends an attempt whose connection broke after the attempt may have arrived.
+func (c *Core) ConnectionBroken(now time.Time, a *Attempt) { c.endAttempt(now, a, eiderwinch.Reset) }
 
 // answer sends a client its answer or, if the class has a second step, starts that
 // step after the first. The answer contains only values that were received, and it is
@@ -46,22 +46,22 @@
 	}
 	class := c.settings.Module.Classes[q.class]
 	answered, weight, ok := c.answerable(q)
-	whole := action.Whole && weight >= class.Need-weightTolerance
+	whole := action.Whole && weight >= class.WholeShare-weightTolerance
 	if q.secondStep {
 		whole = action.Whole && q.firstStepWhole && len(answered) == len(q.parts)
 	}
 	if !ok {
 		c.log.Error("answer from too few parts", "trace", q.trace, "weight", weight)
-		c.complete(q, Reply{Verdict: Failed})
+		c.complete(q, Reply{Kind: Failed})
 		return
 	}
-	if class.Fetch > 0 && !q.secondStep {
-		c.startSecondStep(q, answered, min(class.Fetch, len(answered)), whole)
+	if class.SecondStepParts > 0 && !q.secondStep {
+		c.startSecondStep(q, answered, min(class.SecondStepParts, len(answered)), whole)
 		return
 	}
-	reply := Reply{Verdict: Answered, Whole: whole}
+	reply := Reply{Kind: Answered, Whole: whole}
 	for _, p := range answered {
-		reply.Pieces = append(reply.Pieces, Piece{Shard: p.shard, Value: p.value})
+		reply.Values = append(reply.Values, ShardValue{Shard: p.shard, Value: p.value})
 	}
 	c.complete(q, reply)
 }
@@ -70,8 +70,8 @@
 // enough for an answer.
 func (c *Core) answerable(q *query) (answered []*part, weight float64, ok bool) {
 	class := c.settings.Module.Classes[q.class]
-	minWeight := class.Floor
-	if q.secondStep && class.Floor >= class.Need {
+	minWeight := class.MinShare
+	if q.secondStep && class.MinShare >= class.WholeShare {
 		minWeight = 1
 	}
 	answered, weight = q.answeredParts()
@@ -101,14 +101,14 @@
 // refuse carries out a Refuse action.
 func (c *Core) refuse(action eiderwinch.Refuse) {
 	if q := c.queries[action.Query]; q != nil {
-		c.complete(q, Reply{Verdict: Refused, RetryAfter: action.RetryAfter})
+		c.complete(q, Reply{Kind: Refused, RetryAfter: action.RetryAfter})
 	}
 }
 
 // fail carries out a Fail action.
 func (c *Core) fail(action eiderwinch.Fail) {
 	if q := c.queries[action.Query]; q != nil {
-		c.complete(q, Reply{Verdict: Failed})
+		c.complete(q, Reply{Kind: Failed})
 	}
 }
 
@@ -123,9 +123,9 @@
 			continue
 		}
 		c.log.Error("query not ended by its deadline", "trace", q.trace)
-		c.stats.Overdue++
+		c.stats.DeadlineExceeded++
 		c.addEvent(c.now, eiderwinch.Gone{Query: q.id})
-		c.complete(q, Reply{Verdict: Failed, Overdue: true})
+		c.complete(q, Reply{Kind: Failed, Overdue: true})
 	}
 }
 
@@ -147,21 +147,21 @@
 	c.addEvent(c.now, eiderwinch.Gone{Query: q.id})
 	class := c.settings.Module.Classes[q.class]
 	switch _, _, ok := c.answerable(q); {
-	case ok && (q.secondStep || class.Fetch == 0): // else the second step is still missing
+	case ok && (q.secondStep || class.SecondStepParts == 0): // else the second step is still missing
 		c.answer(eiderwinch.Answer{Query: q.id})
 	case !q.sent || class.Effect == eiderwinch.Safe:
-		c.complete(q, Reply{Verdict: Refused, RetryAfter: c.retryAdvice()})
+		c.complete(q, Reply{Kind: Refused, RetryAfter: c.retryAdvice()})
 	default:
-		c.complete(q, Reply{Verdict: Failed})
+		c.complete(q, Reply{Kind: Failed})
 	}
 }
 
 // complete sends a query's final answer and removes the query.
 func (c *Core) complete(q *query, reply Reply) {
 	switch {
-	case reply.Verdict == Refused:
+	case reply.Kind == Refused:
 		c.stats.Refused++
-	case reply.Verdict == Failed:
+	case reply.Kind == Failed:
 		c.stats.Failed++
 	case reply.Whole:
 		c.stats.Whole++
@@ -169,9 +169,9 @@
 		c.stats.Partial++
 	}
 	took := c.now.Sub(q.takenAt)
-	if reply.Verdict != Answered && !q.sent {
-		c.stats.Unsent++
-	} else if reply.Verdict == Answered && took > c.settings.Module.Classes[q.class].Aim {
+	if reply.Kind != Answered && !q.sent {
+		c.stats.EndedUnsent++
+	} else if reply.Kind == Answered && took > c.settings.Module.Classes[q.class].Aim {
 		c.stats.Late++
 	}
 	c.recordOutcome(c.now, q.class, reply, took)
@@ -181,8 +181,8 @@
 	q.client.Reply(reply)
 }
 
-// verdictNames are the names of verdicts in the log.
-var verdictNames = map[Verdict]string{Answered: "answered", Refused: "refused", Failed: "failed"}
+// replyKindNames are the names of reply kinds in the log.
+var replyKindNames = map[ReplyKind]string{Answered: "answered", Refused: "refused", Failed: "failed"}
 
 // logCompletion logs how a query ended and the state of its parts at that time.
 func (c *Core) logCompletion(q *query, reply Reply, took time.Duration) {
@@ -197,7 +197,7 @@
 		inFlight += len(p.inFlight)
 		attempts += p.attempts
 	}
-	c.log.Debug("query ended", "trace", q.trace, "verdict", verdictNames[reply.Verdict], "whole", reply.Whole, "overdue", reply.Overdue, "took", took,
+	c.log.Debug("query ended", "trace", q.trace, "verdict", replyKindNames[reply.Kind], "whole", reply.Whole, "overdue", reply.Overdue, "took", took,
 		"left", q.deadline.Sub(c.now), "sent", q.sent, "parts", len(q.parts), "parts_in", answered, "attempts_out", inFlight, "attempts", attempts)
 }
 
@@ -208,9 +208,9 @@
 	}
 	outcome := service.Partial
 	switch {
-	case reply.Verdict == Refused:
+	case reply.Kind == Refused:
 		outcome = service.Refused
-	case reply.Verdict == Failed:
+	case reply.Kind == Failed:
 		outcome = service.Failed
 	case reply.Whole:
 		outcome = service.Whole
--- a/internal/gatherer/core.go
+++ b/internal/gatherer/core.go
@@ -34,7 +34,7 @@
 }
 
 // Searchers sends calls to searchers. For each attempt passed to Call it calls
-// one of Core.Result, Core.Unsent and Core.Broken, unless Abandon is called
+// one of Core.Result, Core.NotSent and Core.ConnectionBroken, unless Abandon is called
 // first. It may do so before Call returns.
 type Searchers interface {
 	// Call sends attempts to their common searcher as one call.
@@ -49,34 +49,34 @@
 type Client interface {
 	// Reply delivers the final answer. It is called at most once, and not after Core.Gone.
 	Reply(Reply)
-	// Left reports whether the client has disconnected. It can be true before Core.Gone is
+	// Disconnected reports whether the client has disconnected. It can be true before Core.Gone is
 	// called, because the end of the connection may have arrived and not been read yet.
-	Left() bool
+	Disconnected() bool
 }
 
-// Verdict is the kind of a final answer.
-type Verdict int
+// ReplyKind is the kind of a final answer.
+type ReplyKind int
 
 // The kinds of final answers.
 const (
-	Answered Verdict = iota
-	Refused          // not executed; the client may safely ask again
-	Failed           // promises nothing; the query may have been executed
+	Answered ReplyKind = iota
+	Refused            // not executed; the client may safely ask again
+	Failed             // promises nothing; the query may have been executed
 )
 
 // Reply is a final answer.
 type Reply struct {
-	Verdict    Verdict
+	Kind       ReplyKind
 	Whole      bool          // Answered: the answer is whole
-	Pieces     []Piece       // Answered: the values that the searchers returned
+	Values     []ShardValue  // Answered: the values that the searchers returned
 	RetryAfter time.Duration // Refused: how long to wait before asking again; 0 means no advice
 	Overdue    bool          // Failed: the deadline had passed
 	Generation uint64        // of the settings in force when the query was taken; 0 if settings can't change
 	Epoch      layout.Epoch  // of the layout that the query was bound to; 0 if there is no layout
 }
 
-// Piece is the value that a searcher returned for one shard.
-type Piece struct {
+// ShardValue is the value that a searcher returned for one shard.
+type ShardValue struct {
 	Shard int
 	Value string
 }
@@ -85,15 +85,15 @@
 type Settings struct {
 	Module  eiderwinch.Settings
 	Tick    time.Duration
-	MaxOpen int // limit on open queries plus their parts, used if Live is nil; 0 means no limit
+	MaxOpen int // limit on open queries plus their parts, used if LiveSettings is nil; 0 means no limit
 
 	// Layout is the initial layout. If it is nil, the shards are those of
 	// Module.Shards, and the cells of the searchers determine which shards they hold.
 	Layout *layout.Layout
 
-	// Live holds the initial values of the settings that can change at run time.
+	// LiveSettings holds the initial values of the settings that can change at run time.
 	// Nil means that MaxOpen is the only one.
-	Live *Live
+	LiveSettings *LiveSettings
 
 	// Service records the outcomes of queries by class number. Nil means that
 	// they are not recorded.
@@ -127,7 +127,7 @@
 	members        map[string]member
 	startTimes     startTimes
 	unconfirmed    []eiderwinch.Replica // ready entries of a stale member list with the start times listed there, see ConfirmMembers
-	liveSettings   *Live
+	liveSettings   *LiveSettings
 	openByClass    []int // number of open queries by class
 	layout         *layout.Layout
 	openByEpoch    map[layout.Epoch]int // number of open queries by the epoch they are bound to
@@ -135,25 +135,25 @@
 
 // New returns a Core whose grid of ticks starts at start.
 func New(settings Settings, decider Decider, searchers Searchers, counters *stats.Counters, log *slog.Logger, start time.Time) *Core {
-	if settings.Live == nil {
-		settings.Live = &Live{MaxOpen: settings.MaxOpen}
+	if settings.LiveSettings == nil {
+		settings.LiveSettings = &LiveSettings{MaxOpen: settings.MaxOpen}
 	}
 	return &Core{
-		liveSettings: settings.Live, openByClass: make([]int, len(settings.Module.Classes)),
+		liveSettings: settings.LiveSettings, openByClass: make([]int, len(settings.Module.Classes)),
 		settings: settings, decider: decider, searchers: searchers, stats: counters, log: log,
 		start: start, nextTurn: start,
 		queries:        make(map[uint64]*query),
 		queriesByTrace: make(map[string]*query),
 		parts:          make(map[uint64]*part),
 		members:        make(map[string]member),
-		startTimes:     newStartTimes(start, settings.Module.ColdFor),
+		startTimes:     newStartTimes(start, settings.Module.ColdDuration),
 		layout:         settings.Layout,
 		openByEpoch:    make(map[layout.Epoch]int),
 	}
 }
 
-// Open returns the number of queries without a final answer.
-func (c *Core) Open() int { return len(c.queries) }
+// OpenQueries returns the number of queries without a final answer.
+func (c *Core) OpenQueries() int { return len(c.queries) }
 
 // addEvent adds an event to those that the aggregator receives in its next turn.
 func (c *Core) addEvent(now time.Time, e eiderwinch.Event) {
@@ -163,9 +163,9 @@
 	c.pendingEvents = append(c.pendingEvents, e)
 }
 
-// Due returns the time at which Run must be called next, on the grid of ticks;
+// NextRun returns the time at which Run must be called next, on the grid of ticks;
 // zero if nothing is due.
-func (c *Core) Due() time.Time {
+func (c *Core) NextRun() time.Time {
 	next := c.wakeAt
 	consider := func(t time.Time) {
 		if next.IsZero() || t.Before(next) {
--- a/internal/gatherer/core_test.go
+++ b/internal/gatherer/core_test.go
@@ -44,21 +44,21 @@
 func (h *harness) Abandon(a *Attempt)                    { h.abandoned = append(h.abandoned, a) }
 func (h *harness) CloseIdle(searcher string)             { h.closed = append(h.closed, searcher) }
 func (h *harness) Reply(x Reply)                         { h.replies = append(h.replies, x) }
-func (h *harness) Left() bool                            { return h.clientLeft }
+func (h *harness) Disconnected() bool                    { return h.clientLeft }
 
 func newHarness(t *testing.T) *harness {
 	set := Settings{Tick: 5 * ms, MaxOpen: 20, Module: eiderwinch.Settings{
-		Shards: 12, Batch: 2, MaxAttempts: 2, RetryAdvice: true, MaxRetryAdvice: time.Second,
+		Shards: 12, MaxBatch: 2, MaxAttempts: 2, RetryAdvice: true, MaxRetryAdvice: time.Second,
 		Classes: []eiderwinch.Class{
-			{Name: "search", Deadline: time.Second, Need: 1, Floor: 1},
-			{Name: "reserve", Deadline: time.Second, Need: 1, Floor: 1, Effect: eiderwinch.Keyed},
-			{Name: "report", Deadline: time.Second, Need: 1, Floor: 1, Fetch: 2},
-			{Name: "half", Deadline: time.Second, Need: 1, Floor: 0.5},
+			{Name: "search", Deadline: time.Second, WholeShare: 1, MinShare: 1},
+			{Name: "reserve", Deadline: time.Second, WholeShare: 1, MinShare: 1, Effect: eiderwinch.Keyed},
+			{Name: "report", Deadline: time.Second, WholeShare: 1, MinShare: 1, SecondStepParts: 2},
+			{Name: "half", Deadline: time.Second, WholeShare: 1, MinShare: 0.5},
 		},
 	}}
 	h := &harness{t: t, at: time.Unix(1_000_000, 0)}
 	h.Core = New(set, h, h, stats.New(), slog.New(slog.DiscardHandler), h.at)
-	h.List(h.at, eiderwinch.Whole, []Member{{ID: "a", State: eiderwinch.Ready}, {ID: "b", State: eiderwinch.Ready}})
+	h.UpdateMembers(h.at, eiderwinch.Whole, []Member{{ID: "a", State: eiderwinch.Ready}, {ID: "b", State: eiderwinch.Ready}})
 	h.advance(0)
 	return h
 }
@@ -72,7 +72,7 @@
 		return out
 	}
 	end := h.at.Add(d)
-	for due := h.Due(); !due.IsZero() && !due.After(end); due = h.Due() {
+	for due := h.NextRun(); !due.IsZero() && !due.After(end); due = h.NextRun() {
 		h.at = due
 		h.Run(due)
 	}
@@ -82,11 +82,11 @@
 // submit passes a query to Take.
 func (h *harness) submit(class, trace string, shards ...int) uint64 {
 	h.t.Helper()
-	ask := Ask{Trace: trace, Class: class, Key: "k", Expires: 300 * ms, Text: "text"}
+	request := QueryRequest{Trace: trace, Class: class, Key: "k", Timeout: 300 * ms, Text: "text"}
 	for _, s := range shards {
-		ask.Parts = append(ask.Parts, AskPart{s, 1 / float64(len(shards))})
+		request.Parts = append(request.Parts, PartRequest{s, 1 / float64(len(shards))})
 	}
-	id, err := h.Take(h.at, ask, h)
+	id, err := h.Take(h.at, request, h)
 	if err != nil {
 		h.t.Fatal(err)
 	}
@@ -145,26 +145,26 @@
 func TestTakeValidatesQueries(t *testing.T) {
 	h := newHarness(t)
 	h.submit("search", "open", 0)
-	good := Ask{Trace: "t", Class: "reserve", Key: "k", Parts: []AskPart{{0, 1}}}
+	good := QueryRequest{Trace: "t", Class: "reserve", Key: "k", Parts: []PartRequest{{0, 1}}}
 	for name, c := range map[string]struct {
-		modify func(*Ask)
+		modify func(*QueryRequest)
 		want   error
 	}{
-		"class":     {func(a *Ask) { a.Class = "odd" }, ErrUnknownClass},
-		"duplicate": {func(a *Ask) { a.Trace = "open" }, ErrDuplicate},
-		"trace":     {func(a *Ask) { a.Trace = "" }, ErrInvalid},
-		"key":       {func(a *Ask) { a.Key = "" }, ErrInvalid},
-		"time":      {func(a *Ask) { a.Expires = -1 }, ErrInvalid},
-		"no parts":  {func(a *Ask) { a.Parts = nil }, ErrInvalid},
-		"shard":     {func(a *Ask) { a.Parts = []AskPart{{12, 1}} }, ErrInvalid},
-		"negative":  {func(a *Ask) { a.Parts = []AskPart{{-1, 1}} }, ErrInvalid},
-		"twice":     {func(a *Ask) { a.Parts = []AskPart{{1, 1}, {1, 1}} }, ErrInvalid},
-		"no weight": {func(a *Ask) { a.Parts = []AskPart{{1, 0}} }, ErrInvalid},
-		"weight":    {func(a *Ask) { a.Parts = []AskPart{{1, math.NaN()}} }, ErrInvalid},
-		"below 0":   {func(a *Ask) { a.Parts = []AskPart{{1, 1}, {2, -0.5}, {3, 0.5}} }, ErrInvalid},
-		"above 1":   {func(a *Ask) { a.Parts = []AskPart{{1, 1.5}} }, ErrInvalid},
-		"too light": {func(a *Ask) { a.Parts = []AskPart{{1, 0.4}, {2, 0.5}} }, ErrInvalid},
-		"too heavy": {func(a *Ask) { a.Parts = []AskPart{{1, 0.5}, {2, 0.51}} }, ErrInvalid},
+		"class":     {func(a *QueryRequest) { a.Class = "odd" }, ErrUnknownClass},
+		"duplicate": {func(a *QueryRequest) { a.Trace = "open" }, ErrDuplicate},
+		"trace":     {func(a *QueryRequest) { a.Trace = "" }, ErrInvalid},
+		"key":       {func(a *QueryRequest) { a.Key = "" }, ErrInvalid},
+		"time":      {func(a *QueryRequest) { a.Timeout = -1 }, ErrInvalid},
+		"no parts":  {func(a *QueryRequest) { a.Parts = nil }, ErrInvalid},
+		"shard":     {func(a *QueryRequest) { a.Parts = []PartRequest{{12, 1}} }, ErrInvalid},
+		"negative":  {func(a *QueryRequest) { a.Parts = []PartRequest{{-1, 1}} }, ErrInvalid},
+		"twice":     {func(a *QueryRequest) { a.Parts = []PartRequest{{1, 1}, {1, 1}} }, ErrInvalid},
+		"no weight": {func(a *QueryRequest) { a.Parts = []PartRequest{{1, 0}} }, ErrInvalid},
+		"weight":    {func(a *QueryRequest) { a.Parts = []PartRequest{{1, math.NaN()}} }, ErrInvalid},
+		"below 0":   {func(a *QueryRequest) { a.Parts = []PartRequest{{1, 1}, {2, -0.5}, {3, 0.5}} }, ErrInvalid},
+		"above 1":   {func(a *QueryRequest) { a.Parts = []PartRequest{{1, 1.5}} }, ErrInvalid},
+		"too light": {func(a *QueryRequest) { a.Parts = []PartRequest{{1, 0.4}, {2, 0.5}} }, ErrInvalid},
+		"too heavy": {func(a *QueryRequest) { a.Parts = []PartRequest{{1, 0.5}, {2, 0.51}} }, ErrInvalid},
 	} {
 		a := good
 		c.modify(&a)
@@ -184,7 +184,7 @@
 	}
 	h.checkEqual("refused below the limit", len(h.replies), 0)
 	h.checkEqual("id", h.submit("search", "t6", 0), uint64(0))
-	h.checkEqual("replies", h.replies, []Reply{{Verdict: Refused, RetryAfter: 500 * ms}})
+	h.checkEqual("replies", h.replies, []Reply{{Kind: Refused, RetryAfter: 500 * ms}})
 	h.advance(5*ms, eiderwinch.Refuse{Query: 1}) // ends the query, so there is room again
 	if h.submit("search", "t7", 0, 1, 2) == 0 {
 		t.Error("refused below the limit")
@@ -214,8 +214,8 @@
 		"ok":       {func(h *harness, a *Attempt) { h.Result(h.at, a, eiderwinch.OK, 1, "v") }, eiderwinch.OK},
 		"error":    {func(h *harness, a *Attempt) { h.Result(h.at, a, eiderwinch.Failed, 0, "") }, eiderwinch.Failed},
 		"full":     {func(h *harness, a *Attempt) { h.Result(h.at, a, eiderwinch.Full, 0, "") }, eiderwinch.Full},
-		"unsent":   {func(h *harness, a *Attempt) { h.Unsent(h.at, a) }, eiderwinch.NoConnection},
-		"broken":   {func(h *harness, a *Attempt) { h.Broken(h.at, a) }, eiderwinch.Reset},
+		"unsent":   {func(h *harness, a *Attempt) { h.NotSent(h.at, a) }, eiderwinch.NoConnection},
+		"broken":   {func(h *harness, a *Attempt) { h.ConnectionBroken(h.at, a) }, eiderwinch.Reset},
 		"cancel":   {func(h *harness, a *Attempt) { h.advance(5*ms, eiderwinch.Cancel{Part: 2}) }, eiderwinch.Cancelled},
 		"time-out": {func(h *harness, a *Attempt) { h.advance(60 * ms) }, eiderwinch.TimedOut},
 	} {
@@ -226,7 +226,7 @@
 		h.submit("search", "u", 0) // causes a turn in which to cancel
 		c.end(h, a)
 		h.Result(h.at, a, eiderwinch.OK, 1, "late") // later results are dropped
-		h.Broken(h.at, a)
+		h.ConnectionBroken(h.at, a)
 		h.advance(100 * ms)
 		h.checkEqual(name, h.outcomes(), []eiderwinch.Status{c.want})
 		abandoned := c.want == eiderwinch.TimedOut || c.want == eiderwinch.Cancelled
@@ -241,7 +241,7 @@
 	h.checkEqual("calls", len(h.calls), 1)
 	h.advance(5 * ms)
 	h.checkEqual("outcomes", h.outcomes(), []eiderwinch.Status{eiderwinch.NotSent})
-	h.Broken(h.at, h.calls[0][0])
+	h.ConnectionBroken(h.at, h.calls[0][0])
 	h.advance(5*ms, send(2, "b")) // the third attempt, where two are allowed
 	h.checkEqual("calls", len(h.calls), 1)
 }
@@ -259,11 +259,11 @@
 		h.checkEqual("calls", len(h.calls), 2)
 		h.advance(5*ms, send(2, "b")) // two are in flight
 		h.checkEqual("calls", len(h.calls), 2)
-		h.checkEqual("copies", h.stats.Copies, 1)
+		h.checkEqual("copies", h.stats.SecondCopies, 1)
 		winner, loser := h.calls[first][0], h.calls[1-first][0]
 		h.Result(h.at, winner, eiderwinch.OK, 1, "won")
 		h.advance(5*ms, eiderwinch.Answer{Query: 1, Whole: true}, eiderwinch.Cancel{Part: 2, Attempt: loser.number})
-		h.checkEqual("replies", h.replies, []Reply{{Verdict: Answered, Whole: true, Pieces: []Piece{{0, "won"}}}})
+		h.checkEqual("replies", h.replies, []Reply{{Kind: Answered, Whole: true, Values: []ShardValue{{0, "won"}}}})
 		h.Result(h.at, loser, eiderwinch.OK, 1, "lost")
 		h.advance(300 * ms)
 		h.checkEqual("outcomes", h.outcomes(), []eiderwinch.Status{
@@ -294,7 +294,7 @@
 	h.advance(5*ms, eiderwinch.Cancel{Part: 2}, send(2, "b"))
 	h.Result(h.at, old, eiderwinch.OK, 1, "old")
 	h.advance(5*ms, eiderwinch.Answer{Query: 1, Whole: true})
-	h.checkEqual("answer from a cancelled attempt", h.replies, []Reply{{Verdict: Failed}})
+	h.checkEqual("answer from a cancelled attempt", h.replies, []Reply{{Kind: Failed}})
 }
 
 // The drain grace may have begun before the update of the member list arrives. So nothing may be sent after the
@@ -306,15 +306,15 @@
 	h.advance(5*ms, send(2, "a"), send(3, "b"))
 	a, b := h.calls[0][0], h.calls[1][0] // both wait for a connection
 	h.checkEqual("before the update", []bool{h.MaySend(h.at, a), h.MaySend(h.at, b)}, []bool{true, true})
-	h.List(h.at, eiderwinch.Changes, []Member{{ID: "a", State: eiderwinch.Draining}})
+	h.UpdateMembers(h.at, eiderwinch.Changes, []Member{{ID: "a", State: eiderwinch.Draining}})
 	h.checkEqual("a is draining", []bool{h.MaySend(h.at, a), h.MaySend(h.at, b)}, []bool{false, true})
-	h.List(h.at, eiderwinch.Whole, []Member{{ID: "a", State: eiderwinch.Draining}}) // b is removed
+	h.UpdateMembers(h.at, eiderwinch.Whole, []Member{{ID: "a", State: eiderwinch.Draining}}) // b is removed
 	h.checkEqual("b is removed", []bool{h.MaySend(h.at, a), h.MaySend(h.at, b)}, []bool{false, false})
 	h.submit("search", "v", 7)
 	h.calls = nil
 	h.advance(5*ms, send(6, "a"), send(6, "nobody"))
 	h.checkEqual("calls to draining or unknown searchers", len(h.calls), 0)
-	h.List(h.at, eiderwinch.Changes, []Member{{ID: "a", State: eiderwinch.Ready}})
+	h.UpdateMembers(h.at, eiderwinch.Changes, []Member{{ID: "a", State: eiderwinch.Ready}})
 	h.checkEqual("ready again", h.notReady("a"), false)
 }
 
@@ -323,7 +323,7 @@
 	h := newHarness(t)
 	for i := range 100 {
 		h.at = h.at.Add(time.Second)
-		h.List(h.at, eiderwinch.Changes, []Member{
+		h.UpdateMembers(h.at, eiderwinch.Changes, []Member{
 			{ID: fmt.Sprint("s", i), State: eiderwinch.Ready}, {ID: fmt.Sprint("s", i-1), State: eiderwinch.Removed},
 		})
 	}
@@ -338,7 +338,7 @@
 	h.advance(309 * ms)
 	h.checkEqual("replies before two ticks after the deadline", len(h.replies), 0)
 	h.advance(1 * ms)
-	h.checkEqual("then", h.replies, []Reply{{Verdict: Failed, Overdue: true}})
+	h.checkEqual("then", h.replies, []Reply{{Kind: Failed, Overdue: true}})
 	h.advance(time.Second, eiderwinch.Answer{Query: 1})
 	h.checkEqual("replies in total", len(h.replies), 1)
 	h.checkEqual("records left", []int{h.openCount, len(h.parts), len(h.queries), len(h.queriesByTrace)}, []int{0, 0, 0, 0})
@@ -359,8 +359,8 @@
 func TestRoundedWeightsAreNormalized(t *testing.T) {
 	h := newHarness(t)
 	h.turns = nil
-	ask := Ask{Trace: "t", Class: "search", Parts: []AskPart{{0, 0.333}, {1, 0.333}, {2, 0.333}}}
-	if _, err := h.Take(h.at, ask, h); err != nil {
+	request := QueryRequest{Trace: "t", Class: "search", Parts: []PartRequest{{0, 0.333}, {1, 0.333}, {2, 0.333}}}
+	if _, err := h.Take(h.at, request, h); err != nil {
 		t.Fatal(err)
 	}
 	h.advance(5 * ms)
@@ -380,11 +380,11 @@
 		whole bool
 		want  Reply
 	}{
-		"whole":              {"search", 2, true, Reply{Whole: true, Pieces: []Piece{{0, "v0"}, {1, "v1"}}}},
-		"one missing":        {"search", 1, true, Reply{Verdict: Failed}},
-		"none in":            {"half", 0, false, Reply{Verdict: Failed}},
-		"half":               {"half", 1, false, Reply{Pieces: []Piece{{0, "v0"}}}},
-		"half, called whole": {"half", 1, true, Reply{Pieces: []Piece{{0, "v0"}}}},
+		"whole":              {"search", 2, true, Reply{Whole: true, Values: []ShardValue{{0, "v0"}, {1, "v1"}}}},
+		"one missing":        {"search", 1, true, Reply{Kind: Failed}},
+		"none in":            {"half", 0, false, Reply{Kind: Failed}},
+		"half":               {"half", 1, false, Reply{Values: []ShardValue{{0, "v0"}}}},
+		"half, called whole": {"half", 1, true, Reply{Values: []ShardValue{{0, "v0"}}}},
 	} {
 		h := newHarness(t)
 		h.submit(c.class, "t", 0, 1)
@@ -414,18 +414,18 @@
 		{ID: 5, Shard: 7, Weight: 0.5}, {ID: 6, Shard: 3, Weight: 0.5},
 	}})
 	seconds := slices.Concat(h.calls[2:]...)
-	h.checkEqual("details of the first step", []any{seconds[0].Second, seconds[0].From, seconds[0].Whole}, []any{true, []int{3, 5, 7}, true})
+	h.checkEqual("details of the first step", []any{seconds[0].IsSecondStep, seconds[0].FirstStepShards, seconds[0].FirstStepWhole}, []any{true, []int{3, 5, 7}, true})
 	h.Result(h.at, seconds[0], eiderwinch.OK, 0, "x")
 	h.Result(h.at, seconds[1], eiderwinch.OK, 0, "y")
 	h.advance(5*ms, eiderwinch.Answer{Query: 1, Whole: true})
-	h.checkEqual("the answer", h.replies, []Reply{{Whole: true, Pieces: []Piece{{7, "x"}, {3, "y"}}}})
+	h.checkEqual("the answer", h.replies, []Reply{{Whole: true, Values: []ShardValue{{7, "x"}, {3, "y"}}}})
 }
 
 func TestStartBeforeThisProcessIsNotReportedAsLongAgo(t *testing.T) {
 	// The module takes a start time of 0 or less for "long ago" and would overload a cold searcher.
 	h := newHarness(t)
 	h.turns = nil
-	h.List(h.at, eiderwinch.Changes, []Member{
+	h.UpdateMembers(h.at, eiderwinch.Changes, []Member{
 		{ID: "a", State: eiderwinch.Ready, Started: h.at.Add(-2 * time.Second)}, {ID: "b", State: eiderwinch.Ready},
 	})
 	h.advance(5 * ms)
@@ -438,13 +438,13 @@
 // them. A list that leaves out some searchers does remove these.
 func TestEmptyListIsIgnored(t *testing.T) {
 	h := newHarness(t)
-	h.List(h.at, eiderwinch.Whole, nil)
+	h.UpdateMembers(h.at, eiderwinch.Whole, nil)
 	h.advance(time.Second)
 	h.checkEqual("ready after an empty list", h.Ready("a") && h.Ready("b"), true)
 	h.checkEqual("empty lists", h.stats.EmptyLists, 1)
-	h.List(h.at, eiderwinch.Changes, nil)
+	h.UpdateMembers(h.at, eiderwinch.Changes, nil)
 	h.checkEqual("empty lists after no changes", h.stats.EmptyLists, 1)
-	h.List(h.at, eiderwinch.Whole, []Member{{ID: "b", State: eiderwinch.Ready}})
+	h.UpdateMembers(h.at, eiderwinch.Whole, []Member{{ID: "b", State: eiderwinch.Ready}})
 	h.advance(time.Second)
 	h.checkEqual("ready after a list without a", h.Ready("a"), false)
 	h.checkEqual("b is ready", h.Ready("b"), true)
@@ -466,7 +466,7 @@
 				return now.Add(offset)
 			}
 			ageOf := func(id string, reported time.Time) time.Duration {
-				h.List(h.at, eiderwinch.Changes, []Member{{ID: id, State: eiderwinch.Ready, Started: reported}})
+				h.UpdateMembers(h.at, eiderwinch.Changes, []Member{{ID: id, State: eiderwinch.Ready, Started: reported}})
 				return h.at.Sub(h.members[id].startedAt)
 			}
 			h.at = h.at.Add(10 * time.Second)
--- a/internal/gatherer/epoch.go
+++ b/internal/gatherer/epoch.go
@@ -7,17 +7,17 @@
 	"eiderwinch/internal/layout"
 )
 
-// ErrAhead is returned for a query that names a newer epoch than the one this gatherer
+// ErrUnknownEpoch is returned for a query that names a newer epoch than the one this gatherer
 // knows. Gatherers receive a new epoch within seconds of each other, and the holders of
 // its segments may differ from those in the known epoch.
-var ErrAhead = errors.New("epoch not known yet")
+var ErrUnknownEpoch = errors.New("epoch not known yet")
 
 // Adopt makes l the layout of queries taken from now on. Open queries keep the epoch
 // that they are bound to. If l is not newer than the current epoch, Adopt changes
 // nothing and returns false.
 func (c *Core) Adopt(l *layout.Layout) bool {
 	if c.layout != nil && l.Epoch() <= c.layout.Epoch() {
-		c.stats.EpochsOld++
+		c.stats.EpochsIgnored++
 		return false
 	}
 	c.layout = l
@@ -49,16 +49,16 @@
 // translateParts returns the parts of a query in the current epoch. The parts of a
 // query that was built for an older layout are translated along the lineage of their
 // segments. It returns an error if a segment has no lineage to the current epoch.
-func (c *Core) translateParts(ask Ask) ([]AskPart, error) {
+func (c *Core) translateParts(request QueryRequest) ([]PartRequest, error) {
 	if c.layout == nil {
-		return ask.Parts, nil
+		return request.Parts, nil
 	}
-	if ask.Epoch > c.layout.Epoch() {
-		c.stats.EpochsAhead++
-		return nil, fmt.Errorf("%w: %d, current epoch is %d", ErrAhead, ask.Epoch, c.layout.Epoch())
+	if request.Epoch > c.layout.Epoch() {
+		c.stats.UnknownEpochs++
+		return nil, fmt.Errorf("%w: %d, current epoch is %d", ErrUnknownEpoch, request.Epoch, c.layout.Epoch())
 	}
-	parts := make([]layout.Part, len(ask.Parts))
-	for i, p := range ask.Parts {
+	parts := make([]layout.Part, len(request.Parts))
+	for i, p := range request.Parts {
 		if p.Shard < 0 || int64(p.Shard) > int64(^layout.SegmentID(0)) {
 			return nil, fmt.Errorf("%w: segment %d: %w", ErrInvalid, p.Shard, layout.ErrNoSegment)
 		}
@@ -69,14 +69,14 @@
 		return nil, fmt.Errorf("%w: %w", ErrInvalid, err)
 	}
 	if !changed {
-		return ask.Parts, nil
+		return request.Parts, nil
 	}
 	c.stats.Translated++
-	askParts := make([]AskPart, len(translated))
+	translatedParts := make([]PartRequest, len(translated))
 	for i, p := range translated {
-		askParts[i] = AskPart{Shard: int(p.Segment), Weight: p.Weight}
+		translatedParts[i] = PartRequest{Shard: int(p.Segment), Weight: p.Weight}
 	}
-	return askParts, nil
+	return translatedParts, nil
 }
 
 // holders returns the searchers that hold a segment in the query's epoch; nil if
--- a/internal/gatherer/epoch_test.go
+++ b/internal/gatherer/epoch_test.go
@@ -39,7 +39,7 @@
 // newHarnessWithLayout returns a harness with the layout l and the searchers a to d.
 func newHarnessWithLayout(t *testing.T, l *layout.Layout) *harness {
 	h := newHarness(t)
-	h.List(h.at, eiderwinch.Changes, []Member{{ID: "c", State: eiderwinch.Ready}, {ID: "d", State: eiderwinch.Ready}})
+	h.UpdateMembers(h.at, eiderwinch.Changes, []Member{{ID: "c", State: eiderwinch.Ready}, {ID: "d", State: eiderwinch.Ready}})
 	h.Adopt(l)
 	h.advance(5 * ms)
 	h.turns = nil
@@ -72,7 +72,7 @@
 		[]any{int(successors[0]), []string{"c"}, int(successors[1]), []string{"d"}, 0.375})
 	// An attempt of the old query breaks. A further one may go only to a holder in the query's
 	// epoch, though newer epochs are in force.
-	h.Broken(h.at, h.calls[0][1])
+	h.ConnectionBroken(h.at, h.calls[0][1])
 	h.checkEqual("oldest epoch in use", h.OldestEpoch(), first.Epoch())
 	h.Adopt(retired)
 	h.advance(5*ms, send(3, "c"))
@@ -127,23 +127,23 @@
 func TestLateAndMissedEpochs(t *testing.T) {
 	first, prepared, cutOver, retired, successors := splitLayouts(t)
 	h := newHarnessWithLayout(t, first)
-	ask := Ask{Trace: "t", Class: "search", Epoch: cutOver.Epoch(), Parts: []AskPart{{int(successors[0]), 1}}}
-	if _, err := h.Take(h.at, ask, h); !errors.Is(err, ErrAhead) {
+	request := QueryRequest{Trace: "t", Class: "search", Epoch: cutOver.Epoch(), Parts: []PartRequest{{int(successors[0]), 1}}}
+	if _, err := h.Take(h.at, request, h); !errors.Is(err, ErrUnknownEpoch) {
 		t.Errorf("query with an epoch not known yet: %v", err)
 	}
 	h.checkEqual("newer epoch after two missed ones", h.Adopt(retired), true)
 	for _, old := range []*layout.Layout{first, prepared, cutOver, retired} {
 		h.checkEqual("late older epoch", h.Adopt(old), false)
 	}
-	if _, err := h.Take(h.at, ask, h); err != nil {
+	if _, err := h.Take(h.at, request, h); err != nil {
 		t.Errorf("the same query with a known epoch: %v", err)
 	}
 	for _, bad := range []int{-1, 99, 1 << 40} {
-		_, err := h.Take(h.at, Ask{Trace: "u", Class: "search", Parts: []AskPart{{bad, 1}}}, h)
+		_, err := h.Take(h.at, QueryRequest{Trace: "u", Class: "search", Parts: []PartRequest{{bad, 1}}}, h)
 		if !errors.Is(err, ErrInvalid) || !errors.Is(err, layout.ErrNoSegment) {
 			t.Errorf("segment %d: %v", bad, err)
 		}
 	}
-	h.checkEqual("counted", []int{h.stats.EpochsAhead, h.stats.EpochsOld, h.stats.Epochs}, []int{1, 4, 2})
+	h.checkEqual("counted", []int{h.stats.UnknownEpochs, h.stats.EpochsIgnored, h.stats.Epochs}, []int{1, 4, 2})
 	h.advance(time.Second)
 }
--- a/internal/gatherer/intake.go
+++ b/internal/gatherer/intake.go
@@ -12,28 +12,28 @@
 	"eiderwinch/internal/service"
 )
 
-// Ask is a query as a client sends it.
-type Ask struct {
+// QueryRequest is a query as a client sends it.
+type QueryRequest struct {
 	Trace   string // identifies the query to the searchers
 	Class   string
 	Key     string        // idempotency key; required in keyed classes
 	About   string        // what the query is about; may be empty
-	Expires time.Duration // how long the client waits; 0 means the deadline of the class
+	Timeout time.Duration // how long the client waits; 0 means the deadline of the class
 	Waited  time.Duration // time since its last byte arrived, spent behind another request of its connection
 	Repeat  bool          // marked as a repeat by the client
 	Tenant  string
 	Text    string       // query text, sent with every part
 	Epoch   layout.Epoch // of the layout that the client used; 0 if the client gives none
-	Parts   []AskPart
+	Parts   []PartRequest
 }
 
-// AskPart is one part of an Ask.
-type AskPart struct {
+// PartRequest is one part of a QueryRequest.
+type PartRequest struct {
 	Shard  int
 	Weight float64
 }
 
-// Errors that Core.Take returns for a query that it does not take; see also ErrAhead.
+// Errors that Core.Take returns for a query that it does not take; see also ErrUnknownEpoch.
 var (
 	ErrInvalid      = errors.New("malformed query")
 	ErrUnknownClass = errors.New("unknown class")
@@ -43,36 +43,36 @@
 // maxWeightError is how far the sum of the weights may be from 1, however many parts there are.
 const maxWeightError = 0.01
 
-// Take takes in a query whose last byte arrived ask.Waited before now, and returns its ID.
+// Take takes in a query whose last byte arrived request.Waited before now, and returns its ID.
 // If the query is over a limit on open queries, Take refuses it by client.Reply and returns 0.
 // If it returns an error, the query was not taken and the caller must answer the client.
-func (c *Core) Take(now time.Time, ask Ask, client Client) (uint64, error) {
-	class, err := c.validate(ask)
+func (c *Core) Take(now time.Time, request QueryRequest, client Client) (uint64, error) {
+	class, err := c.validate(request)
 	if err != nil {
 		return 0, err
 	}
-	if ask.Parts, err = c.translateParts(ask); err != nil {
+	if request.Parts, err = c.translateParts(request); err != nil {
 		return 0, err
 	}
 	c.stats.Taken++
 	if c.settings.Service != nil {
 		c.settings.Service.Take(now, class)
 	}
-	if retryAfter, ok := c.admit(ask, class); !ok {
-		c.recordOutcome(now, class, Reply{Verdict: Refused}, 0)
-		client.Reply(Reply{Verdict: Refused, RetryAfter: retryAfter, Generation: c.liveSettings.Generation})
+	if retryAfter, ok := c.admit(request, class); !ok {
+		c.recordOutcome(now, class, Reply{Kind: Refused}, 0)
+		client.Reply(Reply{Kind: Refused, RetryAfter: retryAfter, Generation: c.liveSettings.Generation})
 		return 0, nil
 	}
-	if longest := c.settings.Module.Classes[class].Deadline; ask.Expires == 0 || ask.Expires > longest {
-		ask.Expires = longest // the class's deadline is the upper bound, whatever the client states
+	if longest := c.settings.Module.Classes[class].Deadline; request.Timeout == 0 || request.Timeout > longest {
+		request.Timeout = longest // the class's deadline is the upper bound, whatever the client states
 	}
 	limits := c.liveSettings.class(class)
-	if limits.Within > 0 {
-		ask.Expires = min(ask.Expires, limits.Within)
+	if limits.MaxDuration > 0 {
+		request.Timeout = min(request.Timeout, limits.MaxDuration)
 	}
-	q := c.addQuery(now, ask, class, client)
+	q := c.addQuery(now, request, class, client)
 	event := eiderwinch.Query{
-		ID: q.id, Class: class, Key: ask.About, Repeat: ask.Repeat, Tenant: c.tenantNumber(ask.Tenant),
+		ID: q.id, Class: class, Key: request.About, Repeat: request.Repeat, Tenant: c.tenantNumber(request.Tenant),
 		Attempts: limits.Attempts,
 	}
 	for _, p := range q.parts {
@@ -83,30 +83,30 @@
 }
 
 // validate returns the class number of a query, or an error that says why it is malformed.
-func (c *Core) validate(ask Ask) (class int, err error) {
+func (c *Core) validate(request QueryRequest) (class int, err error) {
 	class = -1
 	for i, k := range c.settings.Module.Classes {
-		if k.Name == ask.Class {
+		if k.Name == request.Class {
 			class = i
 		}
 	}
 	if class < 0 {
-		return 0, fmt.Errorf("%w %q", ErrUnknownClass, ask.Class)
+		return 0, fmt.Errorf("%w %q", ErrUnknownClass, request.Class)
 	}
 	switch {
-	case ask.Trace == "":
+	case request.Trace == "":
 		return 0, fmt.Errorf("%w: no trace id", ErrInvalid)
-	case ask.Key == "" && c.settings.Module.Classes[class].Effect == eiderwinch.Keyed:
-		return 0, fmt.Errorf("%w: class %q needs an idempotency key", ErrInvalid, ask.Class)
-	case ask.Expires < 0:
+	case request.Key == "" && c.settings.Module.Classes[class].Effect == eiderwinch.Keyed:
+		return 0, fmt.Errorf("%w: class %q needs an idempotency key", ErrInvalid, request.Class)
+	case request.Timeout < 0:
 		return 0, fmt.Errorf("%w: already expired", ErrInvalid)
-	case len(ask.Parts) == 0:
+	case len(request.Parts) == 0:
 		return 0, fmt.Errorf("%w: no parts", ErrInvalid)
-	case c.queriesByTrace[ask.Trace] != nil:
+	case c.queriesByTrace[request.Trace] != nil:
 		return 0, ErrDuplicate
 	}
 	seen, sum := make(map[int]bool), 0.0
-	for _, p := range ask.Parts {
+	for _, p := range request.Parts {
 		sum += p.Weight
 		switch {
 		case c.layout == nil && (p.Shard < 0 || p.Shard >= c.settings.Module.Shards):
@@ -119,7 +119,7 @@
 		seen[p.Shard] = true
 	}
 	// Clients round weights to three decimal places at worst. A larger error is a mistake of the client.
-	if rounding := 0.0005 * float64(len(ask.Parts)); math.Abs(sum-1) > min(rounding, maxWeightError)+weightTolerance {
+	if rounding := 0.0005 * float64(len(request.Parts)); math.Abs(sum-1) > min(rounding, maxWeightError)+weightTolerance {
 		return 0, fmt.Errorf("%w: weights add up to %v, want 1", ErrInvalid, sum)
 	}
 	return class, nil
@@ -138,7 +138,7 @@
 // Gone removes a query whose client has disconnected.
 func (c *Core) Gone(now time.Time, id uint64) {
 	if q := c.queries[id]; q != nil {
-		c.stats.Gone++
+		c.stats.ClientsDisconnected++
 		if c.settings.Service != nil {
 			c.settings.Service.Record(now, q.class, service.Gone, now.Sub(q.takenAt))
 		}
@@ -156,11 +156,11 @@
 	Started time.Time // zero means long ago
 }
 
-// List takes in the member list, or changes to it, received at now. A complete list
+// UpdateMembers takes in the member list, or changes to it, received at now. A complete list
 // without any searcher is ignored if some are known: a discovery service that has lost
 // its state sends one to all gatherers at once, and none could serve. Any other list
 // counts: a searcher that it leaves out is removed.
-func (c *Core) List(now time.Time, kind eiderwinch.ListKind, list []Member) {
+func (c *Core) UpdateMembers(now time.Time, kind eiderwinch.ListKind, list []Member) {
 	c.stats.Updates++
 	if len(list) == 0 && len(c.members) > 0 && (kind == eiderwinch.Whole || kind == eiderwinch.Stale) {
 		c.stats.EmptyLists++
@@ -177,7 +177,7 @@
 		if !started.IsZero() {
 			r.Started = c.moduleTime(started)
 		}
-		if kind == eiderwinch.Stale && m.State == eiderwinch.Ready && c.settings.Module.ColdFor > 0 {
+		if kind == eiderwinch.Stale && m.State == eiderwinch.Ready && c.settings.Module.ColdDuration > 0 {
 			unconfirmed = append(unconfirmed, r)
 			r.Started = c.moduleTime(now) // the list is old; the searcher may have started since
 		}
--- a/internal/gatherer/live_settings.go
+++ b/internal/gatherer/live_settings.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// Live holds the settings that can change while queries are open. A Live is never
+// LiveSettings holds the settings that can change while queries are open. A LiveSettings is never
 // modified; Apply replaces it by a new one, and each query keeps the one in force
 // when it was taken until its final answer.
-type Live struct {
+type LiveSettings struct {
 	Generation uint64        // of the configuration; 0 if settings can't change
 	MaxOpen    int           // limit on open queries plus their parts; 0 means no limit
 	Classes    []ClassLimits // by class number; nil means no limits
@@ -13,13 +13,13 @@
 
 // ClassLimits are the limits of one class. A zero field means that there is no limit.
 type ClassLimits struct {
-	Within   time.Duration // longest time for a query, in addition to the class's deadline
-	Attempts int           // attempts of each part, in addition to the module's limit
-	Open     int           // open queries
+	MaxDuration time.Duration // longest time for a query, in addition to the class's deadline
+	Attempts    int           // attempts of each part, in addition to the module's limit
+	MaxOpen     int           // open queries
 }
 
 // class returns the limits of a class.
-func (l *Live) class(i int) ClassLimits {
+func (l *LiveSettings) class(i int) ClassLimits {
 	if l.Classes == nil {
 		return ClassLimits{}
 	}
@@ -27,7 +27,7 @@
 }
 
 // Apply puts new settings in force for queries taken from now on.
-func (c *Core) Apply(l *Live) {
+func (c *Core) Apply(l *LiveSettings) {
 	c.liveSettings = l
 	c.stats.Generations++
 }
--- a/internal/gatherer/live_settings_test.go
+++ b/internal/gatherer/live_settings_test.go
@@ -15,18 +15,18 @@
 )
 
 // searchLimits returns settings with limits for the class 'search' only.
-func searchLimits(generation uint64, limits ClassLimits) *Live {
-	return &Live{Generation: generation, MaxOpen: 20, Classes: []ClassLimits{limits, {}, {}, {}}}
+func searchLimits(generation uint64, limits ClassLimits) *LiveSettings {
+	return &LiveSettings{Generation: generation, MaxOpen: 20, Classes: []ClassLimits{limits, {}, {}, {}}}
 }
 
 // A query keeps the settings in force when it was taken, whichever are put in force
 // while it is open.
 func TestEachQueryKeepsItsGeneration(t *testing.T) {
 	h := newHarness(t)
-	h.Apply(searchLimits(1, ClassLimits{Within: 200 * ms, Attempts: 1}))
+	h.Apply(searchLimits(1, ClassLimits{MaxDuration: 200 * ms, Attempts: 1}))
 	old := h.submit("search", "old", 0)
 	h.advance(0)
-	h.Apply(searchLimits(2, ClassLimits{Within: 100 * ms, Attempts: 2}))
+	h.Apply(searchLimits(2, ClassLimits{MaxDuration: 100 * ms, Attempts: 2}))
 	h.submit("search", "new", 0)
 	h.advance(0)
 	h.checkEqual("generations", h.Generations()[0], uint64(2))
@@ -52,20 +52,20 @@
 
 func TestClassLimitOnOpenQueries(t *testing.T) {
 	h := newHarness(t)
-	h.Apply(searchLimits(3, ClassLimits{Open: 2}))
+	h.Apply(searchLimits(3, ClassLimits{MaxOpen: 2}))
 	h.submit("search", "a", 0)
 	h.submit("search", "b", 0)
 	h.submit("search", "c", 0)
-	h.checkEqual("refused at once", h.replies, []Reply{{Verdict: Refused, RetryAfter: 500 * ms, Generation: 3}})
-	h.checkEqual("counted", []int{h.stats.Full, h.stats.ClassFull}, []int{1, 1})
+	h.checkEqual("refused at once", h.replies, []Reply{{Kind: Refused, RetryAfter: 500 * ms, Generation: 3}})
+	h.checkEqual("counted", []int{h.stats.RefusedAtLimit, h.stats.RefusedAtClassLimit}, []int{1, 1})
 	h.submit("half", "d", 0) // another class
 	h.checkEqual("refused", len(h.replies), 1)
 	h.advance(time.Second)
 	h.submit("search", "e", 0) // there is room again
 	h.checkEqual("refused", h.stats.Refused, 1)
-	h.Apply(&Live{Generation: 4, MaxOpen: 1})
+	h.Apply(&LiveSettings{Generation: 4, MaxOpen: 1})
 	h.submit("half", "f", 0)
-	h.checkEqual("refusals by the class limit", h.stats.ClassFull, 1)
+	h.checkEqual("refusals by the class limit", h.stats.RefusedAtClassLimit, 1)
 	h.checkEqual("refused", h.stats.Refused, 2)
 }
 
@@ -75,16 +75,16 @@
 	h.submit("search", "a", 0)
 	gone := h.submit("search", "b", 0)
 	h.Gone(h.at, gone)
-	h.Apply(searchLimits(1, ClassLimits{Open: 1}))
+	h.Apply(searchLimits(1, ClassLimits{MaxOpen: 1}))
 	h.submit("search", "c", 0)
 	h.advance(2 * time.Second)
-	var sum service.Class
+	var sum service.ClassCounts
 	for _, w := range h.settings.Service.Since(h.at.Add(time.Hour), 0) {
 		for _, c := range w.Classes {
 			sum.Taken, sum.Refused, sum.Failed, sum.Gone = sum.Taken+c.Taken, sum.Refused+c.Refused, sum.Failed+c.Failed, sum.Gone+c.Gone
 		}
 	}
-	h.checkEqual("outcomes of 3 queries", sum, service.Class{Taken: 3, Refused: 1, Failed: 1, Gone: 1})
+	h.checkEqual("outcomes of 3 queries", sum, service.ClassCounts{Taken: 3, Refused: 1, Failed: 1, Gone: 1})
 }
 
 // echo is a Decider, Searchers and Client in one: each part is answered at once, and each query
@@ -117,19 +117,19 @@
 		e.core.Result(now, a, eiderwinch.OK, 1, "v")
 	}
 }
-func (*echo) Abandon(*Attempt) {}
-func (*echo) CloseIdle(string) {}
-func (*echo) Reply(Reply)      {}
-func (*echo) Left() bool       { return false }
+func (*echo) Abandon(*Attempt)   {}
+func (*echo) CloseIdle(string)   {}
+func (*echo) Reply(Reply)        {}
+func (*echo) Disconnected() bool { return false }
 
 // BenchmarkQuery measures a query's path through the core, first with plain settings, then with
 // settings that can change at run time and recorded outcomes.
 func BenchmarkQuery(b *testing.B) {
 	set := Settings{Tick: 5 * ms, MaxOpen: 1000, Module: eiderwinch.Settings{
-		Shards: 12, Batch: 4, Classes: []eiderwinch.Class{{Name: "search", Deadline: time.Second, Need: 1, Floor: 1}},
+		Shards: 12, MaxBatch: 4, Classes: []eiderwinch.Class{{Name: "search", Deadline: time.Second, WholeShare: 1, MinShare: 1}},
 	}}
 	with := set
-	with.Live = &Live{Generation: 7, MaxOpen: 1000, Classes: []ClassLimits{{Within: 900 * ms, Attempts: 3, Open: 500}}}
+	with.LiveSettings = &LiveSettings{Generation: 7, MaxOpen: 1000, Classes: []ClassLimits{{MaxDuration: 900 * ms, Attempts: 3, MaxOpen: 500}}}
 	with.Service = service.New([]string{"search"})
 	for _, c := range []struct {
 		name string
@@ -139,12 +139,12 @@
 			e := &echo{parts: make(map[uint64][]eiderwinch.Part)}
 			at := time.Unix(1_000_000, 0)
 			e.core = New(c.set, e, e, stats.New(), slog.New(slog.DiscardHandler), at)
-			e.core.List(at, eiderwinch.Whole, []Member{{ID: "a", State: eiderwinch.Ready}})
-			ask := Ask{Class: "search", Text: "text", Parts: []AskPart{{0, 0.25}, {1, 0.25}, {2, 0.25}, {3, 0.25}}}
+			e.core.UpdateMembers(at, eiderwinch.Whole, []Member{{ID: "a", State: eiderwinch.Ready}})
+			request := QueryRequest{Class: "search", Text: "text", Parts: []PartRequest{{0, 0.25}, {1, 0.25}, {2, 0.25}, {3, 0.25}}}
 			b.ReportAllocs()
 			for i := range b.N {
-				ask.Trace = strconv.Itoa(i)
-				if _, err := e.core.Take(at, ask, e); err != nil {
+				request.Trace = strconv.Itoa(i)
+				if _, err := e.core.Take(at, request, e); err != nil {
 					b.Fatal(err)
 				}
 				for range 2 { // sent in the first turn, answered in the second
@@ -152,8 +152,8 @@
 					e.core.Run(at)
 				}
 			}
-			if e.core.Open() > 1 {
-				b.Fatalf("%d queries are open", e.core.Open())
+			if e.core.OpenQueries() > 1 {
+				b.Fatalf("%d queries are open", e.core.OpenQueries())
 			}
 		})
 	}
@@ -174,7 +174,7 @@
 	}
 	core := New(Settings{Tick: 5 * ms, Layout: current, Module: eiderwinch.Settings{Classes: []eiderwinch.Class{{Name: "search"}}}},
 		nil, nil, stats.New(), slog.New(slog.DiscardHandler), time.Unix(1, 0))
-	live := []*Live{{Generation: 1}, {Generation: 2}}
+	live := []*LiveSettings{{Generation: 1}, {Generation: 2}}
 	b.ResetTimer()
 	for i := range b.N {
 		core.Apply(live[i%2])
@@ -189,10 +189,10 @@
 // queries and attempts.
 func BenchmarkDue(b *testing.B) {
 	h := newHarness(&testing.T{})
-	h.liveSettings = &Live{}
+	h.liveSettings = &LiveSettings{}
 	for i := range 10_000 {
-		ask := Ask{Trace: strconv.Itoa(i), Class: "search", Text: "text", Parts: []AskPart{{0, 1}}}
-		id, err := h.Take(h.at, ask, h)
+		request := QueryRequest{Trace: strconv.Itoa(i), Class: "search", Text: "text", Parts: []PartRequest{{0, 1}}}
+		id, err := h.Take(h.at, request, h)
 		if err != nil {
 			b.Fatal(err)
 		}
@@ -204,7 +204,7 @@
 	}
 	b.Run("queues", func(b *testing.B) {
 		for range b.N {
-			if h.Due().IsZero() {
+			if h.NextRun().IsZero() {
 				b.Fatal("nothing is due")
 			}
 		}
--- a/internal/gatherer/records.go
+++ b/internal/gatherer/records.go
@@ -16,7 +16,7 @@
 	key           string
 	text          string
 	client        Client
-	liveSettings  *Live // the settings in force when the query was taken
+	liveSettings  *LiveSettings // the settings in force when the query was taken
 	takenAt       time.Time
 	backstopTimer due.Timer[*query] // ends the query at its backstop
 	deadline      time.Time
@@ -76,10 +76,10 @@
 }
 
 // addQuery registers a query and its parts.
-func (c *Core) addQuery(now time.Time, ask Ask, class int, client Client) *query {
+func (c *Core) addQuery(now time.Time, request QueryRequest, class int, client Client) *query {
 	q := &query{
-		id: c.newID(), trace: ask.Trace, class: class, text: ask.Text, client: client, liveSettings: c.liveSettings, layout: c.layout,
-		takenAt: now.Add(-ask.Waited), deadline: now.Add(ask.Expires - ask.Waited),
+		id: c.newID(), trace: request.Trace, class: class, text: request.Text, client: client, liveSettings: c.liveSettings, layout: c.layout,
+		takenAt: now.Add(-request.Waited), deadline: now.Add(request.Timeout - request.Waited),
 	}
 	q.backstopTimer.Value = q
 	backstop := q.backstop(c.settings.Tick)
@@ -93,16 +93,16 @@
 	c.openByEpoch[q.epoch()]++
 	c.openByClass[class]++
 	if c.settings.Module.Classes[class].Effect == eiderwinch.Keyed {
-		q.key = ask.Key
+		q.key = request.Key
 	}
 	c.queries[q.id] = q
 	c.queriesByTrace[q.trace] = q
 	c.openCount++
 	sum := 0.0
-	for _, p := range ask.Parts {
+	for _, p := range request.Parts {
 		sum += p.Weight
 	}
-	for _, p := range ask.Parts {
+	for _, p := range request.Parts {
 		// Clients send rounded weights. Without this normalization, a query whose
 		// parts are all answered could miss the weight of a whole answer by more
 		// than the module tolerates.
--- a/internal/gatherer/turn.go
+++ b/internal/gatherer/turn.go
@@ -3,7 +3,7 @@
 import "eiderwinch"
 
 // runTurn gives the aggregator a turn and carries out the actions that it returns.
-// The sends to one searcher are batched into calls of at most Settings.Module.Batch parts.
+// The sends to one searcher are batched into calls of at most Settings.Module.MaxBatch parts.
 func (c *Core) runTurn() {
 	c.stats.Turns++
 	events := c.pendingEvents
@@ -49,7 +49,7 @@
 		c.Gone(c.now, q.id)
 	}
 	c.disconnected = c.disconnected[:0]
-	maxParts := max(c.settings.Module.Batch, 1)
+	maxParts := max(c.settings.Module.MaxBatch, 1)
 	for _, searcher := range order {
 		for remaining := calls[searcher]; len(remaining) > 0; {
 			n := min(len(remaining), maxParts)
--- a/internal/layout/coordinator/coordinator.go
+++ b/internal/layout/coordinator/coordinator.go
@@ -267,7 +267,7 @@
 	}
 	now := c.startedAt.Unix() + int64(time.Since(c.startedAt)/time.Second) // numbered as in service.Recorder, which clock steps do not affect
 	c.copySeconds[now] = true
-	maps.DeleteFunc(c.copySeconds, func(second int64, _ bool) bool { return second < now-service.Kept })
+	maps.DeleteFunc(c.copySeconds, func(second int64, _ bool) bool { return second < now-service.MaxWindows })
 }
 
 // addServiceWindows passes a gatherer's service records to the meter, and returns
--- a/internal/layout/reshard/meter.go
+++ b/internal/layout/reshard/meter.go
@@ -11,8 +11,8 @@
 // of answers recorded while copies ran with that of earlier batches recorded
 // without copies. It has no clock.
 type Meter struct {
-	batches      [2]*service.Sum // being collected: without copies, with copies
-	baselineP99s []time.Duration // of the last batches without copies
+	batches      [2]*service.Totals // being collected: without copies, with copies
+	baselineP99s []time.Duration    // of the last batches without copies
 }
 
 // Batch sizes. The p99 of 300 answers is the third highest, which spreads by some
@@ -26,17 +26,19 @@
 )
 
 // NewMeter returns a meter without a baseline.
-func NewMeter() *Meter { return &Meter{batches: [2]*service.Sum{service.NewSum(), service.NewSum()}} }
+func NewMeter() *Meter {
+	return &Meter{batches: [2]*service.Totals{service.NewTotals(), service.NewTotals()}}
+}
 
 // Add records one second of a safe class, and whether copies ran in that second.
 // It returns a Pressure event and true if one is due.
-func (m *Meter) Add(copying bool, c service.Class) (Pressure, bool) {
+func (m *Meter) Add(copying bool, c service.ClassCounts) (Pressure, bool) {
 	batch := m.batches[0]
 	if copying {
 		batch = m.batches[1]
 	}
 	batch.Add(c)
-	if batch.Answered() < minBatchAnswers {
+	if batch.AnswerCount() < minBatchAnswers {
 		return Pressure{}, false
 	}
 	p99 := batch.Quantile(0.99)
--- a/internal/layout/reshard/meter_test.go
+++ b/internal/layout/reshard/meter_test.go
@@ -8,8 +8,8 @@
 
 func TestPressureIsRelativeToBaselineP99(t *testing.T) {
 	m := NewMeter()
-	second := func(ms int64) service.Class {
-		return service.Class{Name: "search", Times: []service.Count{{Micros: 10_000, N: 97}, {Micros: ms * 1000, N: 3}}}
+	second := func(ms int64) service.ClassCounts {
+		return service.ClassCounts{Name: "search", Times: []service.Bucket{{Micros: 10_000, N: 97}, {Micros: ms * 1000, N: 3}}}
 	}
 	var got []float64
 	add := func(copying bool, ms int64, seconds int) {
--- a/internal/limit/list.go
+++ b/internal/limit/list.go
@@ -2,22 +2,22 @@
 
 import "time"
 
-// list is a doubly linked list of seats, in the order in which they were added.
-// All its operations take constant time and none allocates: a seat carries its
+// list is a doubly linked list of entries, in the order in which they were added.
+// All its operations take constant time and none allocates: an entry carries its
 // own links, one pair for each of the two lists it may be on.
 type list[T any] struct {
-	kind        int // stageList or timeoutList: index into Seat.links
-	first, last *Seat[T]
+	kind        int // stageList or timeoutList: index into Entry.links
+	first, last *Entry[T]
 	size        int
 }
 
-// links are a seat's neighbors on one list; list is nil while it is on none.
+// links are an entry's neighbors on one list; list is nil while it is on none.
 type links[T any] struct {
 	list       *list[T]
-	prev, next *Seat[T]
+	prev, next *Entry[T]
 }
 
-func (l *list[T]) add(s *Seat[T]) {
+func (l *list[T]) add(s *Entry[T]) {
 	k := &s.links[l.kind]
 	*k = links[T]{list: l, prev: l.last}
 	if l.last == nil {
@@ -29,8 +29,8 @@
 	l.size++
 }
 
-// unlink removes a seat from the list of the given kind that it is on, if any.
-func (s *Seat[T]) unlink(kind int) {
+// unlink removes an entry from the list of the given kind that it is on, if any.
+func (s *Entry[T]) unlink(kind int) {
 	k := s.links[kind]
 	l := k.list
 	if l == nil {
@@ -50,7 +50,7 @@
 	s.links[kind] = links[T]{}
 }
 
-// due returns the time at which the first seat has been on the list for d; zero
+// due returns the time at which the first entry has been on the list for d; zero
 // if the list is empty.
 func (l *list[T]) due(d time.Duration) time.Time {
 	if l.first == nil {
--- a/internal/limit/table.go
+++ b/internal/limit/table.go
@@ -8,13 +8,13 @@
 // may already have sent. So the table works in three steps, and only the last
 // can affect a client that did nothing wrong:
 //
-//  1. Notice. Before each answer the caller asks Notice whether the connection
+//  1. ShouldClose. Before each answer the caller asks ShouldClose whether the connection
 //     should end with it. If Bounds.Soft or more connections are idle, each one
 //     ends that has carried one request only; if Bounds.Firm or more are idle,
 //     each one ends. The client reads "Connection: close" together with its
 //     answer (RFC 9112, section 9.6), so there is no race.
-//  2. Trim. While Bounds.Soft or more connections are idle, those idle for
-//     Bounds.KeptFor or longer are closed, the longest idle first. Otherwise
+//  2. SurplusIdle. While Bounds.Soft or more connections are idle, those idle for
+//     Bounds.IdleGrace or longer are closed, the longest idle first. Otherwise
 //     clients that send one request and keep the connection open would take
 //     the room of those that send more.
 //  3. Evict. When Bounds.Hard connections are open, each new one makes another
@@ -28,13 +28,13 @@
 
 // The stages. A connection starts as Silent and is Idle after each answer.
 const (
-	Silent    Stage = iota // nothing has been received
-	First                  // the first request is being received
-	Busy                   // a request waits for its answer
-	Idle                   // between requests
-	Further                // a request after the first is being received
-	Ending                 // about to be closed
-	numStages              // the number of stages
+	Silent       Stage = iota // nothing has been received
+	FirstRequest              // the first request is being received
+	Busy                      // a request waits for its answer
+	Idle                      // between requests
+	NextRequest               // a request after the first is being received
+	Closing                   // about to be closed
+	numStages                 // the number of stages
 )
 
 var stageNames = [numStages]string{"silent", "first", "busy", "idle", "further", "ending"}
@@ -49,7 +49,7 @@
 
 // Rank is the order in which connections are evicted for new ones: the lowest
 // rank first, and within a rank the connection that has been in its stage for
-// longest. Busy and Further connections are never evicted.
+// longest. Busy and NextRequest connections are never evicted.
 type Rank int
 
 // The ranks. A flood of connections that send nothing must not evict those of
@@ -58,10 +58,10 @@
 // evicted only after all idle ones, whose clients can resend a request that
 // was lost when the connection closed.
 const (
-	RankEnding           Rank = iota // being closed already
+	RankClosing          Rank = iota // being closed already
 	RankSilent                       // silent for Bounds.SilentGrace or longer
-	RankIdleOnce                     // idle for Bounds.KeptFor or longer, one request answered
-	RankIdleReused                   // idle for Bounds.KeptFor or longer, several answered
+	RankIdleOnce                     // idle for Bounds.IdleGrace or longer, one request answered
+	RankIdleReused                   // idle for Bounds.IdleGrace or longer, several answered
 	RankIdleOnceRecent               // idle for less, one request answered
 	RankIdleReusedRecent             // idle for less, several answered
 	RankSilentRecent                 // silent for less: the first request may be on its way
@@ -86,10 +86,10 @@
 	Firm int // idle connections at which all end with their next answer; at least Soft
 	Hard int // connections in total; at least 1
 
-	SilentGrace  time.Duration // see RankSilent
-	KeptFor      time.Duration // idle time that clients may rely on, see RankIdleOnce
-	Request      time.Duration // to receive a whole request, the first counted from connecting
-	CloseTimeout time.Duration // for a client to read its last answer and close
+	SilentGrace    time.Duration // see RankSilent
+	IdleGrace      time.Duration // idle time that clients may rely on, see RankIdleOnce
+	RequestTimeout time.Duration // to receive a whole request, the first counted from connecting
+	CloseTimeout   time.Duration // for a client to read its last answer and close
 }
 
 // Default bounds. The shares are of a process's file descriptors. Clients use at
@@ -113,12 +113,12 @@
 	return Bounds{
 		Soft: max(descriptors/softShare, 1), Firm: max(descriptors/firmShare, 1),
 		Hard:        max(int(float64(descriptors)*hardShare), 1),
-		SilentGrace: silentGrace, KeptFor: keptFor, Request: requestTimeout, CloseTimeout: closeTimeout,
+		SilentGrace: silentGrace, IdleGrace: keptFor, RequestTimeout: requestTimeout, CloseTimeout: closeTimeout,
 	}
 }
 
-// Seat is the entry of a connection in a Table. The zero value is in no table.
-type Seat[T any] struct {
+// Entry is the entry of a connection in a Table. The zero value is in no table.
+type Entry[T any] struct {
 	Owner T
 
 	stage    Stage
@@ -128,35 +128,35 @@
 }
 
 // Stage returns the connection's stage.
-func (s *Seat[T]) Stage() Stage { return s.stage }
+func (s *Entry[T]) Stage() Stage { return s.stage }
 
 // Answered returns the number of requests answered on the connection.
-func (s *Seat[T]) Answered() int { return s.answered }
+func (s *Entry[T]) Answered() int { return s.answered }
 
 // Since returns the time at which the connection entered its stage.
-func (s *Seat[T]) Since() time.Time { return s.joined[stageList] }
+func (s *Entry[T]) Since() time.Time { return s.joined[stageList] }
 
-// InTable reports whether the seat is in a table.
-func (s *Seat[T]) InTable() bool { return s.links[stageList].list != nil }
+// InTable reports whether the entry is in a table.
+func (s *Entry[T]) InTable() bool { return s.links[stageList].list != nil }
 
-// The kinds of lists that a seat can be on, at most one of each.
+// The kinds of lists that an entry can be on, at most one of each.
 const (
 	stageList   = iota // of a stage, in the order in which it was entered
 	timeoutList        // of a timeout, in the order in which it expires
 )
 
-// Table holds the seats. New creates one.
+// Table holds the entries. New creates one.
 type Table[T any] struct {
 	bounds   Bounds
 	held     int
 	lists    [numStages]list[T] // by stage; that of Idle has only those with several requests answered
 	idleOnce list[T]            // Idle ones with one request answered
 
-	// A timeout is the same for all seats on its list, so the seat that was added
+	// A timeout is the same for all entries on its list, so the entry that was added
 	// first expires first and no heap is needed.
 	firstRequests   list[T] // to receive a first request, since connecting
 	furtherRequests list[T] // to receive another request, since its first byte
-	ending          list[T] // for the client to close, since the connection became Ending
+	ending          list[T] // for the client to close, since the connection became Closing
 }
 
 // New returns an empty Table with the given bounds.
@@ -173,8 +173,8 @@
 // Bounds returns the limits in force.
 func (t *Table[T]) Bounds() Bounds { return t.bounds }
 
-// Held returns the number of connections in the table.
-func (t *Table[T]) Held() int { return t.held }
+// Len returns the number of connections in the table.
+func (t *Table[T]) Len() int { return t.held }
 
 // Count returns the number of connections in a stage.
 func (t *Table[T]) Count(s Stage) int {
@@ -189,22 +189,22 @@
 // Oldest returns the connection that has been in a stage for longest, or nil if
 // there is none. Of the Idle ones, those with a single request answered come
 // before the others.
-func (t *Table[T]) Oldest(s Stage) *Seat[T] {
+func (t *Table[T]) Oldest(s Stage) *Entry[T] {
 	if s == Idle && t.idleOnce.first != nil {
 		return t.idleOnce.first
 	}
 	return t.lists[s].first
 }
 
-// Enter adds a connection that has just been accepted.
-func (t *Table[T]) Enter(now time.Time, s *Seat[T]) {
+// Add adds a connection that has just been accepted.
+func (t *Table[T]) Add(now time.Time, s *Entry[T]) {
 	t.held++
 	s.answered = 0
 	t.move(now, s, Silent)
 }
 
-// Leave removes a connection that is closed. Further calls do nothing.
-func (t *Table[T]) Leave(s *Seat[T]) {
+// Remove removes a connection that is closed. Further calls do nothing.
+func (t *Table[T]) Remove(s *Entry[T]) {
 	if !s.InTable() {
 		return
 	}
@@ -213,15 +213,15 @@
 	s.unlink(timeoutList)
 }
 
-// Move sets the stage of a connection. A move to the stage it is already in does
+// SetStage sets the stage of a connection. A move to the stage it is already in does
 // nothing: the time in the stage counts from the first move.
-func (t *Table[T]) Move(now time.Time, s *Seat[T], to Stage) {
+func (t *Table[T]) SetStage(now time.Time, s *Entry[T], to Stage) {
 	if s.InTable() && s.stage != to {
 		t.move(now, s, to)
 	}
 }
 
-func (t *Table[T]) move(now time.Time, s *Seat[T], to Stage) {
+func (t *Table[T]) move(now time.Time, s *Entry[T], to Stage) {
 	from := s.stage
 	s.unlink(stageList)
 	if to == Idle && from == Busy {
@@ -248,26 +248,26 @@
 // none does.
 func (t *Table[T]) timeoutsOf(s Stage) *list[T] {
 	switch s {
-	case Silent, First:
+	case Silent, FirstRequest:
 		return &t.firstRequests
-	case Further:
+	case NextRequest:
 		return &t.furtherRequests
-	case Ending:
+	case Closing:
 		return &t.ending
 	}
 	return nil
 }
 
-// Notice reports whether a connection should end with the answer that is about
+// ShouldClose reports whether a connection should end with the answer that is about
 // to be sent on it.
-func (t *Table[T]) Notice(s *Seat[T]) bool {
+func (t *Table[T]) ShouldClose(s *Entry[T]) bool {
 	idle := t.idle()
 	return idle >= t.bounds.Firm || idle >= t.bounds.Soft && s.answered == 0
 }
 
 // Overdue returns a connection whose timeout has expired, or nil. The caller
-// closes the connection or moves it to Ending, and calls Overdue again.
-func (t *Table[T]) Overdue(now time.Time) *Seat[T] {
+// closes the connection or moves it to Closing, and calls Overdue again.
+func (t *Table[T]) Overdue(now time.Time) *Entry[T] {
 	for _, l := range t.timeouts() {
 		if due := l.due(l.timeout); !due.IsZero() && !now.Before(due) {
 			return l.first
@@ -276,7 +276,7 @@
 	return nil
 }
 
-// Due returns the time from which Overdue or Trim returns a connection; zero if
+// Due returns the time from which Overdue or SurplusIdle returns a connection; zero if
 // no connection has a timeout or is to be trimmed.
 func (t *Table[T]) Due() time.Time {
 	var due time.Time
@@ -289,13 +289,13 @@
 		consider(l.due(l.timeout))
 	}
 	if t.idle() >= t.bounds.Soft {
-		consider(t.idleOnce.due(t.bounds.KeptFor))
-		consider(t.lists[Idle].due(t.bounds.KeptFor))
+		consider(t.idleOnce.due(t.bounds.IdleGrace))
+		consider(t.lists[Idle].due(t.bounds.IdleGrace))
 	}
 	return due
 }
 
-// timedList is a list with the timeout of its seats.
+// timedList is a list with the timeout of its entries.
 type timedList[T any] struct {
 	*list[T]
 	timeout time.Duration
@@ -303,21 +303,21 @@
 
 func (t *Table[T]) timeouts() [3]timedList[T] {
 	return [3]timedList[T]{
-		{&t.firstRequests, t.bounds.Request},
-		{&t.furtherRequests, t.bounds.Request},
+		{&t.firstRequests, t.bounds.RequestTimeout},
+		{&t.furtherRequests, t.bounds.RequestTimeout},
 		{&t.ending, t.bounds.CloseTimeout},
 	}
 }
 
-// Trim returns an idle connection that should be closed because others need its
-// room, or nil. The caller moves it to Ending and calls Trim again. Connections
+// SurplusIdle returns an idle connection that should be closed because others need its
+// room, or nil. The caller moves it to Closing and calls SurplusIdle again. Connections
 // with a single request answered come before those with several.
-func (t *Table[T]) Trim(now time.Time) *Seat[T] {
+func (t *Table[T]) SurplusIdle(now time.Time) *Entry[T] {
 	if t.idle() < t.bounds.Soft {
 		return nil
 	}
 	for _, l := range [...]*list[T]{&t.idleOnce, &t.lists[Idle]} {
-		if due := l.due(t.bounds.KeptFor); !due.IsZero() && !now.Before(due) {
+		if due := l.due(t.bounds.IdleGrace); !due.IsZero() && !now.Before(due) {
 			return l.first
 		}
 	}
@@ -336,8 +336,8 @@
 // bytes that were not read yet. Then the next connection of its rank is
 // considered, up to maxCandidates, then the next rank. If no connection is left,
 // Victim returns newest.
-func (t *Table[T]) Victim(now time.Time, newest *Seat[T], skip func(*Seat[T]) bool) (*Seat[T], Rank) {
-	for r := RankEnding; r < RankNewest; r++ {
+func (t *Table[T]) Victim(now time.Time, newest *Entry[T], skip func(*Entry[T]) bool) (*Entry[T], Rank) {
+	for r := RankClosing; r < RankNewest; r++ {
 		l, minAge := t.candidates(r)
 		s := l.first
 		for range maxCandidates {
@@ -347,7 +347,7 @@
 			if now.Sub(s.joined[stageList]) < minAge {
 				break // those after it are younger still
 			}
-			if s != newest && (r == RankEnding || !skip(s)) {
+			if s != newest && (r == RankClosing || !skip(s)) {
 				return s, r
 			}
 			s = s.links[stageList].next
@@ -361,14 +361,14 @@
 func (t *Table[T]) candidates(r Rank) (l *list[T], minAge time.Duration) {
 	b := t.bounds
 	switch r {
-	case RankEnding:
-		return &t.lists[Ending], 0
+	case RankClosing:
+		return &t.lists[Closing], 0
 	case RankSilent:
 		return &t.lists[Silent], b.SilentGrace
 	case RankIdleOnce:
-		return &t.idleOnce, b.KeptFor
+		return &t.idleOnce, b.IdleGrace
 	case RankIdleReused:
-		return &t.lists[Idle], b.KeptFor
+		return &t.lists[Idle], b.IdleGrace
 	case RankIdleOnceRecent:
 		return &t.idleOnce, 0
 	case RankIdleReusedRecent:
@@ -376,6 +376,6 @@
 	case RankSilentRecent:
 		return &t.lists[Silent], 0
 	default:
-		return &t.lists[First], 0
+		return &t.lists[FirstRequest], 0
 	}
 }
--- a/internal/limit/table_test.go
+++ b/internal/limit/table_test.go
@@ -17,11 +17,11 @@
 
 // modelConn is a connection as the reference model knows it.
 type modelConn struct {
-	seat           *Seat[int]
+	entry          *Entry[int]
 	stage          Stage
 	answered       int
 	opened, since  time.Time
-	begun, endedAt time.Time // when the further request began; when the stage became Ending
+	begun, endedAt time.Time // when the further request began; when the stage became Closing
 }
 
 // model drives a table and is its reference: it applies the same rules by a linear
@@ -46,13 +46,13 @@
 func (m *model) rank(p *modelConn) Rank {
 	age := m.now.Sub(p.since)
 	switch {
-	case p.stage == Ending:
-		return RankEnding
+	case p.stage == Closing:
+		return RankClosing
 	case p.stage == Silent && age >= m.bounds.SilentGrace:
 		return RankSilent
-	case p.stage == Idle && p.answered <= 1 && age >= m.bounds.KeptFor:
+	case p.stage == Idle && p.answered <= 1 && age >= m.bounds.IdleGrace:
 		return RankIdleOnce
-	case p.stage == Idle && age >= m.bounds.KeptFor:
+	case p.stage == Idle && age >= m.bounds.IdleGrace:
 		return RankIdleReused
 	case p.stage == Idle && p.answered <= 1:
 		return RankIdleOnceRecent
@@ -60,7 +60,7 @@
 		return RankIdleReusedRecent
 	case p.stage == Silent:
 		return RankSilentRecent
-	case p.stage == First:
+	case p.stage == FirstRequest:
 		return RankFirstRequest
 	}
 	return RankNewest
@@ -77,21 +77,21 @@
 }
 
 func (m *model) enter() *modelConn {
-	p := &modelConn{seat: &Seat[int]{Owner: m.nextOwner}, opened: m.now, since: m.now}
+	p := &modelConn{entry: &Entry[int]{Owner: m.nextOwner}, opened: m.now, since: m.now}
 	m.nextOwner++
 	m.conns = append(m.conns, p)
-	m.table.Enter(m.now, p.seat)
+	m.table.Add(m.now, p.entry)
 	return p
 }
 
 func (m *model) leave(p *modelConn) {
-	m.table.Leave(p.seat)
-	m.table.Leave(p.seat) // a second call does nothing
+	m.table.Remove(p.entry)
+	m.table.Remove(p.entry) // a second call does nothing
 	m.conns = slices.DeleteFunc(m.conns, func(x *modelConn) bool { return x == p })
 }
 
 func (m *model) move(p *modelConn, to Stage) {
-	m.table.Move(m.now, p.seat, to)
+	m.table.SetStage(m.now, p.entry, to)
 	if p.stage == to {
 		return
 	}
@@ -100,9 +100,9 @@
 	}
 	p.stage, p.since = to, m.now
 	switch to {
-	case Further:
+	case NextRequest:
 		p.begun = m.now
-	case Ending:
+	case Closing:
 		p.endedAt = m.now
 	}
 	m.conns = append(slices.DeleteFunc(m.conns, func(x *modelConn) bool { return x == p }), p)
@@ -110,28 +110,28 @@
 
 func (m *model) overdue(p *modelConn) bool {
 	switch p.stage {
-	case Silent, First:
-		return m.now.Sub(p.opened) >= m.bounds.Request
-	case Further:
-		return m.now.Sub(p.begun) >= m.bounds.Request
-	case Ending:
+	case Silent, FirstRequest:
+		return m.now.Sub(p.opened) >= m.bounds.RequestTimeout
+	case NextRequest:
+		return m.now.Sub(p.begun) >= m.bounds.RequestTimeout
+	case Closing:
 		return m.now.Sub(p.endedAt) >= m.bounds.CloseTimeout
 	}
 	return false
 }
 
 func (m *model) surplus(p *modelConn) bool {
-	return m.idle() >= m.bounds.Soft && p.stage == Idle && m.now.Sub(p.since) >= m.bounds.KeptFor
+	return m.idle() >= m.bounds.Soft && p.stage == Idle && m.now.Sub(p.since) >= m.bounds.IdleGrace
 }
 
 // validMoves lists the stages that can follow each stage.
 var validMoves = map[Stage][]Stage{
-	Silent:  {First, Busy, Ending},
-	First:   {Busy, Ending},
-	Busy:    {Idle, Ending},
-	Idle:    {Busy, Further, Ending},
-	Further: {Busy, Idle, Ending},
-	Ending:  {Ending},
+	Silent:       {FirstRequest, Busy, Closing},
+	FirstRequest: {Busy, Closing},
+	Busy:         {Idle, Closing},
+	Idle:         {Busy, NextRequest, Closing},
+	NextRequest:  {Busy, Idle, Closing},
+	Closing:      {Closing},
 }
 
 // Random connections and moves: the table decides as the linear search of the model does.
@@ -139,7 +139,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		b := Bounds{
 			Soft: rapid.IntRange(1, 4).Draw(t, "soft"), Hard: rapid.IntRange(1, 12).Draw(t, "hard"),
-			SilentGrace: 500 * time.Millisecond, KeptFor: 2 * time.Second, Request: 2 * time.Second, CloseTimeout: time.Second,
+			SilentGrace: 500 * time.Millisecond, IdleGrace: 2 * time.Second, RequestTimeout: 2 * time.Second, CloseTimeout: time.Second,
 		}
 		b.Firm = b.Soft + rapid.IntRange(0, 4).Draw(t, "firm")
 		m := &model{table: New[int](b), bounds: b, now: start}
@@ -162,9 +162,9 @@
 					return
 				}
 				want, rank := m.victim(newest)
-				have, got := m.table.Victim(m.now, newest.seat, func(*Seat[int]) bool { return false })
-				if have != want.seat || got != rank {
-					t.Fatalf("Victim returned %d (%v), want %d (%v)", have.Owner, got, want.seat.Owner, rank)
+				have, got := m.table.Victim(m.now, newest.entry, func(*Entry[int]) bool { return false })
+				if have != want.entry || got != rank {
+					t.Fatalf("Victim returned %d (%v), want %d (%v)", have.Owner, got, want.entry.Owner, rank)
 				}
 				m.leave(want)
 			},
@@ -175,24 +175,24 @@
 			"leave": func(t *rapid.T) { m.leave(pick(t)) },
 			"expire": func(t *rapid.T) {
 				for s := m.table.Overdue(m.now); s != nil; s = m.table.Overdue(m.now) {
-					i := slices.IndexFunc(m.conns, func(p *modelConn) bool { return p.seat == s })
+					i := slices.IndexFunc(m.conns, func(p *modelConn) bool { return p.entry == s })
 					if !m.overdue(m.conns[i]) {
 						t.Fatalf("%d is not overdue", s.Owner)
 					}
 					m.leave(m.conns[i])
 				}
 				if i := slices.IndexFunc(m.conns, m.overdue); i >= 0 {
-					t.Fatalf("%d is overdue and Overdue did not return it", m.conns[i].seat.Owner)
+					t.Fatalf("%d is overdue and Overdue did not return it", m.conns[i].entry.Owner)
 				}
-				for s := m.table.Trim(m.now); s != nil; s = m.table.Trim(m.now) {
-					i := slices.IndexFunc(m.conns, func(p *modelConn) bool { return p.seat == s })
+				for s := m.table.SurplusIdle(m.now); s != nil; s = m.table.SurplusIdle(m.now) {
+					i := slices.IndexFunc(m.conns, func(p *modelConn) bool { return p.entry == s })
 					if !m.surplus(m.conns[i]) {
-						t.Fatalf("Trim returned %d, which need not be closed", s.Owner)
+						t.Fatalf("SurplusIdle returned %d, which need not be closed", s.Owner)
 					}
-					m.move(m.conns[i], Ending)
+					m.move(m.conns[i], Closing)
 				}
 				if i := slices.IndexFunc(m.conns, m.surplus); i >= 0 {
-					t.Fatalf("Trim did not return %d, which is to be closed", m.conns[i].seat.Owner)
+					t.Fatalf("SurplusIdle did not return %d, which is to be closed", m.conns[i].entry.Owner)
 				}
 				if due := m.table.Due(); !due.IsZero() && !due.After(m.now) {
 					t.Fatalf("Due is %v, which is in the past", due)
@@ -202,13 +202,13 @@
 				counts := make(map[Stage]int)
 				for _, p := range m.conns {
 					counts[p.stage]++
-					if p.seat.Stage() != p.stage || p.seat.Answered() != p.answered || !p.seat.InTable() {
-						t.Fatalf("seat %d has stage %v, %d requests answered", p.seat.Owner, p.seat.Stage(), p.seat.Answered())
+					if p.entry.Stage() != p.stage || p.entry.Answered() != p.answered || !p.entry.InTable() {
+						t.Fatalf("entry %d has stage %v, %d requests answered", p.entry.Owner, p.entry.Stage(), p.entry.Answered())
 					}
 					idle := m.idle()
-					notice := idle >= b.Firm || idle >= b.Soft && p.answered == 0
-					if m.table.Notice(p.seat) != notice {
-						t.Fatalf("Notice of %d is %v with %d idle", p.seat.Owner, !notice, idle)
+					shouldClose := idle >= b.Firm || idle >= b.Soft && p.answered == 0
+					if m.table.ShouldClose(p.entry) != shouldClose {
+						t.Fatalf("ShouldClose of %d is %v with %d idle", p.entry.Owner, !shouldClose, idle)
 					}
 				}
 				for s := range numStages {
@@ -216,8 +216,8 @@
 						t.Fatalf("%d connections are %v, want %d", m.table.Count(s), s, counts[s])
 					}
 				}
-				if m.table.Held() != len(m.conns) {
-					t.Fatalf("%d connections are held, want %d", m.table.Held(), len(m.conns))
+				if m.table.Len() != len(m.conns) {
+					t.Fatalf("%d connections are held, want %d", m.table.Len(), len(m.conns))
 				}
 			},
 		})
@@ -242,14 +242,14 @@
 	}
 	answer(at[RankIdleOnce], 1)
 	answer(at[RankIdleReused], 2)
-	m.now = m.now.Add(m.bounds.KeptFor)
-	for _, r := range []Rank{RankEnding, RankIdleOnceRecent, RankIdleReusedRecent, RankSilentRecent, RankFirstRequest} {
+	m.now = m.now.Add(m.bounds.IdleGrace)
+	for _, r := range []Rank{RankClosing, RankIdleOnceRecent, RankIdleReusedRecent, RankSilentRecent, RankFirstRequest} {
 		at[r] = m.enter()
 	}
-	m.move(at[RankEnding], Ending)
+	m.move(at[RankClosing], Closing)
 	answer(at[RankIdleOnceRecent], 1)
 	answer(at[RankIdleReusedRecent], 2)
-	m.move(at[RankFirstRequest], First)
+	m.move(at[RankFirstRequest], FirstRequest)
 	m.move(m.enter(), Busy)
 	return m, at
 }
@@ -258,9 +258,9 @@
 	m, at := newModelOfRanks(t)
 	newest := m.enter()
 	at[RankNewest] = newest
-	for r := RankEnding; r < NumRanks; r++ {
-		s, got := m.table.Victim(m.now, newest.seat, func(*Seat[int]) bool { return false })
-		if got != r || s != at[r].seat {
+	for r := RankClosing; r < NumRanks; r++ {
+		s, got := m.table.Victim(m.now, newest.entry, func(*Entry[int]) bool { return false })
+		if got != r || s != at[r].entry {
 			t.Fatalf("Victim returned rank %v, want %v", got, r)
 		}
 		m.leave(at[r])
@@ -271,22 +271,22 @@
 func TestConnectionWithUnreadBytesIsNotEvicted(t *testing.T) {
 	m, at := newModelOfRanks(t)
 	newest := m.enter()
-	m.leave(at[RankEnding])
-	considered := make(map[*Seat[int]]int)
-	skip := func(s *Seat[int]) bool {
+	m.leave(at[RankClosing])
+	considered := make(map[*Entry[int]]int)
+	skip := func(s *Entry[int]) bool {
 		considered[s]++
-		return s != at[RankFirstRequest].seat
+		return s != at[RankFirstRequest].entry
 	}
-	if s, r := m.table.Victim(m.now, newest.seat, skip); s != at[RankFirstRequest].seat || r != RankFirstRequest {
+	if s, r := m.table.Victim(m.now, newest.entry, skip); s != at[RankFirstRequest].entry || r != RankFirstRequest {
 		t.Errorf("Victim returned rank %v, want first", r)
 	}
 	for r := RankSilent; r < RankFirstRequest; r++ {
-		if considered[at[r].seat] == 0 {
+		if considered[at[r].entry] == 0 {
 			t.Errorf("the connection of rank %v was not considered", r)
 		}
 	}
-	skipAll := func(*Seat[int]) bool { return true }
-	if s, r := m.table.Victim(m.now, newest.seat, skipAll); s != newest.seat || r != RankNewest {
+	skipAll := func(*Entry[int]) bool { return true }
+	if s, r := m.table.Victim(m.now, newest.entry, skipAll); s != newest.entry || r != RankNewest {
 		t.Errorf("with all connections skipped: rank %v, want newest", r)
 	}
 	// Only a few connections of each rank are considered, because each one costs a system call.
@@ -294,7 +294,7 @@
 		m.enter()
 	}
 	calls := 0
-	m.table.Victim(m.now, newest.seat, func(*Seat[int]) bool { calls++; return true })
+	m.table.Victim(m.now, newest.entry, func(*Entry[int]) bool { calls++; return true })
 	if calls > int(NumRanks)*maxCandidates {
 		t.Errorf("%d connections were considered", calls)
 	}
@@ -310,20 +310,20 @@
 	}
 }
 
-func ExampleTable_Notice() {
+func ExampleTable_ShouldClose() {
 	t := New[string](Bounds{Soft: 1, Firm: 2, Hard: 10})
 	now := time.Unix(0, 0)
-	answer := func(s *Seat[string]) {
-		t.Move(now, s, Busy)
-		end := t.Notice(s)
+	answer := func(s *Entry[string]) {
+		t.SetStage(now, s, Busy)
+		end := t.ShouldClose(s)
 		fmt.Println(s.Owner, "ends with its answer:", end)
-		if t.Move(now, s, Idle); end {
-			t.Move(now, s, Ending)
+		if t.SetStage(now, s, Idle); end {
+			t.SetStage(now, s, Closing)
 		}
 	}
-	a, b := &Seat[string]{Owner: "a"}, &Seat[string]{Owner: "b"}
-	t.Enter(now, a)
-	t.Enter(now, b)
+	a, b := &Entry[string]{Owner: "a"}, &Entry[string]{Owner: "b"}
+	t.Add(now, a)
+	t.Add(now, b)
 	answer(a)
 	answer(b) // one connection is idle already
 	answer(a) // its second request
@@ -338,13 +338,13 @@
 		b.Run(fmt.Sprint(held), func(b *testing.B) {
 			t, now := New[int](Bounds{Soft: 1, Firm: 1, Hard: held}), start
 			for range held {
-				t.Enter(now, new(Seat[int]))
+				t.Add(now, new(Entry[int]))
 			}
 			for b.Loop() {
-				s := new(Seat[int])
-				t.Enter(now, s)
-				v, _ := t.Victim(now, s, func(*Seat[int]) bool { return false })
-				t.Leave(v)
+				s := new(Entry[int])
+				t.Add(now, s)
+				v, _ := t.Victim(now, s, func(*Entry[int]) bool { return false })
+				t.Remove(v)
 			}
 		})
 	}
--- a/internal/netio/clientconn.go
+++ b/internal/netio/clientconn.go
@@ -34,7 +34,7 @@
 	node         *Node
 	conn         *eventloop.Conn
 	parser       http1.RequestParser
-	seat         limit.Seat[*clientConn]
+	entry        limit.Entry[*clientConn]
 	received     uint64    // bytes given to the parser
 	arrivals     []arrival // of data that belongs to no request passed on yet
 	discarded    int       // bytes thrown away while ending
@@ -53,7 +53,7 @@
 
 func newClientConn(n *Node) *clientConn {
 	c := &clientConn{node: n}
-	c.seat.Owner = c
+	c.entry.Owner = c
 	return c
 }
 
@@ -62,7 +62,7 @@
 	node := c.node
 	c.conn = conn
 	node.stats.Clients++
-	node.clientTable.Enter(time.Now(), &c.seat)
+	node.clientTable.Add(time.Now(), &c.entry)
 	if node.excessClients() > 0 {
 		node.evict(c)
 	}
@@ -70,7 +70,7 @@
 
 // Closed implements eventloop.Handler.
 func (c *clientConn) Closed(reason error) {
-	c.releaseSeat()
+	c.releaseEntry()
 	c.ending = true
 	if c.queryID != 0 {
 		c.node.log.Debug("client left while its query was open", "query", c.queryID, "reason", reason)
@@ -133,8 +133,8 @@
 	return now.Sub(at)
 }
 
-// Left implements gatherer.Client.
-func (c *clientConn) Left() bool { return c.ending || remoteClosed(c.conn.Fd()) }
+// Disconnected implements gatherer.Client.
+func (c *clientConn) Disconnected() bool { return c.ending || remoteClosed(c.conn.FD()) }
 
 // processRequests serves the complete requests that were received.
 func (c *clientConn) processRequests() {
@@ -162,27 +162,27 @@
 
 // awaitRequest updates the connection's stage when there is no complete request.
 func (c *clientConn) awaitRequest() {
-	stage := c.seat.Stage()
+	stage := c.entry.Stage()
 	if c.parser.Idle() {
 		c.arrivals = nil // a connection that stays open must not keep the memory
 	}
 	switch {
 	case c.ending:
 	case stage == limit.Silent:
-		c.setStage(limit.First)
+		c.setStage(limit.FirstRequest)
 	case stage == limit.Idle && !c.parser.Idle():
-		c.setStage(limit.Further)
-	case stage == limit.Further && c.parser.Idle(): // only blank lines were received
+		c.setStage(limit.NextRequest)
+	case stage == limit.NextRequest && c.parser.Idle(): // only blank lines were received
 		c.setStage(limit.Idle)
 	}
 }
 
-func (c *clientConn) setStage(to limit.Stage) { c.node.clientTable.Move(time.Now(), &c.seat, to) }
+func (c *clientConn) setStage(to limit.Stage) { c.node.clientTable.SetStage(time.Now(), &c.entry, to) }
 
 // serve handles one request.
 func (c *clientConn) serve(r *http1.Request) {
 	c.busy, c.lastRequest = true, r.Close
-	if c.seat.Answered() > 0 {
+	if c.entry.Answered() > 0 {
 		c.node.stats.Reused++
 	}
 	c.setStage(limit.Busy)
@@ -193,7 +193,7 @@
 		if c.node.draining {
 			status = http.StatusServiceUnavailable
 			// Clients of kept connections need the place, because they can open no new connection.
-			c.lastRequest = c.lastRequest || c.seat.Answered() == 0 && !c.hasMoreInput()
+			c.lastRequest = c.lastRequest || c.entry.Answered() == 0 && !c.hasMoreInput()
 		}
 		c.respond(status, nil)
 	case r.Method != "POST":
@@ -205,13 +205,13 @@
 
 // submit gives a query to the core.
 func (c *clientConn) submit(path string, r *http1.Request) {
-	ask, err := parseQuery(path, r)
+	query, err := parseQuery(path, r)
 	if err == nil {
 		now := time.Now()
-		ask.Waited = c.sinceArrival(now)
-		ask.Expires = c.node.capExpiry(now, ask.Expires, ask.Waited)
+		query.Waited = c.sinceArrival(now)
+		query.Timeout = c.node.capExpiry(now, query.Timeout, query.Waited)
 		var id uint64
-		id, err = c.node.core.Take(now, ask, c)
+		id, err = c.node.core.Take(now, query, c)
 		if id != 0 {
 			c.queryID = id
 			return
@@ -219,7 +219,7 @@
 	}
 	switch {
 	case err == nil: // refused; Reply has been called
-	case errors.Is(err, gatherer.ErrAhead):
+	case errors.Is(err, gatherer.ErrUnknownEpoch):
 		fields := []http1.Field{{Name: "Content-Type", Value: "text/plain"}}
 		if m := c.node.cfg.Gatherer.Module; m.RetryAdvice {
 			fields = append(fields, retryAfter(min(unknownEpochRetry, m.MaxRetryAdvice)))
@@ -258,8 +258,8 @@
 }
 
 // parseQuery reads a query from a request.
-func parseQuery(path string, r *http1.Request) (gatherer.Ask, error) {
-	ask := gatherer.Ask{
+func parseQuery(path string, r *http1.Request) (gatherer.QueryRequest, error) {
+	query := gatherer.QueryRequest{
 		Trace:  r.Header.Get("x-trace-id"),
 		Class:  r.Header.Get("x-qos"),
 		Key:    r.Header.Get("idempotency-key"),
@@ -268,47 +268,47 @@
 		About:  cookieKey(r.Header),
 	}
 	first, _, _ := strings.Cut(strings.TrimPrefix(path, "/"), "/")
-	if ask.Class == "" {
-		ask.Class = first
+	if query.Class == "" {
+		query.Class = first
 	}
-	if first != ask.Class {
-		return ask, fmt.Errorf("%w: the path does not begin with the class %q", gatherer.ErrInvalid, ask.Class)
+	if first != query.Class {
+		return query, fmt.Errorf("%w: the path does not begin with the class %q", gatherer.ErrInvalid, query.Class)
 	}
-	if !isValidName(ask.Trace) || ask.Key != "" && !isValidName(ask.Key) {
-		return ask, fmt.Errorf("%w: malformed trace id or idempotency key", gatherer.ErrInvalid)
+	if !isValidName(query.Trace) || query.Key != "" && !isValidName(query.Key) {
+		return query, fmt.Errorf("%w: malformed trace id or idempotency key", gatherer.ErrInvalid)
 	}
 	if s := r.Header.Get("x-expires-in-ms"); s != "" {
 		ms, err := strconv.ParseUint(s, 10, 31)
 		if err != nil || ms == 0 {
-			return ask, fmt.Errorf("%w: X-Expires-In-Ms is %q", gatherer.ErrInvalid, s)
+			return query, fmt.Errorf("%w: X-Expires-In-Ms is %q", gatherer.ErrInvalid, s)
 		}
-		ask.Expires = time.Duration(ms) * time.Millisecond
+		query.Timeout = time.Duration(ms) * time.Millisecond
 	}
 	if s := r.Header.Get(epochHeader); s != "" {
 		epoch, err := strconv.ParseUint(s, 10, 64)
 		if err != nil || epoch == 0 {
-			return ask, fmt.Errorf("%w: %s is %q, want a number from 1 on", gatherer.ErrInvalid, epochHeader, s)
+			return query, fmt.Errorf("%w: %s is %q, want a number from 1 on", gatherer.ErrInvalid, epochHeader, s)
 		}
-		ask.Epoch = layout.Epoch(epoch)
+		query.Epoch = layout.Epoch(epoch)
 	}
 	var b queryBody
 	if err := json.Unmarshal(r.Body, &b); err != nil {
-		return ask, fmt.Errorf("%w: %w", gatherer.ErrInvalid, err)
+		return query, fmt.Errorf("%w: %w", gatherer.ErrInvalid, err)
 	}
 	if b.Statement == nil {
-		return ask, fmt.Errorf("%w: statement is missing", gatherer.ErrInvalid)
+		return query, fmt.Errorf("%w: statement is missing", gatherer.ErrInvalid)
 	}
-	ask.Text = *b.Statement
+	query.Text = *b.Statement
 	for i, t := range b.Tablets {
 		if t.Tablet == nil || t.Fraction == nil {
-			return ask, fmt.Errorf("%w: tablets[%d] lacks tablet or fraction", gatherer.ErrInvalid, i)
+			return query, fmt.Errorf("%w: tablets[%d] lacks tablet or fraction", gatherer.ErrInvalid, i)
 		}
-		if i == 0 && ask.About == "" && isValidKey(t.Token) {
-			ask.About = t.Token // the token stands for the key and this part's shard
+		if i == 0 && query.About == "" && isValidKey(t.Token) {
+			query.About = t.Token // the token stands for the key and this part's shard
 		}
-		ask.Parts = append(ask.Parts, gatherer.AskPart{Shard: *t.Tablet, Weight: *t.Fraction})
+		query.Parts = append(query.Parts, gatherer.PartRequest{Shard: *t.Tablet, Weight: *t.Fraction})
 	}
-	return ask, nil
+	return query, nil
 }
 
 // keyCookie is the cookie with the key of a query, where queries have one: what the query is about.
@@ -373,9 +373,9 @@
 		fields = append(fields, http1.Field{Name: generationHeader, Value: strconv.FormatUint(r.Generation, 10)})
 	}
 	switch {
-	case r.Verdict == gatherer.Answered:
+	case r.Kind == gatherer.Answered:
 		b := answerBody{Full: r.Whole, Pieces: []piece{}}
-		for _, p := range r.Pieces {
+		for _, p := range r.Values {
 			b.Pieces = append(b.Pieces, piece{Tablet: p.Shard, Cell: p.Value})
 		}
 		text, err := json.Marshal(b)
@@ -388,9 +388,9 @@
 			fields = append(fields, http1.Field{Name: epochHeader, Value: strconv.FormatUint(uint64(r.Epoch), 10)})
 		}
 		c.respond(http.StatusOK, text, fields...)
-	case r.Verdict == gatherer.Refused && r.RetryAfter > 0:
+	case r.Kind == gatherer.Refused && r.RetryAfter > 0:
 		c.respond(http.StatusServiceUnavailable, nil, append(fields, retryAfter(r.RetryAfter))...)
-	case r.Verdict == gatherer.Refused:
+	case r.Kind == gatherer.Refused:
 		c.respond(http.StatusServiceUnavailable, nil, fields...)
 	case r.Overdue:
 		c.respond(http.StatusGatewayTimeout, nil, fields...)
@@ -414,7 +414,7 @@
 
 // hasMoreInput reports whether data was received behind the current request. If the connection ended with the
 // answer to this one, the next request, which may be complete, would get no answer.
-func (c *clientConn) hasMoreInput() bool { return !c.parser.Idle() || pendingBytes(c.conn.Fd()) > 0 }
+func (c *clientConn) hasMoreInput() bool { return !c.parser.Idle() || pendingBytes(c.conn.FD()) > 0 }
 
 // endsWithAnswer reports whether the connection is to end with the answer that is about to be given, although the
 // client has not asked for that. The answer announces it to the client, so no request crosses the close.
@@ -422,7 +422,7 @@
 	if c.node.draining { // the client could open no new connection: this one is kept for as long as there is time
 		return !now.Before(c.node.serveUntil) && (!now.Before(c.node.killAt) || !c.hasMoreInput())
 	}
-	return c.node.clientTable.Notice(&c.seat) && !c.hasMoreInput()
+	return c.node.clientTable.ShouldClose(&c.entry) && !c.hasMoreInput()
 }
 
 // respond writes an answer and closes the connection if it was the last one.
@@ -431,7 +431,7 @@
 	if !closes && c.endsWithAnswer(time.Now()) {
 		closes = true
 		if !c.node.draining {
-			c.node.stats.Noticed++
+			c.node.stats.ClosedWithAnswer++
 		}
 	}
 	c.busy = false
@@ -441,7 +441,7 @@
 	switch {
 	case c.ending: // the write has failed
 	case c.conn.Buffered() > maxUnreadAnswers:
-		c.node.stats.Unread++
+		c.node.stats.ClosedUnread++
 		c.drop()
 	case closes:
 		c.closeGracefully()
@@ -463,36 +463,36 @@
 		c.node.flushing[c] = time.Now().Add(flushTimeout)
 		return
 	}
-	c.setStage(limit.Ending)
-	shutdownWrite(c.conn.Fd())
+	c.setStage(limit.Closing)
+	shutdownWrite(c.conn.FD())
 }
 
 // drop closes the connection without waiting for anything.
 func (c *clientConn) drop() {
 	c.ending = true
-	c.releaseSeat()
+	c.releaseEntry()
 	c.conn.Close()
 }
 
-// releaseSeat removes the connection from the table of clients.
-func (c *clientConn) releaseSeat() {
-	c.node.clientTable.Leave(&c.seat)
+// releaseEntry removes the connection from the table of clients.
+func (c *clientConn) releaseEntry() {
+	c.node.clientTable.Remove(&c.entry)
 	delete(c.node.flushing, c)
 }
 
 // hasPendingData reports whether received data was not read yet or an answer is not fully written: to close the
 // connection would harm its client.
 func (c *clientConn) hasPendingData() bool {
-	return c.conn.Buffered() > 0 || pendingBytes(c.conn.Fd()) > 0
+	return c.conn.Buffered() > 0 || pendingBytes(c.conn.FD()) > 0
 }
 
 // usableDescriptors returns how many descriptors clients and searchers may take together. The rest is for
 // discovery, and for connections accepted in one round of the loop.
-func (n *Node) usableDescriptors() int { return (n.cfg.Sockets - reservedDescriptors) * 7 / 8 }
+func (n *Node) usableDescriptors() int { return (n.cfg.MaxDescriptors - reservedDescriptors) * 7 / 8 }
 
 // excessClients returns by how many clients exceed their bound, or what the connections to searchers leave them.
 func (n *Node) excessClients() int {
-	return max(n.clientTable.Held()-n.clientTable.Bounds().Hard, n.clientTable.Held()+n.pool.connCount+n.pool.dialing-n.usableDescriptors())
+	return max(n.clientTable.Len()-n.clientTable.Bounds().Hard, n.clientTable.Len()+n.pool.connCount+n.pool.dialing-n.usableDescriptors())
 }
 
 // maxTransientExcess is how many connections may be held beyond the bound until the loop's next round.
@@ -501,7 +501,7 @@
 // evict makes room for a connection that is being opened, so that descriptors are never used up. If all others are
 // in use, it closes the new one, unread.
 func (n *Node) evict(newest *clientConn) {
-	if _, rank := n.chooseVictim(&newest.seat); rank == limit.RankNewest || n.excessClients() > maxTransientExcess {
+	if _, rank := n.chooseVictim(&newest.entry); rank == limit.RankNewest || n.excessClients() > maxTransientExcess {
 		n.stats.Evicted[limit.RankNewest.String()]++
 		newest.closeNow()
 		return
@@ -515,24 +515,24 @@
 // loop: if data were read between the check of a connection and its close, it would be lost.
 func (n *Node) evictOthers(newest *clientConn) {
 	for n.excessClients() > 0 {
-		seat, rank := n.chooseVictim(&newest.seat)
+		entry, rank := n.chooseVictim(&newest.entry)
 		if rank == limit.RankNewest {
 			return // all others have come into use; while that lasts, each further connection is closed
 		}
 		n.stats.Evicted[rank.String()]++
-		if rank != limit.RankEnding && seat.Owner.hasPendingData() {
-			n.stats.Crossed++
+		if rank != limit.RankClosing && entry.Owner.hasPendingData() {
+			n.stats.EvictedInUse++
 		}
-		seat.Owner.closeNow()
+		entry.Owner.closeNow()
 	}
 }
 
 // chooseVictim returns the connection that is least needed, and its rank.
-func (n *Node) chooseVictim(newest *limit.Seat[*clientConn]) (*limit.Seat[*clientConn], limit.Rank) {
-	return n.clientTable.Victim(time.Now(), newest, func(s *limit.Seat[*clientConn]) bool {
+func (n *Node) chooseVictim(newest *limit.Entry[*clientConn]) (*limit.Entry[*clientConn], limit.Rank) {
+	return n.clientTable.Victim(time.Now(), newest, func(s *limit.Entry[*clientConn]) bool {
 		unread := s.Owner.hasPendingData()
 		if unread {
-			n.stats.Spared++
+			n.stats.NotClosed++
 		}
 		return unread
 	})
@@ -544,7 +544,7 @@
 // a request could be read that nobody answers.
 func (c *clientConn) closeIfUnused() bool {
 	if c.hasPendingData() {
-		c.node.stats.Spared++
+		c.node.stats.NotClosed++
 		return false
 	}
 	c.closeNow()
@@ -555,7 +555,7 @@
 // may read first.
 func (c *clientConn) closeNow() {
 	c.ending = true
-	c.releaseSeat()
+	c.releaseEntry()
 	c.conn.CloseNow(nil)
 }
 
@@ -574,8 +574,8 @@
 // checkClients closes the connections whose time limit is over, and the longest idle ones if there are too many.
 func (n *Node) checkClients(now time.Time) {
 	n.closeOverdue(now)
-	for s := n.clientTable.Trim(now); s != nil && !n.draining && s.Owner.closeIfUnused(); s = n.clientTable.Trim(now) {
-		n.stats.Trimmed++
+	for s := n.clientTable.SurplusIdle(now); s != nil && !n.draining && s.Owner.closeIfUnused(); s = n.clientTable.SurplusIdle(now) {
+		n.stats.ClosedIdle++
 	}
 	n.checkFlushing(now)
 }
@@ -584,13 +584,13 @@
 func (n *Node) closeOverdue(now time.Time) {
 	for s := n.clientTable.Overdue(now); s != nil; s = n.clientTable.Overdue(now) {
 		switch c := s.Owner; {
-		case s.Stage() == limit.Ending:
+		case s.Stage() == limit.Closing:
 			c.drop()
 		case c.parser.Idle():
 			if !c.closeIfUnused() {
 				return // its request is read next
 			}
-			n.stats.Silent++
+			n.stats.ClosedSilent++
 		default:
 			c.reject(http.StatusRequestTimeout, "the request was not complete in time", true)
 		}
@@ -605,7 +605,7 @@
 			delete(n.flushing, c)
 			c.closeGracefully()
 		case !now.Before(until):
-			n.stats.Unread++
+			n.stats.ClosedUnread++
 			c.drop()
 		}
 	}
--- a/internal/netio/clientconn_test.go
+++ b/internal/netio/clientconn_test.go
@@ -17,7 +17,7 @@
 // startBounded starts a node with the given bounds on client connections.
 func startBounded(t *testing.T, soft, firm, hard int) *harness {
 	return startHarness(t, func(h *harness) {
-		b := limit.Defaults(h.cfg.Sockets)
+		b := limit.Defaults(h.cfg.MaxDescriptors)
 		b.Soft, b.Firm, b.Hard = soft, firm, hard
 		h.clientTable = limit.New[*clientConn](b)
 		h.decide = nil
@@ -80,8 +80,8 @@
 		t.Error("the returning client was told to close")
 	}
 	h.onLoop(func() {
-		if h.stats.Noticed != 47 || h.stats.Crossed+len(h.stats.Evicted) > 0 {
-			t.Errorf("noticed %d, crossed %d, evicted %v", h.stats.Noticed, h.stats.Crossed, h.stats.Evicted)
+		if h.stats.ClosedWithAnswer != 47 || h.stats.EvictedInUse+len(h.stats.Evicted) > 0 {
+			t.Errorf("noticed %d, crossed %d, evicted %v", h.stats.ClosedWithAnswer, h.stats.EvictedInUse, h.stats.Evicted)
 		}
 	})
 }
@@ -144,13 +144,13 @@
 	}
 	exchange(t, clients[0], healthRequest) // this client sends a second request
 	h.onLoop(func() {
-		h.checkClients(before.Add(h.clientTable.Bounds().KeptFor))
-		if h.stats.Trimmed != 0 {
+		h.checkClients(before.Add(h.clientTable.Bounds().IdleGrace))
+		if h.stats.ClosedIdle != 0 {
 			t.Error("a connection was closed that had not been idle for long")
 		}
-		h.checkClients(time.Now().Add(h.clientTable.Bounds().KeptFor))
-		if h.stats.Trimmed != 1 || h.clientTable.Count(limit.Idle) != 2 {
-			t.Errorf("%d were closed, %d are idle", h.stats.Trimmed, h.clientTable.Count(limit.Idle))
+		h.checkClients(time.Now().Add(h.clientTable.Bounds().IdleGrace))
+		if h.stats.ClosedIdle != 1 || h.clientTable.Count(limit.Idle) != 2 {
+			t.Errorf("%d were closed, %d are idle", h.stats.ClosedIdle, h.clientTable.Count(limit.Idle))
 		}
 	})
 	if exchange(t, clients[0], healthRequest) {
@@ -162,9 +162,9 @@
 // received is never cut off, in whichever way connections between requests are closed.
 func TestARequestThatCrossesACloseIsNotRead(t *testing.T) {
 	for name, shut := range map[string]func(*harness){
-		"trimmed": func(h *harness) { h.checkClients(time.Now().Add(h.clientTable.Bounds().KeptFor)) },
+		"trimmed": func(h *harness) { h.checkClients(time.Now().Add(h.clientTable.Bounds().IdleGrace)) },
 		"drained": func(h *harness) { h.closeIdleClients() },
-		"silent":  func(h *harness) { h.checkClients(time.Now().Add(h.clientTable.Bounds().Request)) },
+		"silent":  func(h *harness) { h.checkClients(time.Now().Add(h.clientTable.Bounds().RequestTimeout)) },
 	} {
 		h := startBounded(t, 1, 100, 100)
 		a := testpeer.NewClient(t, h.Addr())
@@ -177,11 +177,11 @@
 		h.onLoop(func() {
 			c := h.clientTable.Oldest(stage).Owner
 			a.Say(healthRequest)
-			for end := time.Now().Add(testpeer.Patience); pendingBytes(c.conn.Fd()) == 0 && time.Now().Before(end); {
+			for end := time.Now().Add(testpeer.Patience); pendingBytes(c.conn.FD()) == 0 && time.Now().Before(end); {
 			}
 			shut(h)
-			if h.stats.Spared != 1 || c.ending {
-				t.Errorf("%s: spared %d, ending %v", name, h.stats.Spared, c.ending)
+			if h.stats.NotClosed != 1 || c.ending {
+				t.Errorf("%s: spared %d, ending %v", name, h.stats.NotClosed, c.ending)
 			}
 		})
 		if resp, _ := a.Hear(); resp.StatusCode != 200 {
@@ -212,19 +212,19 @@
 	h.onLoop(func() {
 		oldest := h.clientTable.Oldest(limit.Idle).Owner
 		a.Say(healthRequest)
-		for end := time.Now().Add(testpeer.Patience); pendingBytes(oldest.conn.Fd()) == 0 && time.Now().Before(end); {
+		for end := time.Now().Add(testpeer.Patience); pendingBytes(oldest.conn.FD()) == 0 && time.Now().Before(end); {
 		}
-		var more [2]limit.Seat[*clientConn]
+		var more [2]limit.Entry[*clientConn]
 		for i := range more {
-			h.clientTable.Enter(time.Now(), &more[i])
-			h.clientTable.Move(time.Now(), &more[i], limit.Busy)
+			h.clientTable.Add(time.Now(), &more[i])
+			h.clientTable.SetStage(time.Now(), &more[i], limit.Busy)
 		}
 		h.evictOthers(newClientConn(h.Node))
 		for i := range more {
-			h.clientTable.Leave(&more[i])
+			h.clientTable.Remove(&more[i])
 		}
-		if h.stats.Spared != 1 || h.stats.Evicted["once_new"] != 1 || h.stats.Crossed != 0 {
-			t.Errorf("spared %d, evicted %v, crossed %d", h.stats.Spared, h.stats.Evicted, h.stats.Crossed)
+		if h.stats.NotClosed != 1 || h.stats.Evicted["once_new"] != 1 || h.stats.EvictedInUse != 0 {
+			t.Errorf("spared %d, evicted %v, crossed %d", h.stats.NotClosed, h.stats.Evicted, h.stats.EvictedInUse)
 		}
 	})
 	if resp, _ := a.Hear(); resp.StatusCode != 200 {
@@ -244,8 +244,8 @@
 	newest := newClientConn(h.Node)
 	h.onLoop(func() {
 		chosen := h.clientTable.Oldest(limit.Idle).Owner
-		h.clientTable.Enter(time.Now(), &newest.seat)
-		h.clientTable.Move(time.Now(), &newest.seat, limit.Busy)
+		h.clientTable.Add(time.Now(), &newest.entry)
+		h.clientTable.SetStage(time.Now(), &newest.entry, limit.Busy)
 		h.evict(newest)
 		chosen.Traffic([]byte(testpeer.Query("search", "t", time.Minute, 1)))
 	})
@@ -254,7 +254,7 @@
 		t.Errorf("have %s", resp.Status)
 	}
 	b.Closed()
-	h.onLoop(func() { h.clientTable.Leave(&newest.seat) })
+	h.onLoop(func() { h.clientTable.Remove(&newest.entry) })
 }
 
 // If all other connections are in use, the new one is closed at once, so that nothing on it is read.
@@ -272,8 +272,8 @@
 		t.Errorf("have %s", resp.Status)
 	}
 	h.onLoop(func() {
-		if h.stats.Evicted["newest"] != 1 || h.clientTable.Held() != 1 {
-			t.Errorf("evicted %v, %d held", h.stats.Evicted, h.clientTable.Held())
+		if h.stats.Evicted["newest"] != 1 || h.clientTable.Len() != 1 {
+			t.Errorf("evicted %v, %d held", h.stats.Evicted, h.clientTable.Len())
 		}
 	})
 }
@@ -302,7 +302,7 @@
 				}
 				if c.unread {
 					client.Say(next)
-					h.spinUntil("the request is received", func() bool { return pendingBytes(owner.conn.Fd()) == len(next) })
+					h.spinUntil("the request is received", func() bool { return pendingBytes(owner.conn.FD()) == len(next) })
 				} else {
 					owner.Traffic([]byte(next))
 				}
@@ -334,7 +334,7 @@
 		h.onLoop(func() {
 			owner := h.clientTable.Oldest(limit.Busy).Owner
 			owner.lastRequest = true
-			_ = setSendBuffer(owner.conn.Fd(), 16<<10)
+			_ = setSendBuffer(owner.conn.FD(), 16<<10)
 		})
 		for _, p := range parts {
 			p.Answer("served", 1, value)
@@ -357,8 +357,8 @@
 	slow("u")
 	h.onLoop(func() {
 		h.checkClients(time.Now().Add(flushTimeout))
-		if len(h.flushing) != 0 || h.clientTable.Held() != 0 || h.stats.Unread != 1 {
-			t.Errorf("%d are flushing, %d held, %d unread", len(h.flushing), h.clientTable.Held(), h.stats.Unread)
+		if len(h.flushing) != 0 || h.clientTable.Len() != 0 || h.stats.ClosedUnread != 1 {
+			t.Errorf("%d are flushing, %d held, %d unread", len(h.flushing), h.clientTable.Len(), h.stats.ClosedUnread)
 		}
 	})
 }
--- a/internal/netio/configuredlist_test.go
+++ b/internal/netio/configuredlist_test.go
@@ -37,7 +37,7 @@
 			t.Parallel()
 			h := startHarness(t, func(h *harness) {
 				h.decide = func(eiderwinch.Event) []eiderwinch.Action { return nil }
-				h.cfg.Gatherer.Module.ColdFor = time.Minute
+				h.cfg.Gatherer.Module.ColdDuration = time.Minute
 				if c.reports {
 					h.cfg.DrainGrace = time.Minute // the list must not be confirmed because of silence
 				}
--- a/internal/netio/drain.go
+++ b/internal/netio/drain.go
@@ -30,7 +30,7 @@
 func (n *Node) Drain() {
 	n.exec(func() {
 		if !n.draining {
-			n.log.Info("draining", "open", n.core.Open())
+			n.log.Info("draining", "open", n.core.OpenQueries())
 			now := time.Now()
 			n.draining, n.drainUntil, n.serveUntil = true, now.Add(n.acceptFor), now.Add(n.serveFor)
 			n.killAt = now.Add(n.cfg.killAfter())
@@ -45,7 +45,7 @@
 // drained reports whether a draining node has nothing left to do. It closes idle client connections and, once
 // it has waited long enough for their rest, refuses incomplete requests.
 func (n *Node) drained(now time.Time) bool {
-	if !n.draining || now.Before(n.drainUntil) || now.Before(n.serveUntil) && n.clientTable.Held() > 0 {
+	if !n.draining || now.Before(n.drainUntil) || now.Before(n.serveUntil) && n.clientTable.Len() > 0 {
 		return false
 	}
 	closed := n.closeIdleClients()
@@ -53,17 +53,17 @@
 	if until := n.serveUntil.Add(partialRequestWait); !now.Before(until) || !now.Before(last) {
 		n.refusePartialRequests()
 	}
-	incomplete := n.clientTable.Count(limit.First)+n.clientTable.Count(limit.Further) > 0
+	incomplete := n.clientTable.Count(limit.FirstRequest)+n.clientTable.Count(limit.NextRequest) > 0
 	// Closing a connection that holds unread bytes would reset it, and the client could lose its last answer. A
 	// client whose connection is not accepted yet may already have sent a query.
-	inputUnread := (n.clientTable.Count(limit.Ending) > 0 || readable(n.loop.ListenerFd())) && now.Before(last)
-	return closed && !incomplete && !inputUnread && n.core.Open() == 0 && n.clientTable.Count(limit.Busy) == 0
+	inputUnread := (n.clientTable.Count(limit.Closing) > 0 || readable(n.loop.ListenerFD())) && now.Before(last)
+	return closed && !incomplete && !inputUnread && n.core.OpenQueries() == 0 && n.clientTable.Count(limit.Busy) == 0
 }
 
 // refusePartialRequests refuses the requests that are incomplete: their rest may arrive after the end of the
 // process, and nobody would answer them.
 func (n *Node) refusePartialRequests() {
-	for _, stage := range [...]limit.Stage{limit.First, limit.Further} {
+	for _, stage := range [...]limit.Stage{limit.FirstRequest, limit.NextRequest} {
 		for s := n.clientTable.Oldest(stage); s != nil; s = n.clientTable.Oldest(stage) {
 			s.Owner.lastRequest = true
 			s.Owner.respond(http.StatusServiceUnavailable, nil)
--- a/internal/netio/drain_test.go
+++ b/internal/netio/drain_test.go
@@ -30,7 +30,9 @@
 				exchange(t, client, first)
 			}
 			client.Say("POST /search HTTP/1.1\r\nContent-Length: 10\r\n\r\n")
-			h.waitUntil("the request has begun", func() bool { return h.clientTable.Count(limit.First)+h.clientTable.Count(limit.Further) == 1 })
+			h.waitUntil("the request has begun", func() bool {
+				return h.clientTable.Count(limit.FirstRequest)+h.clientTable.Count(limit.NextRequest) == 1
+			})
 			h.Drain()
 			h.onLoop(func() { // only the time reserved for answers is left
 				h.serveUntil = time.Now()
@@ -50,7 +52,7 @@
 func TestADrainWaitsForClientsToReadTheirLastAnswer(t *testing.T) {
 	h := startHarness(t, nil)
 	client := testpeer.NewClient(t, h.Addr()).Say("nonsense\r\n\r\n")
-	h.waitUntil("the answer is written", func() bool { return h.clientTable.Count(limit.Ending) == 1 })
+	h.waitUntil("the answer is written", func() bool { return h.clientTable.Count(limit.Closing) == 1 })
 	h.Drain()
 	h.onLoop(func() {
 		client.Say("more of it")
@@ -73,7 +75,7 @@
 		t.Fatal(err)
 	}
 	run := func(addr string) (*Node, <-chan error) {
-		n := New(Config{Listen: addr, Discovery: "127.0.0.1:1", Sockets: 1024, Gatherer: gatherer.Settings{Tick: time.Millisecond}},
+		n := New(Config{Listen: addr, Discovery: "127.0.0.1:1", MaxDescriptors: 1024, Gatherer: gatherer.Settings{Tick: time.Millisecond}},
 			&harness{decide: func(eiderwinch.Event) []eiderwinch.Action { return nil }}, stats.New(), slog.New(slog.DiscardHandler))
 		done := make(chan error, 1)
 		go func() { done <- n.Run() }()
@@ -103,7 +105,7 @@
 // not accepted it yet.
 func TestADrainServesClientsNotAcceptedYet(t *testing.T) {
 	h := startHarness(t, nil)
-	h.waitUntil("no client is connected", func() bool { return h.clientTable.Held() == 0 })
+	h.waitUntil("no client is connected", func() bool { return h.clientTable.Len() == 0 })
 	var client *testpeer.Client
 	h.onLoop(func() {
 		now := time.Now()
@@ -112,7 +114,7 @@
 			t.Error("something is left to do")
 		}
 		client = testpeer.NewClient(t, h.Addr()).Say(testpeer.Query("search", "t", time.Minute, 1))
-		h.spinUntil("the client is connected", func() bool { return readable(h.loop.ListenerFd()) })
+		h.spinUntil("the client is connected", func() bool { return readable(h.loop.ListenerFD()) })
 		if h.drained(now) || !h.drained(h.killAt) {
 			t.Error("the connected client is abandoned, or delays the end without limit")
 		}
@@ -155,7 +157,7 @@
 		"keyed, never sent":                    {nothing, "reserve", false, false, http.StatusServiceUnavailable},
 		"safe, taken in the drain":             {sendOnce, "search", true, true, http.StatusServiceUnavailable},
 		"half of it is answered, which is enough": {func(h *harness) {
-			h.cfg.Gatherer.Module.Classes[0].Floor = 0.5
+			h.cfg.Gatherer.Module.Classes[0].MinShare = 0.5
 			h.rebuildCore()
 			sendOnce(h)
 		}, "search", true, false, http.StatusOK},
@@ -190,8 +192,8 @@
 			}
 			h.onLoop(func() {
 				h.drainUntil = time.Now()
-				if h.stats.CutShort != 1 || h.stats.Overdue != 0 {
-					t.Errorf("cut short %d, overdue %d", h.stats.CutShort, h.stats.Overdue)
+				if h.stats.CutShort != 1 || h.stats.DeadlineExceeded != 0 {
+					t.Errorf("cut short %d, overdue %d", h.stats.CutShort, h.stats.DeadlineExceeded)
 				}
 			})
 		})
@@ -205,7 +207,7 @@
 	client.ReadAhead(16 << 10)
 	client.Say(testpeer.Query("search", "t", time.Minute, 4))
 	parts := []testpeer.Part{h.nextPart(), h.nextPart(), h.nextPart(), h.nextPart()}
-	h.onLoop(func() { _ = setSendBuffer(h.clientTable.Oldest(limit.Busy).Owner.conn.Fd(), 16<<10) })
+	h.onLoop(func() { _ = setSendBuffer(h.clientTable.Oldest(limit.Busy).Owner.conn.FD(), 16<<10) })
 	h.Drain()
 	h.onLoop(func() { h.serveUntil, h.killAt = time.Now(), time.Now() })
 	value := strings.Repeat("v", 60_000)
@@ -232,7 +234,7 @@
 	h.waitUntil("the connection is idle", func() bool { return h.clientTable.Count(limit.Idle) == 1 })
 	h.onLoop(func() { h.clientTable.Oldest(limit.Idle).Owner.closeGracefully() })
 	client.Say(testpeer.Query("search", "t", time.Minute, 1))
-	h.waitUntil("the query is read", func() bool { return h.clientTable.Oldest(limit.Ending).Owner.discarded > 0 })
+	h.waitUntil("the query is read", func() bool { return h.clientTable.Oldest(limit.Closing).Owner.discarded > 0 })
 	h.onLoop(func() {
 		if h.stats.Taken != 0 {
 			t.Error("the query is taken")
--- a/internal/netio/eventloop/conn.go
+++ b/internal/netio/eventloop/conn.go
@@ -136,7 +136,7 @@
 // retryRegistration schedules a further attempt to register a connection with the poller.
 func (l *Loop) retryRegistration(c *Conn) {
 	c.registerFails++
-	l.counters.Retries++
+	l.counters.RegistrationRetries++
 	l.unregistered[c] = struct{}{}
 	if !l.retryScheduled {
 		l.retryScheduled = true
@@ -199,7 +199,7 @@
 // After maxPauses in a row the connection is closed.
 func (c *Conn) pause(call string, err error) {
 	c.loop.countFailure(call, err)
-	c.loop.counters.Stalls++
+	c.loop.counters.Pauses++
 	if c.pauses++; c.pauses > maxPauses {
 		c.CloseNow(os.NewSyscallError(call, err))
 		return
@@ -280,14 +280,14 @@
 // Buffered returns the number of bytes given to Write that the system has not accepted yet.
 func (c *Conn) Buffered() int { return c.unsent.Len() }
 
-// Mute stops all writing: bytes that the system has not accepted by now are never sent, and stay Buffered.
-func (c *Conn) Mute() {
+// StopWriting stops all writing: bytes that the system has not accepted by now are never sent, and stay Buffered.
+func (c *Conn) StopWriting() {
 	c.muted = true
 	c.updateInterest()
 }
 
-// Fd returns the file descriptor; -1 once the connection is closed.
-func (c *Conn) Fd() int { return c.fd }
+// FD returns the file descriptor; -1 once the connection is closed.
+func (c *Conn) FD() int { return c.fd }
 
 // Close closes the connection in the loop's next round.
 func (c *Conn) Close() {
--- a/internal/netio/eventloop/errors.go
+++ b/internal/netio/eventloop/errors.go
@@ -42,16 +42,16 @@
 
 // Counters counts the system calls that have failed without ending the loop.
 type Counters struct {
-	Fails     map[string]int // by call and error, such as "accept4.ENFILE"
-	WakeFails int            // failed writes to wake the loop
-	Retries   int            // retries of registrations with the poller
-	Stalls    int            // times that a connection was paused because the system had no memory or buffers
+	Failures            map[string]int // by call and error, such as "accept4.ENFILE"
+	WakeFails           int            // failed writes to wake the loop
+	RegistrationRetries int            // retries of registrations with the poller
+	Pauses              int            // times that a connection was paused because the system had no memory or buffers
 }
 
-// maxFailNames bounds the keys of Counters.Fails; further ones are counted as "other".
+// maxFailNames bounds the keys of Counters.Failures; further ones are counted as "other".
 const maxFailNames = 64
 
-func newCounters() Counters { return Counters{Fails: make(map[string]int)} }
+func newCounters() Counters { return Counters{Failures: make(map[string]int)} }
 
 // countFailure counts a system call that has failed, and logs the first failure of each call and error.
 func (l *Loop) countFailure(call string, err error) {
@@ -60,11 +60,11 @@
 	if errors.As(err, &number) {
 		name += "." + unix.ErrnoName(number)
 	}
-	if _, known := l.counters.Fails[name]; !known && len(l.counters.Fails) >= maxFailNames {
+	if _, known := l.counters.Failures[name]; !known && len(l.counters.Failures) >= maxFailNames {
 		name = "other"
 	}
-	l.counters.Fails[name]++
-	if l.counters.Fails[name] == 1 && l.opts.Log != nil {
+	l.counters.Failures[name]++
+	if l.counters.Failures[name] == 1 && l.opts.Log != nil {
 		l.opts.Log.Warn("a system call failed; it is retried", "call", call, "err", os.NewSyscallError(call, err))
 	}
 }
--- a/internal/netio/eventloop/listener.go
+++ b/internal/netio/eventloop/listener.go
@@ -117,7 +117,7 @@
 	err := l.poller.AddRead(&netpoll.PollAttachment{FD: l.listener.fd}, false)
 	if err != nil {
 		l.countFailure("epoll_ctl", err)
-		l.counters.Retries++
+		l.counters.RegistrationRetries++
 		l.retryAfter(l.listener.fails, l.resumeListener)
 	}
 }
--- a/internal/netio/eventloop/loop.go
+++ b/internal/netio/eventloop/loop.go
@@ -34,10 +34,10 @@
 
 // Options configures a Loop.
 type Options struct {
-	Accepted func() Handler // returns the handler of a new connection
-	After    func()         // called after each event and each round of functions; may be nil
-	Log      *slog.Logger
-	Seed     uint64 // of the jitter of retries
+	Accepted   func() Handler // returns the handler of a new connection
+	AfterEvent func()         // called after each event and each round of functions; may be nil
+	Log        *slog.Logger
+	Seed       uint64 // of the jitter of retries
 }
 
 // Times and bounds.
@@ -109,13 +109,13 @@
 // Addr returns the address that the loop listens on.
 func (l *Loop) Addr() string { return l.listener.addr }
 
-// ListenerFd returns the descriptor of the listener. It may be called on the loop's goroutine only.
-func (l *Loop) ListenerFd() int { return l.listener.fd }
+// ListenerFD returns the descriptor of the listener. It may be called on the loop's goroutine only.
+func (l *Loop) ListenerFD() int { return l.listener.fd }
 
 // Counters returns the counts of failed system calls. It may be called on the loop's goroutine only.
 func (l *Loop) Counters() Counters {
 	c := l.counters
-	c.Fails = maps.Clone(c.Fails)
+	c.Failures = maps.Clone(c.Failures)
 	l.mu.Lock()
 	c.WakeFails = l.wakeFails
 	l.mu.Unlock()
@@ -200,8 +200,8 @@
 			c.handleEvents(events)
 		}
 	}
-	if l.opts.After != nil && !l.stopped {
-		l.opts.After()
+	if l.opts.AfterEvent != nil && !l.stopped {
+		l.opts.AfterEvent()
 	}
 }
 
--- a/internal/netio/eventloop/loop_test.go
+++ b/internal/netio/eventloop/loop_test.go
@@ -138,7 +138,7 @@
 	own := testpeer.Get(t, h.opened, "the connection")
 	buffered := make(chan int, 1)
 	_ = l.Execute(func() {
-		own.Mute()
+		own.StopWriting()
 		_ = own.Write([]byte("held"))
 		buffered <- own.Buffered()
 		own.Close()
@@ -181,8 +181,8 @@
 		l.countFailure(fmt.Sprintf("call%d", i), unix.EIO)
 	}
 	l.countFailure("call0", unix.EIO)
-	if n := len(l.counters.Fails); n > maxFailNames+1 || l.counters.Fails["call0.EIO"] != 2 {
-		t.Errorf("%d names; call0.EIO counted %d times", n, l.counters.Fails["call0.EIO"])
+	if n := len(l.counters.Failures); n > maxFailNames+1 || l.counters.Failures["call0.EIO"] != 2 {
+		t.Errorf("%d names; call0.EIO counted %d times", n, l.counters.Failures["call0.EIO"])
 	}
 	if lines := strings.Count(log.String(), "\n"); lines > maxFailNames+1 {
 		t.Errorf("%d lines logged", lines)
--- a/internal/netio/netio_test.go
+++ b/internal/netio/netio_test.go
@@ -53,20 +53,20 @@
 	t.Helper()
 	h := &harness{t: t, searcher: testpeer.NewSearcher(t), discovery: testpeer.NewDiscovery(t), events: make(chan eiderwinch.Event, 1000)}
 	module := eiderwinch.Settings{
-		Tick: 5 * time.Millisecond, Shards: 4, Cells: 1, Reach: 1, Batch: 4, Brokers: 1, MaxAttempts: 4,
+		Tick: 5 * time.Millisecond, Shards: 4, Cells: 1, ReplicasPerShard: 1, MaxBatch: 4, Gatherers: 1, MaxAttempts: 4,
 		MayCancel: true, RetryAdvice: true, MaxRetryAdvice: time.Second,
 		Classes: []eiderwinch.Class{
-			{Name: "search", Aim: time.Minute, Deadline: time.Minute, Worth: 1, Need: 1, Floor: 1, Partial: 1},
-			{Name: "reserve", Aim: time.Minute, Deadline: time.Minute, Worth: 1, Need: 1, Floor: 1, Partial: 1,
+			{Name: "search", Aim: time.Minute, Deadline: time.Minute, Worth: 1, WholeShare: 1, MinShare: 1, PartialWorth: 1},
+			{Name: "reserve", Aim: time.Minute, Deadline: time.Minute, Worth: 1, WholeShare: 1, MinShare: 1, PartialWorth: 1,
 				Effect: eiderwinch.Keyed, RepeatWindow: time.Second},
-			{Name: "report", Aim: time.Minute, Deadline: time.Minute, Worth: 1, Need: 1, Floor: 1, Partial: 1, Fetch: 2},
+			{Name: "report", Aim: time.Minute, Deadline: time.Minute, Worth: 1, WholeShare: 1, MinShare: 1, PartialWorth: 1, SecondStepParts: 2},
 		},
 	}
 	h.aggregator = eiderwinch.New(module)
 	h.Node = New(Config{
-		Listen: "127.0.0.1:0", Discovery: h.discovery.Addr, Sockets: 1024, Multiplex: 32,
+		Listen: "127.0.0.1:0", Discovery: h.discovery.Addr, MaxDescriptors: 1024, Multiplex: 32,
 		ConnectTimeout: testpeer.Patience, ConnIdle: time.Minute, DrainGrace: 500 * time.Millisecond, AnswerSlack: 20 * time.Millisecond,
-		Known: catalog.Update{Revision: 41, Members: []catalog.Member{
+		InitialMembers: catalog.Update{Revision: 41, Members: []catalog.Member{
 			{ID: "s", HostPort: h.searcher.Addr, Phase: catalog.Ready},
 		}},
 		Gatherer: gatherer.Settings{Module: module, Tick: module.Tick, MaxOpen: 20},
@@ -321,7 +321,7 @@
 	done := make(chan int, 1)
 	h.exec(func() {
 		c := h.pool.searchers["s"].conns[0]
-		_ = setSendBuffer(c.conn.Fd(), 1)
+		_ = setSendBuffer(c.conn.FD(), 1)
 		for c.conn.Buffered() == 0 { // the searcher of this test does not read that fast
 			c.write([]byte("\x00\x01\x00\x01c" + strings.Repeat("x", 1<<16)))
 		}
@@ -638,7 +638,7 @@
 		t.Errorf("the incomplete request: %s", resp.Status)
 	}
 	silent.Closed()
-	if took := time.Since(began); took < h.clientTable.Bounds().Request/2 {
+	if took := time.Since(began); took < h.clientTable.Bounds().RequestTimeout/2 {
 		t.Errorf("closed after %v", took)
 	}
 	if resp, _ := kept.Say("GET /_health HTTP/1.1\r\n\r\n").Hear(); resp.StatusCode != 200 {
@@ -818,7 +818,7 @@
 
 func TestDescriptorsAreBounded(t *testing.T) {
 	h := startHarness(t, func(h *harness) {
-		b := limit.Defaults(h.cfg.Sockets)
+		b := limit.Defaults(h.cfg.MaxDescriptors)
 		b.Soft, b.Firm, b.Hard = 100, 100, 8
 		h.clientTable = limit.New[*clientConn](b)
 	})
--- a/internal/netio/node.go
+++ b/internal/netio/node.go
@@ -28,15 +28,15 @@
 type Config struct {
 	Listen         string
 	Discovery      string
-	Known          catalog.Update
-	Memory         int64 // memory limit of the process in bytes; 0 gives member lists the lowest size limit
-	Sockets        int   // file descriptors that the process may hold
+	InitialMembers catalog.Update
+	MemoryLimit    int64 // memory limit of the process in bytes; 0 gives member lists the lowest size limit
+	MaxDescriptors int   // file descriptors that the process may hold
 	Multiplex      int   // most parts on one connection to a searcher
 	ConnectTimeout time.Duration
 	ConnIdle       time.Duration // searchers close connections that have been idle for this long
 	DrainGrace     time.Duration // how long a searcher may still be sent attempts after the update that it is draining
 	AnswerSlack    time.Duration // how late a final answer may be
-	Clients        limit.Bounds  // bounds on client connections; the zero value selects limit.Defaults for Sockets
+	Clients        limit.Bounds  // bounds on client connections; the zero value selects limit.Defaults for MaxDescriptors
 	ReportEvery    time.Duration // interval at which the counters are logged, rounded up to housekeepingInterval; 0: on request only
 	Gatherer       gatherer.Settings
 	NoShareUntil   time.Time // no slots of the fleet's limits are used until then; zero: the gatherer's share is used from the start
@@ -77,7 +77,7 @@
 	watch     *watch
 	nextWatch *watch // replaces watch once it has received a list; nil if discovery's address is not changing
 
-	roster follow.Roster // searchers that were reported as leaving
+	memberFilter follow.MemberFilter // searchers that were reported as leaving
 
 	wakeups          int       // calls of runDue
 	deferredSince    time.Time // since when due work has waited for unread updates; zero if it does not wait
@@ -110,7 +110,7 @@
 // New returns a Node, to be started with Run.
 func New(cfg Config, d gatherer.Decider, counters *stats.Counters, log *slog.Logger) *Node {
 	if cfg.Clients == (limit.Bounds{}) {
-		cfg.Clients = limit.Defaults(cfg.Sockets - reservedDescriptors)
+		cfg.Clients = limit.Defaults(cfg.MaxDescriptors - reservedDescriptors)
 	}
 	n := &Node{
 		cfg: cfg, log: log, stats: counters,
@@ -122,7 +122,7 @@
 	n.serveFor = cfg.serveFor()
 	n.ctx, n.cancel = context.WithCancel(context.Background())
 	n.pool = newPool(n)
-	n.watch = newWatch(n, cfg.Discovery, cfg.Known.Revision)
+	n.watch = newWatch(n, cfg.Discovery, cfg.InitialMembers.Revision)
 	now := time.Now()
 	n.core = gatherer.New(cfg.Gatherer, d, n.pool, counters, log, now)
 	if !cfg.NoShareUntil.IsZero() {
@@ -145,7 +145,7 @@
 		n.log.Error("not serving any more", "listen", n.cfg.Listen, "err", err)
 		return fmt.Errorf("serving on %s: %w", n.cfg.Listen, err)
 	}
-	n.log.Info("ended", "drained", n.draining, "open", n.core.Open())
+	n.log.Info("ended", "drained", n.draining, "open", n.core.OpenQueries())
 	return nil
 }
 
@@ -153,7 +153,7 @@
 // address, and the system may be short of descriptors for a moment.
 func (n *Node) openLoop() (*eventloop.Loop, error) {
 	options := eventloop.Options{
-		Accepted: func() eventloop.Handler { return newClientConn(n) }, After: n.armTimer, Log: n.log, Seed: n.cfg.Gatherer.Module.Seed,
+		Accepted: func() eventloop.Handler { return newClientConn(n) }, AfterEvent: n.armTimer, Log: n.log, Seed: n.cfg.Gatherer.Module.Seed,
 	}
 	for wait, end := bootRetryWait, time.Now().Add(bootTimeout); ; wait = min(2*wait, bootMaxRetryWait) {
 		loop, err := eventloop.Open(n.cfg.Listen, options)
@@ -183,11 +183,11 @@
 
 // State describes a running node.
 type State struct {
-	Epoch      layout.Epoch     // that new queries are bound to
-	Oldest     layout.Epoch     // oldest epoch that an open query is bound to
-	Generation uint64           // of the configuration that new queries are taken under; 0 if it can't change
-	Service    []service.Window // completed seconds, if service is recorded
-	Draining   bool
+	Epoch       layout.Epoch     // that new queries are bound to
+	OldestEpoch layout.Epoch     // oldest epoch that an open query is bound to
+	Generation  uint64           // of the configuration that new queries are taken under; 0 if it can't change
+	Service     []service.Window // completed seconds, if service is recorded
+	Draining    bool
 }
 
 // Searcher is a searcher as the node knows it.
@@ -212,7 +212,7 @@
 // State returns the state of the node, with the recorded seconds after the given one; ok is as for Searchers.
 func (n *Node) State(ctx context.Context, after int64) (s State, ok bool) {
 	return runOnLoop(ctx, n, func() State {
-		s := State{Epoch: n.core.Epoch(), Oldest: n.core.OldestEpoch(), Generation: n.core.Generation(), Draining: n.draining}
+		s := State{Epoch: n.core.Epoch(), OldestEpoch: n.core.OldestEpoch(), Generation: n.core.Generation(), Draining: n.draining}
 		if r := n.cfg.Gatherer.Service; r != nil {
 			s.Service = r.Since(time.Now(), after)
 		}
@@ -247,9 +247,9 @@
 	return v, false
 }
 
-// Live holds the settings that can change while the node runs.
-type Live struct {
-	Core           *gatherer.Live
+// LiveSettings holds the settings that can change while the node runs.
+type LiveSettings struct {
+	Core           *gatherer.LiveSettings
 	Multiplex      int
 	ConnectTimeout time.Duration
 	ConnIdle       time.Duration
@@ -262,7 +262,7 @@
 
 // Apply puts other settings in force, all at once between two events: events before it see the old settings,
 // events after it the new ones. It waits for the loop and may be called from any goroutine.
-func (n *Node) Apply(ctx context.Context, l Live) error {
+func (n *Node) Apply(ctx context.Context, l LiveSettings) error {
 	_, ok := runOnLoop(ctx, n, func() struct{} {
 		n.core.Apply(l.Core)
 		n.cfg.Multiplex, n.cfg.ConnectTimeout, n.cfg.ConnIdle = l.Multiplex, l.ConnectTimeout, l.ConnIdle
@@ -321,8 +321,8 @@
 // copyLoopCounters copies the event loop's counters to those of the node.
 func (n *Node) copyLoopCounters() {
 	c := n.loop.Counters()
-	n.stats.SystemFails, n.stats.WakeFails = c.Fails, c.WakeFails
-	n.stats.PollRetries, n.stats.Stalls = c.Retries, c.Stalls
+	n.stats.SystemFails, n.stats.WakeFails = c.Failures, c.WakeFails
+	n.stats.PollRetries, n.stats.Stalls = c.RegistrationRetries, c.Pauses
 }
 
 // exec runs f on the event loop, without waiting for it. It does nothing if the node has not started or has ended.
@@ -341,7 +341,7 @@
 // boot starts everything that needs the loop. It is called before the loop runs.
 func (n *Node) boot() {
 	now := time.Now()
-	n.applyUpdate(now, eiderwinch.Stale, n.cfg.Discovery, n.cfg.Known)
+	n.applyUpdate(now, eiderwinch.Stale, n.cfg.Discovery, n.cfg.InitialMembers)
 	// An agent answers at once, so one that stays silent until then has no update to wait for.
 	n.pool.timers.Set(&timer{Value: n.core.ConfirmMembers}, now.Add(n.cfg.DrainGrace))
 	n.core.Run(now)
@@ -349,10 +349,10 @@
 	close(n.started)
 	n.watch.run(now)
 	module := n.cfg.Gatherer.Module
-	n.log.Info("serving", "addr", n.Addr(), "searchers", len(n.cfg.Known.Members), "gatherers", module.Brokers,
-		"sockets", n.cfg.Sockets, "multiplex", n.cfg.Multiplex, "connect_timeout", n.cfg.ConnectTimeout,
+	n.log.Info("serving", "addr", n.Addr(), "searchers", len(n.cfg.InitialMembers.Members), "gatherers", module.Gatherers,
+		"sockets", n.cfg.MaxDescriptors, "multiplex", n.cfg.Multiplex, "connect_timeout", n.cfg.ConnectTimeout,
 		"conn_idle", n.cfg.ConnIdle, "max_open", n.cfg.Gatherer.MaxOpen, "cells", module.Cells, "shards", module.Shards,
-		"batch", module.Batch, "call_cost", module.CallCost)
+		"batch", module.MaxBatch, "call_cost", module.CallCost)
 }
 
 // runDue does everything that is due.
@@ -391,7 +391,7 @@
 		return
 	}
 	due := n.lastHousekeeping.Add(housekeepingInterval)
-	for _, t := range []time.Time{n.core.Due(), n.pool.nextDue()} {
+	for _, t := range []time.Time{n.core.NextRun(), n.pool.nextDue()} {
 		if !t.IsZero() && t.Before(due) {
 			due = t
 		}
