--- a/internal/netio/pool.go
+++ b/internal/netio/pool.go
@@ -63,7 +63,7 @@
 	if moved {
 		s.addr = addr
 	}
-	restarted := !started.IsZero() && !started.Equal(s.started) // the roster passes on no older start; Unix times may go back
+	restarted := !started.IsZero() && !started.Equal(s.started) // the member filter passes on no older start; Unix times may go back
 	if restarted {
 		s.started = started
 	}
@@ -90,7 +90,7 @@
 	s := p.searchers[attempts[0].Searcher]
 	if s == nil || s.addr == "" {
 		for _, a := range attempts {
-			p.node.core.Unsent(now, a)
+			p.node.core.NotSent(now, a)
 		}
 		return
 	}
@@ -111,7 +111,7 @@
 			if p.node.core.MaySend(now, a) {
 				sendable = append(sendable, a)
 			} else {
-				p.node.core.Unsent(now, a)
+				p.node.core.NotSent(now, a)
 			}
 		}
 		call.attempts = sendable
@@ -154,8 +154,8 @@
 		}
 		flushed := c.written - uint64(c.conn.Buffered())
 		if slices.ContainsFunc(c.inFlight, func(f sentAttempt) bool { return f.firstByte >= flushed }) {
-			p.node.stats.HeldBack++
-			c.conn.Mute() // the loop could write once more before it closes the connection
+			p.node.stats.ClosedWithUnsentParts++
+			c.conn.StopWriting() // the loop could write once more before it closes the connection
 			c.close()
 		}
 	}
@@ -170,7 +170,7 @@
 		if len(c.inFlight) > 0 {
 			c.checkHalfOpen(now, c.inFlight[0].sent)
 		}
-		if c.conn == nil || c.retired || c.halfOpen || c.frameTimer.Set() ||
+		if c.conn == nil || c.retired || c.halfOpen || c.frameTimer.IsSet() ||
 			now.Sub(c.idleSince) >= maxIdle && len(c.inFlight) == 0 ||
 			len(c.inFlight)+len(c.unreadCancels) > 0 && len(c.inFlight)+len(c.unreadCancels)+len(attempts) > multiplex ||
 			len(c.abandoned) >= maxAbandoned || c.conn.Buffered() > 0 {
@@ -180,8 +180,8 @@
 		if slices.ContainsFunc(attempts, awaited) {
 			continue
 		}
-		if remoteClosed(c.conn.Fd()) {
-			c.pool.node.stats.EndUnread++ // the loop reads the end next
+		if remoteClosed(c.conn.FD()) {
+			c.pool.node.stats.SkippedClosed++ // the loop reads the end next
 			continue
 		}
 		return c
@@ -236,8 +236,8 @@
 // quarter: a gatherer calls hundreds of searchers, and has to open a connection for each call to a searcher that
 // has none.
 func (p *pool) descriptorLimit() int {
-	usable := p.node.cfg.Sockets - reservedDescriptors
-	return max(usable/4, min(usable/2, p.node.usableDescriptors()-p.node.clientTable.Held()))
+	usable := p.node.cfg.MaxDescriptors - reservedDescriptors
+	return max(usable/4, min(usable/2, p.node.usableDescriptors()-p.node.clientTable.Len()))
 }
 
 // descriptorsFreed sends calls that wait for descriptors. It is called when there may be free descriptors, or a
@@ -279,7 +279,7 @@
 	id, blocked := a.PartID(), c.full() || c.conn.Buffered() > 0
 	c.checkHalfOpen(time.Now(), c.removeAttempt(a))
 	if blocked && a.MayRetry() {
-		c.pool.node.stats.GivenUp++
+		c.pool.node.stats.ClosedToAbandon++
 		c.close()
 		return
 	}
@@ -332,7 +332,7 @@
 func (s *searcher) failCall(p *pool, now time.Time, call *pendingCall) {
 	s.dequeue(p, call)
 	for _, a := range call.attempts {
-		p.node.core.Unsent(now, a)
+		p.node.core.NotSent(now, a)
 	}
 }
 
--- a/internal/netio/pool_test.go
+++ b/internal/netio/pool_test.go
@@ -88,7 +88,7 @@
 	h.onLoop(func() {
 		old.Conn.Close()
 		c := h.pool.searchers["s"].conns[0]
-		h.spinUntil("the end is received", func() bool { return remoteClosed(c.conn.Fd()) })
+		h.spinUntil("the end is received", func() bool { return remoteClosed(c.conn.FD()) })
 		h.clientTable.Oldest(limit.Idle).Owner.Traffic([]byte(testpeer.Query("search", "t2", time.Minute, 1)))
 		h.runTurn()
 	})
@@ -144,7 +144,7 @@
 			now := make(chan bool, 1)
 			h := startHarness(t, func(h *harness) {
 				h.cfg.Multiplex = c.multiplex
-				h.cfg.Known.Members = append(h.cfg.Known.Members, catalog.Member{ID: "o", HostPort: other.Addr, Phase: catalog.Ready})
+				h.cfg.InitialMembers.Members = append(h.cfg.InitialMembers.Members, catalog.Member{ID: "o", HostPort: other.Addr, Phase: catalog.Ready})
 				var first uint64
 				h.decide = func(e eiderwinch.Event) []eiderwinch.Action {
 					switch e := e.(type) {
@@ -230,7 +230,7 @@
 	const searchers, queries, descriptors = 40, 12, 40 // 12 clients and 20 for searchers are within seven eighths
 	up := make(chan bool)
 	h := startHarness(t, func(h *harness) {
-		h.cfg.Sockets = reservedDescriptors + descriptors
+		h.cfg.MaxDescriptors = reservedDescriptors + descriptors
 		real := h.dialContext
 		h.dialContext = func(ctx context.Context, network, addr string) (net.Conn, error) {
 			if addr == h.discovery.Addr {
@@ -240,7 +240,7 @@
 			return real(ctx, network, addr)
 		}
 		for i := range searchers {
-			h.cfg.Known.Members = append(h.cfg.Known.Members, catalog.Member{ID: fmt.Sprint("s", i), HostPort: h.searcher.Addr, Phase: catalog.Ready})
+			h.cfg.InitialMembers.Members = append(h.cfg.InitialMembers.Members, catalog.Member{ID: fmt.Sprint("s", i), HostPort: h.searcher.Addr, Phase: catalog.Ready})
 		}
 		n := 0
 		h.decide = func(e eiderwinch.Event) []eiderwinch.Action {
@@ -258,7 +258,7 @@
 	}
 	h.waitUntil("all parts are sent to the pool", func() bool { return h.stats.Sent == queries })
 	h.onLoop(func() {
-		if n, held := h.pool.connCount, h.clientTable.Held(); n < 5 || 2*n > descriptors/2 || 2*n+held > descriptors*7/8 {
+		if n, held := h.pool.connCount, h.clientTable.Len(); n < 5 || 2*n > descriptors/2 || 2*n+held > descriptors*7/8 {
 			t.Errorf("%d connections are being opened, which may hold %d descriptors of %d, with %d clients", n, 2*n, descriptors, held)
 		}
 	})
@@ -271,9 +271,9 @@
 func TestACallThatWaitsForDescriptorsIsSent(t *testing.T) {
 	const searchers, descriptors = 24, 40 // 20 for searchers
 	h := startHarness(t, func(h *harness) {
-		h.cfg.Sockets = reservedDescriptors + descriptors
+		h.cfg.MaxDescriptors = reservedDescriptors + descriptors
 		for i := range searchers {
-			h.cfg.Known.Members = append(h.cfg.Known.Members, catalog.Member{ID: fmt.Sprint("s", i), HostPort: h.searcher.Addr, Phase: catalog.Ready})
+			h.cfg.InitialMembers.Members = append(h.cfg.InitialMembers.Members, catalog.Member{ID: fmt.Sprint("s", i), HostPort: h.searcher.Addr, Phase: catalog.Ready})
 		}
 		n := 0
 		h.decide = func(e eiderwinch.Event) (out []eiderwinch.Action) {
@@ -305,17 +305,17 @@
 // clients leave that; what they hold is not available to clients.
 func TestClientsAndSearchersShareTheDescriptors(t *testing.T) {
 	h := startHarness(t, func(h *harness) {
-		h.cfg.Sockets = reservedDescriptors + 400
+		h.cfg.MaxDescriptors = reservedDescriptors + 400
 		h.clientTable = limit.New[*clientConn](limit.Defaults(400))
 	})
-	h.waitUntil("no client is connected", func() bool { return h.clientTable.Held() == 0 })
+	h.waitUntil("no client is connected", func() bool { return h.clientTable.Len() == 0 })
 	for _, c := range []struct{ held, links, most, excess int }{
 		{0, 0, 200, -250}, {100, 0, 200, -150}, {200, 100, 150, -50}, {250, 100, 100, 0}, {251, 100, 100, 1}, {150, 200, 200, 0}, {151, 200, 199, 1},
 	} {
 		h.onLoop(func() {
-			held := make([]limit.Seat[*clientConn], c.held)
+			held := make([]limit.Entry[*clientConn], c.held)
 			for i := range held {
-				h.clientTable.Enter(time.Now(), &held[i])
+				h.clientTable.Add(time.Now(), &held[i])
 			}
 			h.pool.connCount = c.links
 			if most, excess := h.pool.descriptorLimit(), h.excessClients(); most != c.most || excess != c.excess {
@@ -324,7 +324,7 @@
 			}
 			h.pool.connCount = 0
 			for i := range held {
-				h.clientTable.Leave(&held[i])
+				h.clientTable.Remove(&held[i])
 			}
 		})
 	}
@@ -373,7 +373,7 @@
 			client := h.sendQuery("search", "t", time.Minute, 1)
 			p := h.nextPart()
 			h.onLoop(func() {
-				fd := h.pool.searchers["s"].conns[0].conn.Fd()
+				fd := h.pool.searchers["s"].conns[0].conn.FD()
 				p.Answer("served", 1, "v")
 				h.spinUntil("the answer is received", func() bool { return pendingBytes(fd) > 0 })
 				end(p.Conn)
--- a/internal/netio/races_test.go
+++ b/internal/netio/races_test.go
@@ -28,7 +28,7 @@
 
 // runTurn makes the core take its turn before the loop reads anything more. It runs on the loop.
 func (h *harness) runTurn() {
-	h.spinUntil("a turn is due", func() bool { return !time.Now().Before(h.core.Due()) })
+	h.spinUntil("a turn is due", func() bool { return !time.Now().Before(h.core.NextRun()) })
 	h.core.Run(time.Now())
 }
 
@@ -102,13 +102,13 @@
 				}
 				client.Say(c.unread)
 				c.leave(client)
-				h.spinUntil("the end is received", func() bool { return remoteClosed(owner.conn.Fd()) })
+				h.spinUntil("the end is received", func() bool { return remoteClosed(owner.conn.FD()) })
 				if c.retry {
 					h.pool.searchers["s"].conns[0].Traffic(encodeFrame("at.0 broke 0 -\n"))
 				}
 				h.runTurn()
 			})
-			h.waitUntil("the end is read", func() bool { return h.stats.Gone == 1 && h.stats.LeftUnread == 1 })
+			h.waitUntil("the end is read", func() bool { return h.stats.ClientsDisconnected == 1 && h.stats.DisconnectedUnread == 1 })
 			h.expectNextPart("next")
 		})
 	}
@@ -125,7 +125,7 @@
 	client := h.sendQuery("search", "t", time.Minute, 1)
 	testpeer.Get(t, dialed, "a dial")
 	client.Close()
-	h.waitUntil("the client is gone", func() bool { return h.stats.Gone == 1 })
+	h.waitUntil("the client is gone", func() bool { return h.stats.ClientsDisconnected == 1 })
 	close(up)
 	h.waitUntil("the connection is up", func() bool { return h.stats.Dialed == 1 })
 	if got := h.nextOutcome(); got.Status != eiderwinch.NotSent {
@@ -277,12 +277,12 @@
 	h.onLoop(func() {
 		owner := h.clientTable.Oldest(limit.Busy).Owner
 		client.Close()
-		h.spinUntil("the end is received", func() bool { return remoteClosed(owner.conn.Fd()) })
+		h.spinUntil("the end is received", func() bool { return remoteClosed(owner.conn.FD()) })
 		h.pool.searchers["s"].conns[0].Traffic(encodeFrame("at.0 served 1 -\nv"))
 		h.runTurn()
 		h.runTurn()
 	})
-	h.waitUntil("the end is read", func() bool { return h.stats.Gone == 1 && h.stats.LeftUnread == 1 })
+	h.waitUntil("the end is read", func() bool { return h.stats.ClientsDisconnected == 1 && h.stats.DisconnectedUnread == 1 })
 	h.expectNextPart("next")
 }
 
--- a/internal/netio/searcherconn.go
+++ b/internal/netio/searcherconn.go
@@ -128,7 +128,7 @@
 	parts := make([]frame.Part, len(attempts))
 	for i, a := range attempts {
 		parts[i] = frame.Part{ID: a.PartID(), Shard: a.Shard, Text: a.Text, List: frame.List{
-			Wait: a.Deadline.Sub(now), Key: a.Key, From: a.From, Whole: a.Whole,
+			Wait: a.Deadline.Sub(now), Key: a.Key, From: a.FirstStepShards, Whole: a.FirstStepWhole,
 		}}
 	}
 	frameBytes := frame.AppendCall(nil, parts)
@@ -140,7 +140,7 @@
 	}
 	if node := c.pool.node; c.write(frameBytes) && node.log.Enabled(node.ctx, slog.LevelDebug) {
 		for i, a := range attempts {
-			node.log.Debug("part sent", "part", parts[i].ID, "searcher", c.searcher.id, "waited", now.Sub(a.Decided()),
+			node.log.Debug("part sent", "part", parts[i].ID, "searcher", c.searcher.id, "waited", now.Sub(a.DecidedAt()),
 				"buffered", c.conn.Buffered(), "last_news", now.Sub(node.watch.lastUpdate))
 		}
 	}
@@ -196,7 +196,7 @@
 			break
 		}
 	}
-	if c.parser.Buffered() > 0 && !c.frameTimer.Set() {
+	if c.parser.Buffered() > 0 && !c.frameTimer.IsSet() {
 		c.pool.timers.Set(&c.frameTimer, now.Add(c.pool.node.cfg.ConnectTimeout))
 	}
 	c.pool.resumeQueued(now, c.searcher)
@@ -288,9 +288,9 @@
 	flushed := c.written - uint64(c.conn.Buffered())
 	unanswered := c.inFlight
 	if !c.retired {
-		c.pool.node.stats.Left++
+		c.pool.node.stats.ClosedBySearcher++
 		if len(unanswered) > 0 {
-			c.pool.node.stats.LeftOut++
+			c.pool.node.stats.ClosedBySearcherInFlight++
 		}
 	}
 	c.inFlight = nil
@@ -298,9 +298,9 @@
 	for _, f := range unanswered {
 		delete(c.pool.connByAttempt, f.attempt)
 		if f.endByte <= flushed {
-			c.pool.node.core.Broken(now, f.attempt)
+			c.pool.node.core.ConnectionBroken(now, f.attempt)
 		} else {
-			c.pool.node.core.Unsent(now, f.attempt)
+			c.pool.node.core.NotSent(now, f.attempt)
 		}
 	}
 	c.pool.resumeQueued(now, c.searcher)
--- a/internal/netio/updates.go
+++ b/internal/netio/updates.go
@@ -30,7 +30,7 @@
 func (n *Node) deferForUpdates(now time.Time) bool {
 	for _, w := range n.watches() {
 		for _, s := range w.subscriptions {
-			if s.conn == nil || pendingBytes(s.conn.Fd()) == 0 {
+			if s.conn == nil || pendingBytes(s.conn.FD()) == 0 {
 				continue
 			}
 			if n.deferredSince.IsZero() {
@@ -46,9 +46,9 @@
 
 // applyUpdate passes an update from a discovery address on to the core and the pool.
 func (n *Node) applyUpdate(now time.Time, kind eiderwinch.ListKind, source string, u catalog.Update) {
-	n.stats.Twice += u.Twice
-	members := n.roster.Take(now, source, u)
-	n.stats.Doubted = n.roster.Doubted
+	n.stats.DuplicateMembers += u.Twice
+	members := n.memberFilter.Apply(now, source, u)
+	n.stats.RejectedMembers = n.memberFilter.Rejected
 	n.forwardMembers(now, kind, members)
 	for _, m := range members {
 		if m.Phase != catalog.Ready {
@@ -68,7 +68,7 @@
 // reviewDoubted reinstates the searchers that were reported as ready again by a list that might have been outdated,
 // once it can't be outdated any more.
 func (n *Node) reviewDoubted(now time.Time) {
-	if reinstated := n.roster.Review(n.watch.lastUpdate); len(reinstated) > 0 {
+	if reinstated := n.memberFilter.Reinstated(n.watch.lastUpdate); len(reinstated) > 0 {
 		n.forwardMembers(now, eiderwinch.Changes, reinstated)
 	}
 }
@@ -85,7 +85,7 @@
 		})
 		n.pool.updateSearcher(now, m.ID, m.HostPort, m.Started())
 	}
-	n.core.List(now, kind, list)
+	n.core.UpdateMembers(now, kind, list)
 	for _, m := range members {
 		n.pool.resumeMoved(now, m.ID)
 	}
--- a/internal/netio/watch.go
+++ b/internal/netio/watch.go
@@ -66,7 +66,7 @@
 	return &watch{
 		node: n, addr: addr, revision: revision, subscriptions: make(map[follow.RequestID]*subscription), lastUpdate: now,
 		follower: follow.New(follow.Settings{
-			Pushed: !m.AskForList, Grace: n.cfg.DrainGrace, Within: m.AskWithin, Clients: m.Brokers, Seed: m.Seed,
+			Pushed: !m.SubscribeToList, DrainGrace: n.cfg.DrainGrace, MaxTimeWithoutWatch: m.SubscribeWithin, Gatherers: m.Gatherers, Seed: m.Seed,
 		}, now),
 	}
 }
@@ -86,7 +86,7 @@
 
 // objectLimit returns how many bytes one member list may take.
 func (n *Node) objectLimit() int {
-	return int(min(max(n.cfg.Memory/objectMemoryShare, minObjectLimit), maxObjectLimit))
+	return int(min(max(n.cfg.MemoryLimit/objectMemoryShare, minObjectLimit), maxObjectLimit))
 }
 
 // drop gives up requests.
--- a/internal/netio/watch_test.go
+++ b/internal/netio/watch_test.go
@@ -67,7 +67,7 @@
 			log := new(logBuffer)
 			h := startHarness(t, func(h *harness) {
 				h.log = slog.New(slog.NewTextHandler(log, nil))
-				h.cfg.Known.Members = append(h.cfg.Known.Members, catalog.Member{ID: "other", HostPort: "127.0.0.1:1", Phase: catalog.Ready})
+				h.cfg.InitialMembers.Members = append(h.cfg.InitialMembers.Members, catalog.Member{ID: "other", HostPort: "127.0.0.1:1", Phase: catalog.Ready})
 			})
 			w := testpeer.Get(t, h.discovery.Watches, "a watch")
 			w.Send(testpeer.List(42, false, testpeer.Member("s", h.searcher.Addr, "Terminating", 0)))
@@ -157,7 +157,7 @@
 type discardClient struct{}
 
 func (discardClient) Reply(gatherer.Reply) {}
-func (discardClient) Left() bool           { return false }
+func (discardClient) Disconnected() bool   { return false }
 
 // Updates that were received and not read are handled before anything is sent. The loop may have been blocked for
 // longer than the grace, and the task that would send may precede the update in its round.
@@ -190,7 +190,7 @@
 			h.exec(func() {
 				<-resume
 				if !c.waiting { // the query is decided before the loop reads on
-					_, _ = h.core.Take(time.Now(), gatherer.Ask{Trace: "t", Class: "search", Parts: []gatherer.AskPart{{Weight: 1}}}, discardClient{})
+					_, _ = h.core.Take(time.Now(), gatherer.QueryRequest{Trace: "t", Class: "search", Parts: []gatherer.PartRequest{{Weight: 1}}}, discardClient{})
 					h.runDue()
 				}
 			})
@@ -327,7 +327,7 @@
 			h.nextPart()
 			h.onLoop(func() {
 				c := h.pool.searchers["s"].conns[0]
-				_ = setSendBuffer(c.conn.Fd(), 1)
+				_ = setSendBuffer(c.conn.FD(), 1)
 				for c.conn.Buffered() == 0 { // the searcher of this test does not read that fast
 					c.write([]byte("\x00\x01\x00\x01c" + strings.Repeat("x", 1<<16)))
 				}
@@ -340,8 +340,8 @@
 				t.Errorf("have %v", got.Status)
 			}
 			h.onLoop(func() {
-				if h.stats.HeldBack != 1 {
-					t.Errorf("%d held back", h.stats.HeldBack)
+				if h.stats.ClosedWithUnsentParts != 1 {
+					t.Errorf("%d held back", h.stats.ClosedWithUnsentParts)
 				}
 			})
 		})
--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -32,33 +32,33 @@
 	minMicros         = 1 // microseconds
 	maxMicros         = 60_000_000
 	significantDigits = 2
-	// Kept is the number of windows that a Recorder keeps. The regression guard
+	// MaxWindows is the number of windows that a Recorder keeps. The regression guard
 	// compares tens of seconds before and after a change.
-	Kept = 120
+	MaxWindows = 120
 )
 
-// Count is the number of queries in one bucket of times.
-type Count struct {
+// Bucket is the number of queries in one bucket of times.
+type Bucket struct {
 	Micros int64 `json:"us"` // upper bound of the bucket
 	N      int64 `json:"n"`
 }
 
-// Class holds the counts of one class in one second.
-type Class struct {
-	Name    string  `json:"class"`
-	Taken   int     `json:"taken"`
-	Whole   int     `json:"whole"`
-	Partial int     `json:"partial"`
-	Refused int     `json:"refused"`
-	Failed  int     `json:"failed"`
-	Gone    int     `json:"gone"`
-	Times   []Count `json:"times,omitempty"` // of whole and partial answers
+// ClassCounts holds the counts of one class in one second.
+type ClassCounts struct {
+	Name    string   `json:"class"`
+	Taken   int      `json:"taken"`
+	Whole   int      `json:"whole"`
+	Partial int      `json:"partial"`
+	Refused int      `json:"refused"`
+	Failed  int      `json:"failed"`
+	Gone    int      `json:"gone"`
+	Times   []Bucket `json:"times,omitempty"` // of whole and partial answers
 }
 
 // Window holds the counts of one second.
 type Window struct {
-	Second  int64   `json:"second"` // Unix time
-	Classes []Class `json:"classes"`
+	Second  int64         `json:"second"` // Unix time
+	Classes []ClassCounts `json:"classes"`
 }
 
 // Recorder counts the outcomes of queries. Use New to create one.
@@ -120,17 +120,17 @@
 	if r.hasData {
 		w := Window{Second: r.second}
 		for i, n := range r.counts {
-			c := Class{Name: r.classNames[i], Taken: r.taken[i], Whole: n[Whole], Partial: n[Partial], Refused: n[Refused], Failed: n[Failed], Gone: n[Gone]}
+			c := ClassCounts{Name: r.classNames[i], Taken: r.taken[i], Whole: n[Whole], Partial: n[Partial], Refused: n[Refused], Failed: n[Failed], Gone: n[Gone]}
 			for _, us := range slices.Sorted(maps.Keys(r.times[i])) {
-				c.Times = append(c.Times, Count{us, r.times[i][us]})
+				c.Times = append(c.Times, Bucket{us, r.times[i][us]})
 			}
 			w.Classes = append(w.Classes, c)
 			r.taken[i], r.counts[i] = 0, [numOutcomes]int{}
 			clear(r.times[i])
 		}
-		if len(r.windows) == Kept {
+		if len(r.windows) == MaxWindows {
 			copy(r.windows, r.windows[1:])
-			r.windows = r.windows[:Kept-1]
+			r.windows = r.windows[:MaxWindows-1]
 		}
 		r.windows = append(r.windows, w)
 		r.hasData = false
@@ -150,17 +150,19 @@
 	return nil
 }
 
-// Sum adds up the windows of any number of gatherers.
-type Sum struct {
+// Totals adds up the windows of any number of gatherers.
+type Totals struct {
 	Whole, Partial, Refused, Failed int
 	times                           *hdrhistogram.Histogram
 }
 
-// NewSum returns an empty Sum.
-func NewSum() *Sum { return &Sum{times: hdrhistogram.New(minMicros, maxMicros, significantDigits)} }
+// NewTotals returns an empty Totals.
+func NewTotals() *Totals {
+	return &Totals{times: hdrhistogram.New(minMicros, maxMicros, significantDigits)}
+}
 
 // Add adds the counts of a class in one window.
-func (s *Sum) Add(c Class) {
+func (s *Totals) Add(c ClassCounts) {
 	s.Whole += c.Whole
 	s.Partial += c.Partial
 	s.Refused += c.Refused
@@ -170,16 +172,16 @@
 	}
 }
 
-// Answered returns the number of whole and partial answers.
-func (s *Sum) Answered() int64 { return s.times.TotalCount() }
+// AnswerCount returns the number of whole and partial answers.
+func (s *Totals) AnswerCount() int64 { return s.times.TotalCount() }
 
 // Quantile returns the time within which a share q of the answers came, 0 <= q <= 1.
-func (s *Sum) Quantile(q float64) time.Duration {
+func (s *Totals) Quantile(q float64) time.Duration {
 	return time.Duration(s.times.ValueAtQuantile(q*100)) * time.Microsecond
 }
 
-// Reset empties the Sum.
-func (s *Sum) Reset() {
-	*s = Sum{times: s.times}
+// Reset empties the Totals.
+func (s *Totals) Reset() {
+	*s = Totals{times: s.times}
 	s.times.Reset()
 }
--- a/internal/service/service_test.go
+++ b/internal/service/service_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Only seconds that are over are returned, at most Kept of them, also if the clock
+// Only seconds that are over are returned, at most MaxWindows of them, also if the clock
 // is set back.
 func TestWindowsAreClosedAndBounded(t *testing.T) {
 	r := New([]string{"search", "reserve"})
@@ -21,11 +21,11 @@
 		len(w[0].Classes[0].Times) != 1 || len(w[0].Classes[1].Times) != 0 {
 		t.Errorf("got %+v", w)
 	}
-	for i := range 2 * Kept {
+	for i := range 2 * MaxWindows {
 		r.Record(at.Add(time.Duration(i+1)*time.Second), 0, Partial, time.Hour)
 	}
-	end := at.Add(time.Duration(2*Kept+1) * time.Second)
-	if w := r.Since(end, 0); len(w) != Kept || w[Kept-1].Second != end.Unix()-1 {
+	end := at.Add(time.Duration(2*MaxWindows+1) * time.Second)
+	if w := r.Since(end, 0); len(w) != MaxWindows || w[MaxWindows-1].Second != end.Unix()-1 {
 		t.Errorf("%d windows are kept", len(w))
 	}
 	if w := r.Since(end, end.Unix()-3); len(w) != 2 {
@@ -34,7 +34,7 @@
 }
 
 func TestSumOfWindowsKeepsQuantiles(t *testing.T) {
-	a, b, sum := New([]string{"x"}), New([]string{"x"}), NewSum()
+	a, b, sum := New([]string{"x"}), New([]string{"x"}), NewTotals()
 	at := time.Unix(5, 0)
 	for i := range 1000 {
 		r := a
@@ -48,10 +48,10 @@
 			sum.Add(w.Classes[0])
 		}
 	}
-	if p := sum.Quantile(0.99); sum.Answered() != 1000 || sum.Whole != 1000 || p < 980*time.Millisecond || p > 1000*time.Millisecond {
-		t.Errorf("%d answers, p99 %v", sum.Answered(), p)
+	if p := sum.Quantile(0.99); sum.AnswerCount() != 1000 || sum.Whole != 1000 || p < 980*time.Millisecond || p > 1000*time.Millisecond {
+		t.Errorf("%d answers, p99 %v", sum.AnswerCount(), p)
 	}
-	if sum.Reset(); sum.Answered() != 0 || sum.Whole != 0 {
+	if sum.Reset(); sum.AnswerCount() != 0 || sum.Whole != 0 {
 		t.Error("Reset left counts behind")
 	}
 }
--- a/internal/stats/stats.go
+++ b/internal/stats/stats.go
@@ -13,27 +13,27 @@
 	Taken     int // queries accepted from clients
 	Malformed int // requests rejected with a 4xx or 5xx because they were no valid query
 
-	Whole    int // answers marked whole
-	Partial  int // other answers
-	Refused  int // refusals, including those in Full
-	Full     int // refusals because the maximum number of queries and parts was open
-	Failed   int // failures, including those in Overdue
-	Late     int // answers given after the aim of their class
-	Unsent   int // refusals and failures of queries of which no part was ever sent, except those in Full
-	Overdue  int // queries that the core had to end at their deadline
-	CutShort int // queries that the core ended before their deadline because the process was ending
-	Gone     int // queries whose client disconnected
+	Whole               int // answers marked whole
+	Partial             int // other answers
+	Refused             int // refusals, including those in RefusedAtLimit
+	RefusedAtLimit      int // refusals because the maximum number of queries and parts was open
+	Failed              int // failures, including those in DeadlineExceeded
+	Late                int // answers given after the aim of their class
+	EndedUnsent         int // refusals and failures of queries of which no part was ever sent, except those in RefusedAtLimit
+	DeadlineExceeded    int // queries that the core had to end at their deadline
+	CutShort            int // queries that the core ended before their deadline because the process was ending
+	ClientsDisconnected int // queries whose client disconnected
 
-	LeftUnread int // of Gone: noticed when parts were to be sent, before the end of the client's connection was read
+	DisconnectedUnread int // of ClientsDisconnected: noticed when parts were to be sent, before the end of the client's connection was read
 
 	Turns            int
 	Calls            int // calls given to the searcher connections
 	Sent             int // parts in these calls
 	SecondSteps      int
-	Further          int // of Sent: attempts of a part after its first
-	Copies           int // of Further: sent while another attempt of the part was in flight
-	Cold             int // of Sent: parts to searchers that had started less than the configured cold time before
-	NotSent          int // sends that the core rejected
+	Retries          int // of Sent: attempts of a part after its first
+	SecondCopies     int // of Retries: sent while another attempt of the part was in flight
+	SentToCold       int // of Sent: parts to searchers that had started less than the configured cold time before
+	RejectedSends    int // sends that the core rejected
 	OK               int // outcomes of attempts, by kind
 	Errors           int
 	Skipped          int
@@ -44,44 +44,44 @@
 	Reports          int // of OK, Errors and Skipped: answers with a load report that is used
 	MalformedReports int // of OK, Errors and Skipped: answers with a load report that can't be used
 
-	Clients int            // connections opened by clients
-	Reused  int            // requests on a client connection that had carried another before
-	Noticed int            // client connections that ended with an answer because many were idle
-	Trimmed int            // client connections closed between requests because many were idle
-	Silent  int            // client connections closed because no request arrived
-	Evicted map[string]int // client connections closed to make room for others, by rank
-	Spared  int            // times that a client connection was not closed because it had unread bytes or an unsent answer
-	Crossed int            // of Evicted: connections that had unread bytes or an unsent answer
-	Unread  int            // client connections closed because the client did not read its answers
+	Clients          int            // connections opened by clients
+	Reused           int            // requests on a client connection that had carried another before
+	ClosedWithAnswer int            // client connections that ended with an answer because many were idle
+	ClosedIdle       int            // client connections closed between requests because many were idle
+	ClosedSilent     int            // client connections closed because no request arrived
+	Evicted          map[string]int // client connections closed to make room for others, by rank
+	NotClosed        int            // times that a client connection was not closed because it had unread bytes or an unsent answer
+	EvictedInUse     int            // of Evicted: connections that had unread bytes or an unsent answer
+	ClosedUnread     int            // client connections closed because the client did not read its answers
 
 	Dialed                   int // connections opened to searchers
 	DialFails                int // failed attempts to open one
 	IdleClosed               int // connections to searchers closed because they were idle
-	Left                     int // connections closed by their searcher
-	LeftOut                  int // of Left: with attempts in flight
+	ClosedBySearcher         int // connections closed by their searcher
+	ClosedBySearcherInFlight int // of ClosedBySearcher: with attempts in flight
 	ParallelDials            int // of Dialed and DialFails: dialed while another connection to the same searcher was open
 	HalfOpen                 int // connections to searchers considered half-open because nothing was received while an attempt was in flight
 	MalformedConns           int // connections to searchers closed because of a malformed response
-	HeldBack                 int // connections closed because a part was still in their buffer when their searcher was reported as leaving
+	ClosedWithUnsentParts    int // connections closed because a part was still in their buffer when their searcher was reported as leaving
 	ConnsToRestartedSearcher int // connections closed because their searcher has restarted since they were opened
-	GivenUp                  int // connections closed to give up an attempt, because they carried the maximum number of attempts
-	EndUnread                int // times that a connection was not used because its searcher had closed it, which was not read yet
+	ClosedToAbandon          int // connections closed to give up an attempt, because they carried the maximum number of attempts
+	SkippedClosed            int // times that a connection was not used because its searcher had closed it, which was not read yet
 	Watches                  int // watches opened
 	WatchFails               int // watches that failed or ended
 	Updates                  int // member lists and changes received
 	MalformedLists           int // member lists and changes that can't be used
-	Twice                    int // members that were listed twice in a list
+	DuplicateMembers         int // members that were listed twice in a list
 	DelayedForUpdates        int // times that sends were delayed because an update had arrived that was not read yet
-	Doubted                  int // members that an older list reported as ready, which was not believed
+	RejectedMembers          int // members that an older list reported as ready, which was not believed
 	EmptyLists               int // of Updates: complete lists without a single searcher, which were ignored
 
-	Epochs      int // epochs of the layout adopted
-	EpochsOld   int // epochs of the layout ignored because they were not newer than the current one
-	EpochsAhead int // queries refused because they named an epoch that is not known yet
-	Translated  int // queries whose parts were translated to the current epoch
+	Epochs        int // epochs of the layout adopted
+	EpochsIgnored int // epochs of the layout ignored because they were not newer than the current one
+	UnknownEpochs int // queries refused because they named an epoch that is not known yet
+	Translated    int // queries whose parts were translated to the current epoch
 
-	Generations int // generations of settings put in force
-	ClassFull   int // of Full: refusals because the maximum number of queries of the class was open
+	Generations         int // generations of settings put in force
+	RefusedAtClassLimit int // of RefusedAtLimit: refusals because the maximum number of queries of the class was open
 
 	SystemFails map[string]int // failed and retried system calls on sockets, by call and error
 	WakeFails   int            // failed writes to wake the event loop
@@ -110,23 +110,23 @@
 	return slog.GroupValue(
 		group("system", system...),
 		group("in", "taken", c.Taken, "malformed", c.Malformed),
-		group("clients", "opened", c.Clients, "reused", c.Reused, "noticed", c.Noticed, "trimmed", c.Trimmed,
-			"silent", c.Silent, "spared", c.Spared, "crossed", c.Crossed, "unread", c.Unread),
+		group("clients", "opened", c.Clients, "reused", c.Reused, "noticed", c.ClosedWithAnswer, "trimmed", c.ClosedIdle,
+			"silent", c.ClosedSilent, "spared", c.NotClosed, "crossed", c.EvictedInUse, "unread", c.ClosedUnread),
 		group("evicted", evicted...),
-		group("answered", "whole", c.Whole, "partial", c.Partial, "refused", c.Refused, "full", c.Full,
-			"late", c.Late, "unsent", c.Unsent, "failed", c.Failed, "overdue", c.Overdue, "cut_short", c.CutShort, "gone", c.Gone, "left_unread", c.LeftUnread),
-		group("sent", "turns", c.Turns, "calls", c.Calls, "parts", c.Sent, "further", c.Further, "copies", c.Copies, "cold", c.Cold, "second_steps", c.SecondSteps,
-			"not_sent", c.NotSent, "dialed", c.Dialed, "dial_fails", c.DialFails,
-			"idle_closed", c.IdleClosed, "left", c.Left, "left_out", c.LeftOut,
-			"beside", c.ParallelDials, "half_open", c.HalfOpen, "spoilt", c.MalformedConns, "held_back", c.HeldBack,
-			"outlived", c.ConnsToRestartedSearcher, "end_unread", c.EndUnread, "given_up", c.GivenUp),
+		group("answered", "whole", c.Whole, "partial", c.Partial, "refused", c.Refused, "full", c.RefusedAtLimit,
+			"late", c.Late, "unsent", c.EndedUnsent, "failed", c.Failed, "overdue", c.DeadlineExceeded, "cut_short", c.CutShort, "gone", c.ClientsDisconnected, "left_unread", c.DisconnectedUnread),
+		group("sent", "turns", c.Turns, "calls", c.Calls, "parts", c.Sent, "further", c.Retries, "copies", c.SecondCopies, "cold", c.SentToCold, "second_steps", c.SecondSteps,
+			"not_sent", c.RejectedSends, "dialed", c.Dialed, "dial_fails", c.DialFails,
+			"idle_closed", c.IdleClosed, "left", c.ClosedBySearcher, "left_out", c.ClosedBySearcherInFlight,
+			"beside", c.ParallelDials, "half_open", c.HalfOpen, "spoilt", c.MalformedConns, "held_back", c.ClosedWithUnsentParts,
+			"outlived", c.ConnsToRestartedSearcher, "end_unread", c.SkippedClosed, "given_up", c.ClosedToAbandon),
 		group("outcomes", "ok", c.OK, "errors", c.Errors, "skipped", c.Skipped, "timed_out", c.TimedOut,
 			"unconnected", c.Unconnected, "reset", c.Reset, "cancelled", c.Cancelled, "reports", c.Reports, "reports_bad", c.MalformedReports),
 		group("discovery", "watches", c.Watches, "watch_fails", c.WatchFails, "updates", c.Updates, "empty_lists", c.EmptyLists,
-			"lists_bad", c.MalformedLists, "twice", c.Twice, "news_first", c.DelayedForUpdates, "doubted", c.Doubted),
-		group("layout", "epochs", c.Epochs, "epochs_old", c.EpochsOld, "epochs_ahead", c.EpochsAhead,
+			"lists_bad", c.MalformedLists, "twice", c.DuplicateMembers, "news_first", c.DelayedForUpdates, "doubted", c.RejectedMembers),
+		group("layout", "epochs", c.Epochs, "epochs_old", c.EpochsIgnored, "epochs_ahead", c.UnknownEpochs,
 			"translated", c.Translated),
 		group("config", "reloads", c.Reloads, "reload_fails", c.ReloadFails, "generations", c.Generations,
-			"class_full", c.ClassFull),
+			"class_full", c.RefusedAtClassLimit),
 	)
 }
--- a/internal/trial/emulator/client.go
+++ b/internal/trial/emulator/client.go
@@ -82,12 +82,12 @@
 			c.finish(failed)
 			return
 		}
-		a := gatherer.Ask{Trace: c.trace, Class: spec.Name, Key: c.idempotencyKey, Expires: left, Repeat: c.tries > 1, Text: "q", About: c.subject}
+		a := gatherer.QueryRequest{Trace: c.trace, Class: spec.Name, Key: c.idempotencyKey, Timeout: left, Repeat: c.tries > 1, Text: "q", About: c.subject}
 		if c.tenant >= 0 {
 			a.Tenant = tenantName(c.tenant)
 		}
 		for i := range spec.Parts {
-			a.Parts = append(a.Parts, gatherer.AskPart{Shard: (c.firstSegment + i) % (sim.Cells * sim.SegmentsPerCell), Weight: 1 / float64(spec.Parts)})
+			a.Parts = append(a.Parts, gatherer.PartRequest{Shard: (c.firstSegment + i) % (sim.Cells * sim.SegmentsPerCell), Weight: 1 / float64(spec.Parts)})
 		}
 		sim.result.addOpen(c)
 		id, err := n.core.Take(sim.now, a, c)
@@ -112,19 +112,19 @@
 	c.sim.after(c.sim.NearDelay, func() { c.receive(r) })
 }
 
-// Left implements gatherer.Client. It is always false: in this model the core learns at once that a client
+// Disconnected implements gatherer.Client. It is always false: in this model the core learns at once that a client
 // has left.
-func (*client) Left() bool { return false }
+func (*client) Disconnected() bool { return false }
 
 // receive handles the gatherer's answer once it has reached the client.
 func (c *client) receive(r gatherer.Reply) {
 	switch {
-	case r.Verdict == gatherer.Answered && r.Whole:
+	case r.Kind == gatherer.Answered && r.Whole:
 		c.finish(whole)
-	case r.Verdict == gatherer.Answered:
+	case r.Kind == gatherer.Answered:
 		c.finish(partial)
-	case r.Verdict == gatherer.Refused && c.tryAgain(r.RetryAfter):
-	case r.Verdict == gatherer.Refused:
+	case r.Kind == gatherer.Refused && c.tryAgain(r.RetryAfter):
+	case r.Kind == gatherer.Refused:
 		c.finish(refused)
 	default:
 		c.finish(failed)
--- a/internal/trial/emulator/node.go
+++ b/internal/trial/emulator/node.go
@@ -77,7 +77,7 @@
 			list = append(list, s.member(state))
 		}
 	}
-	n.core.List(sim.now, eiderwinch.Whole, list)
+	n.core.UpdateMembers(sim.now, eiderwinch.Whole, list)
 	if sim.Lease > 0 {
 		n.startSharing(set.Seed)
 	}
@@ -186,9 +186,9 @@
 
 // scheduleRun sets the timer to when the core wants to run next.
 func (n *node) scheduleRun() {
-	if at := n.core.Due(); at.IsZero() {
+	if at := n.core.NextRun(); at.IsZero() {
 		n.sim.events.Stop(&n.runTimer)
-	} else if !n.runTimer.Set() || !n.runTimer.At().Equal(at) {
+	} else if !n.runTimer.IsSet() || !n.runTimer.At().Equal(at) {
 		n.sim.events.Set(&n.runTimer, at)
 	}
 }
@@ -210,7 +210,7 @@
 	} else if _, known := n.drainingSince[s.id]; !known {
 		n.drainingSince[s.id] = n.sim.now
 	}
-	n.core.List(n.sim.now, eiderwinch.Changes, []gatherer.Member{s.member(state)})
+	n.core.UpdateMembers(n.sim.now, eiderwinch.Changes, []gatherer.Member{s.member(state)})
 	n.scheduleRun()
 }
 
@@ -328,7 +328,7 @@
 			if n.core.MaySend(sim.now, p.attempt) {
 				c.send(p)
 			} else if n.endAttempt(p) {
-				n.core.Unsent(sim.now, p.attempt)
+				n.core.NotSent(sim.now, p.attempt)
 			}
 		}
 		n.scheduleRun()
@@ -348,7 +348,7 @@
 	}
 	for _, p := range c.waiting {
 		if n.endAttempt(p) {
-			n.core.Unsent(n.sim.now, p.attempt)
+			n.core.NotSent(n.sim.now, p.attempt)
 		}
 	}
 	c.waiting = nil
@@ -394,7 +394,7 @@
 	sortAttempts(lost) // the order of the map is random, that of a run must not be
 	for _, p := range lost {
 		if n.endAttempt(p) {
-			n.core.Broken(n.sim.now, p.attempt)
+			n.core.ConnectionBroken(n.sim.now, p.attempt)
 		}
 	}
 	n.scheduleRun()
--- a/internal/trial/emulator/scenario.go
+++ b/internal/trial/emulator/scenario.go
@@ -99,11 +99,11 @@
 	class := func(name string, effect eiderwinch.Effect, aim, deadline time.Duration, worth float64) eiderwinch.Class {
 		return eiderwinch.Class{
 			Name: name, Effect: effect, Aim: aim, Deadline: deadline, Worth: worth, LateWorth: 0.1,
-			RepeatWindow: 2500 * time.Millisecond, Need: 1, Floor: 1,
+			RepeatWindow: 2500 * time.Millisecond, WholeShare: 1, MinShare: 1,
 		}
 	}
 	report := class("report", eiderwinch.Safe, 4*time.Second, 12*time.Second, 3)
-	report.Fetch = 3
+	report.SecondStepParts = 3
 	return []Class{
 		{report, 15, 6, 12 * time.Millisecond},
 		{class("search", eiderwinch.Safe, 1500*time.Millisecond, 4*time.Second, 1), 180, 4, 6 * time.Millisecond},
@@ -117,7 +117,7 @@
 func ArchiveClasses(segments int) []Class {
 	class := func(name string, deadline time.Duration, worth, late, floor float64) eiderwinch.Class {
 		return eiderwinch.Class{
-			Name: name, Aim: 2 * time.Second, Deadline: deadline, Worth: worth, LateWorth: late, Need: 1, Floor: floor, Partial: 0.8,
+			Name: name, Aim: 2 * time.Second, Deadline: deadline, Worth: worth, LateWorth: late, WholeShare: 1, MinShare: floor, PartialWorth: 0.8,
 		}
 	}
 	// The queries of a larger archive are wider, so their rate is lower: the rate of parts per searcher stays
@@ -233,12 +233,12 @@
 // settings returns the settings of a gatherer's decision module.
 func (s Scenario) settings(number int, zone string, seed uint64) eiderwinch.Settings {
 	set := eiderwinch.Settings{
-		Seed: seed, Brokers: s.Gatherers, Number: number, Zone: zone, Tick: tick,
-		Shards: s.Cells * s.SegmentsPerCell, Cells: s.Cells, Reach: s.Reach, Batch: s.Batch, CallCost: s.CallCost,
+		Seed: seed, Gatherers: s.Gatherers, GathererNumber: number, Zone: zone, Tick: tick,
+		Shards: s.Cells * s.SegmentsPerCell, Cells: s.Cells, ReplicasPerShard: s.Reach, MaxBatch: s.Batch, CallCost: s.CallCost,
 		MaxAttempts: s.Attempts, MayCancel: true, RetryAdvice: true, MaxRetryAdvice: time.Second,
-		ColdShare: s.ColdShare, ColdFor: s.ColdFor, ColdMultiple: s.ColdMultiple, ColdOverloads: s.ColdOverloads,
+		ColdShare: s.ColdShare, ColdDuration: s.ColdFor, ColdMultiple: s.ColdMultiple, ColdOverloadWindow: s.ColdOverloads,
 	}
-	set.SecondCopies, set.OverShare, set.WorthByWork = s.SecondCopies, s.OverShare, true
+	set.SecondCopies, set.OverShareWorth, set.WorthByWork = s.SecondCopies, s.OverShare, true
 	for i := range s.Tenants {
 		set.Tenants = append(set.Tenants, eiderwinch.Tenant{Name: tenantName(i), Share: s.tenantShare(i)})
 	}
--- a/internal/trial/soak/config.go
+++ b/internal/trial/soak/config.go
@@ -102,7 +102,7 @@
 
 // Apply applies a configuration. Before that it records that the generation may be in force, and afterwards that the
 // earlier ones no longer are.
-func (n *auditedNode) Apply(ctx context.Context, l netio.Live) error {
+func (n *auditedNode) Apply(ctx context.Context, l netio.LiveSettings) error {
 	r := n.run
 	if l.Layout != nil {
 		r.audit.addLayout(l.Layout)
@@ -183,7 +183,7 @@
 	err = errors.Join(sequenceErr, statusErr, end())
 	c := r.nodes[0].counters
 	report.Taken = c.Taken
-	report.Ended = c.Whole + c.Partial + c.Refused + c.Failed + c.Gone
+	report.Ended = c.Whole + c.Partial + c.Refused + c.Failed + c.ClientsDisconnected
 	report.Translated = c.Translated
 	report.Held = int(r.heldQueries.Load())
 	report.Doubled = len(r.store.Doubled())
--- a/internal/trial/soak/soak.go
+++ b/internal/trial/soak/soak.go
@@ -204,7 +204,7 @@
 	for _, n := range r.nodes {
 		c := n.counters
 		report.Taken += c.Taken
-		report.Ended += c.Whole + c.Partial + c.Refused + c.Failed + c.Gone
+		report.Ended += c.Whole + c.Partial + c.Refused + c.Failed + c.ClientsDisconnected
 		report.Translated += c.Translated
 	}
 	report.Doubled = len(r.store.Doubled())
--- a/load_test.go
+++ b/load_test.go
@@ -92,7 +92,7 @@
 // A query of an unknown tenant must not be served on the shares of the known ones.
 func TestUnknownTenantHasNoShare(t *testing.T) {
 	s := testSettings()
-	s.Tenants, s.OverShare = []Tenant{{"small", 0.2}, {"large", 0.8}}, 0.1
+	s.Tenants, s.OverShareWorth = []Tenant{{"small", 0.2}, {"large", 0.8}}, 0.1
 	a := New(s)
 	c := &driver{t: t}
 	c.want("unknown", a.tenantWorthFactor(-1), 0.1)
--- a/memory_test.go
+++ b/memory_test.go
@@ -10,8 +10,8 @@
 // removed would be a memory leak.
 func TestStateDoesNotGrowOverTime(t *testing.T) {
 	a := New(Settings{
-		Tick: time.Millisecond, Shards: 1, Cells: 1, Reach: 1, Batch: 1,
-		Classes: []Class{{Name: "c", Aim: time.Second, Deadline: time.Second, Worth: 1, Need: 1, Floor: 1}},
+		Tick: time.Millisecond, Shards: 1, Cells: 1, ReplicasPerShard: 1, MaxBatch: 1,
+		Classes: []Class{{Name: "c", Aim: time.Second, Deadline: time.Second, Worth: 1, WholeShare: 1, MinShare: 1}},
 	})
 	for i := range 200 {
 		now := time.Duration(i+1) * time.Second
--- a/outcomes.go
+++ b/outcomes.go
@@ -66,7 +66,7 @@
 		if took > float64(class.Aim)/quickCallAimDivisor {
 			a.narrowWindow(searcher, attempt)
 		} else if float64(len(searcher.inFlight)+1) >= searcher.window/2 {
-			searcher.window = min(searcher.window+1/searcher.window, float64(2*a.settings.Batch))
+			searcher.window = min(searcher.window+1/searcher.window, float64(2*a.settings.MaxBatch))
 		}
 		if took > float64(a.overdueAfter(class)) {
 			a.recordFailure(searcher, attempt, lateFailureWeight)
@@ -79,7 +79,7 @@
 			a.recordLostCall(attempt, outcome)
 		}
 		if outcome.Status == NoConnection {
-			searcher.unreachable, a.disconnectAllowedAt = true, a.now+a.settings.ColdFor
+			searcher.unreachable, a.disconnectAllowedAt = true, a.now+a.settings.ColdDuration
 		}
 		a.recordFailure(searcher, attempt, 1)
 	case TimedOut, Full, Cancelled:
@@ -140,8 +140,8 @@
 	if event.Kind == NoList {
 		a.subscribed = false
 		a.subscribeBackoff = max(2*a.subscribeBackoff, 20*a.settings.Tick)
-		if a.settings.AskWithin > 0 {
-			a.subscribeBackoff = min(a.subscribeBackoff, a.settings.AskWithin/8)
+		if a.settings.SubscribeWithin > 0 {
+			a.subscribeBackoff = min(a.subscribeBackoff, a.settings.SubscribeWithin/8)
 		}
 		a.subscribeAt = a.now + a.subscribeBackoff
 		return
@@ -157,7 +157,7 @@
 		s := a.searchersByID[r.ID]
 		if s == nil {
 			s = a.addSearcher(r.ID)
-			s.window = float64(a.settings.Batch)
+			s.window = float64(a.settings.MaxBatch)
 		} else if r.Started > s.Started { // a new process: what was known of the old one is void
 			s.failureScore, s.ejected, s.unreachable, s.window, s.relativeLatency, s.reportedAt =
 				0, false, false, 1, 0, 0
--- a/probe_test.go
+++ b/probe_test.go
@@ -12,8 +12,8 @@
 		{5 * time.Millisecond, 40 * time.Millisecond}, {200 * time.Millisecond, 600 * time.Millisecond},
 	} {
 		a := New(Settings{
-			Tick: time.Millisecond, Shards: 1, Cells: 1, Reach: 1, Batch: 4, MaxAttempts: 4, ColdFor: time.Hour,
-			Classes: []Class{{Name: "c", Aim: time.Second, Deadline: time.Minute, Worth: 1, Need: 1, Floor: 1}},
+			Tick: time.Millisecond, Shards: 1, Cells: 1, ReplicasPerShard: 1, MaxBatch: 4, MaxAttempts: 4, ColdDuration: time.Hour,
+			Classes: []Class{{Name: "c", Aim: time.Second, Deadline: time.Minute, Worth: 1, WholeShare: 1, MinShare: 1}},
 		})
 		now := time.Second
 		a.Turn(now, []Event{
--- a/second_step_test.go
+++ b/second_step_test.go
@@ -6,7 +6,7 @@
 // half of them.
 func startWithSecondStep(t *testing.T) *driver {
 	s := testSettings()
-	s.Classes[3].Fetch = 2
+	s.Classes[3].SecondStepParts = 2
 	return startAggregator(t, s)
 }
 
--- a/selection.go
+++ b/selection.go
@@ -108,10 +108,10 @@
 
 // withinRetryBudget reports whether this many more retries are within the retry budget now.
 func (a *Aggregator) withinRetryBudget(more int) bool {
-	if a.settings.BudgetWindow <= 0 {
+	if a.settings.RetryBudgetWindow <= 0 {
 		return true
 	}
-	windowStart := a.now - a.settings.BudgetWindow
+	windowStart := a.now - a.settings.RetryBudgetWindow
 	for len(a.arrivalTimes) > 0 && a.arrivalTimes[0] <= windowStart {
 		a.arrivalTimes = a.arrivalTimes[1:]
 	}
@@ -119,5 +119,5 @@
 		a.retryTimes = a.retryTimes[1:]
 	}
 	return float64(len(a.retryTimes)+more) <=
-		a.settings.BudgetFree+a.settings.BudgetRatio*float64(len(a.arrivalTimes))
+		a.settings.RetryBudgetFree+a.settings.RetryBudgetRatio*float64(len(a.arrivalTimes))
 }
--- a/settings_test.go
+++ b/settings_test.go
@@ -40,13 +40,13 @@
 }
 
 // TestAllSearchersColdAtOnce counts what two aggregators send to four searchers that all start at once: within
-// no window of ColdOverloads more than coldOvercommit times ColdMultiple of what one core of a cold searcher can
+// no window of ColdOverloadWindow more than coldOvercommit times ColdMultiple of what one core of a cold searcher can
 // serve.
 func TestAllSearchersColdAtOnce(t *testing.T) {
 	sent := make(map[string][]time.Duration)
 	for number := range 2 {
 		s := testSettings()
-		s.Number = number
+		s.GathererNumber = number
 		c := &driver{t: t, aggregator: New(s), now: 100_000 * ms}
 		list := replicaRing("a", "b", "c", "d")
 		for i := range list {
--- a/slot_share_test.go
+++ b/slot_share_test.go
@@ -10,7 +10,7 @@
 func TestSlotShareCoversItsNumbers(t *testing.T) {
 	coldCapacityOf := func(number, slots int, until time.Duration) (work time.Duration) {
 		s := testSettings()
-		s.Brokers, s.Number = 12, number
+		s.Gatherers, s.GathererNumber = 12, number
 		c := startAggregator(t, s)
 		c.turn(Share{Slots: slots, Until: c.now + until})
 		c.now += 10 * ms
--- a/state.go
+++ b/state.go
@@ -68,7 +68,7 @@
 // ownSlots returns how many gatherers' shares of the fleet's limits this aggregator may use now.
 func (a *Aggregator) ownSlots() int {
 	if a.now < a.slotShare.Until {
-		return min(a.slotShare.Slots, a.settings.Brokers)
+		return min(a.slotShare.Slots, a.settings.Gatherers)
 	}
 	return 1
 }
@@ -138,7 +138,7 @@
 // recordForBudget records an event for the retry budget. Without a budget nothing would ever remove it
 // again.
 func (a *Aggregator) recordForBudget(times *[]time.Duration) {
-	if a.settings.BudgetWindow > 0 {
+	if a.settings.RetryBudgetWindow > 0 {
 		*times = append(*times, a.now)
 	}
 }
@@ -437,7 +437,7 @@
 		for _, s := range a.searchers {
 			for shard := range a.replicasByShard {
 				distance := (s.Cell - shard) % a.settings.Cells
-				if (distance+a.settings.Cells)%a.settings.Cells < a.settings.Reach {
+				if (distance+a.settings.Cells)%a.settings.Cells < a.settings.ReplicasPerShard {
 					a.replicasByShard[shard] = append(a.replicasByShard[shard], s)
 				}
 			}
