--- a/cmd/eiderwinch/check.go
+++ b/cmd/eiderwinch/check.go
@@ -24,6 +24,6 @@
 	}
 	m := cfg.Settings.Module
 	fmt.Fprintf(e.stdout, "%s: in order: listens on %s, %d classes, %d segments in %d cells, %d searchers known, %d descriptors\n",
-		c.File, cfg.Listen, len(m.Classes), m.Shards, m.Cells, len(cfg.Known.Members), cfg.Sockets)
+		c.File, cfg.Listen, len(m.Classes), m.Shards, m.Cells, len(cfg.KnownMembers.Members), cfg.SocketLimit)
 	return nil
 }
--- a/cmd/eiderwinch/config.go
+++ b/cmd/eiderwinch/config.go
@@ -89,12 +89,12 @@
 
 // Run stages the configuration.
 func (c configStage) Run(e environment) error {
-	p := keeper.Proposal{Against: change.Generation(c.Against), Note: c.Note, Signature: c.Signature}
+	p := keeper.StageRequest{Against: change.Generation(c.Against), Note: c.Note, Signature: c.Signature}
 	var err error
 	if p.Bundle, err = c.proposedFiles.read(); err != nil {
 		return err
 	}
-	var s keeper.Staged
+	var s keeper.StageResult
 	if err := c.do(http.MethodPost, "/v1/config", p, &s); err != nil {
 		return err
 	}
@@ -117,7 +117,7 @@
 
 // Run applies the transaction.
 func (c configApply) Run(e environment) error {
-	a := keeper.Application{WithinMS: c.Within.Milliseconds()}
+	a := keeper.ApplyRequest{WithinMS: c.Within.Milliseconds()}
 	if c.Confirm != "file" {
 		auto := c.Confirm == "auto"
 		a.Auto = &auto
@@ -156,7 +156,7 @@
 
 // Run undoes the transaction.
 func (c configUndo) Run(e environment) error {
-	if err := c.do(http.MethodPost, transactionPath(c.Transaction, "undo"), keeper.Withdrawal{Reason: c.Reason}, nil); err != nil {
+	if err := c.do(http.MethodPost, transactionPath(c.Transaction, "undo"), keeper.UndoRequest{Reason: c.Reason}, nil); err != nil {
 		return err
 	}
 	fmt.Fprintf(e.stdout, "transaction %d is being undone\n", c.Transaction)
@@ -181,13 +181,13 @@
 	if s.Durable {
 		where = "on disk"
 	}
-	fmt.Fprintf(e.stdout, "generation %d in force, %d confirmed, hash %.16s; history %s; queries open under %v\n", s.InForce, s.Confirmed, s.Hash, where, s.Open)
+	fmt.Fprintf(e.stdout, "generation %d in force, %d confirmed, hash %.16s; history %s; queries open under %v\n", s.InForce, s.Confirmed, s.Hash, where, s.OpenGenerations)
 	for _, t := range s.Transactions {
 		if !t.Over {
-			fmt.Fprintf(e.stdout, "transaction %d is %s, generation %d; left %s\n", t.Tx, t.State, t.Gen, t.Left)
+			fmt.Fprintf(e.stdout, "transaction %d is %s, generation %d; left %s\n", t.Tx, t.State, t.Generation, t.ProbationLeft)
 		}
 	}
-	for _, f := range s.Falls {
+	for _, f := range s.Regressions {
 		fmt.Fprintln(e.stdout, "the guard reported:", f)
 	}
 	return nil
@@ -206,7 +206,7 @@
 	table := tabwriter.NewWriter(e.stdout, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(table, "transaction\tstate\tgeneration\tagainst\thash\tat\treason")
 	for _, t := range s.Transactions {
-		fmt.Fprintf(table, "%d\t%s\t%d\t%d\t%.16s\t%s\t%s\n", t.Tx, t.State, t.Gen, t.Against, t.Hash, t.At.Format(time.RFC3339), t.Reason)
+		fmt.Fprintf(table, "%d\t%s\t%d\t%d\t%.16s\t%s\t%s\n", t.Tx, t.State, t.Generation, t.Against, t.Hash, t.At.Format(time.RFC3339), t.Reason)
 	}
 	return table.Flush()
 }
--- a/cmd/eiderwinch/coordinate.go
+++ b/cmd/eiderwinch/coordinate.go
@@ -41,7 +41,7 @@
 	if err != nil {
 		return err
 	}
-	toPeers := func(list []settings.Peer) (out []coordinator.Peer) {
+	toPeers := func(list []settings.AdminEndpoint) (out []coordinator.Peer) {
 		for _, p := range list {
 			out = append(out, coordinator.Peer(p))
 		}
@@ -50,7 +50,7 @@
 	ctx, stop := e.untilSignal()
 	defer stop()
 	run, err := coordinator.Start(ctx, coordinator.Options{
-		Log: co.Log, First: first, Fleet: fleet, Limits: co.Limits, Measure: co.Measure, Poll: co.Poll, Timeout: co.Timeout,
+		LogPath: co.Log, InitialLayout: first, Fleet: fleet, Limits: co.Limits, MeasuredClass: co.MeasuredClass, PollInterval: co.Poll, Timeout: co.Timeout,
 		Gatherers: toPeers(co.Gatherers), Searchers: toPeers(co.Searchers), Logger: log,
 	})
 	if err != nil {
@@ -116,9 +116,9 @@
 
 // printStatus prints a coordinator's state for people.
 func printStatus(w io.Writer, s admin.Status) error {
-	fmt.Fprintf(w, "epoch %d, %d segments, term %d, copies at up to %.0f rows a second", s.Epoch, s.Segments, s.Term, s.Rows)
-	if s.BaseMS > 0 {
-		fmt.Fprintf(w, ", p99 without copies %.1f ms", s.BaseMS)
+	fmt.Fprintf(w, "epoch %d, %d segments, term %d, copies at up to %.0f rows a second", s.Epoch, s.Segments, s.Term, s.RowsPerSecond)
+	if s.P99WithoutCopiesMS > 0 {
+		fmt.Fprintf(w, ", p99 without copies %.1f ms", s.P99WithoutCopiesMS)
 	}
 	n := s.Counts
 	fmt.Fprintf(w, "\nchanges: %d asked, %d refused, %d started, %d cut over, %d done, %d undone (%d too late, %d for a dead holder, %d aborted)\n",
@@ -126,7 +126,7 @@
 	table := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(table, "job\tchange\tsegments\tphase\theirs\tfilled\treason")
 	for _, j := range s.Jobs {
-		fmt.Fprintf(table, "%d\t%s\t%v\t%s\t%v\t%d of %d\t%s\n", j.Job, j.Kind, j.Segments, j.Phase, j.Heirs, j.Copied, j.Of, j.Reason)
+		fmt.Fprintf(table, "%d\t%s\t%v\t%s\t%v\t%d of %d\t%s\n", j.Job, j.Kind, j.Segments, j.Phase, j.Successors, j.Copied, j.Targets, j.Reason)
 	}
 	if err := table.Flush(); err != nil {
 		return err
@@ -186,7 +186,7 @@
 		fmt.Fprintln(e.stdout, "nothing to change")
 		return nil
 	}
-	var results []admin.Taken
+	var results []admin.ChangeResult
 	if err := client.Do(context.Background(), http.MethodPost, "/v1/changes", s, &results); err != nil {
 		return err
 	}
@@ -211,7 +211,7 @@
 const statusInterval = 100 * time.Millisecond
 
 // await waits until the accepted changes are over.
-func (c layoutApply) await(e environment, client *admin.Client, results []admin.Taken) error {
+func (c layoutApply) await(e environment, client *admin.Client, results []admin.ChangeResult) error {
 	signalled, stop := e.untilSignal()
 	defer stop()
 	ctx, end := context.WithTimeout(signalled, c.Wait)
@@ -267,7 +267,7 @@
 	}
 	defer client.Close()
 	path := "/v1/changes/" + strconv.FormatUint(c.Job, 10) + "/abort"
-	if err := client.Do(context.Background(), http.MethodPost, path, admin.Abortion{Reason: c.Reason}, nil); err != nil {
+	if err := client.Do(context.Background(), http.MethodPost, path, admin.AbortRequest{Reason: c.Reason}, nil); err != nil {
 		return err
 	}
 	fmt.Fprintf(e.stdout, "job %d is undone\n", c.Job)
--- a/cmd/eiderwinch/experiment.go
+++ b/cmd/eiderwinch/experiment.go
@@ -62,7 +62,7 @@
 	if csvErr := experiment.WriteCSV(&table, runs); csvErr != nil {
 		return csvErr
 	}
-	if keepErr := admin.Keep(c.results()+".csv", table.Bytes()); keepErr != nil {
+	if keepErr := admin.WriteFileAtomic(c.results()+".csv", table.Bytes()); keepErr != nil {
 		return keepErr
 	}
 	groups := experiment.Groups(runs)
@@ -105,7 +105,7 @@
 	if err := experiment.Report(&b, filepath.Base(name), x.Of, runs); err != nil {
 		return err
 	}
-	if err := admin.Keep(c.HTML, b.Bytes()); err != nil {
+	if err := admin.WriteFileAtomic(c.HTML, b.Bytes()); err != nil {
 		return err
 	}
 	fmt.Fprintf(e.stdout, "%s: %d runs, %d KiB\n", c.HTML, len(runs), b.Len()>>10)
@@ -136,7 +136,7 @@
 	if err := experiment.FleetReport(&b, filepath.Base(name), list); err != nil {
 		return err
 	}
-	if err := admin.Keep(c.HTML, b.Bytes()); err != nil {
+	if err := admin.WriteFileAtomic(c.HTML, b.Bytes()); err != nil {
 		return err
 	}
 	fmt.Fprintf(e.stdout, "%s: %d lines, %d KiB\n", c.HTML, len(list), b.Len()>>10)
--- a/cmd/eiderwinch/fleet.go
+++ b/cmd/eiderwinch/fleet.go
@@ -45,7 +45,7 @@
 		return nil, fmt.Errorf("fleet: %s: %w", f.Keys, err)
 	}
 	set := view.LAN()
-	if f.Wide {
+	if f.WAN {
 		set = view.WAN()
 	}
 	n, err := listenFleet(fleetnet.Config{
@@ -64,7 +64,7 @@
 
 // listenFleet opens the fleet node, and retries for a while if the system fails.
 func listenFleet(c fleetnet.Config) (n *fleetnet.Node, err error) {
-	err = durable.Within(durable.ReadTime, func() error {
+	err = durable.RetryTransient(durable.ReadTimeout, func() error {
 		n, err = fleetnet.Listen(c)
 		return err
 	})
@@ -82,7 +82,7 @@
 // run forwards changes of the share until the fleet node closes.
 func (s *shareForwarder) run() {
 	<-s.node.Started()
-	for x := range s.fleet.Shares() {
+	for x := range s.fleet.WatchShare() {
 		s.mu.Lock()
 		if !s.left {
 			s.node.Share(x.Slots, x.Until)
@@ -170,7 +170,7 @@
 	if s.Share != nil {
 		fmt.Fprintf(e.stdout, "holds %d slots of the fleet's limits\n", s.Share.Slots)
 	}
-	if s.Over {
+	if s.Replaced {
 		fmt.Fprintln(e.stdout, "it no longer takes part: a newer process bears its name")
 	}
 	return nil
@@ -283,7 +283,7 @@
 		if s.Digest != digest {
 			fault("%s counts %d with digest %s, %s counts %d with digest %s", s.Name, s.Counted, s.Digest, first, f.Counted, digest)
 		}
-		if s.Over {
+		if s.Replaced {
 			fault("%s no longer takes part: a newer process bears its name", s.Name)
 		}
 		for _, m := range s.Members {
--- a/cmd/eiderwinch/fleet_test.go
+++ b/cmd/eiderwinch/fleet_test.go
@@ -138,7 +138,7 @@
 	f.waitConverged("one ends", 10*time.Second, 3, all[0], all[2], all[3])
 
 	newer := f.start("g3", freeAddr(t)) // a second process with the same name
-	waitForJSON(t, "the older steps down", func(s admin.FleetState) bool { return s.Over }, "fleet", "status", "--json", "--file", all[3].ops)
+	waitForJSON(t, "the older steps down", func(s admin.FleetState) bool { return s.Replaced }, "fleet", "status", "--json", "--file", all[3].ops)
 	f.waitConverged("the newer counts", 10*time.Second, 3, all[0], all[2], newer)
 	code, out, _ := runCommand(t, nil, "fleet", "members", "--file", all[0].ops)
 	if code != exitOK || !strings.Contains(out, newer.listen) || !strings.Contains(out, "left") {
--- a/cmd/eiderwinch/layout.go
+++ b/cmd/eiderwinch/layout.go
@@ -199,7 +199,7 @@
 	if c.JSON {
 		out := admin.Submission{Epoch: l.Epoch(), Changes: []admin.Change{}}
 		for _, g := range proposals {
-			out.Changes = append(out.Changes, admin.NewChange(g.Change, g.Why))
+			out.Changes = append(out.Changes, admin.NewChange(g.Change, g.Reason))
 		}
 		return c.print(e.stdout, out)
 	}
@@ -210,7 +210,7 @@
 	table := tabwriter.NewWriter(e.stdout, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(table, "change\tholders\twhy")
 	for _, g := range proposals {
-		fmt.Fprintf(table, "%v\t%v\t%s\n", g.Change, g.Change.Holders, g.Why)
+		fmt.Fprintf(table, "%v\t%v\t%s\n", g.Change, g.Change.Holders, g.Reason)
 	}
 	return table.Flush()
 }
--- a/cmd/eiderwinch/operatorsfile.go
+++ b/cmd/eiderwinch/operatorsfile.go
@@ -102,7 +102,7 @@
 		if err == nil {
 			var cfg *config.Config
 			if cfg, err = config.Parse(text); err == nil {
-				err = f.Fit(c.File, cfg.Settings)
+				err = f.CheckPlatform(c.File, cfg.Settings)
 			} else {
 				err = fmt.Errorf("%s: %w", c.Platform, err)
 			}
@@ -178,7 +178,7 @@
 		return &exitError{exitConfig, err}
 	}
 	if c.Write {
-		return admin.Keep(c.File, b.Bytes())
+		return admin.WriteFileAtomic(c.File, b.Bytes())
 	}
 	_, err = e.stdout.Write(b.Bytes())
 	return err
--- a/cmd/eiderwinch/serve.go
+++ b/cmd/eiderwinch/serve.go
@@ -41,7 +41,7 @@
 	if err != nil {
 		return &exitError{exitConfig, fmt.Errorf("configuration: %w", err)}
 	}
-	debug.SetMemoryLimit(cfg.Memory / 4 * 3) // the remaining quarter is for stacks, the runtime and kernel memory
+	debug.SetMemoryLimit(cfg.MemoryLimit / 4 * 3) // the remaining quarter is for stacks, the runtime and kernel memory
 	log = log.With("node", cfg.Name)
 	if c.File != "" {
 		return c.serveWithOperatorsFile(e, cfg, level, log)
@@ -131,9 +131,9 @@
 		go forwarder.run()
 	}
 	if ops.Admin != "" {
-		g := &admin.Gatherer{Name: cfg.Name, Node: node, Keeper: k.Handle, Fleet: fleet, Leave: forwarder.leave}
+		g := &admin.Gatherer{Name: cfg.Name, Node: node, RegisterConfigHandlers: k.RegisterHandlers, Fleet: fleet, Leave: forwarder.leave}
 		if ops.Follow {
-			g.Layout = ops.Layout
+			g.LayoutPath = ops.Layout
 		}
 		socket, err := admin.Serve(ops.Admin, g.Handler())
 		if err != nil {
@@ -148,7 +148,7 @@
 	}
 	return runNode(e, node, counters, log, func() {
 		go func() {
-			if err := durable.Within(reloadTimeout, func() error { return k.Reload(ctx) }); err != nil {
+			if err := durable.RetryTransient(reloadTimeout, func() error { return k.Reload(ctx) }); err != nil {
 				log.Error("configuration not reloaded, the old one stays", "err", err)
 				node.ReloadFailed()
 			}
@@ -183,7 +183,7 @@
 func reloadOnce(e environment) (*config.Config, error) {
 	for end := time.Now().Add(contentTimeout); ; time.Sleep(contentRetryInterval) {
 		next, err := config.Reload(e.getenv)
-		if err == nil || durable.Transient(err) || time.Now().After(end) {
+		if err == nil || durable.IsTransient(err) || time.Now().After(end) {
 			return next, err
 		}
 	}
@@ -192,7 +192,7 @@
 // reload reads the configuration again. An invalid one changes nothing.
 func reload(e environment, cfg *config.Config, node *netio.Node, log *slog.Logger) {
 	var next *config.Config
-	err := durable.Within(reloadTimeout, func() (err error) {
+	err := durable.RetryTransient(reloadTimeout, func() (err error) {
 		next, err = reloadOnce(e)
 		return err
 	})
@@ -201,7 +201,7 @@
 		node.ReloadFailed()
 		return
 	}
-	if keys := cfg.Pending(next); len(keys) > 0 {
+	if keys := cfg.PendingRestart(next); len(keys) > 0 {
 		log.Warn("these keys take effect at the next start", "keys", keys)
 	}
 	log.Info("configuration reloaded", "discovery", next.Discovery)
--- a/cmd/eiderwinch/startup.go
+++ b/cmd/eiderwinch/startup.go
@@ -147,7 +147,7 @@
 	defer func() {
 		// The environment takes precedence, as it does without an operators' file.
 		out.candidate.Config.Name, out.candidate.Config.Listen, out.candidate.Config.Discovery = cfg.Name, cfg.Listen, cfg.Discovery
-		out.candidate.Config.Sockets, out.candidate.Config.Memory = cfg.Sockets, cfg.Memory
+		out.candidate.Config.SocketLimit, out.candidate.Config.MemoryLimit = cfg.SocketLimit, cfg.MemoryLimit
 		out.candidate.Config.Settings.Module.Seed = cfg.Settings.Module.Seed
 	}()
 	path := c.File.History
@@ -157,7 +157,7 @@
 		return out, nil
 	}
 	var h *history.History
-	err = durable.Within(durable.StartTime, func() error {
+	err = durable.RetryTransient(durable.StartTimeout, func() error {
 		h, err = history.Open(resolveBeside(f.operators, path))
 		return err
 	})
@@ -174,13 +174,13 @@
 // recoverHistory continues from a history: it undoes what was not confirmed and takes the last confirmed configuration.
 func (b *bootState) recoverHistory(h *history.History, f configFiles, log *slog.Logger) error {
 	write := func(records []change.Record) error {
-		return durable.AtStart(log, "records of configuration changes", func() error { return h.Append(records, nil) })
+		return durable.RetryAtStart(log, "records of configuration changes", func() error { return h.Append(records, nil) })
 	}
 	base, records, err := h.Load()
 	if errors.Is(err, history.ErrEmpty) {
 		b.machine = change.New(b.candidate.Hash, change.Limits{})
 		base, _ := b.machine.Base()
-		return durable.AtStart(log, "new history", func() error { return h.Begin(base, b.candidate.Bundle) })
+		return durable.RetryAtStart(log, "new history", func() error { return h.SetBase(base, b.candidate.Bundle) })
 	}
 	if err != nil {
 		return err
@@ -231,7 +231,7 @@
 // startManager starts the manager of a gatherer's configuration.
 func (b *bootState) startManager(ctx context.Context, f configFiles, node *netio.Node, level *slog.LevelVar, log *slog.Logger) *keeper.Keeper {
 	o := keeper.Options{
-		Node: node, Boot: b.candidate, Machine: b.machine, Names: f.names(), Read: f.readSigned, Live: daemon.Live, Logger: log,
+		Node: node, Initial: b.candidate, Machine: b.machine, Names: f.names(), ReadFiles: f.readSigned, LiveSettings: daemon.Live, Logger: log,
 		Applied: func(c *bundle.Candidate) { level.Set(logLevel(c)) },
 	}
 	if b.history != nil {
--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -43,7 +43,7 @@
 func TestEpochIsOnDiskBeforeItIsAdopted(t *testing.T) {
 	dir := t.TempDir()
 	n := &fakeNode{epoch: 3, file: filepath.Join(dir, "layout.xml")}
-	g := &Gatherer{Name: "g", Node: n, Layout: n.file}
+	g := &Gatherer{Name: "g", Node: n, LayoutPath: n.file}
 	s, err := Serve("unix:"+filepath.Join(dir, "s"), g.Handler())
 	if err != nil {
 		t.Fatal(err)
@@ -77,11 +77,11 @@
 	if _, err := put(strings.Replace(layoutXML(6), `searcher="s"`, `searcher="q"`, 1)); status(err) != http.StatusUnprocessableEntity {
 		t.Errorf("a layout with an unknown searcher: %v", err)
 	}
-	g.Layout = filepath.Join(dir, "none", "layout.xml")
+	g.LayoutPath = filepath.Join(dir, "none", "layout.xml")
 	if _, err := put(layoutXML(6)); status(err) != http.StatusInternalServerError || n.epoch != 5 {
 		t.Errorf("a layout file that can't be written: %v, epoch %d", err, n.epoch)
 	}
-	g.Layout = ""
+	g.LayoutPath = ""
 	if _, err := put(layoutXML(7)); status(err) != http.StatusForbidden {
 		t.Errorf("a gatherer that accepts no epochs: %v", err)
 	}
--- a/internal/admin/coordinator.go
+++ b/internal/admin/coordinator.go
@@ -45,26 +45,26 @@
 	Changes []Change     `json:"changes"`
 }
 
-// Taken is the result for one change of a submission.
-type Taken struct {
+// ChangeResult is the result for one change of a submission.
+type ChangeResult struct {
 	Job   reshard.JobID `json:"job,omitempty"`
 	Error string        `json:"error,omitempty"` // why the change was refused
 }
 
-// Abortion is the request to undo a change.
-type Abortion struct {
+// AbortRequest is the request to undo a change.
+type AbortRequest struct {
 	Reason string `json:"reason"`
 }
 
 // Job is a change that is under way or finished.
 type Job struct {
-	Job    reshard.JobID      `json:"job"`
-	Phase  string             `json:"phase"`
-	Over   bool               `json:"over"`
-	Heirs  []layout.SegmentID `json:"heirs,omitempty"`
-	Copied int                `json:"copied"` // new holders that have finished copying
-	Of     int                `json:"of"`
-	Reason string             `json:"reason,omitempty"`
+	Job        reshard.JobID      `json:"job"`
+	Phase      string             `json:"phase"`
+	Over       bool               `json:"over"`
+	Successors []layout.SegmentID `json:"heirs,omitempty"`
+	Copied     int                `json:"copied"` // new holders that have finished copying
+	Targets    int                `json:"of"`
+	Reason     string             `json:"reason,omitempty"`
 	Change
 }
 
@@ -77,14 +77,14 @@
 
 // Status is the state that a coordinator reports.
 type Status struct {
-	Term      uint64         `json:"term"`
-	Epoch     layout.Epoch   `json:"epoch"`
-	Segments  int            `json:"segments"`
-	Rows      float64        `json:"rows_per_second"`
-	BaseMS    float64        `json:"p99_without_copies_ms,omitempty"`
-	Jobs      []Job          `json:"jobs"`
-	Gatherers []PeerState    `json:"gatherers"`
-	Searchers []PeerState    `json:"searchers"`
-	Counts    reshard.Counts `json:"counts"`
-	Custody   custody.Counts `json:"custody"`
+	Term               uint64         `json:"term"`
+	Epoch              layout.Epoch   `json:"epoch"`
+	Segments           int            `json:"segments"`
+	RowsPerSecond      float64        `json:"rows_per_second"`
+	P99WithoutCopiesMS float64        `json:"p99_without_copies_ms,omitempty"`
+	Jobs               []Job          `json:"jobs"`
+	Gatherers          []PeerState    `json:"gatherers"`
+	Searchers          []PeerState    `json:"searchers"`
+	Counts             reshard.Counts `json:"counts"`
+	Custody            custody.Counts `json:"custody"`
 }
--- a/internal/admin/gatherer.go
+++ b/internal/admin/gatherer.go
@@ -42,17 +42,17 @@
 type Gatherer struct {
 	Name string
 	Node Node
-	// Layout is the file that an epoch is written to before it is adopted, so that
+	// LayoutPath is the file that an epoch is written to before it is adopted, so that
 	// a restarted gatherer never goes back to an older one. The coordinator relies
 	// on that when it has old holders drop a segment. If empty, the socket accepts
 	// no epochs.
-	Layout string
+	LayoutPath string
 	// Fleet is the gatherer's view of its fleet; nil: it has no fleet.
 	Fleet *fleetnet.Node
 	// Leave makes the gatherer leave the fleet.
 	Leave func(context.Context) error
-	// Keeper registers the handlers of the configuration manager; may be nil.
-	Keeper func(*http.ServeMux)
+	// RegisterConfigHandlers registers the handlers of the configuration manager; may be nil.
+	RegisterConfigHandlers func(*http.ServeMux)
 }
 
 // Handler returns the HTTP handler of the socket.
@@ -62,23 +62,23 @@
 	m.HandleFunc("PUT /v1/layout", g.layout)
 	m.HandleFunc("GET /v1/fleet", g.fleet)
 	m.HandleFunc("POST /v1/fleet/leave", g.leave)
-	if g.Keeper != nil {
-		g.Keeper(m)
+	if g.RegisterConfigHandlers != nil {
+		g.RegisterConfigHandlers(m)
 	}
 	return m
 }
 
 // FleetState is a gatherer's view of its fleet.
 type FleetState struct {
-	Name    string          `json:"name"`
-	Addr    string          `json:"addr"`
-	View    uint64          `json:"view"`   // number of the view, counted by this gatherer alone
-	Digest  string          `json:"digest"` // equal where the same processes are counted
-	Counted int             `json:"counted"`
-	Over    bool            `json:"over"`            // a newer process has the same name
-	Share   *FleetShare     `json:"share,omitempty"` // set if the fleet's limits are divided
-	Members []FleetMember   `json:"members"`
-	Counts  fleetnet.Counts `json:"counts"`
+	Name     string          `json:"name"`
+	Addr     string          `json:"addr"`
+	View     uint64          `json:"view"`   // number of the view, counted by this gatherer alone
+	Digest   string          `json:"digest"` // equal where the same processes are counted
+	Counted  int             `json:"counted"`
+	Replaced bool            `json:"over"`            // a newer process has the same name
+	Share    *FleetShare     `json:"share,omitempty"` // set if the fleet's limits are divided
+	Members  []FleetMember   `json:"members"`
+	Counts   fleetnet.Counts `json:"counts"`
 }
 
 // FleetShare is a gatherer's share of the fleet's limits.
@@ -102,35 +102,35 @@
 
 func (g *Gatherer) fleet(w http.ResponseWriter, _ *http.Request) {
 	if g.Fleet == nil {
-		Refuse(w, http.StatusNotFound, errNoFleet)
+		WriteError(w, http.StatusNotFound, errNoFleet)
 		return
 	}
-	known, counts, ok := g.Fleet.Known()
+	known, counts, ok := g.Fleet.KnownMembers()
 	if !ok {
-		Refuse(w, http.StatusServiceUnavailable, errLeftFleet)
+		WriteError(w, http.StatusServiceUnavailable, errLeftFleet)
 		return
 	}
 	v := g.Fleet.View()
-	s := FleetState{Name: g.Name, Addr: g.Fleet.Addr(), View: v.Number, Digest: fmt.Sprintf("%016x", v.Digest), Counted: len(v.Members), Over: g.Fleet.Over(), Counts: counts}
+	s := FleetState{Name: g.Name, Addr: g.Fleet.Addr(), View: v.Number, Digest: fmt.Sprintf("%016x", v.Digest), Counted: len(v.Members), Replaced: g.Fleet.SteppedDown(), Counts: counts}
 	if x, ok := g.Fleet.Share(); ok {
 		s.Share = &FleetShare{x.Slots, x.Until}
 	}
 	for _, m := range known {
 		s.Members = append(s.Members, FleetMember{m.Name, m.State.String(), m.Addr, m.Zone, m.Incarnation.Start, m.Generation, m.Epoch})
 	}
-	Answer(w, http.StatusOK, s)
+	WriteJSON(w, http.StatusOK, s)
 }
 
 func (g *Gatherer) leave(w http.ResponseWriter, r *http.Request) {
 	if g.Fleet == nil || g.Leave == nil {
-		Refuse(w, http.StatusNotFound, errNoFleet)
+		WriteError(w, http.StatusNotFound, errNoFleet)
 		return
 	}
 	if err := g.Leave(r.Context()); err != nil {
-		Refuse(w, http.StatusServiceUnavailable, err)
+		WriteError(w, http.StatusServiceUnavailable, err)
 		return
 	}
-	Answer(w, http.StatusOK, struct{}{})
+	WriteJSON(w, http.StatusOK, struct{}{})
 }
 
 var errLeftFleet = errors.New("the gatherer has left its fleet, or has ended")
@@ -142,26 +142,26 @@
 	if s := r.FormValue("after"); s != "" {
 		var err error
 		if after, err = strconv.ParseInt(s, 10, 64); err != nil {
-			Refuse(w, http.StatusBadRequest, fmt.Errorf("after: found %.40q, want a second", s))
+			WriteError(w, http.StatusBadRequest, fmt.Errorf("after: found %.40q, want a second", s))
 			return
 		}
 	}
 	s, ok := g.Node.State(r.Context(), after)
 	if !ok {
-		Refuse(w, http.StatusServiceUnavailable, errNotServing)
+		WriteError(w, http.StatusServiceUnavailable, errNotServing)
 		return
 	}
-	Answer(w, http.StatusOK, GathererState{g.Name, s.Epoch, s.OldestEpoch, s.Draining, s.Service})
+	WriteJSON(w, http.StatusOK, GathererState{g.Name, s.Epoch, s.OldestEpoch, s.Draining, s.Service})
 }
 
 func (g *Gatherer) layout(w http.ResponseWriter, r *http.Request) {
-	if g.Layout == "" {
-		Refuse(w, http.StatusForbidden, errors.New("this gatherer does not follow a coordinator: see layout/@follow in the operators' file"))
+	if g.LayoutPath == "" {
+		WriteError(w, http.StatusForbidden, errors.New("this gatherer does not follow a coordinator: see layout/@follow in the operators' file"))
 		return
 	}
 	var text bytes.Buffer
 	if _, err := text.ReadFrom(r.Body); err != nil {
-		Refuse(w, http.StatusBadRequest, err)
+		WriteError(w, http.StatusBadRequest, err)
 		return
 	}
 	l, fleet, err := layoutfile.Read("layout", bytes.NewReader(text.Bytes()))
@@ -169,30 +169,30 @@
 		err = l.Check(fleet)
 	}
 	if err != nil {
-		Refuse(w, http.StatusUnprocessableEntity, err)
+		WriteError(w, http.StatusUnprocessableEntity, err)
 		return
 	}
 	s, ok := g.Node.State(r.Context(), 1<<62)
 	switch {
 	case !ok:
-		Refuse(w, http.StatusServiceUnavailable, errNotServing)
+		WriteError(w, http.StatusServiceUnavailable, errNotServing)
 		return
 	case l.Epoch() < s.Epoch:
-		Refuse(w, http.StatusConflict, fmt.Errorf("found epoch %d, want one after %d", l.Epoch(), s.Epoch))
+		WriteError(w, http.StatusConflict, fmt.Errorf("found epoch %d, want one after %d", l.Epoch(), s.Epoch))
 		return
 	case l.Epoch() > s.Epoch:
-		if err := Keep(g.Layout, text.Bytes()); err != nil {
-			Refuse(w, http.StatusInternalServerError, fmt.Errorf("epoch %d is not adopted: %w", l.Epoch(), err))
+		if err := WriteFileAtomic(g.LayoutPath, text.Bytes()); err != nil {
+			WriteError(w, http.StatusInternalServerError, fmt.Errorf("epoch %d is not adopted: %w", l.Epoch(), err))
 			return
 		}
 		g.Node.Adopt(l)
 	}
-	Answer(w, http.StatusOK, GathererState{Name: g.Name, Epoch: l.Epoch(), Oldest: s.OldestEpoch, Draining: s.Draining})
+	WriteJSON(w, http.StatusOK, GathererState{Name: g.Name, Epoch: l.Epoch(), Oldest: s.OldestEpoch, Draining: s.Draining})
 }
 
-// Keep replaces a file's contents atomically and durably: if the machine stops at
+// WriteFileAtomic replaces a file's contents atomically and durably: if the machine stops at
 // any time, the file holds either the old or the whole new text.
-func Keep(path string, text []byte) (err error) {
+func WriteFileAtomic(path string, text []byte) (err error) {
 	dir := filepath.Dir(path)
 	f, err := os.CreateTemp(dir, "."+filepath.Base(path)+"-*")
 	if err != nil {
--- a/internal/admin/socket.go
+++ b/internal/admin/socket.go
@@ -47,7 +47,7 @@
 		return nil, fmt.Errorf("admin socket %s: want unix:PATH or a loopback address and a port", endpoint)
 	}
 	var l net.Listener
-	err := durable.Within(durable.ReadTime, func() (err error) {
+	err := durable.RetryTransient(durable.ReadTimeout, func() (err error) {
 		l, err = net.Listen(network, addr)
 		return err
 	})
@@ -226,25 +226,25 @@
 	return nil
 }
 
-// Answer writes a response as JSON.
-func Answer(w http.ResponseWriter, status int, v any) {
+// WriteJSON writes a response as JSON.
+func WriteJSON(w http.ResponseWriter, status int, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
 	_ = json.NewEncoder(w).Encode(v) // fails only if the client has disconnected
 }
 
-// Refuse writes an error response.
-func Refuse(w http.ResponseWriter, status int, err error) {
-	Answer(w, status, &Error{Text: err.Error()})
+// WriteError writes an error response.
+func WriteError(w http.ResponseWriter, status int, err error) {
+	WriteJSON(w, status, &Error{Text: err.Error()})
 }
 
-// Read decodes a request's JSON into v. If that fails, it refuses the request and
+// ReadJSON decodes a request's JSON into v. If that fails, it refuses the request and
 // returns false.
-func Read(w http.ResponseWriter, r *http.Request, v any) bool {
+func ReadJSON(w http.ResponseWriter, r *http.Request, v any) bool {
 	d := json.NewDecoder(r.Body)
 	d.DisallowUnknownFields()
 	if err := d.Decode(v); err != nil {
-		Refuse(w, http.StatusBadRequest, err)
+		WriteError(w, http.StatusBadRequest, err)
 		return false
 	}
 	return true
--- a/internal/configuration/bundle/bundle.go
+++ b/internal/configuration/bundle/bundle.go
@@ -70,7 +70,7 @@
 		errs = append(errs, err)
 	}
 	if c.Config != nil && c.File != nil {
-		errs = append(errs, c.File.Fit(names.Operators, c.Config.Settings))
+		errs = append(errs, c.File.CheckPlatform(names.Operators, c.Config.Settings))
 	}
 	if len(b.Layout) > 0 {
 		if c.Layout, c.Fleet, err = layoutfile.Read(names.Layout, bytes.NewReader(b.Layout)); err != nil {
@@ -85,11 +85,11 @@
 	return c, nil
 }
 
-// Restart returns the keys that differ between two candidates and take effect only at
+// RestartKeys returns the keys that differ between two candidates and take effect only at
 // the next start: the listener, file descriptors, and the settings that the decision
 // module gets when it starts.
-func Restart(now, next *Candidate) (keys []string) {
-	keys = now.Config.Pending(next.Config)
+func RestartKeys(now, next *Candidate) (keys []string) {
+	keys = now.Config.PendingRestart(next.Config)
 	for _, at := range []struct {
 		key     string
 		differs bool
--- a/internal/configuration/change/change.go
+++ b/internal/configuration/change/change.go
@@ -62,8 +62,8 @@
 	return fmt.Sprintf("State(%d)", uint8(s))
 }
 
-// Over reports whether s is a final state.
-func (s State) Over() bool { return s == Confirmed || s == Undone || s == Discarded }
+// IsFinal reports whether s is a final state.
+func (s State) IsFinal() bool { return s == Confirmed || s == Undone || s == Discarded }
 
 // Active reports whether a transaction in state s prevents others from being applied.
 func (s State) Active() bool { return s == Applying || s == Probation || s == Undoing }
@@ -114,7 +114,7 @@
 	At      time.Time  // wall clock time, for display
 }
 
-// Event is an input of Step: Stage, Apply, Applied, Confirm, Undo, Fell, Reverted or
+// Event is an input of Step: Stage, Apply, Applied, Confirm, Undo, Regressed, Reverted or
 // Tick.
 type Event interface{ event() }
 
@@ -127,9 +127,9 @@
 
 // Apply requests that a staged transaction is put in force.
 type Apply struct {
-	Tx     Tx
-	Within time.Duration // length of the probation
-	Auto   bool          // confirm at the end of the probation instead of undoing
+	Tx          Tx
+	Probation   time.Duration // length of the probation
+	AutoConfirm bool          // confirm at the end of the probation instead of undoing
 }
 
 // Applied reports that a Swap was carried out, or why it failed.
@@ -147,8 +147,8 @@
 	Reason string
 }
 
-// Fell reports that service has regressed since an apply.
-type Fell struct {
+// Regressed reports that service has regressed since an apply.
+type Regressed struct {
 	Tx     Tx
 	Reason string
 }
@@ -160,14 +160,14 @@
 // Tick reports that time has passed.
 type Tick struct{}
 
-func (Stage) event()    {}
-func (Apply) event()    {}
-func (Applied) event()  {}
-func (Confirm) event()  {}
-func (Undo) event()     {}
-func (Fell) event()     {}
-func (Reverted) event() {}
-func (Tick) event()     {}
+func (Stage) event()     {}
+func (Apply) event()     {}
+func (Applied) event()   {}
+func (Confirm) event()   {}
+func (Undo) event()      {}
+func (Regressed) event() {}
+func (Reverted) event()  {}
+func (Tick) event()      {}
 
 // Effect is an action that the caller carries out: Swap, Revert or Ended. Effects are
 // carried out in their order. The caller acknowledges Swap with an Applied event and
@@ -266,15 +266,15 @@
 
 // Status describes a transaction for display.
 type Status struct {
-	Tx      Tx
-	State   State
-	Hash    Hash
-	Against Generation
-	Gen     Generation // 0 until it is applied
-	Auto    bool
-	Due     time.Time // end of its Probation
-	Reason  string
-	At      time.Time // of the last transition
+	Tx          Tx
+	State       State
+	Hash        Hash
+	Against     Generation
+	Gen         Generation // 0 until it is applied
+	AutoConfirm bool
+	Deadline    time.Time // end of its Probation
+	Reason      string
+	At          time.Time // of the last transition
 }
 
 // Txs returns the unfinished transactions and the latest finished ones, in the order
@@ -315,7 +315,7 @@
 		} else if t != nil {
 			s.undo(t, e.Reason)
 		}
-	case Fell:
+	case Regressed:
 		// The guard may report a regression after the transaction has ended for another reason.
 		if t := m.txs[e.Tx]; t != nil && (t.state == Probation || t.state == Applying) {
 			s.counts.Fell++
@@ -406,11 +406,11 @@
 		s.result.Err = fmt.Errorf("%w: transaction %d is %v", ErrBusy, s.active, s.txs[s.active].state)
 	case t.against != s.confirmed:
 		s.result.Err = fmt.Errorf("%w: %d, in force is %d", ErrStale, t.against, s.confirmed)
-	case e.Within < s.limits.MinProbation || e.Within > s.limits.MaxProbation:
-		s.result.Err = fmt.Errorf("%w: %v, want %v to %v", ErrProbation, e.Within, s.limits.MinProbation, s.limits.MaxProbation)
+	case e.Probation < s.limits.MinProbation || e.Probation > s.limits.MaxProbation:
+		s.result.Err = fmt.Errorf("%w: %v, want %v to %v", ErrProbation, e.Probation, s.limits.MinProbation, s.limits.MaxProbation)
 	default:
 		s.lastGen++
-		t.gen, t.probation, t.autoConfirm, t.deadline = s.lastGen, e.Within, e.Auto, s.now.Add(s.limits.ApplyTimeout)
+		t.gen, t.probation, t.autoConfirm, t.deadline = s.lastGen, e.Probation, e.AutoConfirm, s.now.Add(s.limits.ApplyTimeout)
 		s.counts.Applied++
 		s.transition(t, Applying)
 		s.addEffect(Swap{t.id, t.gen, t.hash})
@@ -477,12 +477,12 @@
 func (m *Machine) dropFinished() {
 	finished := 0
 	for _, t := range m.txs {
-		if t.state.Over() {
+		if t.state.IsFinal() {
 			finished++
 		}
 	}
 	m.order = slices.DeleteFunc(m.order, func(id Tx) bool {
-		if finished <= m.limits.MaxFinished || !m.txs[id].state.Over() {
+		if finished <= m.limits.MaxFinished || !m.txs[id].state.IsFinal() {
 			return false
 		}
 		finished--
@@ -505,7 +505,7 @@
 // far need not be kept. It returns false while a transaction is unfinished.
 func (m *Machine) Base() (Base, bool) {
 	for _, t := range m.txs {
-		if !t.state.Over() {
+		if !t.state.IsFinal() {
 			return Base{}, false
 		}
 	}
--- a/internal/configuration/change/change_test.go
+++ b/internal/configuration/change/change_test.go
@@ -58,7 +58,7 @@
 func (h *harness) startProbation(hash Hash, auto bool) Tx {
 	h.t.Helper()
 	id := h.accept(Stage{Hash: hash})
-	h.accept(Apply{Tx: id, Within: time.Minute, Auto: auto})
+	h.accept(Apply{Tx: id, Probation: time.Minute, AutoConfirm: auto})
 	if s, ok := h.effects[0].(Swap); !ok || s.Hash != hash || s.Tx != id {
 		h.t.Fatalf("effects %v", h.effects)
 	}
@@ -109,9 +109,9 @@
 func TestRegressionUndoesAChange(t *testing.T) {
 	h := newHarness(t)
 	id := h.startProbation(Hash{2}, true)
-	h.accept(Fell{id, "search: 40% failed"})
+	h.accept(Regressed{id, "search: 40% failed"})
 	h.checkState(id, Undoing)
-	h.accept(Fell{id, "once more"})
+	h.accept(Regressed{id, "once more"})
 	h.accept(Reverted{id})
 	if s := h.machine.Txs()[0]; s.Reason != "search: 40% failed" || h.machine.Counts().Fell != 1 {
 		t.Errorf("%+v, %+v", s, h.machine.Counts())
@@ -122,7 +122,7 @@
 	h := newHarness(t)
 	first := h.startProbation(Hash{2}, false)
 	second := h.accept(Stage{Hash: Hash{3}})
-	apply := Apply{Tx: second, Within: time.Minute}
+	apply := Apply{Tx: second, Probation: time.Minute}
 	h.checkRefused(apply, ErrBusy)
 	h.accept(Undo{first, "by hand"})
 	h.checkRefused(apply, ErrBusy) // while it is being undone, too
@@ -137,10 +137,10 @@
 func TestStagedChangeIsStaleAfterAnotherIsConfirmed(t *testing.T) {
 	h := newHarness(t)
 	first, second := h.accept(Stage{Hash: Hash{2}}), h.accept(Stage{Hash: Hash{3}})
-	h.accept(Apply{Tx: first, Within: time.Minute})
+	h.accept(Apply{Tx: first, Probation: time.Minute})
 	h.accept(Applied{Tx: first})
 	h.accept(Confirm{first})
-	h.checkRefused(Apply{Tx: second, Within: time.Minute}, ErrStale)
+	h.checkRefused(Apply{Tx: second, Probation: time.Minute}, ErrStale)
 	h.accept(Undo{second, "stale"})
 	h.checkState(second, Discarded)
 }
@@ -148,20 +148,20 @@
 func TestBoundsFailedAndOverdueApplies(t *testing.T) {
 	h := newHarness(t)
 	id := h.accept(Stage{Hash: Hash{2}})
-	h.checkRefused(Apply{Tx: id, Within: time.Millisecond}, ErrProbation)
-	h.checkRefused(Apply{Tx: id, Within: 48 * time.Hour}, ErrProbation)
-	h.checkRefused(Apply{Tx: 9, Within: time.Minute}, ErrNoTx)
+	h.checkRefused(Apply{Tx: id, Probation: time.Millisecond}, ErrProbation)
+	h.checkRefused(Apply{Tx: id, Probation: 48 * time.Hour}, ErrProbation)
+	h.checkRefused(Apply{Tx: 9, Probation: time.Minute}, ErrNoTx)
 	h.checkRefused(Confirm{id}, ErrState)
 	for range defaults.MaxStaged - 1 {
 		h.accept(Stage{Hash: Hash{3}})
 	}
 	h.checkRefused(Stage{Hash: Hash{3}}, ErrFull)
-	h.accept(Apply{Tx: id, Within: time.Minute})
+	h.accept(Apply{Tx: id, Probation: time.Minute})
 	h.accept(Applied{id, errors.New("no descriptors")})
 	h.checkState(id, Undoing)
 	h.accept(Reverted{id})
 	overdue := Tx(2)
-	h.accept(Apply{Tx: overdue, Within: time.Minute})
+	h.accept(Apply{Tx: overdue, Probation: time.Minute})
 	h.now = h.now.Add(defaults.ApplyTimeout)
 	h.accept(Tick{})
 	h.checkState(overdue, Undoing)
--- a/internal/configuration/change/explore_test.go
+++ b/internal/configuration/change/explore_test.go
@@ -98,11 +98,11 @@
 	}
 	for id := Tx(1); id <= m.machine.lastTx; id++ {
 		for _, auto := range []bool{false, true} {
-			event(t0, Apply{Tx: id, Within: time.Minute, Auto: auto})
+			event(t0, Apply{Tx: id, Probation: time.Minute, AutoConfirm: auto})
 		}
 		event(t0, Confirm{id})
 		event(t0, Undo{id, ""})
-		event(t0, Fell{id, ""})
+		event(t0, Regressed{id, ""})
 	}
 	event(t0.Add(48*time.Hour), Tick{})
 	if len(m.effects) > 0 {
@@ -173,14 +173,14 @@
 			return fmt.Sprintf("generation %d was assigned twice", t.gen)
 		}
 		gens[t.gen] = true
-		if over := t.state.Over(); over != (m.ended[t.id] == 1) || m.ended[t.id] > 1 {
+		if over := t.state.IsFinal(); over != (m.ended[t.id] == 1) || m.ended[t.id] > 1 {
 			return fmt.Sprintf("transaction %d is %v and ended %d times", t.id, t.state, m.ended[t.id])
 		}
 		if before == nil || before.machine.txs[t.id] == nil {
 			continue
 		}
 		switch was := before.machine.txs[t.id].state; {
-		case was.Over() && t.state != was:
+		case was.IsFinal() && t.state != was:
 			return fmt.Sprintf("transaction %d was %v and is %v", t.id, was, t.state)
 		case was == Undoing && t.state == Confirmed:
 			return fmt.Sprintf("transaction %d was confirmed while it was being undone", t.id)
--- a/internal/configuration/history/history.go
+++ b/internal/configuration/history/history.go
@@ -69,7 +69,7 @@
 	recordsSinceBase int
 }
 
-// Open opens a history file, or creates one. A new history is empty until Begin.
+// Open opens a history file, or creates one. A new history is empty until SetBase.
 func Open(path string) (*History, error) {
 	db, err := durable.OpenBolt(path, &bbolt.Options{Timeout: lockTimeout})
 	if err != nil {
@@ -109,10 +109,10 @@
 	return errors.Join(h.encoder.Close(), h.db.Close())
 }
 
-// Begin replaces the base and drops all records. It starts a new history, with the
+// SetBase replaces the base and drops all records. It starts a new history, with the
 // text of its generation, or compacts one while no change is under way. The latest
 // maxKeptTexts texts are kept.
-func (h *History) Begin(b change.Base, text bundle.Bundle) error {
+func (h *History) SetBase(b change.Base, text bundle.Bundle) error {
 	base, err := json.Marshal(b)
 	if err != nil {
 		return err
@@ -165,7 +165,7 @@
 	return nil
 }
 
-// keptHashes returns the hashes of the texts kept at the last Begin, oldest first.
+// keptHashes returns the hashes of the texts kept at the last SetBase, oldest first.
 func (h *History) keptHashes(meta *bbolt.Bucket) (list []change.Hash, err error) {
 	v := meta.Get(keyKept)
 	if v == nil {
--- a/internal/configuration/history/history_test.go
+++ b/internal/configuration/history/history_test.go
@@ -39,7 +39,7 @@
 		var tx change.Tx
 		for _, e := range []func() change.Event{
 			func() change.Event { return change.Stage{Hash: b.Hash()} },
-			func() change.Event { return change.Apply{Tx: tx, Within: time.Minute} },
+			func() change.Event { return change.Apply{Tx: tx, Probation: time.Minute} },
 			func() change.Event { return change.Applied{Tx: tx} },
 			func() change.Event { return change.Confirm{Tx: tx} },
 		} {
@@ -53,7 +53,7 @@
 		}
 		if h.NeedsCompaction() {
 			base, _ := m.Base()
-			if err := h.Begin(base, b); err != nil {
+			if err := h.SetBase(base, b); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -68,7 +68,7 @@
 	}
 	m := change.New(newBundle(0).Hash(), change.Limits{})
 	base, _ := m.Base()
-	if err := h.Begin(base, newBundle(0)); err != nil {
+	if err := h.SetBase(base, newBundle(0)); err != nil {
 		t.Fatal(err)
 	}
 	applyChanges(t, h, m, 1, 4)
@@ -101,7 +101,7 @@
 	h := openHistory(t, path)
 	m := change.New(newBundle(0).Hash(), change.Limits{})
 	base, _ := m.Base()
-	if err := h.Begin(base, newBundle(0)); err != nil {
+	if err := h.SetBase(base, newBundle(0)); err != nil {
 		t.Fatal(err)
 	}
 	h.db.NoSync = true // this test checks the size, not durability
@@ -140,7 +140,7 @@
 		h := openHistory(t, filepath.Join(t.TempDir(), "h.db"))
 		m := change.New(newBundle(0).Hash(), change.Limits{})
 		base, _ := m.Base()
-		if err := h.Begin(base, newBundle(0)); err != nil {
+		if err := h.SetBase(base, newBundle(0)); err != nil {
 			t.Fatal(err)
 		}
 		applyChanges(t, h, m, 1, 3)
@@ -176,15 +176,15 @@
 		h := openHistory(t, path)
 		m := change.New(newBundle(0).Hash(), change.Limits{})
 		base, _ := m.Base()
-		if err := h.Begin(base, newBundle(0)); err != nil {
+		if err := h.SetBase(base, newBundle(0)); err != nil {
 			t.Fatal(err)
 		}
 		good, bad := newBundle(1), newBundle(2)
 		confirmed := change.Generation(1)
 		for i, e := range []change.Event{
-			change.Stage{Hash: good.Hash()}, change.Apply{Tx: 1, Within: time.Minute}, change.Applied{Tx: 1}, change.Confirm{Tx: 1},
-			change.Stage{Hash: bad.Hash()}, change.Apply{Tx: 2, Within: time.Minute}, change.Applied{Tx: 2},
-			change.Fell{Tx: 2, Reason: "service fell"}, change.Reverted{Tx: 2},
+			change.Stage{Hash: good.Hash()}, change.Apply{Tx: 1, Probation: time.Minute}, change.Applied{Tx: 1}, change.Confirm{Tx: 1},
+			change.Stage{Hash: bad.Hash()}, change.Apply{Tx: 2, Probation: time.Minute}, change.Applied{Tx: 2},
+			change.Regressed{Tx: 2, Reason: "service fell"}, change.Reverted{Tx: 2},
 		} {
 			r := m.Step(time.Unix(1, 0), e)
 			b := good
--- a/internal/configuration/keeper/dryrun.go
+++ b/internal/configuration/keeper/dryrun.go
@@ -28,9 +28,9 @@
 // a searcher may accept a connection and answer no query. The guard covers the rest.
 func (k *Keeper) dryRun(ctx context.Context, c *bundle.Candidate) error {
 	faults := &faultList{}
-	if open := c.File.Live.Admission.Open; open > 0 && int64(open)*maxQueryBytes > c.Config.Memory {
+	if open := c.File.Live.Admission.Open; open > 0 && int64(open)*maxQueryBytes > c.Config.MemoryLimit {
 		faults.add(fmt.Errorf("admission: found open=%d, want at most %d: each may take %d KiB, and limits.memory_mb is %d",
-			open, c.Config.Memory/maxQueryBytes, maxQueryBytes>>10, c.Config.Memory>>20))
+			open, c.Config.MemoryLimit/maxQueryBytes, maxQueryBytes>>10, c.Config.MemoryLimit>>20))
 	}
 	list, ok := k.opts.Node.Searchers(ctx)
 	if !ok {
--- a/internal/configuration/keeper/keeper.go
+++ b/internal/configuration/keeper/keeper.go
@@ -34,24 +34,24 @@
 // History stores the transactions durably; history.History implements it.
 type History interface {
 	Append(records []change.Record, text *bundle.Bundle) error
-	Begin(b change.Base, text bundle.Bundle) error
+	SetBase(b change.Base, text bundle.Bundle) error
 	NeedsCompaction() bool
 }
 
 // Options are the dependencies and settings of a Keeper.
 type Options struct {
-	Node    Node
-	Boot    *bundle.Candidate // in force at the start: the configuration that Machine has confirmed
-	Machine *change.Machine
-	History History      // nil: transactions are held in memory only
-	Names   bundle.Names // of the files that Read reads
-	Read    func() (b bundle.Bundle, signature string, err error)
+	Node      Node
+	Initial   *bundle.Candidate // in force at the start: the configuration that Machine has confirmed
+	Machine   *change.Machine
+	History   History      // nil: transactions are held in memory only
+	Names     bundle.Names // of the files that ReadFiles reads
+	ReadFiles func() (b bundle.Bundle, signature string, err error)
 	// Verify returns an error if the signature of a hash is not valid; nil: no
 	// signature is required.
-	Verify  func(hash change.Hash, signature string) error
-	Live    func(*bundle.Candidate, change.Generation) netio.LiveSettings
-	Applied func(*bundle.Candidate) // called after a successful swap, for settings outside the node; may be nil
-	Logger  *slog.Logger
+	Verify       func(hash change.Hash, signature string) error
+	LiveSettings func(*bundle.Candidate, change.Generation) netio.LiveSettings
+	Applied      func(*bundle.Candidate) // called after a successful swap, for settings outside the node; may be nil
+	Logger       *slog.Logger
 }
 
 const (
@@ -94,15 +94,15 @@
 		opts: o, machine: o.Machine, candidates: make(map[change.Hash]*bundle.Candidate),
 		requests: make(chan func(), queueCapacity), swaps: make(chan change.Effect, queueCapacity), done: make(chan struct{}),
 	}
-	k.inForce = o.Boot
+	k.inForce = o.Initial
 	k.generation, _ = k.machine.Confirmed()
-	k.addCandidate(o.Boot)
+	k.addCandidate(o.Initial)
 	var classes []guard.Class
-	for _, c := range o.Boot.Config.Settings.Module.Classes {
+	for _, c := range o.Initial.Config.Settings.Module.Classes {
 		classes = append(classes, guard.Class{Name: c.Name, Aim: c.Aim})
 	}
-	k.guard = guard.New(classes, o.Boot.File.Guard.Limits)
-	k.layout, k.layoutText = o.Boot.Layout, o.Boot.Bundle.Layout
+	k.guard = guard.New(classes, o.Initial.File.Guard.Limits)
+	k.layout, k.layoutText = o.Initial.Layout, o.Initial.Bundle.Layout
 	ctx, stop := context.WithCancel(ctx)
 	k.ctx = ctx
 	go k.runSwaps(ctx)
@@ -185,7 +185,7 @@
 	}
 	if k.opts.History != nil && k.opts.History.NeedsCompaction() {
 		if base, ok := k.machine.Base(); ok {
-			k.err = k.writeHistory("compacted history", func() error { return k.opts.History.Begin(base, k.candidates[base.Hash].Bundle) })
+			k.err = k.writeHistory("compacted history", func() error { return k.opts.History.SetBase(base, k.candidates[base.Hash].Bundle) })
 		}
 	}
 	return r
@@ -249,7 +249,7 @@
 // liveSettings returns the settings that the node is given for a candidate. A layout
 // that is put in force again gets a newer epoch, because epochs only increase.
 func (k *Keeper) liveSettings(to *bundle.Candidate, gen change.Generation) netio.LiveSettings {
-	live := k.opts.Live(to, gen)
+	live := k.opts.LiveSettings(to, gen)
 	live.Layout = nil
 	if k.layout == nil || to.Layout == nil || to.File.Follow {
 		// A gatherer that started without a layout takes one at its next start only. One
@@ -309,7 +309,7 @@
 		for _, t := range k.machine.Txs() {
 			if t.State == change.Probation {
 				k.opts.Logger.Warn("service has regressed since a configuration change", "transaction", uint64(t.Tx), "fall", regression.String())
-				k.step(change.Fell{Tx: t.Tx, Reason: "service fell: " + regression.String()}, nil)
+				k.step(change.Regressed{Tx: t.Tx, Reason: "service fell: " + regression.String()}, nil)
 			}
 		}
 	}
@@ -327,7 +327,7 @@
 	_, confirmed := k.machine.Confirmed()
 	needed[confirmed] = true
 	for _, t := range k.machine.Txs() {
-		if !t.State.Over() {
+		if !t.State.IsFinal() {
 			needed[t.Hash] = true
 		}
 	}
--- a/internal/configuration/keeper/keeper_test.go
+++ b/internal/configuration/keeper/keeper_test.go
@@ -93,8 +93,8 @@
 	n := &fakeNode{}
 	ctx, stop := context.WithCancel(context.Background())
 	k := Start(ctx, Options{
-		Node: n, Boot: boot, Machine: change.New(boot.Hash, change.Limits{}), History: h, Live: daemon.Live, Logger: slog.New(slog.DiscardHandler),
-		Names: bundle.Names{Operators: "e.xml"}, Read: func() (bundle.Bundle, string, error) { return boot.Bundle, "", nil },
+		Node: n, Initial: boot, Machine: change.New(boot.Hash, change.Limits{}), History: h, LiveSettings: daemon.Live, Logger: slog.New(slog.DiscardHandler),
+		Names: bundle.Names{Operators: "e.xml"}, ReadFiles: func() (bundle.Bundle, string, error) { return boot.Bundle, "", nil },
 	})
 	t.Cleanup(func() {
 		stop()
@@ -194,7 +194,7 @@
 		t.Errorf("generation %d is in force", n.lastGeneration())
 	}
 	s, _ := k.Status(context.Background())
-	if len(s.Falls) == 0 || !strings.Contains(s.Transactions[0].Reason, "service fell: search: 60.0%") {
+	if len(s.Regressions) == 0 || !strings.Contains(s.Transactions[0].Reason, "service fell: search: 60.0%") {
 		t.Errorf("%+v", s)
 	}
 }
@@ -219,7 +219,7 @@
 	defer h.Close()
 	k, n := startManager(t, nil)
 	b, _ := k.machine.Base()
-	if err := h.Begin(b, k.inForce.Bundle); err != nil {
+	if err := h.SetBase(b, k.inForce.Bundle); err != nil {
 		t.Fatal(err)
 	}
 	ctx := context.Background()
@@ -281,7 +281,7 @@
 	}
 	k, _ := startManager(f, nil)
 	m := http.NewServeMux()
-	k.Handle(m)
+	k.RegisterHandlers(m)
 	f.Fuzz(func(t *testing.T, method, path, body string) {
 		r, err := http.NewRequest(method, "http://admin/", bytes.NewReader([]byte(body)))
 		if err != nil || !strings.HasPrefix(path, "/") {
@@ -313,7 +313,7 @@
 		return c
 	}
 	first := candidate(1, "a")
-	k := &Keeper{opts: Options{Live: daemon.Live}, layout: first.Layout, layoutText: first.Bundle.Layout}
+	k := &Keeper{opts: Options{LiveSettings: daemon.Live}, layout: first.Layout, layoutText: first.Bundle.Layout}
 	for i, c := range []struct {
 		to     *bundle.Candidate
 		epoch  uint64
@@ -331,7 +331,7 @@
 	if l := k.liveSettings(candidate(9, "b"), 3).Layout; l != nil {
 		t.Errorf("the layout in force is given to the node again, as epoch %d", l.Epoch())
 	}
-	k = &Keeper{opts: Options{Live: daemon.Live}}
+	k = &Keeper{opts: Options{LiveSettings: daemon.Live}}
 	if l := k.liveSettings(first, 2).Layout; l != nil {
 		t.Error("a layout that takes effect at the next start only is put in force")
 	}
--- a/internal/configuration/keeper/requests.go
+++ b/internal/configuration/keeper/requests.go
@@ -10,8 +10,8 @@
 	"eiderwinch/internal/configuration/change"
 )
 
-// Staged is the result of staging a configuration.
-type Staged struct {
+// StageResult is the result of staging a configuration.
+type StageResult struct {
 	Tx      change.Tx `json:"transaction"`
 	Hash    string    `json:"hash"`
 	Restart []string  `json:"restart,omitempty"` // settings that take effect at the next start only
@@ -21,15 +21,15 @@
 // in the bundle are taken from the configuration in force. Against is the generation
 // that the configuration was made against; 0 means the one in force. The signature,
 // if one is required, is of the bundle as passed in.
-func (k *Keeper) Stage(ctx context.Context, b bundle.Bundle, against change.Generation, note, signature string) (Staged, error) {
+func (k *Keeper) Stage(ctx context.Context, b bundle.Bundle, against change.Generation, note, signature string) (StageResult, error) {
 	if k.opts.Verify != nil {
 		if err := k.opts.Verify(b.Hash(), signature); err != nil {
-			return Staged{}, err
+			return StageResult{}, err
 		}
 	}
 	var inForce *bundle.Candidate
 	if err := k.runInLoop(ctx, func() { inForce = k.inForce }); err != nil {
-		return Staged{}, err
+		return StageResult{}, err
 	}
 	if len(b.Platform) == 0 {
 		b.Platform = inForce.Platform
@@ -42,12 +42,12 @@
 	}
 	c, err := bundle.Check(b, k.opts.Names)
 	if err != nil {
-		return Staged{}, err
+		return StageResult{}, err
 	}
 	if err := k.dryRun(ctx, c); err != nil {
-		return Staged{}, err
+		return StageResult{}, err
 	}
-	out := Staged{Hash: fmt.Sprintf("%x", c.Hash), Restart: bundle.Restart(k.opts.Boot, c)}
+	out := StageResult{Hash: fmt.Sprintf("%x", c.Hash), Restart: bundle.RestartKeys(k.opts.Initial, c)}
 	err = k.runInLoop(ctx, func() {
 		r := k.step(change.Stage{Hash: c.Hash, Against: against, Note: note}, c)
 		if out.Tx, err = r.Tx, r.Err; err == nil {
@@ -55,7 +55,7 @@
 		}
 	})
 	if err != nil {
-		return Staged{}, err
+		return StageResult{}, err
 	}
 	return out, nil
 }
@@ -64,16 +64,16 @@
 // If within is 0 or auto is nil, the configuration's own setting applies.
 func (k *Keeper) Apply(ctx context.Context, tx change.Tx, within time.Duration, auto *bool) error {
 	return k.submit(ctx, func() change.Event {
-		e := change.Apply{Tx: tx, Within: within}
+		e := change.Apply{Tx: tx, Probation: within}
 		for _, t := range k.machine.Txs() {
 			if c := k.candidates[t.Hash]; t.Tx == tx && c != nil {
-				if e.Auto = c.File.Guard.Auto; e.Within == 0 {
-					e.Within = c.File.Guard.Probation
+				if e.AutoConfirm = c.File.Guard.Auto; e.Probation == 0 {
+					e.Probation = c.File.Guard.Probation
 				}
 			}
 		}
 		if auto != nil {
-			e.Auto = *auto
+			e.AutoConfirm = *auto
 		}
 		return e
 	})
@@ -101,7 +101,7 @@
 
 // Reload reads the configuration files again and applies them; SIGHUP triggers it.
 func (k *Keeper) Reload(ctx context.Context) error {
-	b, signature, err := k.opts.Read()
+	b, signature, err := k.opts.ReadFiles()
 	if err != nil {
 		return err
 	}
@@ -125,44 +125,44 @@
 
 // Transaction is a transaction as Status shows it.
 type Transaction struct {
-	Tx      change.Tx         `json:"transaction"`
-	State   string            `json:"state"`
-	Over    bool              `json:"over"`
-	Hash    string            `json:"hash"`
-	Against change.Generation `json:"against"`
-	Gen     change.Generation `json:"generation,omitempty"`
-	Reason  string            `json:"reason,omitempty"`
-	At      time.Time         `json:"at"`
-	Left    string            `json:"left,omitempty"` // remaining time of its probation
+	Tx            change.Tx         `json:"transaction"`
+	State         string            `json:"state"`
+	Over          bool              `json:"over"`
+	Hash          string            `json:"hash"`
+	Against       change.Generation `json:"against"`
+	Generation    change.Generation `json:"generation,omitempty"`
+	Reason        string            `json:"reason,omitempty"`
+	At            time.Time         `json:"at"`
+	ProbationLeft string            `json:"left,omitempty"` // remaining time of its probation
 }
 
 // Status is the state of a gatherer's configuration.
 type Status struct {
-	Confirmed    change.Generation `json:"confirmed"`
-	InForce      change.Generation `json:"in_force"`
-	Hash         string            `json:"hash"`
-	Open         []uint64          `json:"open"`    // the generation in force, and those under which open queries were accepted
-	Durable      bool              `json:"durable"` // whether the history is on disk
-	Falls        []string          `json:"falls,omitempty"`
-	Transactions []Transaction     `json:"transactions"`
-	Counts       change.Counts     `json:"counts"`
+	Confirmed       change.Generation `json:"confirmed"`
+	InForce         change.Generation `json:"in_force"`
+	Hash            string            `json:"hash"`
+	OpenGenerations []uint64          `json:"open"`    // the generation in force, and those under which open queries were accepted
+	Durable         bool              `json:"durable"` // whether the history is on disk
+	Regressions     []string          `json:"falls,omitempty"`
+	Transactions    []Transaction     `json:"transactions"`
+	Counts          change.Counts     `json:"counts"`
 }
 
 // Status returns the state of the configuration and its transactions.
 func (k *Keeper) Status(ctx context.Context) (s Status, err error) {
-	s.Open, _ = k.opts.Node.Generations(ctx)
+	s.OpenGenerations, _ = k.opts.Node.Generations(ctx)
 	err = k.runInLoop(ctx, func() {
 		s.Confirmed, _ = k.machine.Confirmed()
 		s.InForce, s.Hash = k.generation, fmt.Sprintf("%x", k.inForce.Hash)
-		s.Durable, s.Falls, s.Counts = k.opts.History != nil, k.regressions, k.machine.Counts()
+		s.Durable, s.Regressions, s.Counts = k.opts.History != nil, k.regressions, k.machine.Counts()
 		s.Transactions = []Transaction{}
 		for _, t := range k.machine.Txs() {
 			x := Transaction{
-				Tx: t.Tx, State: t.State.String(), Over: t.State.Over(), Hash: fmt.Sprintf("%x", t.Hash),
-				Against: t.Against, Gen: t.Gen, Reason: t.Reason, At: t.At,
+				Tx: t.Tx, State: t.State.String(), Over: t.State.IsFinal(), Hash: fmt.Sprintf("%x", t.Hash),
+				Against: t.Against, Generation: t.Gen, Reason: t.Reason, At: t.At,
 			}
 			if t.State == change.Probation {
-				x.Left = time.Until(t.Due).Round(time.Millisecond).String()
+				x.ProbationLeft = time.Until(t.Deadline).Round(time.Millisecond).String()
 			}
 			s.Transactions = append(s.Transactions, x)
 		}
--- a/internal/configuration/keeper/serve.go
+++ b/internal/configuration/keeper/serve.go
@@ -13,40 +13,40 @@
 	"eiderwinch/internal/configuration/change"
 )
 
-// Proposal is the request to stage a configuration. Files that are empty are taken
+// StageRequest is the request to stage a configuration. Files that are empty are taken
 // from the configuration in force.
-type Proposal struct {
+type StageRequest struct {
 	bundle.Bundle
 	Against   change.Generation `json:"against,omitempty"`
 	Note      string            `json:"note,omitempty"`
 	Signature string            `json:"signature,omitempty"` // of the bundle's hash
 }
 
-// Application is the request to apply a staged configuration.
-type Application struct {
+// ApplyRequest is the request to apply a staged configuration.
+type ApplyRequest struct {
 	WithinMS int64 `json:"within_ms,omitempty"` // length of the probation; 0: as the configuration says
 	Auto     *bool `json:"auto,omitempty"`      // confirm at the end of the probation; absent: as the configuration says
 }
 
-// Withdrawal is the request to undo a change.
-type Withdrawal struct {
+// UndoRequest is the request to undo a change.
+type UndoRequest struct {
 	Reason string `json:"reason"`
 }
 
-// Handle registers the configuration endpoints of a gatherer's admin socket. The
+// RegisterHandlers registers the configuration endpoints of a gatherer's admin socket. The
 // right column names the request or, for GET, the response.
 //
-//	POST /v1/config                         Proposal; responds with Staged
-//	POST /v1/config/{transaction}/apply     Application
+//	POST /v1/config                         StageRequest; responds with StageResult
+//	POST /v1/config/{transaction}/apply     ApplyRequest
 //	POST /v1/config/{transaction}/confirm
-//	POST /v1/config/{transaction}/undo      Withdrawal
+//	POST /v1/config/{transaction}/undo      UndoRequest
 //	POST /v1/config/reload                  same as SIGHUP
 //	GET  /v1/config                         Status
 //	GET  /v1/config/generations/{number}    bundle.Bundle
-func (k *Keeper) Handle(m *http.ServeMux) {
+func (k *Keeper) RegisterHandlers(m *http.ServeMux) {
 	m.HandleFunc("POST /v1/config", func(w http.ResponseWriter, r *http.Request) {
-		var p Proposal
-		if !admin.Read(w, r, &p) {
+		var p StageRequest
+		if !admin.ReadJSON(w, r, &p) {
 			return
 		}
 		s, err := k.Stage(r.Context(), p.Bundle, p.Against, p.Note, p.Signature)
@@ -62,7 +62,7 @@
 	m.HandleFunc("GET /v1/config/generations/{number}", func(w http.ResponseWriter, r *http.Request) {
 		n, err := strconv.ParseUint(r.PathValue("number"), 10, 64)
 		if err != nil {
-			admin.Refuse(w, http.StatusBadRequest, fmt.Errorf("found generation %.40q, want a number", r.PathValue("number")))
+			admin.WriteError(w, http.StatusBadRequest, fmt.Errorf("found generation %.40q, want a number", r.PathValue("number")))
 			return
 		}
 		b, err := k.Show(r.Context(), change.Generation(n))
@@ -72,18 +72,18 @@
 		m.HandleFunc("POST /v1/config/{transaction}/"+verb, func(w http.ResponseWriter, r *http.Request) {
 			n, err := strconv.ParseUint(r.PathValue("transaction"), 10, 64)
 			if err != nil {
-				admin.Refuse(w, http.StatusBadRequest, fmt.Errorf("found transaction %.40q, want a number", r.PathValue("transaction")))
+				admin.WriteError(w, http.StatusBadRequest, fmt.Errorf("found transaction %.40q, want a number", r.PathValue("transaction")))
 				return
 			}
 			ok := true
-			err = do(r.Context(), change.Tx(n), r, func(v any) bool { ok = admin.Read(w, r, v); return ok })
+			err = do(r.Context(), change.Tx(n), r, func(v any) bool { ok = admin.ReadJSON(w, r, v); return ok })
 			if ok {
 				respond(w, struct{}{}, err)
 			}
 		})
 	}
 	handleTransaction("apply", func(ctx context.Context, tx change.Tx, _ *http.Request, read func(any) bool) error {
-		var a Application
+		var a ApplyRequest
 		if !read(&a) {
 			return nil
 		}
@@ -93,7 +93,7 @@
 		return k.Confirm(ctx, tx)
 	})
 	handleTransaction("undo", func(ctx context.Context, tx change.Tx, _ *http.Request, read func(any) bool) error {
-		var u Withdrawal
+		var u UndoRequest
 		if !read(&u) {
 			return nil
 		}
@@ -105,15 +105,15 @@
 func respond(w http.ResponseWriter, v any, err error) {
 	switch {
 	case err == nil:
-		admin.Answer(w, http.StatusOK, v)
+		admin.WriteJSON(w, http.StatusOK, v)
 	case errors.Is(err, change.ErrNoTx) || errors.Is(err, ErrNoText):
-		admin.Refuse(w, http.StatusNotFound, err)
+		admin.WriteError(w, http.StatusNotFound, err)
 	case errors.Is(err, change.ErrBusy) || errors.Is(err, change.ErrStale) || errors.Is(err, change.ErrState) || errors.Is(err, change.ErrFull) ||
 		errors.Is(err, change.ErrNothing):
-		admin.Refuse(w, http.StatusConflict, err)
+		admin.WriteError(w, http.StatusConflict, err)
 	case errors.Is(err, ErrEnded) || errors.Is(err, context.Canceled) || errors.Is(err, context.DeadlineExceeded):
-		admin.Refuse(w, http.StatusServiceUnavailable, err)
+		admin.WriteError(w, http.StatusServiceUnavailable, err)
 	default:
-		admin.Refuse(w, http.StatusUnprocessableEntity, err)
+		admin.WriteError(w, http.StatusUnprocessableEntity, err)
 	}
 }
--- a/internal/configuration/signature/signature.go
+++ b/internal/configuration/signature/signature.go
@@ -39,7 +39,7 @@
 		Doc:   "Keys that sign configurations of eiderwinch. See docs/operate-config.md.",
 		Order: []string{"keys", "key"},
 		Elements: map[string]xmlform.Element{
-			"keys": {Doc: "the whole file", Children: []xmlform.Child{{Name: "key", Least: 1, Most: maxKeys}}},
+			"keys": {Doc: "the whole file", Children: []xmlform.Child{{Name: "key", Min: 1, Max: maxKeys}}},
 			"key": {Doc: "one key; several may hold at once, so that they can be changed one after the other", Attributes: []xmlform.Attribute{
 				{Name: "name", Kind: xmlform.Name, Required: true, Doc: "named by signatures made with it"},
 				{Name: "algorithm", Kind: xmlform.Choice, Values: []string{"ed25519", "blake3"}, Required: true, Doc: "ed25519: a public key, to sign the private one; blake3: a shared secret"},
@@ -171,13 +171,13 @@
 	return nil
 }
 
-// ErrNoSecret is returned by Mac for a key that is not a shared secret: both sides of an
+// ErrNoSecret is returned by MAC for a key that is not a shared secret: both sides of an
 // authentication code need the same key.
 var ErrNoSecret = errors.New("the key is not a shared secret, want algorithm blake3")
 
-// Mac returns the authentication code of a message under a shared secret that is valid at
+// MAC returns the authentication code of a message under a shared secret that is valid at
 // the time now. The code is valid for one purpose only; purpose must end with a newline.
-func (k *Keys) Mac(now time.Time, name, purpose string, message []byte) ([]byte, error) {
+func (k *Keys) MAC(now time.Time, name, purpose string, message []byte) ([]byte, error) {
 	key, err := k.find(now, name)
 	if err != nil {
 		return nil, err
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -43,7 +43,7 @@
 		live = *o.Live
 	}
 	return netio.New(netio.Config{
-		Listen: cfg.Listen, Discovery: cfg.Discovery, InitialMembers: cfg.Known, MemoryLimit: cfg.Memory, MaxDescriptors: cfg.Sockets,
+		Listen: cfg.Listen, Discovery: cfg.Discovery, InitialMembers: cfg.KnownMembers, MemoryLimit: cfg.MemoryLimit, MaxDescriptors: cfg.SocketLimit,
 		ReportEvery: o.ReportEvery, Multiplex: live.Multiplex, ConnectTimeout: live.ConnectTimeout, ConnIdle: live.ConnIdle,
 		DrainGrace: limits.DrainGrace, AnswerSlack: limits.AnswerSlack, NoShareUntil: o.NoShareUntil,
 		Gatherer: gatherer.Settings{
@@ -63,7 +63,7 @@
 	for i, k := range c.Config.Settings.Module.Classes {
 		for _, o := range overrides.Classes {
 			if o.Name == k.Name {
-				core.Classes[i] = gatherer.ClassLimits{MaxDuration: o.Within, Attempts: o.Attempts, MaxOpen: o.Open}
+				core.Classes[i] = gatherer.ClassLimits{MaxDuration: o.Timeout, Attempts: o.Attempts, MaxOpen: o.Open}
 			}
 		}
 	}
--- a/internal/durable/durable.go
+++ b/internal/durable/durable.go
@@ -72,19 +72,19 @@
 	return false
 }
 
-// StartTime bounds the time in which a starting process retries to write, and to open what it needs.
-const StartTime = 20 * time.Second
+// StartTimeout bounds the time in which a starting process retries to write, and to open what it needs.
+const StartTimeout = 20 * time.Second
 
-// AtStart calls Retry for at most StartTime. It is for processes that are starting.
-func AtStart(log *slog.Logger, what string, write func() error) error {
-	ctx, stop := context.WithTimeout(context.Background(), StartTime)
+// RetryAtStart calls Retry for at most StartTimeout. It is for processes that are starting.
+func RetryAtStart(log *slog.Logger, what string, write func() error) error {
+	ctx, stop := context.WithTimeout(context.Background(), StartTimeout)
 	defer stop()
 	return Retry(ctx, log, what, write)
 }
 
-// Transient reports whether reading or opening a file may succeed a little later: the error comes from the disk or
+// IsTransient reports whether reading or opening a file may succeed a little later: the error comes from the disk or
 // from a shortage of system resources, not from the file's name or permissions.
-func Transient(err error) bool {
+func IsTransient(err error) bool {
 	var number syscall.Errno
 	if !errors.As(err, &number) {
 		return false
@@ -97,24 +97,24 @@
 	return false
 }
 
-// Within retries f while it fails with a transient error, for at most the given time. It returns the last error.
-func Within(timeout time.Duration, f func() error) error {
+// RetryTransient retries f while it fails with a transient error, for at most the given time. It returns the last error.
+func RetryTransient(timeout time.Duration, f func() error) error {
 	end := time.Now().Add(timeout)
 	for wait := minWait; ; wait = min(2*wait, maxWait) {
 		err := f()
-		if err == nil || !Transient(err) || time.Now().Add(wait).After(end) {
+		if err == nil || !IsTransient(err) || time.Now().Add(wait).After(end) {
 			return err
 		}
 		time.Sleep(wait/2 + rand.N(wait))
 	}
 }
 
-// ReadTime bounds the time in which ReadFile retries.
-const ReadTime = 5 * time.Second
+// ReadTimeout bounds the time in which ReadFile retries.
+const ReadTimeout = 5 * time.Second
 
 // ReadFile reads a file, and retries after transient errors.
 func ReadFile(path string) (text []byte, err error) {
-	err = Within(ReadTime, func() error {
+	err = RetryTransient(ReadTimeout, func() error {
 		text, err = os.ReadFile(path)
 		return err
 	})
--- a/internal/durable/durable_test.go
+++ b/internal/durable/durable_test.go
@@ -73,7 +73,7 @@
 		syscall.EIO: true, syscall.ENOSPC: true, syscall.EMFILE: true, syscall.ENOENT: false, syscall.EACCES: false,
 		errors.New("malformed"): false,
 	} {
-		if Transient(&os.PathError{Op: "open", Path: "p", Err: err}) != want {
+		if IsTransient(&os.PathError{Op: "open", Path: "p", Err: err}) != want {
 			t.Errorf("%v: want %v", err, want)
 		}
 	}
--- a/internal/fleet/net/node.go
+++ b/internal/fleet/net/node.go
@@ -174,8 +174,8 @@
 	return n.view
 }
 
-// Over reports whether a newer process has the member's name, so that this one no longer takes part.
-func (n *Node) Over() bool {
+// SteppedDown reports whether a newer process has the member's name, so that this one no longer takes part.
+func (n *Node) SteppedDown() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.steppedDown
@@ -197,9 +197,9 @@
 	n.post(func() { n.step(view.Describe{Generation: generation, Epoch: epoch}) })
 }
 
-// Known returns all known members, including those that are gone, and the counters. ok is false once the node
+// KnownMembers returns all known members, including those that are gone, and the counters. ok is false once the node
 // has ended.
-func (n *Node) Known() (list []view.Member, c Counts, ok bool) {
+func (n *Node) KnownMembers() (list []view.Member, c Counts, ok bool) {
 	ok = n.call(func() {
 		list, c = n.core.Known(), n.counts
 		c.View, c.Seal = n.core.Counts(), n.cfg.Sealer.Counts()
--- a/internal/fleet/net/node_test.go
+++ b/internal/fleet/net/node_test.go
@@ -76,12 +76,12 @@
 	}
 	nodes[2].Describe(3, 4)
 	testpeer.Until(t, "others know what a member serves", func() bool {
-		list, _, _ := nodes[1].Known()
+		list, _, _ := nodes[1].KnownMembers()
 		return slices.ContainsFunc(list, func(m view.Member) bool { return m.Name == "g2" && m.Generation == 3 && m.Epoch == 4 })
 	})
 	newer := listenNamed(t, "g3", 50, "f", first.Addr())
-	testpeer.Until(t, "the older of two processes with one name steps down", nodes[3].Over)
-	if newer.Over() {
+	testpeer.Until(t, "the older of two processes with one name steps down", nodes[3].SteppedDown)
+	if newer.SteppedDown() {
 		t.Error("the newer process has stepped down, too")
 	}
 	nodes[3].Close()
@@ -126,7 +126,7 @@
 		_ = c.Close()
 	}
 	testpeer.Until(t, "all of it is counted", func() bool {
-		_, c, _ := n.Known()
+		_, c, _ := n.KnownMembers()
 		return c.Seal.Malformed >= 4 && c.Seal.Fleet > 0 && c.Seal.Replayed == 1 && c.View.Malformed == 1
 	})
 	if len(n.View().Members) != 1 {
--- a/internal/fleet/net/shares.go
+++ b/internal/fleet/net/shares.go
@@ -69,10 +69,10 @@
 	return s, true
 }
 
-// Shares returns a channel that receives the member's share each time it changes. A slow reader misses
+// WatchShare returns a channel that receives the member's share each time it changes. A slow reader misses
 // intermediate values, never the latest. The channel is closed when the node ends. There is one channel, which
 // every call returns, so it is meant for one reader.
-func (n *Node) Shares() <-chan share.Share { return n.slots.updates }
+func (n *Node) WatchShare() <-chan share.Share { return n.slots.updates }
 
 func (s *slotManager) state() (share.Share, share.Counts) {
 	s.mu.Lock()
@@ -114,9 +114,9 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if result.isQuestion {
-		s.holder.Heard(time.Now(), result.reply)
+		s.holder.QuestionEnded(time.Now(), result.reply)
 	} else {
-		s.holder.Ended(time.Now(), result.dial, result.reply.Kind == share.Refused)
+		s.holder.DialEnded(time.Now(), result.dial, result.reply.Kind == share.Refused)
 	}
 }
 
@@ -125,8 +125,8 @@
 	alive := aliveSlots(s.node.View(), s.addrs)
 	s.mu.Lock()
 	now := time.Now()
-	dials := s.holder.Run(now, alive)
-	slot, question := s.holder.Question(now)
+	dials := s.holder.NextDials(now, alive)
+	slot, question := s.holder.NextQuestion(now)
 	usable, due := s.holder.Share(now), s.holder.Due(now)
 	s.mu.Unlock()
 	s.dials.Add(len(dials))
--- a/internal/fleet/net/shares_test.go
+++ b/internal/fleet/net/shares_test.go
@@ -63,7 +63,7 @@
 	waitForSlots("a restarted member has its own slot, and the one before it", 1, 0, 2, 1)
 	var last share.Share
 	nodes[2].Close()
-	for s := range nodes[2].Shares() {
+	for s := range nodes[2].WatchShare() {
 		last = s
 	}
 	if last.Slots != 2 {
--- a/internal/fleet/seal/seal.go
+++ b/internal/fleet/seal/seal.go
@@ -115,7 +115,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return s.keys.Mac(now, e.Key, macDomain, b)
+	return s.keys.MAC(now, e.Key, macDomain, b)
 }
 
 // Open returns the message in an envelope, or the reason for which the envelope is rejected.
--- a/internal/fleet/share/share.go
+++ b/internal/fleet/share/share.go
@@ -183,9 +183,9 @@
 	return longest*3/4 + time.Duration(h.randN(int64(longest/4)+1))
 }
 
-// Question returns the slot whose gatherer must be asked now, while this one starts, whether it uses this one's slot.
-// ok is false if there is none. The caller must report the outcome of each question with Heard.
-func (h *Holder) Question(now time.Time) (slot int, ok bool) {
+// NextQuestion returns the slot whose gatherer must be asked now, while this one starts, whether it uses this one's slot.
+// ok is false if there is none. The caller must report the outcome of each question with QuestionEnded.
+func (h *Holder) NextQuestion(now time.Time) (slot int, ok bool) {
 	if h.questionOffset == 0 || h.questionOpen || !now.Before(h.readyAt) {
 		return 0, false
 	}
@@ -194,8 +194,8 @@
 	return (h.settings.Number + h.questionOffset) % h.settings.Slots, true
 }
 
-// Heard processes the outcome of a question.
-func (h *Holder) Heard(now time.Time, r Reply) {
+// QuestionEnded processes the outcome of a question.
+func (h *Holder) QuestionEnded(now time.Time, r Reply) {
 	if !h.questionOpen {
 		return
 	}
@@ -246,9 +246,9 @@
 	return h.settings.Window + h.settings.Window/driftDivisor
 }
 
-// Run returns the dials to make now. alive reports whether the view has an alive member for a slot: such slots are
-// not dialed. The caller must report the outcome of each dial with Ended.
-func (h *Holder) Run(now time.Time, alive func(slot int) bool) (dials []Dial) {
+// NextDials returns the dials to make now. alive reports whether the view has an alive member for a slot: such slots are
+// not dialed. The caller must report the outcome of each dial with DialEnded.
+func (h *Holder) NextDials(now time.Time, alive func(slot int) bool) (dials []Dial) {
 	// Covers the slots that are known to be gone, and the next one. No slot is dialed before all nearer ones are
 	// known to be gone: a starting gatherer then needs to question only as far as the first running one.
 	reach := 1
@@ -287,9 +287,9 @@
 	return dials
 }
 
-// Ended processes the outcome of a dial: refused by the slot's host, or not. The latter includes an accepted
+// DialEnded processes the outcome of a dial: refused by the slot's host, or not. The latter includes an accepted
 // connection, no response, and no route.
-func (h *Holder) Ended(now time.Time, dial Dial, refused bool) {
+func (h *Holder) DialEnded(now time.Time, dial Dial, refused bool) {
 	state := h.slotStates[dial.Slot]
 	if state == nil || !state.dialBegun.Equal(dial.Begun) || state.dialBegun.IsZero() {
 		return // the state it belongs to was dropped
@@ -333,7 +333,7 @@
 	return share
 }
 
-// Due returns when Run and Share are to be called next, at the latest.
+// Due returns when NextDials and Share are to be called next, at the latest.
 func (h *Holder) Due(now time.Time) time.Time { return now.Add(h.settings.Lease / renewDivisor / 4) }
 
 // Counts returns the counters.
--- a/internal/fleet/share/share_test.go
+++ b/internal/fleet/share/share_test.go
@@ -253,7 +253,7 @@
 		}
 		now := startTime.Add(state.elapsed)
 		if i == 1 {
-			for _, a := range process.holder.Run(now, noneAlive) {
+			for _, a := range process.holder.NextDials(now, noneAlive) {
 				process.dialing, process.arrived, process.dialBegun = true, false, a.Begun
 			}
 		}
@@ -304,7 +304,7 @@
 			})
 		case process.dialing && !process.paused:
 			do(func(next *modelState) {
-				next.processes[i].holder.Ended(startTime.Add(next.elapsed), Dial{1 - i, next.processes[i].dialBegun}, process.refused)
+				next.processes[i].holder.DialEnded(startTime.Add(next.elapsed), Dial{1 - i, next.processes[i].dialBegun}, process.refused)
 				next.processes[i].dialing, next.processes[i].arrived, next.processes[i].refused = false, false, false
 			})
 		}
--- a/internal/fleet/share/simulation_test.go
+++ b/internal/fleet/share/simulation_test.go
@@ -118,18 +118,18 @@
 				continue
 			}
 			if d.isQuestion {
-				p.holder.Heard(now, d.reply)
+				p.holder.QuestionEnded(now, d.reply)
 			} else {
-				p.holder.Ended(now, d.dial, d.reply.Kind == Refused)
+				p.holder.DialEnded(now, d.dial, d.reply.Kind == Refused)
 			}
 		}
 		p.pending = remaining
 		if sim.elapsed >= p.nextRun {
 			p.nextRun = sim.elapsed + time.Duration(sim.rng.IntN(30))*time.Millisecond
-			for _, a := range p.holder.Run(now, noneAlive) {
+			for _, a := range p.holder.NextDials(now, noneAlive) {
 				p.pending = append(p.pending, sim.schedule(pendingDial{dial: a}))
 			}
-			if slot, ok := p.holder.Question(now); ok && !sim.noQuestions {
+			if slot, ok := p.holder.NextQuestion(now); ok && !sim.noQuestions {
 				p.pending = append(p.pending, sim.schedule(pendingDial{dial: Dial{Slot: slot}, isQuestion: true}))
 			}
 		}
--- a/internal/format/catalog/catalog.go
+++ b/internal/format/catalog/catalog.go
@@ -47,11 +47,11 @@
 	Complete bool     `json:"complete"`
 	Members  []Member `json:"members"`
 
-	Twice int `json:"-"` // number of members left out because another one has the same ID
+	Duplicates int `json:"-"` // number of members left out because another one has the same ID
 }
 
-// Check returns an error that describes the first invalid member of an update, or nil.
-func (u Update) Check() error {
+// Validate returns an error that describes the first invalid member of an update, or nil.
+func (u Update) Validate() error {
 	for i, m := range u.Members {
 		switch {
 		case m.ID == "":
@@ -76,10 +76,10 @@
 	return u
 }
 
-// Once removes duplicate members from an update. When two entries with the same ID differ,
+// RemoveDuplicates removes duplicate members from an update. When two entries with the same ID differ,
 // neither is more credible, so it keeps the one that must not be sent anything, or else the
 // one that started later.
-func (u *Update) Once() {
+func (u *Update) RemoveDuplicates() {
 	indexes := make(map[string]int, len(u.Members))
 	members := u.Members[:0]
 	for _, m := range u.Members {
@@ -89,7 +89,7 @@
 			members = append(members, m)
 			continue
 		}
-		u.Twice++
+		u.Duplicates++
 		if previous := members[i]; previous.Phase == Ready && (m.Phase != Ready || m.UpSinceMS > previous.UpSinceMS) {
 			members[i] = m
 		}
@@ -104,37 +104,37 @@
 	if err := json.Unmarshal(text, &u); err != nil {
 		return Update{}, fmt.Errorf("catalog: %w in %.80q", err, text)
 	}
-	err := u.Check()
-	if u.Once(); err != nil {
+	err := u.Validate()
+	if u.RemoveDuplicates(); err != nil {
 		return u, fmt.Errorf("catalog: %w", err)
 	}
 	return u, nil
 }
 
-// MaxObjectSize is the default for Objects.Most in bytes: four times the size of an indented
+// MaxObjectSize is the default for ObjectSplitter.MaxSize in bytes: four times the size of an indented
 // list of 1,024 searchers with long names.
 const MaxObjectSize = 4 << 20
 
 // ErrTooLong is returned for an object that exceeds the size limit.
 var ErrTooLong = errors.New("catalog: the object is too long")
 
-// Objects splits the data of a watch into JSON objects, however the data is split into reads
+// ObjectSplitter splits the data of a watch into JSON objects, however the data is split into reads
 // and indented. The zero value is ready to use.
-type Objects struct {
-	Most     int    // largest size of an object in bytes; 0 means MaxObjectSize
+type ObjectSplitter struct {
+	MaxSize  int    // largest size of an object in bytes; 0 means MaxObjectSize
 	buf      []byte // the start of an incomplete object
 	depth    int    // of nested objects and arrays
 	inString bool   // inside a string
 	escaped  bool   // after a backslash in a string
 }
 
-// Inside reports whether an object has begun and not ended.
-func (o *Objects) Inside() bool { return o.depth > 0 }
+// InObject reports whether an object has begun and not ended.
+func (o *ObjectSplitter) InObject() bool { return o.depth > 0 }
 
 // Feed adds bytes and passes each complete object to emit, which must not retain it. Only
 // white space is allowed between objects.
-func (o *Objects) Feed(b []byte, emit func([]byte) error) error {
-	maxSize := o.Most
+func (o *ObjectSplitter) Feed(b []byte, emit func([]byte) error) error {
+	maxSize := o.MaxSize
 	if maxSize == 0 {
 		maxSize = MaxObjectSize
 	}
--- a/internal/format/catalog/catalog_test.go
+++ b/internal/format/catalog/catalog_test.go
@@ -41,7 +41,7 @@
 	const text = "\n{\"a\": [\n  {\"b\": \"}\\\"{\\\\\"}\n]}\n\n \r\n{}{\"c\":1}\r\n\n{\"d"
 	want := []string{"{\"a\": [\n  {\"b\": \"}\\\"{\\\\\"}\n]}", "{}", "{\"c\":1}"}
 	for n := 1; n <= len(text); n++ {
-		var o Objects
+		var o ObjectSplitter
 		var got []string
 		for rest := text; len(rest) > 0; {
 			k := min(n, len(rest))
@@ -51,13 +51,13 @@
 			}
 			rest = rest[k:]
 		}
-		if !slices.Equal(got, want) || !o.Inside() {
+		if !slices.Equal(got, want) || !o.InObject() {
 			t.Errorf("in pieces of %d: %q", n, got)
 		}
 	}
 	for text, want := range map[string]string{"x{}": "between", "{}]": "between", "{\"a\":\"" + strings.Repeat("x", 100): "too long",
 		"{" + strings.Repeat(" ", 64) + "}": "too long"} {
-		o := Objects{Most: 64}
+		o := ObjectSplitter{MaxSize: 64}
 		if err := o.Feed([]byte(text), func([]byte) error { return nil }); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%.20q: have %v, want %q", text, err, want)
 		}
@@ -70,7 +70,7 @@
 	ready, leaving := `{"id":"s","host_port":"h:1","phase":"Ready"}`, `{"id":"s","phase":"Terminating"}`
 	for _, text := range []string{ready + "," + leaving, leaving + "," + ready} {
 		u, err := Parse([]byte(`{"revision":1,"complete":true,"members":[` + text + `,{"id":"t","phase":"Gone"}]}`))
-		if err != nil || len(u.Members) != 2 || u.Members[0].Phase != Terminating || u.Twice != 1 {
+		if err != nil || len(u.Members) != 2 || u.Members[0].Phase != Terminating || u.Duplicates != 1 {
 			t.Errorf("%s: have %+v, %v", text, u, err)
 		}
 	}
@@ -87,7 +87,7 @@
 			b.ReportAllocs()
 			b.SetBytes(int64(len(text)))
 			for range b.N {
-				var o Objects
+				var o ObjectSplitter
 				if err := o.Feed(text, func(b []byte) error { _, err := Parse(b); return err }); err != nil {
 					b.Fatal(err)
 				}
@@ -112,8 +112,8 @@
 func FuzzParse(f *testing.F) {
 	f.Add([]byte(`{"revision":1,"members":[{"id":"s","phase":"Gone"}]}`))
 	f.Fuzz(func(t *testing.T, b []byte) {
-		if u, err := Parse(b); err == nil && u.Check() != nil {
-			t.Errorf("%q is accepted, but %v", b, u.Check())
+		if u, err := Parse(b); err == nil && u.Validate() != nil {
+			t.Errorf("%q is accepted, but %v", b, u.Validate())
 		}
 	})
 }
--- a/internal/format/config/config.go
+++ b/internal/format/config/config.go
@@ -17,13 +17,13 @@
 
 // Config is the platform's configuration of a gatherer.
 type Config struct {
-	Name      string
-	Listen    string
-	Discovery string
-	Memory    int64          // memory limit of the process in bytes
-	Sockets   int            // limit on the file descriptors of the process
-	Known     catalog.Update // the member list as of the writing of the file
-	Settings  Settings
+	Name         string
+	Listen       string
+	Discovery    string
+	MemoryLimit  int64          // memory limit of the process in bytes
+	SocketLimit  int            // limit on the file descriptors of the process
+	KnownMembers catalog.Update // the member list as of the writing of the file
+	Settings     Settings
 }
 
 // Defaults and bounds of the limits of the process.
@@ -61,9 +61,9 @@
 	return parse(text, func(string) string { return "" }, false)
 }
 
-// Pending returns the keys in which next differs from c and which take effect only
+// PendingRestart returns the keys in which next differs from c and which take effect only
 // after a restart.
-func (c *Config) Pending(next *Config) []string {
+func (c *Config) PendingRestart(next *Config) []string {
 	var keys []string
 	for _, setting := range []struct {
 		key     string
@@ -71,8 +71,8 @@
 	}{
 		{"name", c.Name != next.Name},
 		{"listen", c.Listen != next.Listen},
-		{"limits.memory_mb", c.Memory != next.Memory},
-		{"limits.sockets", c.Sockets != next.Sockets},
+		{"limits.memory_mb", c.MemoryLimit != next.MemoryLimit},
+		{"limits.sockets", c.SocketLimit != next.SocketLimit},
 		{"settings", !reflect.DeepEqual(c.Settings.withoutSeed(), next.Settings.withoutSeed())},
 	} {
 		if setting.differs {
@@ -117,23 +117,23 @@
 	if err := checkAddress(f.Discovery); err != nil {
 		return nil, fmt.Errorf("discovery (LB_DISCOVERY): %w", err)
 	}
-	c := &Config{Name: f.Name, Listen: f.Listen, Discovery: f.Discovery, Known: f.Known}
-	if err := f.Known.Check(); err != nil {
+	c := &Config{Name: f.Name, Listen: f.Listen, Discovery: f.Discovery, KnownMembers: f.Known}
+	if err := f.Known.Validate(); err != nil {
 		return nil, fmt.Errorf("known: %w", err)
 	}
-	c.Known.Once()
+	c.KnownMembers.RemoveDuplicates()
 	switch l := f.Limits; {
 	case l.MemoryMB < 0:
 		return nil, fmt.Errorf("limits.memory_mb is negative: found %d, want 0 or more", l.MemoryMB)
 	case l.Sockets < 0 || l.Sockets > 0 && l.Sockets < minSockets:
 		return nil, fmt.Errorf("limits.sockets: found %d, want 0, which means %d, or at least %d", l.Sockets, defaultSockets, minSockets)
 	}
-	c.Memory, c.Sockets = f.Limits.MemoryMB<<20, f.Limits.Sockets
-	if c.Memory == 0 {
-		c.Memory = defaultMemoryMB << 20
+	c.MemoryLimit, c.SocketLimit = f.Limits.MemoryMB<<20, f.Limits.Sockets
+	if c.MemoryLimit == 0 {
+		c.MemoryLimit = defaultMemoryMB << 20
 	}
-	if c.Sockets == 0 {
-		c.Sockets = defaultSockets
+	if c.SocketLimit == 0 {
+		c.SocketLimit = defaultSockets
 	}
 	if len(f.Settings) == 0 {
 		return nil, errors.New("settings is missing: want the object that the platform passes to its instances")
--- a/internal/format/config/config_test.go
+++ b/internal/format/config/config_test.go
@@ -38,7 +38,7 @@
 		t.Fatal(err)
 	}
 	if c.Name != "n3" || c.Listen != "127.0.0.9:1" || c.Discovery != "127.0.0.1:8500" ||
-		c.Memory != 64<<20 || c.Sockets != 256 || c.Known.Revision != 41 || len(c.Known.Members) != 1 {
+		c.MemoryLimit != 64<<20 || c.SocketLimit != 256 || c.KnownMembers.Revision != 41 || len(c.KnownMembers.Members) != 1 {
 		t.Errorf("have %+v", c)
 	}
 	want := Limits{
@@ -63,7 +63,7 @@
 	}
 	want := Limits{Tick: defaultTick, Multiplex: defaultMultiplex, ConnectTimeout: defaultConnectTimeout,
 		ConnIdle: defaultConnIdle, DrainGrace: defaultDrainGrace, AnswerSlack: defaultAnswerSlack}
-	if c.Settings.Limits != want || c.Settings.Module.Tick != defaultTick || c.Memory != defaultMemoryMB<<20 || c.Sockets != defaultSockets {
+	if c.Settings.Limits != want || c.Settings.Module.Tick != defaultTick || c.MemoryLimit != defaultMemoryMB<<20 || c.SocketLimit != defaultSockets {
 		t.Errorf("have %+v", c)
 	}
 }
@@ -98,8 +98,8 @@
 			if err == nil || !strings.Contains(err.Error(), c.err) {
 				t.Errorf("%q: have %v", c.new, err)
 			}
-		} else if err != nil || next.Discovery != c.discovery || strings.Join(first.Pending(next), " ") != c.pending {
-			t.Errorf("%q: have %+v, pending %v, %v", c.new, next, first.Pending(next), err)
+		} else if err != nil || next.Discovery != c.discovery || strings.Join(first.PendingRestart(next), " ") != c.pending {
+			t.Errorf("%q: have %+v, pending %v, %v", c.new, next, first.PendingRestart(next), err)
 		}
 	}
 }
--- a/internal/format/frame/frame.go
+++ b/internal/format/frame/frame.go
@@ -38,11 +38,11 @@
 // lengthSize is the size of the length at the start of a frame, in bytes.
 const lengthSize = 4
 
-// Frame is one frame: its letter and its payload, Rest, which is valid only until the
+// Frame is one frame: its type and its payload, which is valid only until the
 // next use of the parser.
 type Frame struct {
-	Letter byte
-	Rest   []byte
+	Type    byte
+	Payload []byte
 }
 
 // Parser parses the frames that arrive from a searcher on one connection.
@@ -84,19 +84,19 @@
 	}
 	end := lengthSize + int(n)
 	p.consumed += end
-	return Frame{Letter: b[lengthSize], Rest: b[lengthSize+1 : end]}, true, nil
+	return Frame{Type: b[lengthSize], Payload: b[lengthSize+1 : end]}, true, nil
 }
 
 // Part is one part of a call.
 type Part struct {
-	ID    string
-	Shard int
-	List  List
-	Text  string // what the searcher is asked
+	ID      string
+	Shard   int
+	Options PartOptions
+	Text    string // what the searcher is asked
 }
 
-// List holds the optional fields of a part, which are sent before its text.
-type List struct {
+// PartOptions holds the optional fields of a part, which are sent before its text.
+type PartOptions struct {
 	Wait  time.Duration // how long the gatherer waits for the answer
 	Key   string        // the idempotency key; empty in classes that have none
 	From  []int         // second step: the shards whose answers the first step has; nil in the first step
@@ -104,7 +104,7 @@
 }
 
 // append appends the list as NAME=VALUE pairs separated by commas. The wait is at least 1 ms.
-func (l List) append(dst []byte) []byte {
+func (l PartOptions) append(dst []byte) []byte {
 	dst = append(dst, "d="...)
 	dst = strconv.AppendInt(dst, max(l.Wait.Milliseconds(), 1), 10)
 	if l.Key != "" {
@@ -135,7 +135,7 @@
 			dst = append(dst, ' ')
 			dst = strconv.AppendInt(dst, int64(p.Shard), 10)
 			dst = append(dst, ' ')
-			dst = p.List.append(dst)
+			dst = p.Options.append(dst)
 			dst = append(dst, ' ')
 			dst = strconv.AppendInt(dst, int64(len(p.Text)), 10)
 			dst = append(dst, '\n')
@@ -165,12 +165,12 @@
 // The ways a searcher can end a part.
 const (
 	Served  End = iota
-	Broke       // the part failed and may have run
+	Failed      // the part failed and may have run
 	Skipped     // the part never ran
 )
 
 // endNames maps the names of ends in an Answer frame.
-var endNames = map[string]End{"served": Served, "broke": Broke, "skipped": Skipped}
+var endNames = map[string]End{"served": Served, "broke": Failed, "skipped": Skipped}
 
 // Result is a searcher's answer to one part.
 type Result struct {
@@ -183,9 +183,9 @@
 
 // Report holds the part of a load report that is used.
 type Report struct {
-	Given   bool    // a usable report was received
-	Spoilt  bool    // a malformed report was received
-	Waiting float64 // parts of all gatherers that wait at the searcher, from 0 to maxQueueLength
+	Present   bool    // a usable report was received
+	Malformed bool    // a malformed report was received
+	Waiting   float64 // parts of all gatherers that wait at the searcher, from 0 to maxQueueLength
 }
 
 // maxQueueLength is the longest queue, in parts, that is accepted as plausible.
@@ -208,9 +208,9 @@
 		}
 		v, err := strconv.ParseFloat(value, 64)
 		if err != nil || !(v >= 0 && v <= maxQueueLength) {
-			return Report{Spoilt: true}
+			return Report{Malformed: true}
 		}
-		return Report{Given: true, Waiting: v}
+		return Report{Present: true, Waiting: v}
 	}
 	return Report{}
 }
--- a/internal/format/frame/frame_test.go
+++ b/internal/format/frame/frame_test.go
@@ -9,9 +9,9 @@
 
 func TestCall(t *testing.T) {
 	got := string(AppendCall(nil, []Part{
-		{ID: "t.3", Shard: 3, List: List{Wait: 240 * time.Millisecond, Key: "k1"}, Text: "c4"},
-		{ID: "t.9.b", Shard: 9, List: List{Wait: 1, From: []int{3, 9}, Whole: true}, Text: ""},
-		{ID: "t.3.b", Shard: 3, List: List{Wait: time.Millisecond, From: []int{3}}, Text: "a\nb"},
+		{ID: "t.3", Shard: 3, Options: PartOptions{Wait: 240 * time.Millisecond, Key: "k1"}, Text: "c4"},
+		{ID: "t.9.b", Shard: 9, Options: PartOptions{Wait: 1, From: []int{3, 9}, Whole: true}, Text: ""},
+		{ID: "t.3.b", Shard: 3, Options: PartOptions{Wait: time.Millisecond, From: []int{3}}, Text: "a\nb"},
 	}))
 	rest := "qt.3 3 d=240,k=k1 2\nc4t.9.b 9 d=1,from=3+9,whole=1 0\nt.3.b 3 d=1,from=3,whole=0 3\na\nb"
 	if want := "\x00\x00\x00" + string(rune(len(rest))) + rest; got != want {
@@ -41,7 +41,7 @@
 				if !ok {
 					break
 				}
-				got = append(got, string(f.Letter)+string(f.Rest))
+				got = append(got, string(f.Type)+string(f.Payload))
 			}
 		}
 		if !reflect.DeepEqual(got, []string{"et.3", "p", "axy"}) {
@@ -67,9 +67,9 @@
 		"t.3 served -7 -\na\nb":                  {"t.3", Served, -7, "a\nb", Report{}},
 		"t.3 served 1 a  b =\xff\nv":             {"t.3", Served, 1, "v", Report{}}, // a malformed report
 		"t.3 served 1 \nv":                       {"t.3", Served, 1, "v", Report{}},
-		"t.3 served 1 rps=31.5,waiting=7\nv":     {"t.3", Served, 1, "v", Report{Given: true, Waiting: 7}},
-		"t.3 skipped 0 waiting=0\n":              {"t.3", Skipped, 0, "", Report{Given: true}},
-		"t.3 broke - -\n":                        {"t.3", Broke, 0, "", Report{}},
+		"t.3 served 1 rps=31.5,waiting=7\nv":     {"t.3", Served, 1, "v", Report{Present: true, Waiting: 7}},
+		"t.3 skipped 0 waiting=0\n":              {"t.3", Skipped, 0, "", Report{Present: true}},
+		"t.3 broke - -\n":                        {"t.3", Failed, 0, "", Report{}},
 		"t.3 skipped 0 -\nv":                     {"t.3", Skipped, 0, "", Report{}},
 	} {
 		if got, err := ParseAnswer([]byte(text)); err != nil || got != want {
@@ -89,13 +89,13 @@
 // A report that is missing, has unknown fields or an invalid queue length must not be used.
 func TestParseReport(t *testing.T) {
 	for text, want := range map[string]Report{
-		"": {}, "-": {}, "qps=31": {}, "load=3,waiting": {Spoilt: true}, "Waiting=3": {}, "waitings=3,new=x": {},
-		"waiting=3":               {Given: true, Waiting: 3},
-		"qps=31,waiting=2.5,x=y=": {Given: true, Waiting: 2.5},
-		"waiting=3,waiting=x":     {Given: true, Waiting: 3}, // the first one counts
-		"waiting=x":               {Spoilt: true}, "waiting=": {Spoilt: true}, "waiting=-1": {Spoilt: true},
-		"waiting=NaN": {Spoilt: true}, "waiting=+Inf": {Spoilt: true}, "waiting=1e7": {Spoilt: true},
-		",,,": {}, "=": {}, "waiting=3=4": {Spoilt: true}, strings.Repeat("a=1,", 1000): {},
+		"": {}, "-": {}, "qps=31": {}, "load=3,waiting": {Malformed: true}, "Waiting=3": {}, "waitings=3,new=x": {},
+		"waiting=3":               {Present: true, Waiting: 3},
+		"qps=31,waiting=2.5,x=y=": {Present: true, Waiting: 2.5},
+		"waiting=3,waiting=x":     {Present: true, Waiting: 3}, // the first one counts
+		"waiting=x":               {Malformed: true}, "waiting=": {Malformed: true}, "waiting=-1": {Malformed: true},
+		"waiting=NaN": {Malformed: true}, "waiting=+Inf": {Malformed: true}, "waiting=1e7": {Malformed: true},
+		",,,": {}, "=": {}, "waiting=3=4": {Malformed: true}, strings.Repeat("a=1,", 1000): {},
 	} {
 		if got := ParseReport(text); got != want {
 			t.Errorf("%.30q: have %+v, want %+v", text, got, want)
@@ -113,8 +113,8 @@
 			if err != nil || !ok {
 				return
 			}
-			if r, err := ParseAnswer(fr.Rest); err == nil && (r.ID == "" || strings.Contains(r.ID, " ")) {
-				t.Errorf("%q has id %q", fr.Rest, r.ID)
+			if r, err := ParseAnswer(fr.Payload); err == nil && (r.ID == "" || strings.Contains(r.ID, " ")) {
+				t.Errorf("%q has id %q", fr.Payload, r.ID)
 			}
 		}
 	})
--- a/internal/format/http1/head.go
+++ b/internal/format/http1/head.go
@@ -47,10 +47,10 @@
 	return ""
 }
 
-// Sole returns the value of the field with the given name (in lower case). It returns ""
+// Unambiguous returns the value of the field with the given name (in lower case). It returns ""
 // if the field occurs more than once with different values, because it is undecidable
 // which one is meant.
-func (h Header) Sole(name string) string {
+func (h Header) Unambiguous(name string) string {
 	value, seen := "", false
 	for _, f := range h {
 		if f.Name != name {
--- a/internal/format/http1/http1_test.go
+++ b/internal/format/http1/http1_test.go
@@ -118,7 +118,7 @@
 	}
 	var p RequestParser
 	p.Feed([]byte(post + "Expect: 100-Continue\r\nContent-Length: 1\r\n\r\n"))
-	if r, err := p.Next(); r != nil || err != nil || !p.Continue() || p.Continue() {
+	if r, err := p.Next(); r != nil || err != nil || !p.TakeContinue() || p.TakeContinue() {
 		t.Errorf("100 Continue: want it asked for exactly once; have request %v, error %v", r, err)
 	}
 }
--- a/internal/format/http1/request.go
+++ b/internal/format/http1/request.go
@@ -58,9 +58,9 @@
 	return r, nil
 }
 
-// Continue reports whether the client waits for "100 Continue" before it sends the body.
+// TakeContinue reports whether the client waits for "100 Continue" before it sends the body.
 // It returns true at most once for each request.
-func (p *RequestParser) Continue() bool {
+func (p *RequestParser) TakeContinue() bool {
 	awaitsContinue := p.awaitsContinue
 	p.awaitsContinue = false
 	return awaitsContinue
--- a/internal/format/http1/response.go
+++ b/internal/format/http1/response.go
@@ -35,9 +35,9 @@
 // Done reports whether the response has ended.
 func (p *ResponseParser) Done() bool { return p.head != nil && p.body.state == done }
 
-// Endless reports whether only the close of the connection ends the response. The connection
+// EndsAtClose reports whether only the close of the connection ends the response. The connection
 // may also break before the response is complete.
-func (p *ResponseParser) Endless() bool { return p.head != nil && p.body.state == untilClosed }
+func (p *ResponseParser) EndsAtClose() bool { return p.head != nil && p.body.state == untilClosed }
 
 // parseHead parses the head of the response, if it is complete, and prepares its body.
 func (p *ResponseParser) parseHead() error {
--- a/internal/format/settings/settings.go
+++ b/internal/format/settings/settings.go
@@ -41,7 +41,7 @@
 	Listen string   // address and port for datagrams and streams
 	Keys   string   // path of a key file
 	Key    string   // name of the shared secret in it that seals messages
-	Wide   bool     // the gatherers are in several regions, so changes are detected later
+	WAN    bool     // the gatherers are in several regions, so changes are detected later
 	Seeds  []string // addresses of other gatherers, through which this one joins
 
 	Advertise string        // address at which the others reach it; empty means Listen
@@ -62,7 +62,7 @@
 // Class holds the operators' limits for a class of queries.
 type Class struct {
 	Name     string
-	Within   time.Duration // longest time that a query may take
+	Timeout  time.Duration // longest time that a query may take
 	Attempts int           // most attempts of each part
 	Open     int           // most queries open at once; further ones are refused
 	Line     int           // line of the element in the file
@@ -92,15 +92,15 @@
 // Coordinator configures the coordinator of layout changes.
 type Coordinator struct {
 	Listen, Log, Layout string        // endpoint of its admin socket; paths of its log and of the first layout
-	Measure             string        // class whose p99 latency bounds the rate of copies
+	MeasuredClass       string        // class whose p99 latency bounds the rate of copies
 	Poll, Timeout       time.Duration // of requests to gatherers and searchers
 	Limits              reshard.Limits
-	Gatherers           []Peer
-	Searchers           []Peer
+	Gatherers           []AdminEndpoint
+	Searchers           []AdminEndpoint
 }
 
-// Peer names a gatherer or searcher and the endpoint of its admin socket.
-type Peer struct{ Name, Endpoint string }
+// AdminEndpoint names a gatherer or searcher and the endpoint of its admin socket.
+type AdminEndpoint struct{ Name, Endpoint string }
 
 // Form returns the form of operators' files, from which deploy/eiderwinch.xsd is
 // printed.
@@ -118,27 +118,27 @@
 		Order: []string{"eiderwinch", "admin", "log", "class", "pools", "admission", "guard", "history", "signing", "layout", "coordinator", "gatherer", "searcher", "fleet", "seed", "slot"},
 		Elements: map[string]xmlform.Element{
 			"eiderwinch": {Doc: "the whole file", Children: []xmlform.Child{
-				{Name: "admin", Most: 1}, {Name: "log", Most: 1}, {Name: "class", Most: 64}, {Name: "pools", Most: 1}, {Name: "admission", Most: 1},
-				{Name: "guard", Most: 1}, {Name: "history", Most: 1}, {Name: "signing", Most: 1}, {Name: "layout", Most: 1}, {Name: "coordinator", Most: 1},
-				{Name: "fleet", Most: 1},
+				{Name: "admin", Max: 1}, {Name: "log", Max: 1}, {Name: "class", Max: 64}, {Name: "pools", Max: 1}, {Name: "admission", Max: 1},
+				{Name: "guard", Max: 1}, {Name: "history", Max: 1}, {Name: "signing", Max: 1}, {Name: "layout", Max: 1}, {Name: "coordinator", Max: 1},
+				{Name: "fleet", Max: 1},
 			}},
 			"log": {Doc: "what a gatherer logs; can change while it runs", Attributes: []xmlform.Attribute{
 				{Name: "level", Kind: xmlform.Choice, Values: []string{"debug", "info", "warn", "error"}, Default: "info", Doc: "the lowest level that is logged"},
 			}},
 			"class": {Doc: "limits of a class of queries; can change while queries run, and each query keeps the limits that it was admitted under", Attributes: []xmlform.Attribute{
 				{Name: "name", Kind: xmlform.Name, Required: true, Doc: "name of the class in the platform's configuration"},
-				{Name: "within", Kind: xmlform.Span, Least: 0.01, Most: 3600, Doc: "longest time until a query is answered or given up; at most the class's deadline, which applies where it is not given"},
-				{Name: "attempts", Kind: xmlform.Count, Least: 1, Most: 16, Doc: "most attempts of each part, one after the other; at most the platform's attempts_cap, which applies where it is not given"},
-				{Name: "copies", Kind: xmlform.Count, Least: 1, Most: 2, Default: "1", Doc: "attempts of a part in flight at once; the rules allow only 1"},
-				{Name: "open", Kind: xmlform.Count, Least: 1, Most: 1e6, Doc: "most queries open at once; further ones are refused immediately. Without it only the limit on all open queries and parts applies"},
+				{Name: "within", Kind: xmlform.Duration, Min: 0.01, Max: 3600, Doc: "longest time until a query is answered or given up; at most the class's deadline, which applies where it is not given"},
+				{Name: "attempts", Kind: xmlform.Count, Min: 1, Max: 16, Doc: "most attempts of each part, one after the other; at most the platform's attempts_cap, which applies where it is not given"},
+				{Name: "copies", Kind: xmlform.Count, Min: 1, Max: 2, Default: "1", Doc: "attempts of a part in flight at once; the rules allow only 1"},
+				{Name: "open", Kind: xmlform.Count, Min: 1, Max: 1e6, Doc: "most queries open at once; further ones are refused immediately. Without it only the limit on all open queries and parts applies"},
 			}},
 			"pools": {Doc: "connections to searchers; can change while queries run", Attributes: []xmlform.Attribute{
-				{Name: "multiplex", Kind: xmlform.Count, Least: 1, Most: 1024, Unit: "parts", Doc: "most parts that one connection carries at once; at most the platform's multiplex"},
-				{Name: "connect-timeout", Kind: xmlform.Span, Least: 0.001, Most: 10, Doc: "longest time that a call waits for a connection"},
-				{Name: "idle", Kind: xmlform.Span, Least: 0.1, Most: 3600, Doc: "a connection that has been idle this long is closed; at most the platform's conn_idle, after which searchers close it"},
+				{Name: "multiplex", Kind: xmlform.Count, Min: 1, Max: 1024, Unit: "parts", Doc: "most parts that one connection carries at once; at most the platform's multiplex"},
+				{Name: "connect-timeout", Kind: xmlform.Duration, Min: 0.001, Max: 10, Doc: "longest time that a call waits for a connection"},
+				{Name: "idle", Kind: xmlform.Duration, Min: 0.1, Max: 3600, Doc: "a connection that has been idle this long is closed; at most the platform's conn_idle, after which searchers close it"},
 			}},
 			"admission": {Doc: "limit on what clients may hold at once; can change while queries run", Attributes: []xmlform.Attribute{
-				{Name: "open", Kind: xmlform.Count, Least: 1, Most: 1e6, Unit: "queries and parts", Doc: "most queries and parts open at once; further ones are refused immediately; at most the platform's max_open"},
+				{Name: "open", Kind: xmlform.Count, Min: 1, Max: 1e6, Unit: "queries and parts", Doc: "most queries and parts open at once; further ones are refused immediately; at most the platform's max_open"},
 			}},
 			"signing": {Doc: "configurations must be signed to be staged", Attributes: []xmlform.Attribute{
 				{Name: "keys", Kind: xmlform.Text, Required: true, Doc: "a file that follows deploy/keys.xsd, read again at each check; a relative path starts at the directory of this file"},
@@ -147,33 +147,33 @@
 				{Name: "file", Kind: xmlform.Text, Required: true, Doc: "a file on a disk that survives restarts; a relative path starts at the directory of this file"},
 			}},
 			"guard": {Doc: "how a change of the configuration is watched", Attributes: []xmlform.Attribute{
-				{Name: "probation", Kind: xmlform.Span, Default: "30s", Least: 1, Most: 86400, Doc: "how long a change is watched"},
-				{Name: "auto", Kind: xmlform.Flag, Default: "true", Doc: "whether a change is confirmed at the end of its probation if service has not regressed; otherwise it is undone unless it has been confirmed by then"},
-				{Name: "chance", Kind: xmlform.Factor, Default: "0.001", Least: 1e-9, Most: 0.5, Doc: "the probability of undoing a change that had no effect, in one probation"},
+				{Name: "probation", Kind: xmlform.Duration, Default: "30s", Min: 1, Max: 86400, Doc: "how long a change is watched"},
+				{Name: "auto", Kind: xmlform.Bool, Default: "true", Doc: "whether a change is confirmed at the end of its probation if service has not regressed; otherwise it is undone unless it has been confirmed by then"},
+				{Name: "chance", Kind: xmlform.Factor, Default: "0.001", Min: 1e-9, Max: 0.5, Doc: "the probability of undoing a change that had no effect, in one probation"},
 				{Name: "points", Kind: xmlform.Share, Default: "0.05", Doc: "the rise in the share of a class's queries that fare badly from which on service counts as regressed"},
-				{Name: "slower", Kind: xmlform.Factor, Default: "1.5", Least: 1, Most: 1000, Doc: "the ratio of p99 latency to its value before the change from which on service counts as regressed"},
+				{Name: "slower", Kind: xmlform.Factor, Default: "1.5", Min: 1, Max: 1000, Doc: "the ratio of p99 latency to its value before the change from which on service counts as regressed"},
 			}},
 			"admin": {Doc: "a gatherer's admin socket", Attributes: []xmlform.Attribute{endpoint("where it listens; only on the machine itself, because it has no passwords", true)}},
 			"layout": {Doc: "the layout that a gatherer binds its queries to", Attributes: []xmlform.Attribute{
 				{Name: "file", Kind: xmlform.Text, Required: true, Doc: "a layout that follows deploy/layout.xsd; a relative path starts at the directory of this file"},
-				{Name: "follow", Kind: xmlform.Flag, Default: "false", Doc: "take epochs from a coordinator over the admin socket, and write each to the file before it takes effect"},
+				{Name: "follow", Kind: xmlform.Bool, Default: "false", Doc: "take epochs from a coordinator over the admin socket, and write each to the file before it takes effect"},
 			}},
 			"coordinator": {Doc: "changes layouts while queries run: eiderwinch coordinate", Attributes: []xmlform.Attribute{
 				endpoint("its admin socket, for layout status, apply and abort", true),
 				{Name: "log", Kind: xmlform.Text, Required: true, Doc: "the file of its durable log"},
 				{Name: "layout", Kind: xmlform.Text, Required: true, Doc: "the layout that a new log begins with; its list of searchers also applies to an existing log"},
 				{Name: "measure", Kind: xmlform.Text, Default: "search", Doc: "the safe class whose p99 latency is measured; copies slow down when it rises"},
-				{Name: "poll", Kind: xmlform.Span, Default: "200ms", Least: 0.01, Most: 10, Doc: "interval at which gatherers and searchers are polled"},
-				{Name: "timeout", Kind: xmlform.Span, Default: "2s", Least: 0.05, Most: 60, Doc: "time that they have to answer a poll; three misses in a row mean that a searcher is down"},
-				{Name: "per-searcher", Kind: xmlform.Count, Default: "2", Least: 1, Most: 64, Doc: "changes that copy from or to one searcher at once"},
-				{Name: "per-zone", Kind: xmlform.Count, Default: "8", Least: 1, Most: 1024, Doc: "changes that copy from or to one data centre at once"},
-				{Name: "queued", Kind: xmlform.Count, Default: "64", Least: 1, Most: 64, Doc: "most changes that have not ended; further ones are refused"},
-				{Name: "lag", Kind: xmlform.Span, Default: "50ms", Least: 0.001, Most: 10, Doc: "how far new holders may be behind at the cut-over"},
-				{Name: "fill-within", Kind: xmlform.Span, Default: "30m", Least: 1, Most: 86400, Doc: "a change that has not been cut over this long after its start is undone"},
-				{Name: "gatherer-lost", Kind: xmlform.Span, Default: "20s", Least: 13, Most: 600, Doc: "a gatherer from which nothing was received for this long has no open query left; must exceed the longest deadline, 12 s, plus a second for its last answer"},
-				{Name: "rows", Kind: xmlform.Factor, Default: "20000", Least: 1, Most: 1e9, Unit: "rows a second to each new holder", Doc: "highest rate of copies"},
-				{Name: "rows-least", Kind: xmlform.Factor, Default: "200", Least: 1, Most: 1e9, Unit: "rows a second to each new holder", Doc: "lowest rate of copies; slower ones would never end"},
-			}, Children: []xmlform.Child{{Name: "gatherer", Least: 1}, {Name: "searcher", Least: 1}}},
+				{Name: "poll", Kind: xmlform.Duration, Default: "200ms", Min: 0.01, Max: 10, Doc: "interval at which gatherers and searchers are polled"},
+				{Name: "timeout", Kind: xmlform.Duration, Default: "2s", Min: 0.05, Max: 60, Doc: "time that they have to answer a poll; three misses in a row mean that a searcher is down"},
+				{Name: "per-searcher", Kind: xmlform.Count, Default: "2", Min: 1, Max: 64, Doc: "changes that copy from or to one searcher at once"},
+				{Name: "per-zone", Kind: xmlform.Count, Default: "8", Min: 1, Max: 1024, Doc: "changes that copy from or to one data centre at once"},
+				{Name: "queued", Kind: xmlform.Count, Default: "64", Min: 1, Max: 64, Doc: "most changes that have not ended; further ones are refused"},
+				{Name: "lag", Kind: xmlform.Duration, Default: "50ms", Min: 0.001, Max: 10, Doc: "how far new holders may be behind at the cut-over"},
+				{Name: "fill-within", Kind: xmlform.Duration, Default: "30m", Min: 1, Max: 86400, Doc: "a change that has not been cut over this long after its start is undone"},
+				{Name: "gatherer-lost", Kind: xmlform.Duration, Default: "20s", Min: 13, Max: 600, Doc: "a gatherer from which nothing was received for this long has no open query left; must exceed the longest deadline, 12 s, plus a second for its last answer"},
+				{Name: "rows", Kind: xmlform.Factor, Default: "20000", Min: 1, Max: 1e9, Unit: "rows a second to each new holder", Doc: "highest rate of copies"},
+				{Name: "rows-least", Kind: xmlform.Factor, Default: "200", Min: 1, Max: 1e9, Unit: "rows a second to each new holder", Doc: "lowest rate of copies; slower ones would never end"},
+			}, Children: []xmlform.Child{{Name: "gatherer", Min: 1}, {Name: "searcher", Min: 1}}},
 			"fleet": {Doc: "the membership view that gatherers keep of each other; each is identified by LB_NAME. Takes effect at a start", Attributes: []xmlform.Attribute{
 				{Name: "name", Kind: xmlform.Name, Required: true, Doc: "name of the fleet; messages of other fleets are dropped"},
 				{Name: "listen", Kind: xmlform.Text, Required: true, Doc: "numeric address and port, for UDP and TCP, at which the others reach this gatherer"},
@@ -181,10 +181,10 @@
 				{Name: "key", Kind: xmlform.Name, Required: true, Doc: "name of the key in it, of algorithm blake3, that seals messages; messages sealed with any valid key in it are accepted"},
 				{Name: "links", Kind: xmlform.Choice, Values: []string{"lan", "wan"}, Default: "lan", Doc: "lan: latencies of a few milliseconds, a crash is detected after about 2 s; wan: about a hundred milliseconds and some loss, and everything is detected five times later"},
 				{Name: "advertise", Kind: xmlform.Text, Doc: "address at which the others reach this gatherer, if not at listen"},
-				{Name: "lease", Kind: xmlform.Span, Default: "1s", Least: 0.05, Most: 60, Doc: "with slots: how long a refused connection shows that a gatherer is gone. A gatherer that starts sends nothing to cold searchers for a little longer than this and rules.overload_for together; must be the same in all files"},
-			}, Children: []xmlform.Child{{Name: "seed", Most: 64}, {Name: "slot", Most: 4096}}},
+				{Name: "lease", Kind: xmlform.Duration, Default: "1s", Min: 0.05, Max: 60, Doc: "with slots: how long a refused connection shows that a gatherer is gone. A gatherer that starts sends nothing to cold searchers for a little longer than this and rules.overload_for together; must be the same in all files"},
+			}, Children: []xmlform.Child{{Name: "seed", Max: 64}, {Name: "slot", Max: 4096}}},
 			"slot": {Doc: "the address of one gatherer by its number: while its host refuses connections to that address, the next gatherer uses its share of what cold searchers can do. There must be one for each of balancers, this gatherer's own at listen, the same in all files", Attributes: []xmlform.Attribute{
-				{Name: "number", Kind: xmlform.Number, Required: true, Most: 4095, Doc: "its my_number in the platform's configuration"},
+				{Name: "number", Kind: xmlform.Number, Required: true, Max: 4095, Doc: "its my_number in the platform's configuration"},
 				{Name: "addr", Kind: xmlform.Text, Required: true, Doc: "its numeric address and port; no other process may ever listen there, and nothing on the network path may refuse connections on its behalf"},
 			}},
 			"seed": {Doc: "another gatherer, through which this one joins the fleet", Attributes: []xmlform.Attribute{
@@ -221,10 +221,10 @@
 	}
 	f.Guard = Guard{Probation: 30 * time.Second, Auto: true}
 	if n := root.Child("guard"); n != nil && n.Valid {
-		f.Guard = Guard{n.Span("probation"), n.Flag("auto"), guard.Limits{Chance: n.Float("chance"), MinIncrease: n.Float("points"), MinSlowdown: n.Float("slower")}}
+		f.Guard = Guard{n.Duration("probation"), n.Bool("auto"), guard.Limits{Chance: n.Float("chance"), MinIncrease: n.Float("points"), MinSlowdown: n.Float("slower")}}
 	}
 	if n := root.Child("layout"); n != nil {
-		f.Layout, f.Follow = n.Text("file"), n.Flag("follow")
+		f.Layout, f.Follow = n.Text("file"), n.Bool("follow")
 		if n.Valid && f.Layout == "" {
 			faults.Add(n.Line, n.Name, `file=""`, "the name of a file")
 		}
@@ -247,8 +247,8 @@
 // readFleet reads the element fleet.
 func readFleet(n *xmlform.Node, faults *xmlform.Faults) *Fleet {
 	f := &Fleet{
-		Name: n.Text("name"), Listen: n.Text("listen"), Keys: n.Text("keys"), Key: n.Text("key"), Wide: n.Text("links") == "wan",
-		Advertise: n.Text("advertise"), Lease: n.Span("lease"), Line: n.Line,
+		Name: n.Text("name"), Listen: n.Text("listen"), Keys: n.Text("keys"), Key: n.Text("key"), WAN: n.Text("links") == "wan",
+		Advertise: n.Text("advertise"), Lease: n.Duration("lease"), Line: n.Line,
 	}
 	checkAddress := func(n *xmlform.Node, key, value string) {
 		if at, err := netip.ParseAddrPort(value); n.Valid && (err != nil || at.Addr().IsUnspecified()) {
@@ -296,7 +296,7 @@
 		l.Log = n.Text("level")
 	}
 	if n := root.Child("pools"); n != nil {
-		l.Pools = Pools{int(n.Number("multiplex")), n.Span("connect-timeout"), n.Span("idle"), n.Line}
+		l.Pools = Pools{int(n.Number("multiplex")), n.Duration("connect-timeout"), n.Duration("idle"), n.Line}
 	}
 	if n := root.Child("admission"); n != nil {
 		l.Admission = Admission{int(n.Number("open")), n.Line}
@@ -306,7 +306,7 @@
 		if n.Name != "class" || !n.Valid {
 			continue
 		}
-		c := Class{n.Text("name"), n.Span("within"), int(n.Number("attempts")), int(n.Number("open")), n.Line}
+		c := Class{n.Text("name"), n.Duration("within"), int(n.Number("attempts")), int(n.Number("open")), n.Line}
 		if line, ok := seen[c.Name]; ok {
 			faults.Add(n.Line, n.Name, fmt.Sprintf("class %q, which is on line %d too", c.Name, line), "each class once")
 		}
@@ -318,9 +318,9 @@
 	}
 }
 
-// Fit checks a file against the platform's configuration. The error joins everything
+// CheckPlatform checks a file against the platform's configuration. The error joins everything
 // in which they contradict each other.
-func (f *File) Fit(file string, c config.Settings) error {
+func (f *File) CheckPlatform(file string, c config.Settings) error {
 	faults := &xmlform.Faults{File: file}
 	for _, own := range f.Live.Classes {
 		i := slices.IndexFunc(c.Module.Classes, func(k eiderwinch.Class) bool { return k.Name == own.Name })
@@ -332,8 +332,8 @@
 			faults.Add(own.Line, "class", fmt.Sprintf("class %q", own.Name), "one of "+strings.Join(names, ", "))
 			continue
 		}
-		if k := c.Module.Classes[i]; own.Within > k.Deadline {
-			faults.Add(own.Line, "class", fmt.Sprintf("within=%v", own.Within), fmt.Sprintf("at most the deadline of %s, %v", k.Name, k.Deadline))
+		if k := c.Module.Classes[i]; own.Timeout > k.Deadline {
+			faults.Add(own.Line, "class", fmt.Sprintf("within=%v", own.Timeout), fmt.Sprintf("at most the deadline of %s, %v", k.Name, k.Deadline))
 		}
 		if most := c.Module.MaxAttempts; most > 0 && own.Attempts > most {
 			faults.Add(own.Line, "class", fmt.Sprintf("attempts=%d", own.Attempts), fmt.Sprintf("at most attempts_cap, %d", most))
@@ -362,11 +362,11 @@
 // readCoordinator reads the element coordinator.
 func readCoordinator(n *xmlform.Node, faults *xmlform.Faults) *Coordinator {
 	c := &Coordinator{
-		Listen: n.Text("endpoint"), Log: n.Text("log"), Layout: n.Text("layout"), Measure: n.Text("measure"),
-		Poll: n.Span("poll"), Timeout: n.Span("timeout"),
+		Listen: n.Text("endpoint"), Log: n.Text("log"), Layout: n.Text("layout"), MeasuredClass: n.Text("measure"),
+		Poll: n.Duration("poll"), Timeout: n.Duration("timeout"),
 		Limits: reshard.Limits{
-			PerSearcher: int(n.Number("per-searcher")), PerZone: int(n.Number("per-zone")), Queued: int(n.Number("queued")),
-			MaxLag: n.Span("lag"), FillTimeout: n.Span("fill-within"), Gatherer: n.Span("gatherer-lost"),
+			PerSearcher: int(n.Number("per-searcher")), PerZone: int(n.Number("per-zone")), MaxOpenJobs: int(n.Number("queued")),
+			MaxLag: n.Duration("lag"), FillTimeout: n.Duration("fill-within"), GathererTimeout: n.Duration("gatherer-lost"),
 			MaxRate: n.Float("rows"), MinRate: n.Float("rows-least"),
 		},
 	}
@@ -382,8 +382,8 @@
 		if c.Limits.MinRate > c.Limits.MaxRate {
 			faults.Add(n.Line, n.Name, fmt.Sprintf("rows-least=%v", c.Limits.MinRate), fmt.Sprintf("at most rows=%v", c.Limits.MaxRate))
 		}
-		if c.Timeout+c.Poll >= c.Limits.Gatherer {
-			faults.Add(n.Line, n.Name, fmt.Sprintf("timeout=%v and poll=%v", c.Timeout, c.Poll), fmt.Sprintf("less than gatherer-lost=%v together", c.Limits.Gatherer))
+		if c.Timeout+c.Poll >= c.Limits.GathererTimeout {
+			faults.Add(n.Line, n.Name, fmt.Sprintf("timeout=%v and poll=%v", c.Timeout, c.Poll), fmt.Sprintf("less than gatherer-lost=%v together", c.Limits.GathererTimeout))
 		}
 	}
 	seen := make(map[string]int)
@@ -396,7 +396,7 @@
 			faults.Add(p.Line, p.Name, fmt.Sprintf("name %q, which is on line %d too", name, line), "a different name for each")
 		}
 		seen[name] = p.Line
-		peer := Peer{name, p.Text("endpoint")}
+		peer := AdminEndpoint{name, p.Text("endpoint")}
 		if p.Name == "gatherer" {
 			c.Gatherers = append(c.Gatherers, peer)
 		} else {
--- a/internal/format/settings/settings_test.go
+++ b/internal/format/settings/settings_test.go
@@ -35,12 +35,12 @@
 	}
 	c := f.Coordinator
 	if f.Admin != "unix:/run/e/admin.sock" || f.Layout != "layout.xml" || !f.Follow || c == nil ||
-		c.Log != "changes.db" || c.Measure != "search" || c.Poll != 2*time.Second || c.Timeout != 2*time.Second ||
+		c.Log != "changes.db" || c.MeasuredClass != "search" || c.Poll != 2*time.Second || c.Timeout != 2*time.Second ||
 		c.Limits.MaxRate != 500 || c.Limits.MinRate != 200 || c.Limits.PerSearcher != 2 || c.Limits.MaxLagAge != 4*time.Second ||
-		len(c.Gatherers) != 1 || len(c.Searchers) != 2 || c.Searchers[1] != (Peer{"s1", "[::1]:7000"}) {
+		len(c.Gatherers) != 1 || len(c.Searchers) != 2 || c.Searchers[1] != (AdminEndpoint{"s1", "[::1]:7000"}) {
 		t.Errorf("have %+v with %+v", f, c)
 	}
-	if want := (&Fleet{Name: "verona", Listen: "127.0.0.1:7300", Keys: "keys.xml", Key: "k", Wide: true, Seeds: []string{"127.0.0.1:7301"},
+	if want := (&Fleet{Name: "verona", Listen: "127.0.0.1:7300", Keys: "keys.xml", Key: "k", WAN: true, Seeds: []string{"127.0.0.1:7301"},
 		Slots: []string{"127.0.0.1:7301", "127.0.0.1:7300"}, Lease: time.Second, Line: 9}); !reflect.DeepEqual(f.Fleet, want) {
 		t.Errorf("have %+v", f.Fleet)
 	}
@@ -155,7 +155,7 @@
 	} {
 		var s config.Settings
 		s.Module.Gatherers, s.Module.GathererNumber = c.gatherers, c.number
-		if err := f.Fit("e.xml", s); (err == nil) != (c.want == "") || err != nil && !strings.Contains(err.Error(), c.want) {
+		if err := f.CheckPlatform("e.xml", s); (err == nil) != (c.want == "") || err != nil && !strings.Contains(err.Error(), c.want) {
 			t.Errorf("%d gatherers, number %d: %v, want %q", c.gatherers, c.number, err, c.want)
 		}
 	}
--- a/internal/format/xmlform/form.go
+++ b/internal/format/xmlform/form.go
@@ -24,13 +24,13 @@
 const (
 	Text     Kind = iota // any text
 	Name                 // a text without blanks that is not empty
-	Number               // an integer from 0 to 2^32-1, or within Least and Most
-	Count                // an integer from 1 to 2^63-1, or within Least and Most
+	Number               // an integer from 0 to 2^32-1, or within Min and Max
+	Count                // an integer from 1 to 2^63-1, or within Min and Max
 	Share                // above 0, at most 1
-	Factor               // a number within Least and Most
-	Span                 // a duration with its unit: 250ms, 30s, 1m30s
+	Factor               // a number within Min and Max
+	Duration             // a duration with its unit: 250ms, 30s, 1m30s
 	Choice               // one of Values
-	Flag                 // true or false
+	Bool                 // true or false
 	Address              // a numeric address and a port
 	Endpoint             // unix:PATH, or a loopback address and a port
 	kindCount
@@ -43,18 +43,18 @@
 	Required bool
 	Default  string   // as it would stand in a file; empty means that there is none
 	Values   []string // of a Choice
-	// Least and Most bound numbers, and durations in seconds. If both are 0, the bounds
+	// Min and Max bound numbers, and durations in seconds. If both are 0, the bounds
 	// of the kind apply.
-	Least, Most float64
-	Unit        string // unit of a number, shown to operators
-	Doc         string // explanation, shown to operators
+	Min, Max float64
+	Unit     string // unit of a number, shown to operators
+	Doc      string // explanation, shown to operators
 }
 
 // Child is an element that may occur in another one.
 type Child struct {
-	Name  string
-	Least int // least number of occurrences
-	Most  int // greatest number of occurrences; 0 means no limit
+	Name string
+	Min  int // least number of occurrences
+	Max  int // greatest number of occurrences; 0 means no limit
 }
 
 // Element describes an element by the attributes and children that it may have.
@@ -76,21 +76,21 @@
 
 // Value is an attribute's value.
 type Value struct {
-	Given  bool // it was given in the file; otherwise the default applies
-	Text   string
-	Number uint64
-	Float  float64
-	Span   time.Duration
-	Flag   bool
+	Given    bool // it was given in the file; otherwise the default applies
+	Text     string
+	Number   uint64
+	Float    float64
+	Duration time.Duration
+	Bool     bool
 }
 
 // wanted returns a description of the valid values for messages.
 func (a Attribute) wanted() string {
 	bound := func(least, most string) string {
-		if a.Least == 0 && a.Most == 0 {
+		if a.Min == 0 && a.Max == 0 {
 			return fmt.Sprintf("from %s to %s", least, most)
 		}
-		return fmt.Sprintf("from %v to %v", a.Least, a.Most)
+		return fmt.Sprintf("from %v to %v", a.Min, a.Max)
 	}
 	switch a.Kind {
 	case Name:
@@ -98,7 +98,7 @@
 	case Number:
 		return "a number " + bound("0", "4294967295")
 	case Count:
-		if a.Least == 0 && a.Most == 0 {
+		if a.Min == 0 && a.Max == 0 {
 			return "a number of at least 1"
 		}
 		return "a number " + bound("", "")
@@ -106,14 +106,14 @@
 		return "a share above 0 and at most 1"
 	case Factor:
 		return "a number " + bound("0", "any")
-	case Span:
+	case Duration:
 		return "a time with its unit, such as 250ms" + a.durationBounds()
 	case Choice:
 		if n := len(a.Values); n > 1 {
 			return strings.Join(a.Values[:n-1], ", ") + " or " + a.Values[n-1]
 		}
 		return strings.Join(a.Values, "")
-	case Flag:
+	case Bool:
 		return "true or false"
 	case Address:
 		return "a numeric address and a port, such as 127.0.0.1:7070"
@@ -125,10 +125,10 @@
 
 // durationBounds returns the bounds of a duration for messages.
 func (a Attribute) durationBounds() string {
-	if a.Least == 0 && a.Most == 0 {
+	if a.Min == 0 && a.Max == 0 {
 		return ""
 	}
-	return fmt.Sprintf(", from %v to %v", seconds(a.Least), seconds(a.Most))
+	return fmt.Sprintf(", from %v to %v", seconds(a.Min), seconds(a.Max))
 }
 
 // seconds converts a number of seconds to a duration.
@@ -138,8 +138,8 @@
 // its bounds.
 func (a Attribute) read(s string) (v Value, ok bool) {
 	v.Text = s
-	bounded := a.Least != 0 || a.Most != 0
-	within := func(x float64) bool { return !bounded || x >= a.Least && x <= a.Most }
+	bounded := a.Min != 0 || a.Max != 0
+	within := func(x float64) bool { return !bounded || x >= a.Min && x <= a.Max }
 	var err error
 	switch a.Kind {
 	case Name:
@@ -156,14 +156,14 @@
 	case Factor:
 		v.Float, err = strconv.ParseFloat(s, 64)
 		return v, err == nil && v.Float >= 0 && !math.IsInf(v.Float, 0) && within(v.Float)
-	case Span:
-		v.Span, err = time.ParseDuration(s)
-		return v, err == nil && v.Span >= 0 && strings.IndexFunc(s, isNotDurationRune) < 0 && within(v.Span.Seconds())
+	case Duration:
+		v.Duration, err = time.ParseDuration(s)
+		return v, err == nil && v.Duration >= 0 && strings.IndexFunc(s, isNotDurationRune) < 0 && within(v.Duration.Seconds())
 	case Choice:
 		return v, slices.Contains(a.Values, s)
-	case Flag:
-		v.Flag = s == "true"
-		return v, v.Flag || s == "false"
+	case Bool:
+		v.Bool = s == "true"
+		return v, v.Bool || s == "false"
 	case Address:
 		return v, parseNumericAddress(s) != nil
 	case Endpoint:
--- a/internal/format/xmlform/read.go
+++ b/internal/format/xmlform/read.go
@@ -77,11 +77,11 @@
 // Float returns the value of an attribute of kind Share or Factor.
 func (n *Node) Float(name string) float64 { return n.Value(name).Float }
 
-// Span returns the value of an attribute of kind Span.
-func (n *Node) Span(name string) time.Duration { return n.Value(name).Span }
+// Duration returns the value of an attribute of kind Duration.
+func (n *Node) Duration(name string) time.Duration { return n.Value(name).Duration }
 
-// Flag returns the value of an attribute of kind Flag.
-func (n *Node) Flag(name string) bool { return n.Value(name).Flag }
+// Bool returns the value of an attribute of kind Bool.
+func (n *Node) Bool(name string) bool { return n.Value(name).Bool }
 
 // Given reports whether the file gives the attribute.
 func (n *Node) Given(name string) bool { return n.Value(name).Given }
@@ -199,18 +199,18 @@
 			if child.Name != c.Name {
 				continue
 			}
-			if count++; c.Most > 0 && count == c.Most+1 {
-				x.faults.Add(child.Line, c.Name, fmt.Sprintf("a further %s in %s", c.Name, n.Name), fmt.Sprintf("at most %d", c.Most))
+			if count++; c.Max > 0 && count == c.Max+1 {
+				x.faults.Add(child.Line, c.Name, fmt.Sprintf("a further %s in %s", c.Name, n.Name), fmt.Sprintf("at most %d", c.Max))
 			}
 		}
-		if count < c.Least {
+		if count < c.Min {
 			found := "no " + c.Name
 			if count > 0 {
 				found = fmt.Sprintf("%d of %s", count, c.Name)
 			}
 			least := "one"
-			if c.Least > 1 {
-				least = fmt.Sprint(c.Least)
+			if c.Min > 1 {
+				least = fmt.Sprint(c.Min)
 			}
 			x.faults.Add(n.Line, n.Name, found, "at least "+least)
 		}
--- a/internal/format/xmlform/schema.go
+++ b/internal/format/xmlform/schema.go
@@ -43,13 +43,13 @@
 	}
 	allSingle, minChildren := true, 0
 	for _, c := range e.Children {
-		allSingle = allSingle && c.Most == 1
-		minChildren = max(minChildren, min(c.Least, 1))
+		allSingle = allSingle && c.Max == 1
+		minChildren = max(minChildren, min(c.Min, 1))
 	}
 	if allSingle {
 		b.WriteString("      <xs:all>\n")
 		for _, c := range e.Children {
-			fmt.Fprintf(b, "        <xs:element ref=%q minOccurs=\"%d\"/>\n", c.Name, c.Least)
+			fmt.Fprintf(b, "        <xs:element ref=%q minOccurs=\"%d\"/>\n", c.Name, c.Min)
 		}
 		b.WriteString("      </xs:all>\n")
 		return
@@ -82,10 +82,10 @@
 // facets returns the base type of an attribute in the schema and the facets that
 // restrict it.
 func (a Attribute) facets() (base, facets string) {
-	bounded := a.Least != 0 || a.Most != 0
+	bounded := a.Min != 0 || a.Max != 0
 	bounds := func(least, most string) string {
 		if bounded {
-			least, most = fmt.Sprint(a.Least), fmt.Sprint(a.Most)
+			least, most = fmt.Sprint(a.Min), fmt.Sprint(a.Max)
 		}
 		out := ""
 		if least != "" {
@@ -107,14 +107,14 @@
 		return "xs:double", `<xs:minExclusive value="0"/><xs:maxInclusive value="1"/>`
 	case Factor:
 		return "xs:double", bounds("0", "")
-	case Span:
+	case Duration:
 		return "xs:string", `<xs:pattern value="0|([0-9]+(\.[0-9]*)?(ns|us|µs|ms|s|m|h))+"/>`
 	case Choice:
 		for _, v := range a.Values {
 			facets += fmt.Sprintf("<xs:enumeration value=%q/>", escape(v))
 		}
 		return "xs:string", facets
-	case Flag:
+	case Bool:
 		return "xs:boolean", `<xs:pattern value="true|false"/>`
 	case Address:
 		return "xs:string", `<xs:pattern value="\S+:[0-9]+"/>`
--- a/internal/format/xmlform/xmlform_test.go
+++ b/internal/format/xmlform/xmlform_test.go
@@ -24,9 +24,9 @@
 		list = append(list, Attribute{Name: fmt.Sprint("k", k), Kind: k, Values: []string{"up", "down"}, Doc: "one of its kind"})
 	}
 	list = append(list,
-		Attribute{Name: "few", Kind: Count, Least: 2, Most: 5, Default: "3", Doc: "bounded"},
-		Attribute{Name: "soon", Kind: Span, Least: 0.1, Most: 2, Default: "250ms", Doc: "bounded", Unit: "a time"},
-		Attribute{Name: "times", Kind: Factor, Least: 1, Most: 10, Required: true, Doc: "bounded"},
+		Attribute{Name: "few", Kind: Count, Min: 2, Max: 5, Default: "3", Doc: "bounded"},
+		Attribute{Name: "soon", Kind: Duration, Min: 0.1, Max: 2, Default: "250ms", Doc: "bounded", Unit: "a time"},
+		Attribute{Name: "times", Kind: Factor, Min: 1, Max: 10, Required: true, Doc: "bounded"},
 	)
 	return &Form{
 		Namespace: "urn:test", Root: "root", Depth: 2, Doc: "A form.", Order: []string{"root", "leaf", "pair"},
@@ -50,7 +50,7 @@
 		t.Fatal(err)
 	}
 	leaf := n.Child("leaf")
-	if leaf.Number("few") != 5 || !leaf.Given("few") || leaf.Span("soon") != 250*time.Millisecond || leaf.Given("soon") ||
+	if leaf.Number("few") != 5 || !leaf.Given("few") || leaf.Duration("soon") != 250*time.Millisecond || leaf.Given("soon") ||
 		leaf.Float("times") != 2.5 || leaf.Line != 1 || n.Child("none") != nil {
 		t.Errorf("have %+v", leaf)
 	}
--- a/internal/layout/change.go
+++ b/internal/layout/change.go
@@ -105,12 +105,12 @@
 	var successors []SegmentID
 	addSuccessor := func(keys Range, holders []string) {
 		s := e.add(keys, Preparing, holders)
-		s.Of = slices.Clone(c.Segments)
+		s.Parents = slices.Clone(c.Segments)
 		successors = append(successors, s.ID)
 	}
 	switch first := parents[0]; c.Kind {
 	case Split:
-		if !first.Keys.Holds(c.At) || c.At == first.Keys.From {
+		if !first.Keys.Contains(c.At) || c.At == first.Keys.From {
 			return nil, nil, fmt.Errorf("split: key %q does not divide %v", string(c.At), first.Keys)
 		}
 		addSuccessor(Range{first.Keys.From, c.At}, c.Holders[0])
@@ -137,7 +137,7 @@
 // successorsOf returns the segments that are being prepared to replace a segment.
 func (l *Layout) successorsOf(of SegmentID) (out []SegmentID) {
 	for _, s := range l.segments {
-		if s.State == Preparing && slices.Contains(s.Of, of) {
+		if s.State == Preparing && slices.Contains(s.Parents, of) {
 			out = append(out, s.ID)
 		}
 	}
@@ -170,7 +170,7 @@
 			return nil, fmt.Errorf("%v: successor %d is not prepared: %w", c.Kind, id, ErrUnknown)
 		}
 		s = s.clone()
-		s.State, s.Of = Serving, nil
+		s.State, s.Parents = Serving, nil
 		e.put(s)
 	}
 	for _, id := range c.Segments {
--- a/internal/layout/coordinator/coordinator.go
+++ b/internal/layout/coordinator/coordinator.go
@@ -30,20 +30,20 @@
 
 // Options configure a Coordinator.
 type Options struct {
-	Log       string         // file of the change log
-	First     *layout.Layout // base of a new log
-	Fleet     layout.Fleet
-	Limits    reshard.Limits
-	Gatherers []Peer
-	Searchers []Peer // must name each searcher of the fleet
-	Measure   string // safe class whose p99 controls the copy rate; empty: none
+	LogPath       string         // file of the change log
+	InitialLayout *layout.Layout // base of a new log
+	Fleet         layout.Fleet
+	Limits        reshard.Limits
+	Gatherers     []Peer
+	Searchers     []Peer // must name each searcher of the fleet
+	MeasuredClass string // safe class whose p99 controls the copy rate; empty: none
 
-	Poll    time.Duration // interval between polls of a peer; 0 means 200 ms
-	Timeout time.Duration // of a request to a peer; 0 means 2 s
+	PollInterval time.Duration // interval between polls of a peer; 0 means 200 ms
+	Timeout      time.Duration // of a request to a peer; 0 means 2 s
 
 	Wrap      func(http.RoundTripper) http.RoundTripper // may be nil; for tests
-	Published func(*layout.Layout)                      // called for each epoch before any peer is notified; may be nil
-	Ended     func(reshard.Ended)                       // called for each change that is over; may be nil
+	OnPublish func(*layout.Layout)                      // called for each epoch before any peer is notified; may be nil
+	OnEnded   func(reshard.Ended)                       // called for each change that is over; may be nil
 	Logger    *slog.Logger
 }
 
@@ -65,7 +65,7 @@
 	term           uint64
 	layout         *layout.Layout
 	layoutXML      []byte // layout, as sent to gatherers
-	ledger         *custody.Ledger
+	tracker        *custody.Tracker
 	meter          *reshard.Meter
 	gathererEpochs map[string]layout.Epoch // epochs of the gatherers that answered their last poll
 	lastSecond     map[string]int64        // by gatherer: last second whose service record was processed
@@ -76,8 +76,8 @@
 // Start starts a coordinator, which runs until ctx ends, its log cannot be written,
 // or searchers no longer obey it (ErrFenced).
 func Start(ctx context.Context, o Options) (*Coordinator, error) {
-	if o.Poll <= 0 {
-		o.Poll = defaultPoll
+	if o.PollInterval <= 0 {
+		o.PollInterval = defaultPoll
 	}
 	if o.Timeout <= 0 {
 		o.Timeout = defaultTimeout
@@ -95,7 +95,7 @@
 	}
 	ctx, c.stop = context.WithCancel(ctx)
 	d, err := migrate.Start(ctx, migrate.Options{
-		Path: o.Log, First: o.First, Fleet: o.Fleet, Limits: o.Limits, OnEnded: c.jobEnded, Logger: o.Logger,
+		Path: o.LogPath, First: o.InitialLayout, Fleet: o.Fleet, Limits: o.Limits, OnEnded: c.jobEnded, Logger: o.Logger,
 	}, c)
 	if err != nil {
 		c.stop()
@@ -157,7 +157,7 @@
 	go func() {
 		defer c.peers.Done()
 		defer client.Close()
-		t := time.NewTicker(c.options.Poll)
+		t := time.NewTicker(c.options.PollInterval)
 		defer t.Stop()
 		for {
 			exchange(ctx, p, client)
@@ -182,8 +182,8 @@
 // wakeSearchersWithNewOrders requests an immediate poll of each searcher whose order
 // has changed. c.mu must be held.
 func (c *Coordinator) wakeSearchersWithNewOrders() {
-	for _, id := range c.ledger.Searchers() {
-		if c.ledger.OrderDue(id) {
+	for _, id := range c.tracker.Searchers() {
+		if c.tracker.OrderDue(id) {
 			c.wake(id)
 		}
 	}
@@ -227,7 +227,7 @@
 // exchangeWithSearcher sends a searcher its order and processes the report.
 func (c *Coordinator) exchangeWithSearcher(ctx context.Context, p Peer, client *admin.Client) {
 	c.mu.Lock()
-	order := c.ledger.Order(p.Name)
+	order := c.tracker.Order(p.Name)
 	c.mu.Unlock()
 	var r custody.Report
 	err := client.Do(ctx, http.MethodPut, "/v1/custody", order, &r)
@@ -237,12 +237,12 @@
 	c.mu.Lock()
 	var events []reshard.Event
 	if err != nil {
-		events = c.ledger.HandleMiss(p.Name)
+		events = c.tracker.HandleMiss(p.Name)
 	} else {
-		events = c.ledger.HandleReport(p.Name, r)
+		events = c.tracker.HandleReport(p.Name, r)
 	}
 	c.recordCopying()
-	fenced := c.ledger.Fenced()
+	fenced := c.tracker.Fenced()
 	c.mu.Unlock()
 	if fenced {
 		c.fence(p.Name)
@@ -262,7 +262,7 @@
 // recordCopying adds the current second to copySeconds if rows are being copied.
 // c.mu must be held.
 func (c *Coordinator) recordCopying() {
-	if !c.ledger.Copying() {
+	if !c.tracker.IsCopying() {
 		return
 	}
 	now := c.startedAt.Unix() + int64(time.Since(c.startedAt)/time.Second) // numbered as in service.Recorder, which clock steps do not affect
@@ -276,7 +276,7 @@
 	for _, w := range windows {
 		c.lastSecond[gatherer] = max(c.lastSecond[gatherer], w.Second)
 		for _, class := range w.Classes {
-			if class.Name != c.options.Measure {
+			if class.Name != c.options.MeasuredClass {
 				continue
 			}
 			if p, ok := c.meter.Add(c.copySeconds[w.Second], class); ok {
@@ -306,13 +306,13 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.term = term
-	c.ledger = custody.New(log, term, slices.Sorted(maps.Keys(c.options.Fleet.Zones)), c.options.Limits.MaxRate, custody.Limits{})
+	c.tracker = custody.New(log, term, slices.Sorted(maps.Keys(c.options.Fleet.Zones)), c.options.Limits.MaxRate, custody.Limits{})
 }
 
 // Publish implements migrate.Peers.
 func (c *Coordinator) Publish(l *layout.Layout) {
-	if c.options.Published != nil {
-		c.options.Published(l)
+	if c.options.OnPublish != nil {
+		c.options.OnPublish(l)
 	}
 	var text bytes.Buffer
 	err := layoutfile.Write(&text, l, c.options.Fleet)
@@ -323,7 +323,7 @@
 		return
 	}
 	c.layout, c.layoutXML = l, text.Bytes()
-	c.ledger.Publish(l)
+	c.tracker.SetLayout(l)
 	c.wakeSearchersWithNewOrders()
 	for _, p := range c.options.Gatherers {
 		c.wake(p.Name)
@@ -332,41 +332,41 @@
 
 // Fill implements migrate.Peers.
 func (c *Coordinator) Fill(f reshard.Fill) {
-	c.updateLedger(func(l *custody.Ledger) {
+	c.updateLedger(func(l *custody.Tracker) {
 		l.SetRate(f.Rate)
-		l.Fill(f)
+		l.AddFill(f)
 		c.recordCopying()
 	})
 }
 
 // updateLedger changes the orders to searchers, and requests an immediate poll of
 // those whose order has changed.
-func (c *Coordinator) updateLedger(change func(*custody.Ledger)) {
+func (c *Coordinator) updateLedger(change func(*custody.Tracker)) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	change(c.ledger)
+	change(c.tracker)
 	c.wakeSearchersWithNewOrders()
 }
 
 // Stop implements migrate.Peers.
 func (c *Coordinator) Stop(job reshard.JobID) {
-	c.updateLedger(func(l *custody.Ledger) { l.Stop(job) })
+	c.updateLedger(func(l *custody.Tracker) { l.RemoveFills(job) })
 }
 
 // SetRate implements migrate.Peers.
 func (c *Coordinator) SetRate(rows float64) {
-	c.updateLedger(func(l *custody.Ledger) { l.SetRate(rows) })
+	c.updateLedger(func(l *custody.Tracker) { l.SetRate(rows) })
 }
 
-// Drop implements migrate.Peers. The ledger derives from the layout in force which
+// Drop implements migrate.Peers. The tracker derives from the layout in force which
 // segments a searcher must drop; this call requests an event once it has.
 func (c *Coordinator) Drop(t reshard.Target) {
-	c.updateLedger(func(l *custody.Ledger) { l.Drop(t) })
+	c.updateLedger(func(l *custody.Tracker) { l.AwaitDrop(t) })
 }
 
 func (c *Coordinator) jobEnded(e reshard.Ended) {
 	c.options.Logger.Info("layout change is over", "change", e.Job, "phase", e.Phase.String(), "reason", e.Reason)
-	if c.options.Ended != nil {
-		c.options.Ended(e)
+	if c.options.OnEnded != nil {
+		c.options.OnEnded(e)
 	}
 }
--- a/internal/layout/coordinator/serve.go
+++ b/internal/layout/coordinator/serve.go
@@ -19,15 +19,15 @@
 //
 //	GET  /v1/status               admin.Status
 //	GET  /v1/layout               the layout in force, as a layout file
-//	POST /v1/changes              admin.Submission; []admin.Taken
-//	POST /v1/changes/{job}/abort  admin.Abortion
+//	POST /v1/changes              admin.Submission; []admin.ChangeResult
+//	POST /v1/changes/{job}/abort  admin.AbortRequest
 func (c *Coordinator) Handler() http.Handler {
 	m := http.NewServeMux()
 	m.HandleFunc("GET /v1/status", func(w http.ResponseWriter, _ *http.Request) {
 		if s, err := c.Status(); err != nil {
-			admin.Refuse(w, http.StatusServiceUnavailable, err)
+			admin.WriteError(w, http.StatusServiceUnavailable, err)
 		} else {
-			admin.Answer(w, http.StatusOK, s)
+			admin.WriteJSON(w, http.StatusOK, s)
 		}
 	})
 	m.HandleFunc("GET /v1/layout", func(w http.ResponseWriter, _ *http.Request) {
@@ -57,7 +57,7 @@
 		s.Jobs = []admin.Job{}
 		for _, j := range m.Jobs() {
 			s.Jobs = append(s.Jobs, admin.Job{
-				Job: j.Job, Phase: j.Phase.String(), Over: j.Phase.IsFinal(), Heirs: j.Successors, Copied: j.Copied, Of: j.Targets,
+				Job: j.Job, Phase: j.Phase.String(), Over: j.Phase.IsFinal(), Successors: j.Successors, Copied: j.Copied, Targets: j.Targets,
 				Reason: j.Reason, Change: admin.NewChange(j.Change, ""),
 			})
 		}
@@ -67,84 +67,84 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	s.Term, s.Rows, s.Custody = c.term, c.ledger.Rate(), c.ledger.Counts()
-	s.BaseMS = float64(c.meter.BaselineP99()) / float64(time.Millisecond)
+	s.Term, s.RowsPerSecond, s.Custody = c.term, c.tracker.Rate(), c.tracker.Counts()
+	s.P99WithoutCopiesMS = float64(c.meter.BaselineP99()) / float64(time.Millisecond)
 	for _, p := range c.options.Gatherers {
 		epoch, up := c.gathererEpochs[p.Name]
 		s.Gatherers = append(s.Gatherers, admin.PeerState{Name: p.Name, Epoch: epoch, Up: up})
 	}
-	down := c.ledger.Down()
-	for _, id := range c.ledger.Searchers() {
+	down := c.tracker.DownSearchers()
+	for _, id := range c.tracker.Searchers() {
 		s.Searchers = append(s.Searchers, admin.PeerState{Name: id, Up: !slices.Contains(down, id)})
 	}
 	return s, nil
 }
 
 // maxChangesPerSubmission bounds one submission. It is also the default limit of open
-// jobs (reshard.Limits.Queued).
+// jobs (reshard.Limits.MaxOpenJobs).
 const maxChangesPerSubmission = 64
 
 var errEpochMismatch = errors.New("the layout has changed since")
 
 func (c *Coordinator) handleSubmit(w http.ResponseWriter, r *http.Request) {
 	var in admin.Submission
-	if !admin.Read(w, r, &in) {
+	if !admin.ReadJSON(w, r, &in) {
 		return
 	}
 	var list []layout.Change
 	for i, x := range in.Changes {
 		change, err := x.Layout()
 		if err != nil {
-			admin.Refuse(w, http.StatusBadRequest, fmt.Errorf("change %d: %w", i+1, err))
+			admin.WriteError(w, http.StatusBadRequest, fmt.Errorf("change %d: %w", i+1, err))
 			return
 		}
 		list = append(list, change)
 	}
 	if len(list) == 0 || len(list) > maxChangesPerSubmission {
-		admin.Refuse(w, http.StatusBadRequest, fmt.Errorf("found %d changes, want 1 to %d", len(list), maxChangesPerSubmission))
+		admin.WriteError(w, http.StatusBadRequest, fmt.Errorf("found %d changes, want 1 to %d", len(list), maxChangesPerSubmission))
 		return
 	}
 	c.mu.Lock()
 	epoch := c.layout.Epoch()
 	c.mu.Unlock()
 	if in.Epoch != 0 && in.Epoch != epoch {
-		admin.Refuse(w, http.StatusConflict, fmt.Errorf("%w: the changes are for epoch %d, in force is %d", errEpochMismatch, in.Epoch, epoch))
+		admin.WriteError(w, http.StatusConflict, fmt.Errorf("%w: the changes are for epoch %d, in force is %d", errEpochMismatch, in.Epoch, epoch))
 		return
 	}
-	var out []admin.Taken
+	var out []admin.ChangeResult
 	for _, change := range list {
 		id, err := c.Submit(change)
 		if errors.Is(err, migrate.ErrEnded) {
-			admin.Refuse(w, http.StatusServiceUnavailable, err)
+			admin.WriteError(w, http.StatusServiceUnavailable, err)
 			return
 		}
-		t := admin.Taken{Job: id}
+		t := admin.ChangeResult{Job: id}
 		if err != nil {
 			t.Error = err.Error()
 		}
 		out = append(out, t)
 	}
-	admin.Answer(w, http.StatusOK, out)
+	admin.WriteJSON(w, http.StatusOK, out)
 }
 
 func (c *Coordinator) handleAbort(w http.ResponseWriter, r *http.Request) {
 	id, err := strconv.ParseUint(r.PathValue("job"), 10, 64)
 	if err != nil {
-		admin.Refuse(w, http.StatusBadRequest, fmt.Errorf("found change %.40q, want a number", r.PathValue("job")))
+		admin.WriteError(w, http.StatusBadRequest, fmt.Errorf("found change %.40q, want a number", r.PathValue("job")))
 		return
 	}
-	var in admin.Abortion
-	if !admin.Read(w, r, &in) {
+	var in admin.AbortRequest
+	if !admin.ReadJSON(w, r, &in) {
 		return
 	}
 	switch err := c.Abort(reshard.JobID(id), in.Reason); {
 	case err == nil:
-		admin.Answer(w, http.StatusOK, struct{}{})
+		admin.WriteJSON(w, http.StatusOK, struct{}{})
 	case errors.Is(err, reshard.ErrUnknownJob):
-		admin.Refuse(w, http.StatusNotFound, err)
+		admin.WriteError(w, http.StatusNotFound, err)
 	case errors.Is(err, reshard.ErrTooLate):
-		admin.Refuse(w, http.StatusConflict, err)
+		admin.WriteError(w, http.StatusConflict, err)
 	default:
-		admin.Refuse(w, http.StatusServiceUnavailable, err)
+		admin.WriteError(w, http.StatusServiceUnavailable, err)
 	}
 }
--- a/internal/layout/custody/custody.go
+++ b/internal/layout/custody/custody.go
@@ -68,13 +68,13 @@
 	BehindMS int64            `json:"behind_ms"` // replication lag behind the sources, once copied
 }
 
-// Limits bound a Ledger. The zero value of a field means its default.
+// Limits bound a Tracker. The zero value of a field means its default.
 type Limits struct {
 	MaxMisses int // consecutive failed exchanges after which a searcher counts as down; default 3
 	MaxHeld   int // segments in one report that are considered; default 65,536
 }
 
-// Counts are the counters of a Ledger.
+// Counts are the counters of a Tracker.
 type Counts struct {
 	Orders, Reports int
 	Stale           int // reports on an order that is not the latest
@@ -85,9 +85,9 @@
 	Unseen          int // segments in reports that exceed Limits.MaxHeld
 }
 
-// Ledger keeps the desired and the reported state of each searcher, and whether it
+// Tracker keeps the desired and the reported state of each searcher, and whether it
 // responds.
-type Ledger struct {
+type Tracker struct {
 	limits        Limits
 	log           string
 	term          uint64
@@ -109,11 +109,11 @@
 	orderDue     bool // something has changed since the latest order
 }
 
-// New returns a ledger for the searchers of a fleet. The term must not have been used
+// New returns a tracker for the searchers of a fleet. The term must not have been used
 // with the same log before.
-func New(log string, term uint64, searchers []string, rowsPerSecond float64, limits Limits) *Ledger {
+func New(log string, term uint64, searchers []string, rowsPerSecond float64, limits Limits) *Tracker {
 	limits.MaxMisses, limits.MaxHeld = cmp.Or(limits.MaxMisses, 3), cmp.Or(limits.MaxHeld, 1<<16)
-	l := &Ledger{limits: limits, log: log, term: term, rowsPerSecond: rowsPerSecond, searchers: make(map[string]*searcher)}
+	l := &Tracker{limits: limits, log: log, term: term, rowsPerSecond: rowsPerSecond, searchers: make(map[string]*searcher)}
 	for _, id := range searchers {
 		l.searchers[id] = &searcher{awaitingDrop: make(map[layout.SegmentID]struct{}), copied: make(map[layout.SegmentID]reshard.JobID)}
 	}
@@ -121,18 +121,18 @@
 }
 
 // Counts returns the counters.
-func (l *Ledger) Counts() Counts { return l.counts }
+func (l *Tracker) Counts() Counts { return l.counts }
 
 // Fenced reports whether a searcher has accepted an order of a later term or of another
 // log: another coordinator has been started since, or this coordinator has the wrong
 // log. This coordinator must then stop.
-func (l *Ledger) Fenced() bool { return l.counts.Fenced > 0 }
+func (l *Tracker) Fenced() bool { return l.counts.Fenced > 0 }
 
 // Rate returns the rate limit of fills in rows per second.
-func (l *Ledger) Rate() float64 { return l.rowsPerSecond }
+func (l *Tracker) Rate() float64 { return l.rowsPerSecond }
 
-// Down returns the searchers that do not respond, sorted.
-func (l *Ledger) Down() (out []string) {
+// DownSearchers returns the searchers that do not respond, sorted.
+func (l *Tracker) DownSearchers() (out []string) {
 	for id, s := range l.searchers {
 		if s.down {
 			out = append(out, id)
@@ -142,14 +142,14 @@
 	return out
 }
 
-// Fill adds a fill of a target. Repeating a fill of the same job keeps its
+// AddFill adds a fill of a target. Repeating a fill of the same job keeps its
 // progress.
-func (l *Ledger) Fill(f reshard.Fill) {
+func (l *Tracker) AddFill(f reshard.Fill) {
 	s := l.searchers[f.Target.Searcher]
 	if s == nil {
 		return // not in the fleet: the coordinator does not choose such targets
 	}
-	want := Fill{f.Job, f.Target.Segment, f.Keys.From, f.Keys.To, f.Sources, f.From}
+	want := Fill{f.Job, f.Target.Segment, f.Keys.From, f.Keys.To, f.Sources, f.SourceHolders}
 	delete(s.awaitingDrop, want.Segment)
 	i := slices.IndexFunc(s.fills, func(o Fill) bool { return o.Segment == want.Segment })
 	if i < 0 {
@@ -163,8 +163,8 @@
 	s.orderDue = true
 }
 
-// Stop removes the fills of a job.
-func (l *Ledger) Stop(job reshard.JobID) {
+// RemoveFills removes the fills of a job.
+func (l *Tracker) RemoveFills(job reshard.JobID) {
 	for _, s := range l.searchers {
 		before := len(s.fills)
 		s.fills = slices.DeleteFunc(s.fills, func(f Fill) bool { return f.Job == job })
@@ -173,9 +173,9 @@
 	}
 }
 
-// Copying reports whether any fill is still copying rows. Fills that have been copied
+// IsCopying reports whether any fill is still copying rows. Fills that have been copied
 // and only follow the changes of their sources do not count.
-func (l *Ledger) Copying() bool {
+func (l *Tracker) IsCopying() bool {
 	for _, s := range l.searchers {
 		if len(s.copied) < len(s.fills) {
 			return true
@@ -185,17 +185,17 @@
 }
 
 // SetRate sets the rate limit of fills in rows per second.
-func (l *Ledger) SetRate(rowsPerSecond float64) {
+func (l *Tracker) SetRate(rowsPerSecond float64) {
 	l.rowsPerSecond = rowsPerSecond
 	for _, s := range l.searchers {
 		s.orderDue = s.orderDue || len(s.fills) > 0
 	}
 }
 
-// Publish sets the layout in force. Segments that a searcher holds but that are not
+// SetLayout sets the layout in force. Segments that a searcher holds but that are not
 // assigned to it are dropped. This includes segments that an earlier coordinator had
 // not dropped yet, and those of a searcher that was restored from an old disk.
-func (l *Ledger) Publish(current *layout.Layout) {
+func (l *Tracker) SetLayout(current *layout.Layout) {
 	assigned := make(map[string]map[layout.SegmentID]struct{}, len(l.searchers))
 	for s := range current.Segments() {
 		for _, list := range [...][]string{s.Holders, s.Next, s.Prev} {
@@ -220,9 +220,9 @@
 	return ok || slices.ContainsFunc(s.fills, func(f Fill) bool { return f.Segment == id })
 }
 
-// Drop requests a Dropped event for when a searcher no longer holds a segment. That the
+// AwaitDrop requests a Dropped event for when a searcher no longer holds a segment. That the
 // searcher has to drop the segment follows from the layout.
-func (l *Ledger) Drop(t reshard.Target) {
+func (l *Tracker) AwaitDrop(t reshard.Target) {
 	if s := l.searchers[t.Searcher]; s != nil {
 		s.awaitingDrop[t.Segment] = struct{}{}
 		s.orderDue = true
@@ -230,10 +230,10 @@
 }
 
 // OrderDue reports whether something has changed since the latest order to a searcher.
-func (l *Ledger) OrderDue(id string) bool { return l.searchers[id].orderDue }
+func (l *Tracker) OrderDue(id string) bool { return l.searchers[id].orderDue }
 
 // Order returns the next order to a searcher of the fleet.
-func (l *Ledger) Order(id string) Order {
+func (l *Tracker) Order(id string) Order {
 	s := l.searchers[id]
 	s.number++
 	s.orderDue = false
@@ -251,7 +251,7 @@
 // HandleReport records a searcher's report and returns the resulting events for the coordinator.
 // A report on an order other than the latest only shows that the searcher responds: it
 // says nothing about what has been ordered since.
-func (l *Ledger) HandleReport(searcherID string, r Report) (events []reshard.Event) {
+func (l *Tracker) HandleReport(searcherID string, r Report) (events []reshard.Event) {
 	s := l.searchers[searcherID]
 	if s.down {
 		s.down = false
@@ -294,7 +294,7 @@
 }
 
 // HandleMiss records a failed exchange and returns the resulting events for the coordinator.
-func (l *Ledger) HandleMiss(id string) []reshard.Event {
+func (l *Tracker) HandleMiss(id string) []reshard.Event {
 	s := l.searchers[id]
 	l.counts.Misses++
 	s.misses++
@@ -307,4 +307,4 @@
 }
 
 // Searchers returns the searchers of the fleet, sorted.
-func (l *Ledger) Searchers() []string { return slices.Sorted(maps.Keys(l.searchers)) }
+func (l *Tracker) Searchers() []string { return slices.Sorted(maps.Keys(l.searchers)) }
--- a/internal/layout/custody/custody_test.go
+++ b/internal/layout/custody/custody_test.go
@@ -74,7 +74,7 @@
 		}
 		term, job := uint64(1), reshard.JobID(0)
 		l := New("x", term, names, 100, Limits{})
-		l.Publish(current)
+		l.SetLayout(current)
 		var delayed []Order    // not delivered yet
 		var delayedTo []string // the searcher of each delayed order
 		pending := make(map[layout.SegmentID]layout.Change)
@@ -97,10 +97,10 @@
 				}
 				job++
 				current, pending[s.ID] = next, c
-				l.Publish(current)
+				l.SetLayout(current)
 				for _, h := range next.Segment(s.ID).Next {
 					if !slices.Contains(s.Holders, h) {
-						l.Fill(reshard.Fill{Job: job, Target: reshard.Target{Segment: s.ID, Searcher: h}, From: s.Holders})
+						l.AddFill(reshard.Fill{Job: job, Target: reshard.Target{Segment: s.ID, Searcher: h}, SourceHolders: s.Holders})
 					}
 				}
 			},
@@ -114,9 +114,9 @@
 						current, _ = current.Retire(c)
 					}
 					for j := reshard.JobID(1); j <= job; j++ {
-						l.Stop(j)
+						l.RemoveFills(j)
 					}
-					l.Publish(current)
+					l.SetLayout(current)
 					delete(pending, id)
 				}
 			},
@@ -144,7 +144,7 @@
 				}
 				term++
 				l = New("x", term, names, 100, Limits{})
-				l.Publish(current)
+				l.SetLayout(current)
 			},
 			"": func(t *rapid.T) {
 				for s := range current.Serving() {
@@ -171,15 +171,15 @@
 
 // Exchanges must produce the events that the coordinator relies on: Down after three
 // misses, Up at the next report, Dropped only from a report on the latest order. Reports
-// of a later term or of another log must fence the ledger.
+// of a later term or of another log must fence the tracker.
 func TestEventsAndFencing(t *testing.T) {
 	l := New("x", 7, []string{"a", "b"}, 100, Limits{})
 	if o := l.Order("a"); len(o.Drops) > 0 {
 		t.Errorf("dropped before a layout is known: %v", o.Drops)
 	}
 	l.HandleReport("a", Report{Log: "x", Term: 7, Number: 1, Held: []layout.SegmentID{0, 9}})
-	l.Publish(firstLayout(t))
-	l.Drop(reshard.Target{Segment: 9, Searcher: "a"})
+	l.SetLayout(firstLayout(t))
+	l.AwaitDrop(reshard.Target{Segment: 9, Searcher: "a"})
 	o := l.Order("a")
 	if !slices.Equal(o.Drops, []layout.SegmentID{9}) {
 		t.Errorf("drops %v", o.Drops)
@@ -199,7 +199,7 @@
 		l := New("x", 7, []string{"b"}, 100, Limits{})
 		l.Order("b")
 		if l.Fenced() || len(l.HandleReport("b", r)) > 0 || !l.Fenced() {
-			t.Errorf("%s must fence the ledger and return no events", name)
+			t.Errorf("%s must fence the tracker and return no events", name)
 		}
 	}
 }
@@ -208,17 +208,17 @@
 // earlier job for the same segment must not end it.
 func TestCopyingEndsWhenAllFillsAreCopied(t *testing.T) {
 	l := New("x", 1, []string{"a"}, 100, Limits{})
-	l.Publish(firstLayout(t))
+	l.SetLayout(firstLayout(t))
 	target := reshard.Target{Segment: 5, Searcher: "a"}
-	l.Fill(reshard.Fill{Job: 3, Target: target})
-	if !l.Copying() {
+	l.AddFill(reshard.Fill{Job: 3, Target: target})
+	if !l.IsCopying() {
 		t.Error("a new fill does not count as copying")
 	}
 	r := Report{Log: "x", Term: 1, Number: l.Order("a").Number, Fills: []Progress{{Job: 2, Segment: 5, Copied: true}, {Job: 3, Segment: 5, Copied: true, BehindMS: 4}}}
-	if got := l.HandleReport("a", r); len(got) != 2 || l.Copying() {
-		t.Errorf("copied: %v, copying %v", got, l.Copying())
+	if got := l.HandleReport("a", r); len(got) != 2 || l.IsCopying() {
+		t.Errorf("copied: %v, copying %v", got, l.IsCopying())
 	}
-	l.Stop(3)
+	l.RemoveFills(3)
 	if o := l.Order("a"); len(o.Fills) > 0 {
 		t.Errorf("stopped: %v", o.Fills)
 	}
--- a/internal/layout/layout.go
+++ b/internal/layout/layout.go
@@ -35,8 +35,8 @@
 // All is the range of all keys.
 var All = Range{}
 
-// Holds reports whether the range contains key k.
-func (r Range) Holds(k Key) bool { return k >= r.From && (r.To == "" || k < r.To) }
+// Contains reports whether the range contains key k.
+func (r Range) Contains(k Key) bool { return k >= r.From && (r.To == "" || k < r.To) }
 
 // Empty reports whether the range contains no keys.
 func (r Range) Empty() bool { return r.To != "" && r.From >= r.To }
@@ -84,7 +84,7 @@
 	// queries of older epochs. All three are sorted.
 	Holders, Next, Prev []string
 
-	Of []SegmentID // if Preparing: the segments whose keys it takes over
+	Parents []SegmentID // if Preparing: the segments whose keys it takes over
 }
 
 // clone returns a shallow copy whose fields may be replaced.
@@ -96,7 +96,7 @@
 func (s *Segment) equal(o *Segment) bool {
 	return s == o || s.ID == o.ID && s.Keys == o.Keys && s.State == o.State &&
 		slices.Equal(s.Holders, o.Holders) && slices.Equal(s.Next, o.Next) && slices.Equal(s.Prev, o.Prev) &&
-		slices.Equal(s.Of, o.Of)
+		slices.Equal(s.Parents, o.Parents)
 }
 
 // Successor is a segment that has taken over keys of another segment, with the
--- a/internal/layout/layout_test.go
+++ b/internal/layout/layout_test.go
@@ -304,7 +304,7 @@
 				for _, k := range []Key{"", "a", "b", "bz", "h", "hh", "m", "zzz"} {
 					n := 0
 					for s := range l.Segments() {
-						if s.State == Serving && s.Keys.Holds(k) {
+						if s.State == Serving && s.Keys.Contains(k) {
 							n++
 							if l.Find(k) != s {
 								t.Fatalf("key %q: found %v, want segment %d", k, l.Find(k), s.ID)
--- a/internal/layout/layoutfile/read.go
+++ b/internal/layout/layoutfile/read.go
@@ -29,8 +29,8 @@
 			"layout": {Doc: "one epoch", Attributes: []xmlform.Attribute{
 				{Name: "epoch", Kind: xmlform.Count, Required: true, Doc: "the layout's number"},
 				{Name: "next", Kind: xmlform.Number, Required: true, Doc: "the number that the next new segment gets; numbers are never used again"},
-				{Name: "replicas", Kind: xmlform.Count, Required: true, Least: 1, Most: maxReplicas, Doc: "holders that each serving segment needs"},
-			}, Children: []xmlform.Child{{Name: "searcher"}, {Name: "segment", Least: 1}, {Name: "was"}}},
+				{Name: "replicas", Kind: xmlform.Count, Required: true, Min: 1, Max: maxReplicas, Doc: "holders that each serving segment needs"},
+			}, Children: []xmlform.Child{{Name: "searcher"}, {Name: "segment", Min: 1}, {Name: "was"}}},
 			"searcher": {Doc: "a searcher of the fleet", Attributes: []xmlform.Attribute{
 				{Name: "id", Kind: xmlform.Name, Required: true, Doc: "its id in discovery"},
 				{Name: "zone", Kind: xmlform.Name, Required: true, Doc: "its data centre"},
@@ -40,14 +40,14 @@
 				{Name: "from", Kind: xmlform.Text, Doc: "its first key; absent means from the first of all"},
 				{Name: "to", Kind: xmlform.Text, Doc: "the first key that is no longer in it; absent means up to the last"},
 				{Name: "state", Kind: xmlform.Choice, Values: []string{"preparing", "serving", "retiring"}, Default: "serving", Doc: "what it is for"},
-			}, Children: []xmlform.Child{{Name: "holder", Least: 1}, {Name: "next"}, {Name: "prev"}, {Name: "of"}}},
+			}, Children: []xmlform.Child{{Name: "holder", Min: 1}, {Name: "next"}, {Name: "prev"}, {Name: "of"}}},
 			"holder": {Doc: "holds the segment", Attributes: searcher},
 			"next":   {Doc: "is being filled to take the holders' place", Attributes: searcher},
 			"prev":   {Doc: "held it before, and still answers queries of older epochs", Attributes: searcher},
 			"of":     {Doc: "of a preparing segment: one whose keys it takes over", Attributes: []xmlform.Attribute{segment}},
 			"was": {Doc: "what became of a segment that serves no more", Attributes: []xmlform.Attribute{
 				segment, {Name: "since", Kind: xmlform.Count, Required: true, Doc: "the epoch from which on it serves no more"},
-			}, Children: []xmlform.Child{{Name: "heir", Least: 1}}},
+			}, Children: []xmlform.Child{{Name: "heir", Min: 1}}},
 			"heir": {Doc: "took over keys of it", Attributes: []xmlform.Attribute{
 				segment, {Name: "share", Kind: xmlform.Share, Required: true, Doc: "the part of its weight that fell to the heir"},
 			}},
@@ -123,7 +123,7 @@
 		case "prev":
 			s.Prev = append(s.Prev, c.Text("searcher"))
 		case "of":
-			s.Of = append(s.Of, layout.SegmentID(c.Number("segment")))
+			s.Parents = append(s.Parents, layout.SegmentID(c.Number("segment")))
 		}
 	}
 	return s
--- a/internal/layout/layoutfile/write.go
+++ b/internal/layout/layoutfile/write.go
@@ -77,7 +77,7 @@
 			ID: uint32(s.ID), From: string(s.Keys.From), To: string(s.Keys.To), State: s.State.String(),
 			Holders: refs(s.Holders), Next: refs(s.Next), Prev: refs(s.Prev),
 		}
-		for _, id := range s.Of {
+		for _, id := range s.Parents {
 			x.Of = append(x.Of, segmentRefXML{uint32(id)})
 		}
 		out.Segments = append(out.Segments, x)
--- a/internal/layout/migrate/driver.go
+++ b/internal/layout/migrate/driver.go
@@ -69,7 +69,7 @@
 func Start(ctx context.Context, o Options, p Peers) (*Driver, error) {
 	logger := cmp.Or(o.Logger, slog.New(slog.DiscardHandler))
 	var log *reshardlog.Log
-	err := durable.Within(durable.StartTime, func() (err error) {
+	err := durable.RetryTransient(durable.StartTimeout, func() (err error) {
 		log, err = reshardlog.Open(o.Path)
 		return err
 	})
@@ -79,7 +79,7 @@
 	base, fleet, records, err := log.Load()
 	if errors.Is(err, reshardlog.ErrEmpty) {
 		base, fleet = reshard.Base{Layout: o.First}, o.Fleet
-		err = durable.AtStart(logger, "new change log", func() error { return log.SetBase(base, fleet) })
+		err = durable.RetryAtStart(logger, "new change log", func() error { return log.SetBase(base, fleet) })
 	}
 	if err != nil {
 		return nil, errors.Join(err, log.Close())
--- a/internal/layout/migrate/driver_test.go
+++ b/internal/layout/migrate/driver_test.go
@@ -54,7 +54,7 @@
 var fleet = layout.Fleet{Zones: map[string]string{"a": "x", "b": "x"}, Replicas: 1}
 
 // limits lets a coordinator that has just started seal without waiting for gatherers.
-var limits = reshard.Limits{Gatherer: time.Nanosecond}
+var limits = reshard.Limits{GathererTimeout: time.Nanosecond}
 
 func moveTo(to string) layout.Change {
 	return layout.Change{Kind: layout.Move, Segments: []layout.SegmentID{0}, Holders: [][]string{{to}}}
--- a/internal/layout/reshard/coordinator.go
+++ b/internal/layout/reshard/coordinator.go
@@ -58,26 +58,26 @@
 // Limits bound what a Coordinator does. The zero value of a field means its default,
 // which its comment gives last.
 type Limits struct {
-	PerSearcher int // most concurrent jobs that copy from or to one searcher; 2
-	PerZone     int // most concurrent jobs that copy from or to one data centre; 8
-	Queued      int // most jobs that are not over, further ones are refused; 64
-	Kept        int // finished jobs that are kept and still shown; 256
-
-	MaxLag      time.Duration // most that a target may be behind at the cut-over; 50 ms
-	MaxLagAge   time.Duration // greatest age of the lag report at the cut-over; 1 s
-	FillTimeout time.Duration // time from the start of filling to the cut-over, after which a job is undone; 30 min
-	Gatherer    time.Duration // time without a report after which a gatherer has no open query left; 20 s
-	SealTimeout time.Duration // longest wait for former holders to confirm that they dropped a segment; 1 min
-	MaxRate     float64       // highest copy rate to one target, in rows per second; 20,000
-	MinRate     float64       // lowest copy rate, below which a copy might never finish; 200
+	PerSearcher     int // most concurrent jobs that copy from or to one searcher; 2
+	PerZone         int // most concurrent jobs that copy from or to one data centre; 8
+	MaxOpenJobs     int // most jobs that are not over, further ones are refused; 64
+	MaxFinishedJobs int // finished jobs that are kept and still shown; 256
+
+	MaxLag          time.Duration // most that a target may be behind at the cut-over; 50 ms
+	MaxLagAge       time.Duration // greatest age of the lag report at the cut-over; 1 s
+	FillTimeout     time.Duration // time from the start of filling to the cut-over, after which a job is undone; 30 min
+	GathererTimeout time.Duration // time without a report after which a gatherer has no open query left; 20 s
+	SealTimeout     time.Duration // longest wait for former holders to confirm that they dropped a segment; 1 min
+	MaxRate         float64       // highest copy rate to one target, in rows per second; 20,000
+	MinRate         float64       // lowest copy rate, below which a copy might never finish; 200
 }
 
 // Two concurrent copies leave a searcher most of its cores. The longest deadline
-// of a gatherer is 12 s, and its last answer leaves soon after; Gatherer is longer
+// of a gatherer is 12 s, and its last answer leaves soon after; GathererTimeout is longer
 // than that.
 var defaultLimits = Limits{
-	PerSearcher: 2, PerZone: 8, Queued: 64, Kept: 256,
-	MaxLag: 50 * time.Millisecond, MaxLagAge: time.Second, FillTimeout: 30 * time.Minute, Gatherer: 20 * time.Second,
+	PerSearcher: 2, PerZone: 8, MaxOpenJobs: 64, MaxFinishedJobs: 256,
+	MaxLag: 50 * time.Millisecond, MaxLagAge: time.Second, FillTimeout: 30 * time.Minute, GathererTimeout: 20 * time.Second,
 	SealTimeout: time.Minute,
 	MaxRate:     20_000, MinRate: 200,
 }
@@ -95,12 +95,12 @@
 	}
 	setCount(&l.PerSearcher, defaultLimits.PerSearcher)
 	setCount(&l.PerZone, defaultLimits.PerZone)
-	setCount(&l.Queued, defaultLimits.Queued)
-	setCount(&l.Kept, defaultLimits.Kept)
+	setCount(&l.MaxOpenJobs, defaultLimits.MaxOpenJobs)
+	setCount(&l.MaxFinishedJobs, defaultLimits.MaxFinishedJobs)
 	setDuration(&l.MaxLag, defaultLimits.MaxLag)
 	setDuration(&l.MaxLagAge, defaultLimits.MaxLagAge)
 	setDuration(&l.FillTimeout, defaultLimits.FillTimeout)
-	setDuration(&l.Gatherer, defaultLimits.Gatherer)
+	setDuration(&l.GathererTimeout, defaultLimits.GathererTimeout)
 	setDuration(&l.SealTimeout, defaultLimits.SealTimeout)
 	if l.MaxRate <= 0 {
 		l.MaxRate = defaultLimits.MaxRate
@@ -199,12 +199,12 @@
 // Fill copies the rows and reservations of Keys to a target, and then applies
 // further changes at the sources to it until Stop.
 type Fill struct {
-	Job     JobID
-	Target  Target
-	Keys    layout.Range
-	Sources []layout.SegmentID
-	From    []string // searchers that hold the sources
-	Rate    float64  // rows per second
+	Job           JobID
+	Target        Target
+	Keys          layout.Range
+	Sources       []layout.SegmentID
+	SourceHolders []string // searchers that hold the sources
+	Rate          float64  // rows per second
 }
 
 // Stop ends the copies of a job.
@@ -303,7 +303,7 @@
 }
 
 // New returns a coordinator for a layout and a fleet, with no jobs. Until it has
-// run for Limits.Gatherer it does not know which gatherers exist, and no job leaves
+// run for Limits.GathererTimeout it does not know which gatherers exist, and no job leaves
 // Cutting or Draining.
 func New(now time.Time, l *layout.Layout, f layout.Fleet, limits Limits) *Coordinator {
 	limits = limits.withDefaults()
@@ -314,7 +314,7 @@
 	return &Coordinator{
 		limits: limits, fleet: layout.Fleet{Zones: zones, Replicas: f.Replicas}, layout: l,
 		jobs: make(map[JobID]*job), down: make(map[string]bool), gatherers: make(map[string]gathererState),
-		gatherersKnownAt: now.Add(limits.Gatherer), copyRate: limits.MaxRate,
+		gatherersKnownAt: now.Add(limits.GathererTimeout), copyRate: limits.MaxRate,
 	}
 }
 
--- a/internal/layout/reshard/coordinator_test.go
+++ b/internal/layout/reshard/coordinator_test.go
@@ -220,7 +220,7 @@
 }
 
 func TestRefusalReasons(t *testing.T) {
-	w := newHarness(t, Limits{Queued: 2, PerSearcher: 1})
+	w := newHarness(t, Limits{MaxOpenJobs: 2, PerSearcher: 1})
 	w.report("g", 1, 1)
 	id := w.submit(splitSegment1())
 	for name, c := range map[string]struct {
@@ -286,7 +286,7 @@
 	var fills []string
 	for _, x := range effects {
 		if f, ok := x.(Fill); ok {
-			fills = append(fills, fmt.Sprint(f.Target.Segment, " ", f.From))
+			fills = append(fills, fmt.Sprint(f.Target.Segment, " ", f.SourceHolders))
 		}
 	}
 	w.checkEqual("the fills copy from the former holders", fills, []string{"3 [s2 s3]", "3 [s2 s3]", "4 [s2 s3]", "4 [s2 s3]"})
@@ -297,7 +297,7 @@
 
 	id = w.submit(moveSegment2())
 	w.fillAll(id)
-	w.now = w.now.Add(defaultLimits.Gatherer) // a recovered coordinator waits for gatherers first
+	w.now = w.now.Add(defaultLimits.GathererTimeout) // a recovered coordinator waits for gatherers first
 	w.step(Tick{})
 	w.now = w.now.Add(defaultLimits.SealTimeout)
 	w.step(Tick{})
@@ -306,13 +306,13 @@
 }
 
 // TestLostGathererExpires guards against a gatherer that stops reporting and thereby
-// keeps a change open for ever. After Limits.Gatherer its queries are over.
+// keeps a change open for ever. After Limits.GathererTimeout its queries are over.
 func TestLostGathererExpires(t *testing.T) {
 	w := newHarness(t, Limits{})
 	w.report("g", 1, 1)
 	id := w.submit(moveSegment2())
 	w.fillAll(id)
-	w.now = w.now.Add(defaultLimits.Gatherer - time.Millisecond)
+	w.now = w.now.Add(defaultLimits.GathererTimeout - time.Millisecond)
 	w.step(Tick{})
 	w.checkEqual("phase while it may have open queries", w.status(id).Phase, Cutting)
 	delete(w.reports, "g")
@@ -338,7 +338,7 @@
 	w.checkEqual("phase without any report", w.status(id).Phase, Cutting)
 	cut := w.coordinator.Layout().Epoch()
 	w.report("g", cut, 1)
-	w.now = w.now.Add(defaultLimits.Gatherer)
+	w.now = w.now.Add(defaultLimits.GathererTimeout)
 	w.report("g", cut, 1)
 	w.checkEqual("phase while a gatherer has an old query", w.status(id).Phase, Draining)
 	w.report("g", cut, cut)
@@ -361,7 +361,7 @@
 // checks its effects and invariants.
 func TestRecoveryAfterCrashAtAnyStep(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newHarness(t, Limits{PerSearcher: rapid.IntRange(1, 3).Draw(t, "per searcher"), Queued: 6, FillTimeout: time.Minute})
+		w := newHarness(t, Limits{PerSearcher: rapid.IntRange(1, 3).Draw(t, "per searcher"), MaxOpenJobs: 6, FillTimeout: time.Minute})
 		names := make([]string, 0, len(w.fleet.Zones))
 		for i := range len(w.fleet.Zones) {
 			names = append(names, fmt.Sprint("s", i))
--- a/internal/layout/reshard/planner.go
+++ b/internal/layout/reshard/planner.go
@@ -93,7 +93,7 @@
 // Proposal is a proposed change and the reason for it.
 type Proposal struct {
 	Change layout.Change
-	Why    string
+	Reason string
 }
 
 // Window processes the load of one window and returns proposed changes, the most
@@ -133,7 +133,7 @@
 	}
 	for s := range w.layout.Segments() {
 		if s.State == layout.Preparing {
-			for _, id := range s.Of {
+			for _, id := range s.Parents {
 				w.excluded[id] = true
 			}
 		}
@@ -191,7 +191,7 @@
 	for _, s := range hot {
 		splitKey := w.planner.lastLoads[s.ID].Median
 		below := w.planner.lastLoads[s.ID].Below
-		if !w.mayChange(s) || !s.Keys.Holds(splitKey) || splitKey == s.Keys.From || !(below >= minSplitShare && below <= 1-minSplitShare) {
+		if !w.mayChange(s) || !s.Keys.Contains(splitKey) || splitKey == s.Keys.From || !(below >= minSplitShare && below <= 1-minSplitShare) {
 			continue // no split helps where a single key draws most of the load
 		}
 		// The lower half stays on the holders that have its rows, the upper goes to the
--- a/internal/layout/reshard/planner_test.go
+++ b/internal/layout/reshard/planner_test.go
@@ -39,13 +39,13 @@
 	for s := range x.layout.Serving() {
 		sum, half := 0.0, 0.0
 		for k := layout.Key("a"); k <= "z"; k = layout.Key(k[0] + 1) {
-			if s.Keys.Holds(k) {
+			if s.Keys.Contains(k) {
 				sum += x.rates[k]
 			}
 		}
 		load := Load{PerSecond: sum * noise()}
 		for k := layout.Key("a"); k <= "z"; k = layout.Key(k[0] + 1) {
-			if s.Keys.Holds(k) {
+			if s.Keys.Contains(k) {
 				if half >= sum/2 && load.Median == "" {
 					load.Median, load.Below = k, half/sum
 				}
@@ -174,9 +174,9 @@
 				ids := g.Change.Segments
 				switch b := origins[ids[0]]; {
 				case g.Change.Kind == layout.Merge && b.epoch > 0 && b.kind == layout.Split && b == origins[ids[1]]:
-					t.Fatalf("%d come from one split and are to be merged: %s", ids, g.Why)
+					t.Fatalf("%d come from one split and are to be merged: %s", ids, g.Reason)
 				case g.Change.Kind == layout.Split && b.epoch > 0 && b.kind == layout.Merge:
-					t.Fatalf("%d comes from a merge and is to be split: %s", ids, g.Why)
+					t.Fatalf("%d comes from a merge and is to be split: %s", ids, g.Reason)
 				}
 				successors := x.apply(t, g.Change)
 				for _, id := range successors {
--- a/internal/layout/reshard/step.go
+++ b/internal/layout/reshard/step.go
@@ -65,8 +65,8 @@
 			}
 		}
 	}
-	if open >= c.limits.Queued {
-		return fmt.Errorf("%w: %d, at most %d", ErrBusy, open, c.limits.Queued)
+	if open >= c.limits.MaxOpenJobs {
+		return fmt.Errorf("%w: %d, at most %d", ErrBusy, open, c.limits.MaxOpenJobs)
 	}
 	return c.checkFeasible(change)
 }
@@ -216,7 +216,7 @@
 		return false
 	}
 	maps.DeleteFunc(c.gatherers, func(_ string, g gathererState) bool {
-		expired := now.Sub(g.reportedAt) >= c.limits.Gatherer
+		expired := now.Sub(g.reportedAt) >= c.limits.GathererTimeout
 		if expired {
 			c.counts.GatherersLost++
 		}
@@ -393,7 +393,7 @@
 	return out
 }
 
-// evictFinishedJobs removes the oldest finished jobs beyond Limits.Kept.
+// evictFinishedJobs removes the oldest finished jobs beyond Limits.MaxFinishedJobs.
 func (c *Coordinator) evictFinishedJobs() {
 	finished := 0
 	for _, j := range c.jobs {
@@ -402,7 +402,7 @@
 		}
 	}
 	c.jobOrder = slices.DeleteFunc(c.jobOrder, func(id JobID) bool {
-		if finished <= c.limits.Kept || !c.jobs[id].phase.IsFinal() {
+		if finished <= c.limits.MaxFinishedJobs || !c.jobs[id].phase.IsFinal() {
 			return false
 		}
 		finished--
--- a/internal/netio/clientconn.go
+++ b/internal/netio/clientconn.go
@@ -150,7 +150,7 @@
 			return
 		}
 		if r == nil {
-			if c.parser.Continue() {
+			if c.parser.TakeContinue() {
 				c.write(http1.AppendContinue(nil))
 			}
 			c.awaitRequest()
@@ -264,7 +264,7 @@
 		Class:  r.Header.Get("x-qos"),
 		Key:    r.Header.Get("idempotency-key"),
 		Repeat: r.Header.Get("x-second-try") == "1",
-		Tenant: r.Header.Sole("x-customer"),
+		Tenant: r.Header.Unambiguous("x-customer"),
 		About:  cookieKey(r.Header),
 	}
 	first, _, _ := strings.Cut(strings.TrimPrefix(path, "/"), "/")
--- a/internal/netio/searcherconn.go
+++ b/internal/netio/searcherconn.go
@@ -127,7 +127,7 @@
 	now := time.Now() // parts carry the time that is left to their clients at this moment
 	parts := make([]frame.Part, len(attempts))
 	for i, a := range attempts {
-		parts[i] = frame.Part{ID: a.PartID(), Shard: a.Shard, Text: a.Text, List: frame.List{
+		parts[i] = frame.Part{ID: a.PartID(), Shard: a.Shard, Text: a.Text, Options: frame.PartOptions{
 			Wait: a.Deadline.Sub(now), Key: a.Key, From: a.FirstStepShards, Whole: a.FirstStepWhole,
 		}}
 	}
@@ -221,14 +221,14 @@
 
 // handleFrame handles one frame.
 func (c *searcherConn) handleFrame(now time.Time, f frame.Frame) error {
-	switch f.Letter {
+	switch f.Type {
 	case frame.Answer:
 	case frame.Error:
-		return fmt.Errorf("%w: %.80q", errFrameRejected, f.Rest)
+		return fmt.Errorf("%w: %.80q", errFrameRejected, f.Payload)
 	default:
-		return c.unsolicited(f.Letter)
+		return c.unsolicited(f.Type)
 	}
-	answer, err := frame.ParseAnswer(f.Rest)
+	answer, err := frame.ParseAnswer(f.Payload)
 	if err != nil {
 		return err
 	}
@@ -239,7 +239,7 @@
 			delete(c.abandoned, answer.ID) // nobody waits for this answer any more, or it is a duplicate
 			return nil
 		}
-		return c.unsolicited(f.Letter)
+		return c.unsolicited(f.Type)
 	}
 	a := c.inFlight[index].attempt
 	if took := now.Sub(c.removeAttempt(a)); c.pool.typicalLatency == 0 {
@@ -250,10 +250,10 @@
 	c.clearUnreadCancels()
 	c.lastAnswered = answer.ID
 	switch {
-	case answer.Report.Given:
+	case answer.Report.Present:
 		c.pool.node.stats.Reports++
 		a.Load = &eiderwinch.Load{Waiting: answer.Report.Waiting}
-	case answer.Report.Spoilt:
+	case answer.Report.Malformed:
 		c.pool.node.stats.MalformedReports++
 	}
 	c.pool.node.core.Result(now, a, statusByEnd[answer.End], answer.Score, answer.Value)
@@ -275,7 +275,7 @@
 )
 
 var statusByEnd = map[frame.End]eiderwinch.Status{
-	frame.Served: eiderwinch.OK, frame.Broke: eiderwinch.Failed, frame.Skipped: eiderwinch.Full,
+	frame.Served: eiderwinch.OK, frame.Failed: eiderwinch.Failed, frame.Skipped: eiderwinch.Full,
 }
 
 // Closed implements eventloop.Handler. Data still in the connection's buffer was not sent and is dropped.
--- a/internal/netio/updates.go
+++ b/internal/netio/updates.go
@@ -46,7 +46,7 @@
 
 // applyUpdate passes an update from a discovery address on to the core and the pool.
 func (n *Node) applyUpdate(now time.Time, kind eiderwinch.ListKind, source string, u catalog.Update) {
-	n.stats.DuplicateMembers += u.Twice
+	n.stats.DuplicateMembers += u.Duplicates
 	members := n.memberFilter.Apply(now, source, u)
 	n.stats.RejectedMembers = n.memberFilter.Rejected
 	n.forwardMembers(now, kind, members)
--- a/internal/netio/watch.go
+++ b/internal/netio/watch.go
@@ -53,7 +53,7 @@
 	needsWholeList bool            // the whole list has not been received in full yet
 	wholeList      *catalog.Update // set once parsed, while needsWholeList
 	parser         http1.ResponseParser
-	objects        catalog.Objects
+	objects        catalog.ObjectSplitter
 	headReceived   bool // the head of the answer was received
 	bodyReceived   bool // data of changes was received since the last call of recordUpdate
 	updateReceived bool // an update was received since then
@@ -131,7 +131,7 @@
 
 // request asks for the whole list if nothing was received from this address yet, otherwise for changes.
 func (s *subscription) request() {
-	s.parser, s.objects = http1.ResponseParser{}, catalog.Objects{Most: s.watch.node.objectLimit()}
+	s.parser, s.objects = http1.ResponseParser{}, catalog.ObjectSplitter{MaxSize: s.watch.node.objectLimit()}
 	target := listPath
 	if !s.needsWholeList {
 		target = watchPath + strconv.FormatInt(s.watch.revision, 10)
@@ -151,7 +151,7 @@
 		return
 	case err == nil && r != nil && r.Status != 200:
 		err = fmt.Errorf("%w: status %d, want 200", errWatchEnded, r.Status)
-	case err == nil && s.needsWholeList && (s.parser.Done() || s.parser.Endless() && s.wholeList != nil): // complete, whether or not the body ends
+	case err == nil && s.needsWholeList && (s.parser.Done() || s.parser.EndsAtClose() && s.wholeList != nil): // complete, whether or not the body ends
 		err = s.acceptWholeList(now)
 	case err == nil && s.parser.Done():
 		err = errWatchEnded
@@ -159,7 +159,7 @@
 	switch {
 	case err != nil:
 		s.fail(err)
-	case s.updateReceived, s.bodyReceived && !s.objects.Inside(): // an incomplete object is no sign of life
+	case s.updateReceived, s.bodyReceived && !s.objects.InObject(): // an incomplete object is no sign of life
 		s.updateReceived, s.bodyReceived = false, false
 		s.watch.recordUpdate(now, s)
 		if s.endsAfterList {
@@ -207,7 +207,7 @@
 	w.needsWholeList, w.revision = false, u.Revision
 	w.node.promoteWatch(w)
 	w.node.applyUpdate(now, eiderwinch.Whole, w.addr, u)
-	s.needsWholeList, s.headReceived, s.updateReceived, s.endsAfterList = false, false, true, s.parser.Endless()
+	s.needsWholeList, s.headReceived, s.updateReceived, s.endsAfterList = false, false, true, s.parser.EndsAtClose()
 	if !s.endsAfterList {
 		s.request()
 	}
--- a/internal/trial/emulator/experiment.go
+++ b/internal/trial/emulator/experiment.go
@@ -13,13 +13,13 @@
 // Form returns the form of scenario files. deploy/scenario.xsd is generated from it.
 func Form() *xmlform.Form {
 	span := func(name, def string, least, most float64, doc string) xmlform.Attribute {
-		return xmlform.Attribute{Name: name, Kind: xmlform.Span, Default: def, Least: least, Most: most, Doc: doc}
+		return xmlform.Attribute{Name: name, Kind: xmlform.Duration, Default: def, Min: least, Max: most, Doc: doc}
 	}
 	count := func(name, def string, most float64, doc string) xmlform.Attribute {
-		return xmlform.Attribute{Name: name, Kind: xmlform.Count, Default: def, Least: 1, Most: most, Doc: doc}
+		return xmlform.Attribute{Name: name, Kind: xmlform.Count, Default: def, Min: 1, Max: most, Doc: doc}
 	}
 	factor := func(name, def string, least, most float64, doc string) xmlform.Attribute {
-		return xmlform.Attribute{Name: name, Kind: xmlform.Factor, Default: def, Least: least, Most: most, Doc: doc}
+		return xmlform.Attribute{Name: name, Kind: xmlform.Factor, Default: def, Min: least, Max: most, Doc: doc}
 	}
 	choice := func(name, doc string, values ...string) xmlform.Attribute { // the first is the default
 		return xmlform.Attribute{Name: name, Kind: xmlform.Choice, Default: values[0], Values: values, Doc: doc}
@@ -32,7 +32,7 @@
 			"experiment": {Doc: "scenarios that are each played from some seeds, for each value of each sweep", Attributes: []xmlform.Attribute{
 				count("seeds", "5", 1000, "runs of each scenario and value"),
 				count("first", "1", 1e9, "the first seed"),
-			}, Children: []xmlform.Child{{Name: "scenario", Least: 1, Most: 64}, {Name: "sweep", Most: 1}}},
+			}, Children: []xmlform.Child{{Name: "scenario", Min: 1, Max: 64}, {Name: "sweep", Max: 1}}},
 			"scenario": {Doc: "one deployment and what happens to it", Attributes: []xmlform.Attribute{
 				{Name: "name", Kind: xmlform.Name, Required: true, Doc: "in results and plots"},
 				span("duration", "60s", 1, 3600, "clients ask for so long"),
@@ -51,13 +51,13 @@
 				choice("cancelled", "whether waiting work that is cancelled is dropped or served all the same", "dropped", cancelledServed),
 				span("reports", "0s", 0, 60, "the age up to which answers carry their searcher's queue; 0s: none do"),
 				span("lease", "0s", 0, 60, "gatherers use the slots of the fleet's limits of those that are gone, known by refusals that hold for so long; 0s: each its own"),
-				{Name: "tenants", Kind: xmlform.Number, Default: "0", Most: 64, Doc: "with shares that fall as 1, 1/2, 1/3; 0: none"},
-				{Name: "keys", Kind: xmlform.Number, Default: "0", Most: 1e9, Doc: "that queries are about, each with segments of its own; 0: none"},
-			}, Children: []xmlform.Child{{Name: "fault", Most: 64}}},
+				{Name: "tenants", Kind: xmlform.Number, Default: "0", Max: 64, Doc: "with shares that fall as 1, 1/2, 1/3; 0: none"},
+				{Name: "keys", Kind: xmlform.Number, Default: "0", Max: 1e9, Doc: "that queries are about, each with segments of its own; 0: none"},
+			}, Children: []xmlform.Child{{Name: "fault", Max: 64}}},
 			"fault": {Doc: "something that goes wrong", Attributes: []xmlform.Attribute{
 				{Name: "kind", Kind: xmlform.Choice, Required: true, Values: []string{"crash", "pause", "slow", "drain", "cut", "flood", "restart", "kill", "focus", "swell", "stale", "lose"}, Doc: "crash, pause, slow and drain are of searchers, restart and kill of gatherers, cut of a zone, flood of a class, focus of one key, swell of a tenant, stale of load reports, lose of answers"},
-				{Name: "at", Kind: xmlform.Span, Required: true, Doc: "from the beginning of the run on"},
-				{Name: "for", Kind: xmlform.Span, Required: true, Doc: "it lasts; of drain and restart, within which one after the other is hit"},
+				{Name: "at", Kind: xmlform.Duration, Required: true, Doc: "from the beginning of the run on"},
+				{Name: "for", Kind: xmlform.Duration, Required: true, Doc: "it lasts; of drain and restart, within which one after the other is hit"},
 				{Name: "first", Kind: xmlform.Number, Default: "0", Doc: "the number of the first that is hit; of swell, the tenant"},
 				count("many", "1", 10000, "are hit"),
 				{Name: "zone", Kind: xmlform.Number, Default: "0", Doc: "that is cut off"},
@@ -66,7 +66,7 @@
 			}},
 			"sweep": {Doc: "an attribute of the scenarios that takes several values", Attributes: []xmlform.Attribute{
 				{Name: "of", Kind: xmlform.Choice, Required: true, Values: []string{"load", "slots", "queue", "tries", "attempts"}, Doc: "which attribute"},
-			}, Children: []xmlform.Child{{Name: "value", Least: 1, Most: 64}}},
+			}, Children: []xmlform.Child{{Name: "value", Min: 1, Max: 64}}},
 			"value": {Doc: "one value of it", Attributes: []xmlform.Attribute{factor("is", "1", 0.001, 65536, "the value")}},
 		},
 	}
@@ -125,10 +125,10 @@
 			continue
 		}
 		s := Scenario{
-			Name: n.Text("name"), Duration: n.Span("duration"), Gatherers: int(n.Number("gatherers")), Searchers: int(n.Number("searchers")),
+			Name: n.Text("name"), Duration: n.Duration("duration"), Gatherers: int(n.Number("gatherers")), Searchers: int(n.Number("searchers")),
 			Zones: int(n.Number("zones")), Slots: int(n.Number("slots")), Queue: int(n.Number("queue")), Tries: int(n.Number("tries")),
-			Attempts: int(n.Number("attempts")), DiscoveryLag: n.Span("lag"),
-			SecondCopies: n.Text("copies") == choiceYes, IgnoresCancel: n.Text("cancelled") == cancelledServed, ReportInterval: n.Span("reports"), Lease: n.Span("lease"),
+			Attempts: int(n.Number("attempts")), DiscoveryLag: n.Duration("lag"),
+			SecondCopies: n.Text("copies") == choiceYes, IgnoresCancel: n.Text("cancelled") == cancelledServed, ReportInterval: n.Duration("reports"), Lease: n.Duration("lease"),
 			Tenants: int(n.Number("tenants")), Keys: int(n.Number("keys")),
 		}
 		if n.Text("layout") == layoutRing {
@@ -142,7 +142,7 @@
 		x.loadByScenario[s.Name] = n.Float("load")
 		for _, f := range n.Children {
 			s.Faults = append(s.Faults, Fault{
-				Kind: FaultKind(f.Text("kind")), At: f.Span("at"), For: f.Span("for"), First: int(f.Number("first")), Count: int(f.Number("many")),
+				Kind: FaultKind(f.Text("kind")), At: f.Duration("at"), For: f.Duration("for"), First: int(f.Number("first")), Count: int(f.Number("many")),
 				Zone: int(f.Number("zone")), Class: f.Text("class"), Factor: f.Float("factor"),
 			})
 		}
--- a/internal/trial/emulator/node.go
+++ b/internal/trial/emulator/node.go
@@ -139,13 +139,13 @@
 				})
 			})
 		}
-		for _, a := range n.holder.Run(sim.now, alive) {
+		for _, a := range n.holder.NextDials(sim.now, alive) {
 			connect(a.Slot, func(*node) share.Reply { return share.Reply{} },
-				func(r share.Reply) { n.holder.Ended(sim.now, a, r.Kind == share.Refused) })
+				func(r share.Reply) { n.holder.DialEnded(sim.now, a, r.Kind == share.Refused) })
 		}
-		if slot, ok := n.holder.Question(sim.now); ok {
+		if slot, ok := n.holder.NextQuestion(sim.now); ok {
 			connect(slot, func(other *node) share.Reply { return other.holder.Answer(sim.now, n.number) },
-				func(r share.Reply) { n.holder.Heard(sim.now, r) })
+				func(r share.Reply) { n.holder.QuestionEnded(sim.now, r) })
 		}
 	}
 	if s := n.holder.Share(sim.now); s != n.notifiedShare {
--- a/internal/trial/soak/audit.go
+++ b/internal/trial/soak/audit.go
@@ -124,7 +124,7 @@
 		}
 	}
 	for _, k := range a.keys {
-		if q.keyRange.Holds(k) && !found[k] {
+		if q.keyRange.Contains(k) && !found[k] {
 			a.recordViolationLocked(&r.NotWhole, "search %s in epoch %d: marked whole, but key %s is missing", q.trace, q.epoch, k)
 			return
 		}
--- a/internal/trial/soak/config.go
+++ b/internal/trial/soak/config.go
@@ -239,13 +239,13 @@
 	closers = append(closers, configHistory.Close)
 	machine := change.New(initial.Hash, change.Limits{})
 	baseGeneration, _ := machine.Base()
-	if err := configHistory.Begin(baseGeneration, initial.Bundle); err != nil {
+	if err := configHistory.SetBase(baseGeneration, initial.Bundle); err != nil {
 		return end, err
 	}
 	ctx, stop := context.WithCancel(ctx)
-	r.keeper = keeper.Start(ctx, keeper.Options{Node: &auditedNode{n.Node, r}, Boot: initial, Machine: machine, History: configHistory, Live: daemon.Live, Logger: log})
+	r.keeper = keeper.Start(ctx, keeper.Options{Node: &auditedNode{n.Node, r}, Initial: initial, Machine: machine, History: configHistory, LiveSettings: daemon.Live, Logger: log})
 	closers = append(closers, func() error { stop(); return r.keeper.Wait() })
-	gatherer := &admin.Gatherer{Name: "g0", Node: n.Node, Keeper: r.keeper.Handle}
+	gatherer := &admin.Gatherer{Name: "g0", Node: n.Node, RegisterConfigHandlers: r.keeper.RegisterHandlers}
 	socket, err := admin.Serve("unix:"+filepath.Join(r.Dir, "admin.sock"), gatherer.Handler())
 	if err != nil {
 		return end, err
@@ -307,7 +307,7 @@
 
 // proposal returns the next change. Each fourth is bad. The bad ones are, in turn: a segment whose only holder never
 // answers, searches within 10 ms, one open search at most, and three admitted queries at most.
-func (r *configRun) proposal() (p keeper.Proposal, bad bool) {
+func (r *configRun) proposal() (p keeper.StageRequest, bad bool) {
 	i := r.changes
 	inner := ""
 	switch {
@@ -358,20 +358,20 @@
 // guard to undo.
 func (r *configRun) submitChange(ctx context.Context) {
 	p, bad := r.proposal()
-	var s keeper.Staged
+	var s keeper.StageResult
 	if err := r.call(ctx, http.MethodPost, "", p, &s); err != nil {
 		fmt.Fprintln(r.Out, "change was not staged:", err)
 		return
 	}
 	path := fmt.Sprintf("/%d/", s.Tx)
 	applied := time.Now()
-	if err := r.call(ctx, http.MethodPost, path+"apply", keeper.Application{}, nil); err != nil {
+	if err := r.call(ctx, http.MethodPost, path+"apply", keeper.ApplyRequest{}, nil); err != nil {
 		if strings.Contains(err.Error(), "under way") {
 			r.report.Busy++
 		} else {
 			r.report.Late++
 		}
-		_ = r.call(ctx, http.MethodPost, path+"undo", keeper.Withdrawal{Reason: "refused"}, nil)
+		_ = r.call(ctx, http.MethodPost, path+"undo", keeper.UndoRequest{Reason: "refused"}, nil)
 		return
 	}
 	r.report.Applied++
@@ -435,13 +435,13 @@
 		return m.HeapAlloc, len(list), runtime.NumGoroutine()
 	}
 	applyOne := func(i int) error {
-		var s keeper.Staged
-		p := keeper.Proposal{Bundle: bundle.Bundle{Operators: fmt.Appendf(nil, r.operatorsFormat, fmt.Sprintf(`<class name="search" open="%d"/>`, 1000+i))}}
+		var s keeper.StageResult
+		p := keeper.StageRequest{Bundle: bundle.Bundle{Operators: fmt.Appendf(nil, r.operatorsFormat, fmt.Sprintf(`<class name="search" open="%d"/>`, 1000+i))}}
 		if err := r.call(ctx, http.MethodPost, "", p, &s); err != nil {
 			return err
 		}
 		path := fmt.Sprintf("/%d/", s.Tx)
-		if err := r.call(ctx, http.MethodPost, path+"apply", keeper.Application{}, nil); err != nil {
+		if err := r.call(ctx, http.MethodPost, path+"apply", keeper.ApplyRequest{}, nil); err != nil {
 			return err
 		}
 		return wait("a confirmation", func() bool { return r.call(ctx, http.MethodPost, path+"confirm", nil, nil) == nil })
--- a/internal/trial/soak/soak.go
+++ b/internal/trial/soak/soak.go
@@ -234,7 +234,7 @@
 			return err
 		}
 		file := filepath.Join(r.Dir, cfg.Name)
-		g := &admin.Gatherer{Name: cfg.Name, Node: n.Node, Layout: file + ".xml"}
+		g := &admin.Gatherer{Name: cfg.Name, Node: n.Node, LayoutPath: file + ".xml"}
 		if n.admin, err = admin.Serve("unix:"+file+".sock", g.Handler()); err != nil {
 			return err
 		}
@@ -306,11 +306,11 @@
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	c, err := coordinator.Start(ctx, coordinator.Options{
-		Log: filepath.Join(r.Dir, "changes.db"), First: r.deployment.First(), Fleet: r.fleet,
-		Limits:    reshard.Limits{Gatherer: 3 * time.Second},
-		Gatherers: gatherers, Searchers: searchers, Measure: "search", Timeout: time.Second,
+		LogPath: filepath.Join(r.Dir, "changes.db"), InitialLayout: r.deployment.First(), Fleet: r.fleet,
+		Limits:    reshard.Limits{GathererTimeout: 3 * time.Second},
+		Gatherers: gatherers, Searchers: searchers, MeasuredClass: "search", Timeout: time.Second,
 		Wrap:      func(t http.RoundTripper) http.RoundTripper { return &lossyTransport{t, r.rng} },
-		Published: r.onPublished, Ended: r.recordJob, Logger: slog.New(slog.DiscardHandler),
+		OnPublish: r.onPublished, OnEnded: r.recordJob, Logger: slog.New(slog.DiscardHandler),
 	})
 	if err != nil {
 		stop()
@@ -484,7 +484,7 @@
 	case layout.Split:
 		var keys []layout.Key
 		for _, key := range r.store.Keys() {
-			if list[i].Keys.Holds(key) {
+			if list[i].Keys.Contains(key) {
 				keys = append(keys, key)
 			}
 		}
--- a/internal/trial/standin/warehouse.go
+++ b/internal/trial/standin/warehouse.go
@@ -84,7 +84,7 @@
 		for _, h := range s.Holders {
 			held := &heldSegment{keys: s.Keys, rows: make(map[layout.Key]int), reservations: make(map[string]string), complete: true}
 			for _, k := range w.keys {
-				if s.Keys.Holds(k) {
+				if s.Keys.Contains(k) {
 					held.rows[k] = o.Stock
 				}
 			}
@@ -119,7 +119,7 @@
 		wanted := Range{From: layout.Key(f[1]), To: layout.Key(f[2])}
 		var found []string
 		for k := range held.rows {
-			if wanted.Holds(k) {
+			if wanted.Contains(k) {
 				found = append(found, string(k))
 			}
 		}
@@ -139,7 +139,7 @@
 // the earlier answer. A replica whose range does not contain the row's key does nothing and
 // answers with an empty value.
 func (w *Warehouse) reserve(searcher string, held *heldSegment, p Part, k layout.Key) (value string, ok bool) {
-	if !held.keys.Holds(k) {
+	if !held.keys.Contains(k) {
 		return "", true // the query names a segment that was split: the other successor has the row
 	}
 	left, ok := held.rows[k]
@@ -213,7 +213,7 @@
 		return true, true
 	}
 	for _, k := range w.keys {
-		if _, there := held.rows[k]; there || !keys.Holds(k) {
+		if _, there := held.rows[k]; there || !keys.Contains(k) {
 			continue
 		}
 		if maxRows--; maxRows < 0 {
