--- a/admission.go
+++ b/admission.go
@@ -47,7 +47,8 @@
 	if share >= 1 || query.floorWeight >= query.neededWeight {
 		return len(query.Parts)
 	}
-	weight, earns := 0.0, a.worthPerPart(query)*float64(len(query.Parts))*query.class.PartialWorth/query.class.WholeShare
+	weight, earns := 0.0, a.worthPerPart(query)*float64(len(query.Parts))*
+		query.class.PartialWorth/query.class.WholeShare
 	for i, p := range query.Parts {
 		if weight >= query.floorWeight && earns*p.Weight < (1-share)*a.typicalWorth {
 			query.wantedWeight = min(weight, query.neededWeight)
--- a/api.go
+++ b/api.go
@@ -101,9 +101,10 @@
 	Holders []string
 }
 
-// SecondStep brings the parts of a query's second step, which its first Answer requests where Class.SecondStepParts is
-// above 0. The query's time continues, and one more final answer is due. It is whole only if the first was
-// and all of these parts are answered. Where MinShare is under WholeShare, MinShare is the least share of them.
+// SecondStep brings the parts of a query's second step, which its first Answer requests where
+// Class.SecondStepParts is above 0. The query's time continues, and one more final answer is due. It is
+// whole only if the first was and all of these parts are answered. Where MinShare is under WholeShare,
+// MinShare is the least share of them.
 type SecondStep struct {
 	Query uint64
 	Parts []Part
@@ -179,9 +180,9 @@
 }
 
 // Share gives how much of the fleet's limits this aggregator may use until clock time Until: the shares of
-// Slots gatherers out of Settings.Gatherers, which are those of its own number and of the numbers right before
-// it. After Until, and before the first Share, it has its own share only; 0 means none. Whoever sends it
-// ensures that no two aggregators use the share of the same number.
+// Slots gatherers out of Settings.Gatherers, which are those of its own number and of the numbers right
+// before it. After Until, and before the first Share, it has its own share only; 0 means none. Whoever
+// sends it ensures that no two aggregators use the share of the same number.
 type Share struct {
 	Slots int
 	Until time.Duration
@@ -216,8 +217,8 @@
 	Attempt int
 }
 
-// Answer is a final answer from the answered parts, except for the first one where Class.SecondStepParts is above 0:
-// that one brings a SecondStep in the next turn.
+// Answer is a final answer from the answered parts, except for the first one where Class.SecondStepParts
+// is above 0: that one brings a SecondStep in the next turn.
 type Answer struct {
 	Query uint64
 	Whole bool
--- a/assignment.go
+++ b/assignment.go
@@ -188,9 +188,11 @@
 	for _, sent := range searcher.coldWork {
 		more += sent.work
 	}
-	share := a.settings.ColdShare + (1-a.settings.ColdShare)*max(float64(age), 0)/float64(a.settings.ColdDuration)
+	share := a.settings.ColdShare +
+		(1-a.settings.ColdShare)*max(float64(age), 0)/float64(a.settings.ColdDuration)
 	capacity := share * a.settings.ColdMultiple * float64(a.settings.ColdOverloadWindow) * coldOvercommit
-	if searcher.lastAnswerAt > searcher.Started && a.now-searcher.lastAnswerAt < a.settings.ColdOverloadWindow &&
+	if searcher.lastAnswerAt > searcher.Started &&
+		a.now-searcher.lastAnswerAt < a.settings.ColdOverloadWindow &&
 		searcher.relativeLatency < 1+latencyMargin {
 		capacity *= quickColdFactor
 	}
--- a/health.go
+++ b/health.go
@@ -20,7 +20,8 @@
 	searcher.failureRecordedAt = a.now
 	searcher.failureScore += fastSmoothing * (weight - searcher.failureScore*weight)
 	if searcher.ejected {
-		searcher.probeBackoff = min(2*searcher.probeBackoff, max(a.settings.ColdDuration, searcher.probeBackoff))
+		searcher.probeBackoff = min(2*searcher.probeBackoff,
+			max(a.settings.ColdDuration, searcher.probeBackoff))
 		searcher.probeAt = a.now + searcher.probeBackoff
 	} else if searcher.failureScore >= ejectionScore && (searcher.unreachable || !a.isLastReplica(searcher)) {
 		searcher.ejected = true
