--- a/cmd/eiderwinch/cluster_test.go
+++ b/cmd/eiderwinch/cluster_test.go
@@ -36,7 +36,7 @@
 		dir = t.TempDir()
 	}
 	r, err := rig.New(rig.Config{
-		Program: buildProgram(t), Dir: dir, Gatherers: *clusterGatherers, Seed: *clusterSeed, Keys: testpeer.KeyFile("k"), Lease: *clusterLease, Settle: 15 * time.Second,
+		Program: buildProgram(t), Dir: dir, Gatherers: *clusterGatherers, Seed: *clusterSeed, Keys: testpeer.KeyFile("k"), Lease: *clusterLease, ConvergeTimeout: 15 * time.Second,
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -62,18 +62,18 @@
 		t.Fatal(err)
 	}
 	t.Logf("seed %d, %d gatherers, %d faults", *clusterSeed, *clusterGatherers, x.Steps)
-	for _, s := range x.Settled {
+	for _, s := range x.Convergence {
 		slices.Sort(s.Times)
 		t.Logf("%-8s %-7s %3d times, settled after %5d ms (median), %5d ms (worst)", s.Kind, s.When, len(s.Times),
 			s.Times[len(s.Times)/2].Milliseconds(), s.Times[len(s.Times)-1].Milliseconds())
 	}
 	t.Logf("queries %+v", x.Queries)
-	t.Logf("%d changes of views, %d of them without a fault; at most %d slots of gone gatherers held", x.Views, x.Quiet, x.Held)
-	t.Logf("cold searcher: %d parts, %d in its fullest window, where %.0f are allowed", x.Parts, x.Most, x.Allowed)
-	for _, f := range x.Faults {
+	t.Logf("%d changes of views, %d of them without a fault; at most %d slots of gone gatherers held", x.ViewChanges, x.QuietViewChanges, x.MaxHeldSlots)
+	t.Logf("cold searcher: %d parts, %d in its fullest window, where %.0f are allowed", x.ColdParts, x.MaxColdParts, x.AllowedColdParts)
+	for _, f := range x.Violations {
 		t.Error(f)
 	}
-	if q := x.Queries; q.Asked == 0 || q.Asked != q.Answered+q.Refused+q.Failed+q.Died+q.Lost || q.Cold == 0 {
+	if q := x.Queries; q.Asked == 0 || q.Asked != q.Answered+q.Refused+q.Failed+q.Interrupted+q.Lost || q.AnsweredCold == 0 {
 		t.Errorf("%+v", q)
 	}
 	page := filepath.Join(dir, "fleet.html")
--- a/cmd/eiderwinch/configsoak.go
+++ b/cmd/eiderwinch/configsoak.go
@@ -32,7 +32,7 @@
 func (c configSoak) Run(e environment) error {
 	return runSoak(e, c.outputFormat, func(ctx context.Context, dir string, progress io.Writer) (soak.ConfigReport, error) {
 		return soak.RunConfig(ctx, soak.ConfigOptions{
-			Warm: c.Warm, Changes: c.Changes, Every: c.Every, Rate: c.Rate, Row: c.Row, Seed: c.Seed, Dir: dir, Out: progress,
+			WarmUp: c.Warm, ChangeDuration: c.Changes, Interval: c.Every, Rate: c.Rate, SequenceLength: c.Row, Seed: c.Seed, Dir: dir, Out: progress,
 		})
 	}, configRows)
 }
--- a/cmd/eiderwinch/coordinate_test.go
+++ b/cmd/eiderwinch/coordinate_test.go
@@ -23,7 +23,7 @@
 type reshardDeployment struct {
 	dir, path, ops string
 	deployment     *standin.Deployment
-	warehouse      *standin.Warehouse
+	catalogue      *standin.ShardedCatalogue
 }
 
 func newReshardDeployment(t *testing.T) *reshardDeployment {
@@ -32,9 +32,9 @@
 	var err error
 	m.deployment, err = standin.NewDeployment(standin.DeploymentOptions{
 		Searchers: 4, Zones: 2, Cells: 2, Seed: 1,
-		Work: func(l *layout.Layout) standin.Work {
-			m.warehouse = standin.NewWarehouse(standin.WarehouseOptions{Keys: 20, Seed: 1}, l)
-			return m.warehouse
+		Handler: func(l *layout.Layout) standin.Handler {
+			m.catalogue = standin.NewShardedCatalogue(standin.ShardedCatalogueOptions{Keys: 20, Seed: 1}, l)
+			return m.catalogue
 		},
 		Layout: func(ids, _ []string) *layout.Layout {
 			l, err := layout.First(layout.Segment{Holders: []string{ids[0], ids[2]}})
@@ -50,7 +50,7 @@
 	t.Cleanup(func() { _ = m.deployment.Close() })
 	var peers strings.Builder
 	for _, s := range m.deployment.Searchers {
-		c := standin.NewCustodian(s.ID(), m.warehouse, filepath.Join(m.dir, s.ID()))
+		c := standin.NewAssignmentServer(s.ID(), m.catalogue, filepath.Join(m.dir, s.ID()))
 		if err := c.Open(); err != nil {
 			t.Fatal(err)
 		}
@@ -58,7 +58,7 @@
 		fmt.Fprintf(&peers, `<searcher name=%q endpoint=%q/>`, s.ID(), c.Endpoint())
 	}
 	var text strings.Builder
-	if err := layoutfile.Write(&text, m.deployment.First(), m.deployment.Fleet(2)); err != nil {
+	if err := layoutfile.Write(&text, m.deployment.InitialLayout(), m.deployment.Fleet(2)); err != nil {
 		t.Fatal(err)
 	}
 	for name, text := range map[string]string{
@@ -219,7 +219,7 @@
 	if _ = lost.Wait(); lost.ProcessState.ExitCode() != exitFailure {
 		t.Errorf("the coordinator without its log ended with %v", lost.ProcessState)
 	}
-	if held := m.warehouse.Held("s-01"); len(held) != 1 {
+	if held := m.catalogue.Held("s-01"); len(held) != 1 {
 		t.Errorf("it made a new holder drop its segment: %v", held)
 	}
 	_ = g.Process.Signal(syscall.SIGTERM)
--- a/cmd/eiderwinch/demo.go
+++ b/cmd/eiderwinch/demo.go
@@ -191,7 +191,7 @@
 func (a *demoClient) post(ctx context.Context, q *demoQuery) error {
 	got, err := ask.Do(ctx, a.client, a.addr, ask.Query{
 		Class: q.class, Trace: q.trace, Key: q.key, Expires: 4 * time.Second, Segments: q.segments, Statement: q.statement,
-		About: q.about, Tenant: q.tenant,
+		User: q.about, Tenant: q.tenant,
 	})
 	if got.Status != 0 {
 		q.took, q.status = got.Done.Sub(got.Sent), got.Status
@@ -237,7 +237,7 @@
 		n := s.Counts()
 		calls, parts = calls+n.Calls, parts+n.Parts
 	}
-	doubled := deployment.Stock.Doubled()
+	doubled := deployment.Catalogue.DuplicateReservations()
 	fmt.Fprintf(a.out, "\n%d of %d answered whole; %d parts in %d calls; %d reservations made twice.\n",
 		whole, len(a.queries), parts, calls, len(doubled))
 	switch {
--- a/cmd/eiderwinch/experiment.go
+++ b/cmd/eiderwinch/experiment.go
@@ -54,7 +54,7 @@
 	defer stop()
 	bar := progressbar.NewOptions(len(x.Points()), progressbar.OptionSetWriter(e.stderr), progressbar.OptionSetDescription("runs"),
 		progressbar.OptionShowCount(), progressbar.OptionClearOnFinish())
-	runs, err := experiment.Play(ctx, x, c.results(), c.Workers, func(over, _ int) { _ = bar.Set(over) })
+	runs, err := experiment.RunAll(ctx, x, c.results(), c.Workers, func(over, _ int) { _ = bar.Set(over) })
 	if err != nil && !errors.Is(err, experiment.ErrBreach) {
 		return err
 	}
@@ -70,7 +70,7 @@
 		return errors.Join(c.print(e.stdout, groups), err)
 	}
 	t := tabwriter.NewWriter(e.stdout, 0, 0, 2, ' ', 0)
-	fmt.Fprintf(t, "scenario\t%s\tclass\truns\tin time\trefused\tfailed\tp99 ms\n", x.Of)
+	fmt.Fprintf(t, "scenario\t%s\tclass\truns\tin time\trefused\tfailed\tp99 ms\n", x.SweptAttribute)
 	for _, g := range groups {
 		fmt.Fprintf(t, "%s\t%g\t%s\t%d\t%.2f%% (%.2f to %.2f)\t%.2f%%\t%.2f%%\t%.0f\n", g.Scenario, g.Value, g.Class, g.Runs,
 			100*g.InTime.Mean, 100*g.InTime.Low, 100*g.InTime.High, 100*g.Refused.Mean, 100*g.Failed.Mean, g.P99.Mean)
@@ -102,7 +102,7 @@
 		c.HTML = name + ".html"
 	}
 	var b bytes.Buffer
-	if err := experiment.Report(&b, filepath.Base(name), x.Of, runs); err != nil {
+	if err := experiment.Report(&b, filepath.Base(name), x.SweptAttribute, runs); err != nil {
 		return err
 	}
 	if err := admin.WriteFileAtomic(c.HTML, b.Bytes()); err != nil {
--- a/cmd/eiderwinch/fleet_test.go
+++ b/cmd/eiderwinch/fleet_test.go
@@ -95,7 +95,7 @@
 func (f *testFleet) waitConverged(what string, most time.Duration, want int, members ...*member) {
 	f.t.Helper()
 	began := time.Now()
-	testpeer.Until(f.t, what, func() bool {
+	testpeer.WaitUntil(f.t, what, func() bool {
 		digest := ""
 		for _, m := range members {
 			s, ok := m.state(f.t)
@@ -165,7 +165,7 @@
 		code, out, _ = runCommand(t, nil, "fleet", "check", endpoint(all[0]), endpoint(all[1]), endpoint(all[2]))
 		return code, out
 	}
-	testpeer.Until(t, "all hold their slots", func() bool { code, out := check(); return code == exitOK && strings.Contains(out, "3 slots") })
+	testpeer.WaitUntil(t, "all hold their slots", func() bool { code, out := check(); return code == exitOK && strings.Contains(out, "3 slots") })
 	signals := make(chan os.Signal, 1)
 	seen := make(chan string)
 	go func() {
@@ -180,12 +180,12 @@
 		t.Errorf("code %d, %s", code, out)
 	}
 	c := testpeer.NewClient(t, all[1].addr)
-	if resp, _ := c.Say("GET /_health HTTP/1.1\r\n\r\n").Hear(); resp.StatusCode != 200 {
+	if resp, _ := c.Send("GET /_health HTTP/1.1\r\n\r\n").ReadResponse(); resp.StatusCode != 200 {
 		t.Errorf("health of the gatherer that left: %s", resp.Status)
 	}
 	time.Sleep(100 * time.Millisecond) // so that the watch sees it
 	signals <- syscall.SIGTERM
-	if out := testpeer.Get(t, seen, "the watch ends"); !strings.Contains(out, "holds 2 slots, g1 left") {
+	if out := testpeer.Receive(t, seen, "the watch ends"); !strings.Contains(out, "holds 2 slots, g1 left") {
 		t.Errorf("have %s", out)
 	}
 	if code, out, _ := runCommand(t, nil, "fleet", "check", "--json", endpoint(all[0]), endpoint(all[2])); code != exitOK || !strings.Contains(out, `"settled": true`) {
--- a/cmd/eiderwinch/layout_test.go
+++ b/cmd/eiderwinch/layout_test.go
@@ -98,15 +98,15 @@
 	c := testpeer.NewClient(t, addr)
 	ask := func(trace string, segments ...int) {
 		t.Helper()
-		c.Say(testpeer.Query("search", trace, time.Minute, 1)) // segment 0
+		c.Send(testpeer.Query("search", trace, time.Minute, 1)) // segment 0
 		var got []int
 		for range segments {
-			part := testpeer.Get(t, s.Parts, "a part")
+			part := testpeer.Receive(t, s.Parts, "a part")
 			got = append(got, part.Shard)
 			part.Answer("served", 1, "v")
 		}
 		slices.Sort(got)
-		if resp, body := c.Hear(); resp.StatusCode != 200 || !slices.Equal(got, segments) {
+		if resp, body := c.ReadResponse(); resp.StatusCode != 200 || !slices.Equal(got, segments) {
 			t.Errorf("%s: %s %s, parts of segments %v", trace, resp.Status, body, got)
 		} else if epoch := resp.Header.Get("X-Layout-Epoch"); epoch != map[int]string{1: "1", 2: "3"}[len(segments)] {
 			t.Errorf("%s: epoch %q", trace, epoch)
--- a/cmd/eiderwinch/leaving_test.go
+++ b/cmd/eiderwinch/leaving_test.go
@@ -61,7 +61,7 @@
 			return
 		case <-time.After(pause):
 		}
-		_ = c.SetDeadline(time.Now().Add(testpeer.Patience))
+		_ = c.SetDeadline(time.Now().Add(testpeer.Timeout))
 		if _, err := c.Write([]byte(testpeer.Query("search", fmt.Sprint(name, ".", i), time.Second, 1))); err != nil {
 			return
 		}
@@ -86,7 +86,7 @@
 	// This searcher holds each part for 10 ms, so that the other one gets parts meanwhile. Of two idle searchers the
 	// one that was faster in the first calls gets nearly all parts: on a busy machine the other got 7 of 11,578 in 19 s.
 	stays := newRecordingSearcher(t, "stays", 10*time.Millisecond)
-	d.Tell(stays.member(standin.Ready))
+	d.Publish(stays.member(standin.Ready))
 	var running []*program
 	var stop chan struct{}
 	begin := func(known []byte) {
@@ -122,18 +122,18 @@
 		fault func(leave func()) (counts time.Time)
 	}{
 		{"nothing", func(leave func()) time.Time { leave(); return time.Now() }},
-		{"a reset", func(leave func()) time.Time { d.Break(); leave(); return time.Now() }},
+		{"a reset", func(leave func()) time.Time { d.ResetConns(); leave(); return time.Now() }},
 		{"a silence, after a reset", func(leave func()) time.Time {
-			d.Silence()
-			d.Break()
+			d.PauseResponses()
+			d.ResetConns()
 			time.Sleep(1300 * time.Millisecond)
 			leave()
-			d.Speak()
+			d.ResumeResponses()
 			return time.Now()
 		}},
 		{"lists over several lines", func(leave func()) time.Time { d.Indent(); leave(); return time.Now() }},
 		{"watches that fall silent", func(leave func()) time.Time {
-			d.Deafen()
+			d.MuteOpenWatches()
 			counts := time.Now().Add(6 * time.Second)
 			leave()
 			return counts
@@ -148,13 +148,13 @@
 		}},
 	} {
 		leaves := newRecordingSearcher(t, fmt.Sprint("leaves", i), 0)
-		d.Tell(leaves.member(standin.Ready))
-		testpeer.Until(t, c.name+": parts before the update", func() bool { n, _ := leaves.seen(); return n > 20 })
-		counts := c.fault(func() { d.Tell(leaves.member(standin.Terminating)) })
+		d.Publish(leaves.member(standin.Ready))
+		testpeer.WaitUntil(t, c.name+": parts before the update", func() bool { n, _ := leaves.seen(); return n > 20 })
+		counts := c.fault(func() { d.Publish(leaves.member(standin.Terminating)) })
 		time.Sleep(time.Until(counts.Add(grace)))
 		n, _ := leaves.seen()
 		other, _ := stays.seen()
-		testpeer.Until(t, c.name+": service after the update", func() bool { m, _ := stays.seen(); return m > other+20 })
+		testpeer.WaitUntil(t, c.name+": service after the update", func() bool { m, _ := stays.seen(); return m > other+20 })
 		if m, last := leaves.seen(); m > n {
 			t.Errorf("%s: %d parts later than %v after the update counts, the last after %v", c.name, m-n, grace, last.Sub(counts))
 		}
@@ -180,7 +180,7 @@
 		}
 		members = append(members, m)
 	}
-	d.Tell(members...)
+	d.Publish(members...)
 	var known struct{ Members []json.RawMessage }
 	if err := json.Unmarshal(d.List(), &known); err != nil {
 		t.Fatal(err)
@@ -196,7 +196,7 @@
 	}
 	_, addr, _ := strings.Cut(line, "addr=")
 	addr, _, _ = strings.Cut(addr, " ")
-	testpeer.Until(t, "the member list", func() bool {
+	testpeer.WaitUntil(t, "the member list", func() bool {
 		_ = p.Process.Signal(syscall.SIGUSR1)
 		return strings.Contains(p.waitForLog(t, "msg=counters"), "discovery.updates=2 ")
 	})
@@ -205,9 +205,9 @@
 		testpeer.Query("search", "t", time.Minute, 1))
 	body := query[strings.Index(query, "\r\n\r\n")+4:]
 	head := query[:strings.Index(query, "Content-Length")]
-	c := testpeer.NewClient(t, addr).Say(fmt.Sprintf("%sContent-Length: %d\r\n\r\n%s", head, len(body), body))
-	testpeer.Get(t, s.Parts, "a part").Answer("served", 1, "v")
-	if resp, _ := c.Hear(); resp.StatusCode != 200 {
+	c := testpeer.NewClient(t, addr).Send(fmt.Sprintf("%sContent-Length: %d\r\n\r\n%s", head, len(body), body))
+	testpeer.Receive(t, s.Parts, "a part").Answer("served", 1, "v")
+	if resp, _ := c.ReadResponse(); resp.StatusCode != 200 {
 		t.Errorf("have %s", resp.Status)
 	}
 	if rss := residentKB(t, p.Process.Pid); rss > 64<<10 {
--- a/cmd/eiderwinch/load.go
+++ b/cmd/eiderwinch/load.go
@@ -88,7 +88,7 @@
 	ctx, stop := e.untilSignal()
 	defer stop()
 	o := load.Options{
-		Addr: c.At, Rate: c.Rate, Duration: c.Duration, Segments: c.Segments, Classes: load.Usual(), Open: c.Open, Timeout: loadTimeout, Seed: c.Seed,
+		Addr: c.At, Rate: c.Rate, Duration: c.Duration, Segments: c.Segments, Classes: load.DefaultClasses(), Open: c.Open, Timeout: loadTimeout, Seed: c.Seed,
 	}
 	if c.At == "" {
 		l, startErr := startLoopback(standin.DeploymentOptions{Seed: c.Seed}, slog.New(slog.DiscardHandler))
--- a/cmd/eiderwinch/main_test.go
+++ b/cmd/eiderwinch/main_test.go
@@ -85,7 +85,7 @@
 func (p *program) waitForLog(t *testing.T, part string) string {
 	t.Helper()
 	for {
-		line := testpeer.Get(t, p.lines, part)
+		line := testpeer.Receive(t, p.lines, part)
 		if line == "" {
 			t.Fatalf("the program ended without %q", part)
 		}
@@ -107,13 +107,13 @@
 	addr, _, _ = strings.Cut(addr, " ")
 
 	c := testpeer.NewClient(t, addr)
-	if resp, _ := c.Say("GET /_health HTTP/1.1\r\n\r\n").Hear(); resp.StatusCode != 200 {
+	if resp, _ := c.Send("GET /_health HTTP/1.1\r\n\r\n").ReadResponse(); resp.StatusCode != 200 {
 		t.Errorf("health: %s", resp.Status)
 	}
-	c.Say(testpeer.Query("search", "t1", time.Minute, 2))
-	testpeer.Get(t, s.Parts, "a part").Answer("served", 1, "a")
-	testpeer.Get(t, s.Parts, "a part").Answer("served", 1, "b")
-	if resp, body := c.Hear(); resp.StatusCode != 200 || !strings.HasPrefix(body, `{"full":true,`) {
+	c.Send(testpeer.Query("search", "t1", time.Minute, 2))
+	testpeer.Receive(t, s.Parts, "a part").Answer("served", 1, "a")
+	testpeer.Receive(t, s.Parts, "a part").Answer("served", 1, "b")
+	if resp, body := c.ReadResponse(); resp.StatusCode != 200 || !strings.HasPrefix(body, `{"full":true,`) {
 		t.Errorf("have %s %s", resp.Status, body)
 	}
 	_ = p.Process.Signal(syscall.SIGUSR1)
@@ -122,7 +122,7 @@
 	}
 
 	// SIGHUP with an invalid file changes nothing; with a valid one the watch moves to the new address.
-	testpeer.Get(t, d.Watches, "a watch")
+	testpeer.Receive(t, d.Watches, "a watch")
 	p.configure(t, text("nowhere"))
 	_ = p.Process.Signal(syscall.SIGHUP)
 	if line := p.waitForLog(t, "not reloaded"); !strings.Contains(line, "discovery") {
@@ -130,30 +130,30 @@
 	}
 	p.configure(t, text(moved.Addr))
 	_ = p.Process.Signal(syscall.SIGHUP)
-	moved.Tell(testpeer.List(2, true, testpeer.Member("s", s.Addr, "Ready", 0)))
-	testpeer.Get(t, moved.Watches, "a watch at the new address")
+	moved.SetList(testpeer.MemberList(2, true, testpeer.Member("s", s.Addr, "Ready", 0)))
+	testpeer.Receive(t, moved.Watches, "a watch at the new address")
 
 	// At SIGTERM one query is open and one connection idle.
 	idle := testpeer.NewClient(t, addr)
-	idle.Say("GET /_health HTTP/1.1\r\n\r\n").Hear()
-	c.Say(testpeer.Query("search", "t2", time.Minute, 1))
-	part := testpeer.Get(t, s.Parts, "a part")
+	idle.Send("GET /_health HTTP/1.1\r\n\r\n").ReadResponse()
+	c.Send(testpeer.Query("search", "t2", time.Minute, 1))
+	part := testpeer.Receive(t, s.Parts, "a part")
 	_ = p.Process.Signal(syscall.SIGTERM)
 	p.waitForLog(t, "msg=draining")
 	_ = p.Process.Signal(syscall.SIGHUP) // has no effect while draining
-	if resp, _ := idle.Say("GET /_health HTTP/1.1\r\n\r\n").Hear(); resp.StatusCode != 503 || resp.Close {
+	if resp, _ := idle.Send("GET /_health HTTP/1.1\r\n\r\n").ReadResponse(); resp.StatusCode != 503 || resp.Close {
 		t.Errorf("health of a draining program: %s", resp.Status)
 	}
-	late := testpeer.NewClient(t, addr).Say(testpeer.Query("search", "t3", time.Minute, 1)) // still accepted
-	testpeer.Get(t, s.Parts, "a part").Answer("served", 1, "d")
+	late := testpeer.NewClient(t, addr).Send(testpeer.Query("search", "t3", time.Minute, 1)) // still accepted
+	testpeer.Receive(t, s.Parts, "a part").Answer("served", 1, "d")
 	part.Answer("served", 1, "c")
 	for _, c := range []*testpeer.Client{c, late} {
-		if resp, body := c.Hear(); resp.StatusCode != 200 || !strings.Contains(body, "cell") {
+		if resp, body := c.ReadResponse(); resp.StatusCode != 200 || !strings.Contains(body, "cell") {
 			t.Errorf("answer while draining: %s %s", resp.Status, body)
 		}
 	}
 	for _, c := range []*testpeer.Client{c, late, idle} {
-		c.Closed()
+		c.ExpectClosed()
 	}
 	p.waitForLog(t, "msg=counters")
 	for range p.lines { // until the program closes its log
--- a/cmd/eiderwinch/signals_test.go
+++ b/cmd/eiderwinch/signals_test.go
@@ -25,7 +25,7 @@
 	}
 	_ = p.Process.Signal(syscall.SIGHUP)
 	var writer *os.File
-	testpeer.Until(t, "the file is being read", func() (ok bool) {
+	testpeer.WaitUntil(t, "the file is being read", func() (ok bool) {
 		var err error
 		writer, err = os.OpenFile(p.file, os.O_WRONLY|syscall.O_NONBLOCK, 0) // succeeds only while a reader has it open
 		return err == nil
@@ -68,7 +68,7 @@
 	e.signals, e.reloads, e.reports = signals(syscall.SIGTERM), signals(syscall.SIGHUP), signals(syscall.SIGUSR1)
 	done := make(chan int, 1)
 	go func() { done <- run(nil, e) }()
-	if code := testpeer.Get(t, done, "the end"); code != exitOK || !bytes.Contains(log.Bytes(), []byte("msg=draining")) {
+	if code := testpeer.Receive(t, done, "the end"); code != exitOK || !bytes.Contains(log.Bytes(), []byte("msg=draining")) {
 		t.Errorf("the program ended with %d: %s", code, log.String())
 	}
 }
--- a/cmd/eiderwinch/soak.go
+++ b/cmd/eiderwinch/soak.go
@@ -34,7 +34,7 @@
 func (c layoutSoak) Run(e environment) error {
 	return runSoak(e, c.outputFormat, func(ctx context.Context, dir string, progress io.Writer) (soak.Report, error) {
 		return soak.Run(ctx, soak.Options{
-			Rounds: c.Rounds, Quiet: c.Quiet, Changes: c.Changes, Every: c.Every, Rate: c.Rate, Seed: c.Seed, Dir: dir, Out: progress,
+			Rounds: c.Rounds, Quiet: c.Quiet, Changes: c.Changes, Interval: c.Every, Rate: c.Rate, Seed: c.Seed, Dir: dir, Out: progress,
 		})
 	}, layoutRows)
 }
--- a/internal/configuration/keeper/keeper_test.go
+++ b/internal/configuration/keeper/keeper_test.go
@@ -135,7 +135,7 @@
 	if err := k.Apply(ctx, tx, time.Minute, &auto); err != nil {
 		t.Fatal(err)
 	}
-	testpeer.Until(t, "probation", func() bool { return k.stateOf(t, tx) == "probation" })
+	testpeer.WaitUntil(t, "probation", func() bool { return k.stateOf(t, tx) == "probation" })
 	if l := n.applied[0]; l.Core.Generation != 2 || l.Core.Classes[0].MaxOpen != 7 || l.Core.Classes[0].Attempts != 2 || l.Multiplex != 3 || l.Core.MaxOpen != 1000 {
 		t.Errorf("applied %+v with %+v", l, l.Core)
 	}
@@ -185,11 +185,11 @@
 	if err := k.Apply(context.Background(), tx, time.Hour, nil); err != nil {
 		t.Fatal(err)
 	}
-	testpeer.Until(t, "probation", func() bool { return k.stateOf(t, tx) == "probation" })
+	testpeer.WaitUntil(t, "probation", func() bool { return k.stateOf(t, tx) == "probation" })
 	add(60) // the second of the change itself
 	add(60)
 	add(60)
-	testpeer.Until(t, "the undo", func() bool { return k.stateOf(t, tx) == "undone" })
+	testpeer.WaitUntil(t, "the undo", func() bool { return k.stateOf(t, tx) == "undone" })
 	if n.lastGeneration() != 1 {
 		t.Errorf("generation %d is in force", n.lastGeneration())
 	}
@@ -206,7 +206,7 @@
 	if err := k.Apply(context.Background(), tx, 0, nil); err != nil {
 		t.Fatal(err)
 	}
-	testpeer.Until(t, "the undo", func() bool { return k.stateOf(t, tx) == "undone" })
+	testpeer.WaitUntil(t, "the undo", func() bool { return k.stateOf(t, tx) == "undone" })
 }
 
 // Runs many changes one after the other: none may be lost, and the candidates and
@@ -232,7 +232,7 @@
 		if err := k.Apply(ctx, tx, time.Minute, nil); err != nil {
 			t.Fatal(err)
 		}
-		testpeer.Until(t, "probation", func() bool { return k.Confirm(ctx, tx) == nil })
+		testpeer.WaitUntil(t, "probation", func() bool { return k.Confirm(ctx, tx) == nil })
 	}
 	if n.lastGeneration() != uint64(changes)+1 {
 		t.Errorf("generation %d", n.lastGeneration())
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -33,7 +33,7 @@
 	}
 	serve := func(s *testpeer.Searcher, parts int) {
 		for range parts {
-			testpeer.Get(t, s.Parts, "a part").Answer("served", 1, "v")
+			testpeer.Receive(t, s.Parts, "a part").Answer("served", 1, "v")
 		}
 	}
 	served := func(parts int) func(*testpeer.Searcher) {
@@ -41,11 +41,11 @@
 	}
 	fails := func(end string, then int) func(*testpeer.Searcher) {
 		return func(s *testpeer.Searcher) {
-			testpeer.Get(t, s.Parts, "a part").Answer(end, 0, "")
+			testpeer.Receive(t, s.Parts, "a part").Answer(end, 0, "")
 			serve(s, then)
 		}
 	}
-	silent := func(s *testpeer.Searcher) { testpeer.Get(t, s.Parts, "a part") }
+	silent := func(s *testpeer.Searcher) { testpeer.Receive(t, s.Parts, "a part") }
 	nothing := func(*testpeer.Searcher) {}
 	for name, c := range map[string]struct {
 		settings string
@@ -99,9 +99,9 @@
 				t.Fatal(err)
 			}
 			n := New(cfg, Options{}, stats.New(), slog.New(slog.DiscardHandler))
-			client := testpeer.NewClient(t, run(t, n)).Say(testpeer.Query(c.class, "t", c.expires, c.parts))
+			client := testpeer.NewClient(t, run(t, n)).Send(testpeer.Query(c.class, "t", c.expires, c.parts))
 			c.do(s)
-			resp, body := client.Hear()
+			resp, body := client.ReadResponse()
 			if resp.StatusCode != c.status || !strings.Contains(body, c.want) {
 				t.Errorf("have %s %s, want %d with %s", resp.Status, body, c.status, c.want)
 			}
@@ -119,10 +119,10 @@
 func run(t *testing.T, n *netio.Node) string {
 	ended := make(chan error, 1)
 	go func() { ended <- n.Run() }()
-	testpeer.Get(t, n.Started(), "the start")
+	testpeer.Receive(t, n.Started(), "the start")
 	t.Cleanup(func() {
 		n.Drain()
-		if err := testpeer.Get(t, ended, "the end"); err != nil {
+		if err := testpeer.Receive(t, ended, "the end"); err != nil {
 			t.Error(err)
 		}
 	})
--- a/internal/fleet/net/node_test.go
+++ b/internal/fleet/net/node_test.go
@@ -51,7 +51,7 @@
 func waitForMembers(t testing.TB, what string, nodes []*Node, want int) time.Duration {
 	t.Helper()
 	began := time.Now()
-	testpeer.Until(t, fmt.Sprintf("%s: all views have %d members", what, want), func() bool {
+	testpeer.WaitUntil(t, fmt.Sprintf("%s: all views have %d members", what, want), func() bool {
 		for _, n := range nodes {
 			if v := n.View(); len(v.Members) != want || v.Digest != nodes[0].View().Digest {
 				return false
@@ -75,12 +75,12 @@
 		t.Errorf("watched %+v", v)
 	}
 	nodes[2].Describe(3, 4)
-	testpeer.Until(t, "others know what a member serves", func() bool {
+	testpeer.WaitUntil(t, "others know what a member serves", func() bool {
 		list, _, _ := nodes[1].KnownMembers()
 		return slices.ContainsFunc(list, func(m view.Member) bool { return m.Name == "g2" && m.Generation == 3 && m.Epoch == 4 })
 	})
 	newer := listenNamed(t, "g3", 50, "f", first.Addr())
-	testpeer.Until(t, "the older of two processes with one name steps down", nodes[3].SteppedDown)
+	testpeer.WaitUntil(t, "the older of two processes with one name steps down", nodes[3].SteppedDown)
 	if newer.SteppedDown() {
 		t.Error("the newer process has stepped down, too")
 	}
@@ -125,7 +125,7 @@
 		_, _ = c.Write([]byte(b))
 		_ = c.Close()
 	}
-	testpeer.Until(t, "all of it is counted", func() bool {
+	testpeer.WaitUntil(t, "all of it is counted", func() bool {
 		_, c, _ := n.KnownMembers()
 		return c.Seal.Malformed >= 4 && c.Seal.Fleet > 0 && c.Seal.Replayed == 1 && c.View.Malformed == 1
 	})
--- a/internal/fleet/net/shares_test.go
+++ b/internal/fleet/net/shares_test.go
@@ -43,7 +43,7 @@
 	}
 	waitForSlots := func(what string, want ...int) {
 		t.Helper()
-		testpeer.Until(t, what, func() bool {
+		testpeer.WaitUntil(t, what, func() bool {
 			for i, n := range nodes {
 				if s, _ := n.Share(); n.ctx.Err() == nil && s.Slots != want[i] {
 					return false
--- a/internal/netio/clientconn_test.go
+++ b/internal/netio/clientconn_test.go
@@ -29,13 +29,13 @@
 	h.t.Helper()
 	done := make(chan struct{})
 	h.exec(func() { f(); close(done) })
-	testpeer.Get(h.t, done, "the loop")
+	testpeer.Receive(h.t, done, "the loop")
 }
 
 // waitUntil waits until f, which runs on the event loop, returns true.
 func (h *harness) waitUntil(what string, f func() bool) {
 	h.t.Helper()
-	for end := time.Now().Add(testpeer.Patience); ; {
+	for end := time.Now().Add(testpeer.Timeout); ; {
 		done := false
 		h.onLoop(func() { done = f() })
 		if done {
@@ -50,12 +50,12 @@
 // exchange sends a request, and reports whether its answer closes the connection.
 func exchange(t *testing.T, c *testpeer.Client, request string) (closes bool) {
 	t.Helper()
-	resp, _ := c.Say(request).Hear()
+	resp, _ := c.Send(request).ReadResponse()
 	if resp.StatusCode != 200 {
 		t.Errorf("have %s", resp.Status)
 	}
 	if resp.Close {
-		c.Closed()
+		c.ExpectClosed()
 	}
 	return resp.Close
 }
@@ -90,12 +90,12 @@
 func TestFromTheFirmBoundAllClientsAreToldToClose(t *testing.T) {
 	h := startBounded(t, 2, 2, 100)
 	a, b, c := testpeer.NewClient(t, h.Addr()), testpeer.NewClient(t, h.Addr()), testpeer.NewClient(t, h.Addr())
-	c.Say(testpeer.Query("search", "t", time.Minute, 1)) // waits for its answer, so two others may be idle
+	c.Send(testpeer.Query("search", "t", time.Minute, 1)) // waits for its answer, so two others may be idle
 	p := h.nextPart()
 	exchange(t, a, healthRequest)
 	exchange(t, b, healthRequest)
 	p.Answer("served", 1, "v")
-	if resp, body := c.Hear(); !resp.Close || !strings.Contains(body, `"v"`) {
+	if resp, body := c.ReadResponse(); !resp.Close || !strings.Contains(body, `"v"`) {
 		t.Errorf("have %s %s, close %v", resp.Status, body, resp.Close)
 	}
 }
@@ -108,23 +108,23 @@
 		h.clientTable = limit.New[*clientConn](h.cfg.Clients)
 	})
 	a, b := testpeer.NewClient(t, h.Addr()), testpeer.NewClient(t, h.Addr())
-	b.Say(testpeer.Query("search", "t", time.Minute, 1))
+	b.Send(testpeer.Query("search", "t", time.Minute, 1))
 	p := h.nextPart()
 	exchange(t, a, healthRequest)
 	h.Drain()
 	h.onLoop(func() {})
 	p.Answer("served", 1, "v")
-	if resp, _ := b.Hear(); resp.StatusCode != 200 || resp.Close {
+	if resp, _ := b.ReadResponse(); resp.StatusCode != 200 || resp.Close {
 		t.Errorf("have %s, close %v", resp.Status, resp.Close)
 	}
 	// But a client that only asks for health gives up its place.
-	resp, _ := testpeer.NewClient(t, h.Addr()).Say(healthRequest).Hear()
+	resp, _ := testpeer.NewClient(t, h.Addr()).Send(healthRequest).ReadResponse()
 	if resp.StatusCode != 503 || !resp.Close {
 		t.Errorf("health: %s, close %v", resp.Status, resp.Close)
 	}
 	h.onLoop(func() { h.serveUntil = time.Now() })
-	a.Closed()
-	b.Closed()
+	a.ExpectClosed()
+	b.ExpectClosed()
 }
 
 // Long idle connections are closed only if there are many of them, the longest idle first.
@@ -134,13 +134,13 @@
 	clients := make([]*testpeer.Client, 3)
 	for i := range clients {
 		clients[i] = testpeer.NewClient(t, h.Addr())
-		clients[i].Say(testpeer.Query("search", string(rune('a'+i)), time.Minute, 1))
+		clients[i].Send(testpeer.Query("search", string(rune('a'+i)), time.Minute, 1))
 	}
 	for range clients {
 		h.nextPart().Answer("served", 1, "v")
 	}
 	for _, c := range clients {
-		c.Hear()
+		c.ReadResponse()
 	}
 	exchange(t, clients[0], healthRequest) // this client sends a second request
 	h.onLoop(func() {
@@ -176,15 +176,15 @@
 		h.waitUntil("the connection is accepted", func() bool { return h.clientTable.Count(stage) == 1 })
 		h.onLoop(func() {
 			c := h.clientTable.Oldest(stage).Owner
-			a.Say(healthRequest)
-			for end := time.Now().Add(testpeer.Patience); pendingBytes(c.conn.FD()) == 0 && time.Now().Before(end); {
+			a.Send(healthRequest)
+			for end := time.Now().Add(testpeer.Timeout); pendingBytes(c.conn.FD()) == 0 && time.Now().Before(end); {
 			}
 			shut(h)
 			if h.stats.NotClosed != 1 || c.ending {
 				t.Errorf("%s: spared %d, ending %v", name, h.stats.NotClosed, c.ending)
 			}
 		})
-		if resp, _ := a.Hear(); resp.StatusCode != 200 {
+		if resp, _ := a.ReadResponse(); resp.StatusCode != 200 {
 			t.Errorf("%s: have %s", name, resp.Status)
 		}
 		b := testpeer.NewClient(t, h.Addr())
@@ -199,7 +199,7 @@
 				t.Errorf("%s: a request was taken after the close", name)
 			}
 		})
-		b.Closed()
+		b.ExpectClosed()
 	}
 }
 
@@ -211,8 +211,8 @@
 	exchange(t, b, healthRequest)
 	h.onLoop(func() {
 		oldest := h.clientTable.Oldest(limit.Idle).Owner
-		a.Say(healthRequest)
-		for end := time.Now().Add(testpeer.Patience); pendingBytes(oldest.conn.FD()) == 0 && time.Now().Before(end); {
+		a.Send(healthRequest)
+		for end := time.Now().Add(testpeer.Timeout); pendingBytes(oldest.conn.FD()) == 0 && time.Now().Before(end); {
 		}
 		var more [2]limit.Entry[*clientConn]
 		for i := range more {
@@ -227,10 +227,10 @@
 			t.Errorf("spared %d, evicted %v, crossed %d", h.stats.NotClosed, h.stats.Evicted, h.stats.EvictedInUse)
 		}
 	})
-	if resp, _ := a.Hear(); resp.StatusCode != 200 {
+	if resp, _ := a.ReadResponse(); resp.StatusCode != 200 {
 		t.Errorf("have %s", resp.Status)
 	}
-	b.Closed()
+	b.ExpectClosed()
 }
 
 // A request may be read after its connection was chosen for eviction and before it is closed. It is served, and
@@ -250,25 +250,25 @@
 		chosen.Traffic([]byte(testpeer.Query("search", "t", time.Minute, 1)))
 	})
 	h.nextPart().Answer("served", 1, "v")
-	if resp, _ := a.Hear(); resp.StatusCode != 200 {
+	if resp, _ := a.ReadResponse(); resp.StatusCode != 200 {
 		t.Errorf("have %s", resp.Status)
 	}
-	b.Closed()
+	b.ExpectClosed()
 	h.onLoop(func() { h.clientTable.Remove(&newest.entry) })
 }
 
 // If all other connections are in use, the new one is closed at once, so that nothing on it is read.
 func TestANewConnectionWithoutRoomIsNotRead(t *testing.T) {
 	h := startBounded(t, 100, 100, 1)
-	a := testpeer.NewClient(t, h.Addr()).Say(testpeer.Query("search", "t", time.Minute, 1))
+	a := testpeer.NewClient(t, h.Addr()).Send(testpeer.Query("search", "t", time.Minute, 1))
 	p := h.nextPart()
 	var b *testpeer.Client
-	h.onLoop(func() { b = testpeer.NewClient(t, h.Addr()).Say(healthRequest) })
+	h.onLoop(func() { b = testpeer.NewClient(t, h.Addr()).Send(healthRequest) })
 	if b, err := io.ReadAll(b); len(b) > 0 || !errors.Is(err, syscall.ECONNRESET) {
 		t.Errorf("have %q, %v: it was read", b, err)
 	}
 	p.Answer("served", 1, "v")
-	if resp, _ := a.Hear(); resp.StatusCode != 200 {
+	if resp, _ := a.ReadResponse(); resp.StatusCode != 200 {
 		t.Errorf("have %s", resp.Status)
 	}
 	h.onLoop(func() {
@@ -291,7 +291,7 @@
 			if !c.drain {
 				exchange(t, testpeer.NewClient(t, h.Addr()), healthRequest)
 			}
-			client := testpeer.NewClient(t, h.Addr()).Say(testpeer.Query("search", "t", time.Minute, 1))
+			client := testpeer.NewClient(t, h.Addr()).Send(testpeer.Query("search", "t", time.Minute, 1))
 			first := h.nextPart()
 			next := testpeer.Query("search", "u", time.Minute, 1)
 			h.onLoop(func() {
@@ -301,7 +301,7 @@
 					h.draining, h.drainUntil, h.serveUntil, h.killAt = true, now, now, now.Add(time.Minute)
 				}
 				if c.unread {
-					client.Say(next)
+					client.Send(next)
 					h.spinUntil("the request is received", func() bool { return pendingBytes(owner.conn.FD()) == len(next) })
 				} else {
 					owner.Traffic([]byte(next))
@@ -309,12 +309,12 @@
 				h.pool.searchers["s"].conns[0].Traffic(encodeFrame("at.0 served 1 -\nv"))
 				h.runTurn()
 			})
-			if resp, _ := client.Hear(); resp.Close {
+			if resp, _ := client.ReadResponse(); resp.Close {
 				t.Error("the connection ends in spite of it")
 			}
 			first.Conn.Close()
 			h.nextPart().Answer("served", 1, "w")
-			if resp, body := client.Hear(); resp.StatusCode != 200 || !strings.Contains(body, `"w"`) || !resp.Close {
+			if resp, body := client.ReadResponse(); resp.StatusCode != 200 || !strings.Contains(body, `"w"`) || !resp.Close {
 				t.Errorf("have %s %s, close %v", resp.Status, body, resp.Close)
 			}
 		})
@@ -328,8 +328,8 @@
 	value := strings.Repeat("v", 60_000)
 	slow := func(trace string) *testpeer.Client {
 		c := testpeer.NewClient(t, h.Addr())
-		c.ReadAhead(16 << 10)
-		c.Say(testpeer.Query("search", trace, time.Minute, 4))
+		c.SetReadBuffer(16 << 10)
+		c.Send(testpeer.Query("search", trace, time.Minute, 4))
 		parts := []testpeer.Part{h.nextPart(), h.nextPart(), h.nextPart(), h.nextPart()}
 		h.onLoop(func() {
 			owner := h.clientTable.Oldest(limit.Busy).Owner
@@ -349,11 +349,11 @@
 			t.Error("its place was given away before the answer was sent")
 		}
 	})
-	resp, body := c.Hear()
+	resp, body := c.ReadResponse()
 	if resp.StatusCode != 200 || strings.Count(body, value) != 4 {
 		t.Errorf("have %s and %d bytes", resp.Status, len(body))
 	}
-	c.Closed()
+	c.ExpectClosed()
 	slow("u")
 	h.onLoop(func() {
 		h.checkClients(time.Now().Add(flushTimeout))
--- a/internal/netio/configuredlist_test.go
+++ b/internal/netio/configuredlist_test.go
@@ -15,7 +15,7 @@
 func TestTheConfiguredListDoesNotKnowLaterStarts(t *testing.T) {
 	list := func(complete bool, id string, started int64) func(*harness, *testpeer.Watch) {
 		return func(h *harness, w *testpeer.Watch) {
-			w.Send(testpeer.List(42, complete, testpeer.Member(id, h.searcher.Addr, "Ready", started)))
+			w.Send(testpeer.MemberList(42, complete, testpeer.Member(id, h.searcher.Addr, "Ready", started)))
 		}
 	}
 	send := func(line string) func(*harness, *testpeer.Watch) {
@@ -45,7 +45,7 @@
 			})
 			nextStart := func() (started time.Duration) {
 				for {
-					if e, ok := testpeer.Get(t, h.events, "a list").(eiderwinch.ListChange); ok {
+					if e, ok := testpeer.Receive(t, h.events, "a list").(eiderwinch.ListChange); ok {
 						for _, m := range e.Replicas {
 							if m.ID == "s" {
 								return m.Started
@@ -54,10 +54,10 @@
 					}
 				}
 			}
-			if at := time.Unix(0, int64(nextStart())); time.Since(at) < 0 || time.Since(at) > testpeer.Patience {
+			if at := time.Unix(0, int64(nextStart())); time.Since(at) < 0 || time.Since(at) > testpeer.Timeout {
 				t.Errorf("at first its reported start is %v, want now", at)
 			}
-			c.announce(h, testpeer.Get(t, h.discovery.Watches, "a watch"))
+			c.announce(h, testpeer.Receive(t, h.discovery.Watches, "a watch"))
 			want := time.Duration(0)
 			if c.restarted {
 				want = time.Second // 1000 ms after 1970
--- a/internal/netio/drain_test.go
+++ b/internal/netio/drain_test.go
@@ -29,7 +29,7 @@
 			if first != "" {
 				exchange(t, client, first)
 			}
-			client.Say("POST /search HTTP/1.1\r\nContent-Length: 10\r\n\r\n")
+			client.Send("POST /search HTTP/1.1\r\nContent-Length: 10\r\n\r\n")
 			h.waitUntil("the request has begun", func() bool {
 				return h.clientTable.Count(limit.FirstRequest)+h.clientTable.Count(limit.NextRequest) == 1
 			})
@@ -39,8 +39,8 @@
 				h.killAt = time.Now().Add(answerMargin)
 				h.drained(time.Now())
 			})
-			client.Say("0123456789")
-			if resp, _ := client.Hear(); resp.StatusCode != http.StatusServiceUnavailable || !resp.Close {
+			client.Send("0123456789")
+			if resp, _ := client.ReadResponse(); resp.StatusCode != http.StatusServiceUnavailable || !resp.Close {
 				t.Errorf("have %s, close %v", resp.Status, resp.Close)
 			}
 		})
@@ -51,19 +51,19 @@
 // process waits for clients that were told to close, for as long as it is certain to live.
 func TestADrainWaitsForClientsToReadTheirLastAnswer(t *testing.T) {
 	h := startHarness(t, nil)
-	client := testpeer.NewClient(t, h.Addr()).Say("nonsense\r\n\r\n")
+	client := testpeer.NewClient(t, h.Addr()).Send("nonsense\r\n\r\n")
 	h.waitUntil("the answer is written", func() bool { return h.clientTable.Count(limit.Closing) == 1 })
 	h.Drain()
 	h.onLoop(func() {
-		client.Say("more of it")
+		client.Send("more of it")
 		if now := time.Now(); h.drained(now) || !h.drained(h.killAt) {
 			t.Errorf("drained: %v before the kill, %v at it", h.drained(now), h.drained(h.killAt))
 		}
 	})
-	if resp, _ := client.Hear(); resp.StatusCode != http.StatusBadRequest {
+	if resp, _ := client.ReadResponse(); resp.StatusCode != http.StatusBadRequest {
 		t.Errorf("have %s", resp.Status)
 	}
-	client.Closed()
+	client.ExpectClosed()
 }
 
 // A process may start while the previous one still holds its address. One that can't listen at all must exit,
@@ -90,13 +90,13 @@
 	case <-time.After(100 * time.Millisecond):
 	}
 	other.Close()
-	testpeer.Get(t, n.Started(), "the start")
+	testpeer.Receive(t, n.Started(), "the start")
 	n.acceptFor, n.serveFor = 0, 0
 	n.Drain()
-	if err := testpeer.Get(t, done, "the end"); err != nil {
+	if err := testpeer.Receive(t, done, "the end"); err != nil {
 		t.Error(err)
 	}
-	if _, done := run("192.0.2.1:1"); !errors.Is(testpeer.Get(t, done, "the end of one without an address"), unix.EADDRNOTAVAIL) {
+	if _, done := run("192.0.2.1:1"); !errors.Is(testpeer.Receive(t, done, "the end of one without an address"), unix.EADDRNOTAVAIL) {
 		t.Error("it ended for another reason")
 	}
 }
@@ -113,14 +113,14 @@
 		if !h.drained(now) {
 			t.Error("something is left to do")
 		}
-		client = testpeer.NewClient(t, h.Addr()).Say(testpeer.Query("search", "t", time.Minute, 1))
+		client = testpeer.NewClient(t, h.Addr()).Send(testpeer.Query("search", "t", time.Minute, 1))
 		h.spinUntil("the client is connected", func() bool { return readable(h.loop.ListenerFD()) })
 		if h.drained(now) || !h.drained(h.killAt) {
 			t.Error("the connected client is abandoned, or delays the end without limit")
 		}
 	})
 	h.nextPart().Answer("served", 1, "v")
-	if resp, _ := client.Hear(); resp.StatusCode != http.StatusOK {
+	if resp, _ := client.ReadResponse(); resp.StatusCode != http.StatusOK {
 		t.Errorf("have %s", resp.Status)
 	}
 }
@@ -182,11 +182,11 @@
 				}
 				h.nextPart()
 			} else {
-				testpeer.Get(t, h.events, "the list")
-				testpeer.Get(t, h.events, "the query")
+				testpeer.Receive(t, h.events, "the list")
+				testpeer.Receive(t, h.events, "the query")
 			}
 			h.Drain()
-			resp, _ := client.Hear()
+			resp, _ := client.ReadResponse()
 			if resp.StatusCode != c.want || (resp.Header.Get("Retry-After") != "") != (c.want == http.StatusServiceUnavailable) {
 				t.Errorf("have %s %v", resp.Status, resp.Header)
 			}
@@ -204,8 +204,8 @@
 func TestADrainFlushesAnswers(t *testing.T) {
 	h := startHarness(t, nil)
 	client := testpeer.NewClient(t, h.Addr())
-	client.ReadAhead(16 << 10)
-	client.Say(testpeer.Query("search", "t", time.Minute, 4))
+	client.SetReadBuffer(16 << 10)
+	client.Send(testpeer.Query("search", "t", time.Minute, 4))
 	parts := []testpeer.Part{h.nextPart(), h.nextPart(), h.nextPart(), h.nextPart()}
 	h.onLoop(func() { _ = setSendBuffer(h.clientTable.Oldest(limit.Busy).Owner.conn.FD(), 16<<10) })
 	h.Drain()
@@ -220,10 +220,10 @@
 			t.Error("it ends before the answer is written")
 		}
 	})
-	if resp, body := client.Hear(); resp.StatusCode != http.StatusOK || strings.Count(body, value) != 4 {
+	if resp, body := client.ReadResponse(); resp.StatusCode != http.StatusOK || strings.Count(body, value) != 4 {
 		t.Errorf("have %s and %d bytes", resp.Status, len(body))
 	}
-	client.Closed()
+	client.ExpectClosed()
 }
 
 // Data read after the sending side was shut down is no request: nobody could answer it.
@@ -233,14 +233,14 @@
 	exchange(t, client, "GET /_health HTTP/1.1\r\n\r\n")
 	h.waitUntil("the connection is idle", func() bool { return h.clientTable.Count(limit.Idle) == 1 })
 	h.onLoop(func() { h.clientTable.Oldest(limit.Idle).Owner.closeGracefully() })
-	client.Say(testpeer.Query("search", "t", time.Minute, 1))
+	client.Send(testpeer.Query("search", "t", time.Minute, 1))
 	h.waitUntil("the query is read", func() bool { return h.clientTable.Oldest(limit.Closing).Owner.discarded > 0 })
 	h.onLoop(func() {
 		if h.stats.Taken != 0 {
 			t.Error("the query is taken")
 		}
 	})
-	client.Closed()
+	client.ExpectClosed()
 }
 
 // setSendBuffer sets how many written bytes the system buffers for a connection.
--- a/internal/netio/eventloop/loop_test.go
+++ b/internal/netio/eventloop/loop_test.go
@@ -53,7 +53,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = c.Close() })
-	_ = c.SetDeadline(time.Now().Add(testpeer.Patience))
+	_ = c.SetDeadline(time.Now().Add(testpeer.Timeout))
 	return c
 }
 
@@ -76,10 +76,10 @@
 	if err := l.Execute(l.Stop); err != nil {
 		t.Error(err)
 	}
-	if err := testpeer.Get(t, done, "the end"); err != nil {
+	if err := testpeer.Receive(t, done, "the end"); err != nil {
 		t.Error(err)
 	}
-	if err := testpeer.Get(t, ended, "the connection's end"); err != nil {
+	if err := testpeer.Receive(t, ended, "the connection's end"); err != nil {
 		t.Errorf("connection closed with reason %v, want nil", err)
 	}
 	if err := l.Execute(func() { t.Error("function run after the loop has ended") }); !errors.Is(err, ErrEnded) {
@@ -96,7 +96,7 @@
 	}
 	defer peer.Close()
 	_ = l.Execute(l.Stop)
-	testpeer.Get(t, done, "the end")
+	testpeer.Receive(t, done, "the end")
 	c, err := net.Dial("tcp", peer.Addr().String())
 	if err != nil {
 		t.Fatal(err)
@@ -108,7 +108,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	_ = far.SetDeadline(time.Now().Add(testpeer.Patience))
+	_ = far.SetDeadline(time.Now().Add(testpeer.Timeout))
 	if n, err := far.Read(make([]byte, 1)); n != 0 || errors.Is(err, os.ErrDeadlineExceeded) {
 		t.Errorf("the peer read %d bytes, error %v, want a closed connection", n, err)
 	}
@@ -135,7 +135,7 @@
 	if err := l.Enroll(c, h); err != nil {
 		t.Fatal(err)
 	}
-	own := testpeer.Get(t, h.opened, "the connection")
+	own := testpeer.Receive(t, h.opened, "the connection")
 	buffered := make(chan int, 1)
 	_ = l.Execute(func() {
 		own.StopWriting()
@@ -143,10 +143,10 @@
 		buffered <- own.Buffered()
 		own.Close()
 	})
-	if n := testpeer.Get(t, buffered, "the number of buffered bytes"); n != len("held") {
+	if n := testpeer.Receive(t, buffered, "the number of buffered bytes"); n != len("held") {
 		t.Errorf("%d bytes buffered", n)
 	}
-	_ = far.SetDeadline(time.Now().Add(testpeer.Patience))
+	_ = far.SetDeadline(time.Now().Add(testpeer.Timeout))
 	if n, _ := far.Read(make([]byte, 8)); n != 0 {
 		t.Errorf("%d bytes were sent", n)
 	}
--- a/internal/netio/netio_test.go
+++ b/internal/netio/netio_test.go
@@ -65,7 +65,7 @@
 	h.aggregator = eiderwinch.New(module)
 	h.Node = New(Config{
 		Listen: "127.0.0.1:0", Discovery: h.discovery.Addr, MaxDescriptors: 1024, Multiplex: 32,
-		ConnectTimeout: testpeer.Patience, ConnIdle: time.Minute, DrainGrace: 500 * time.Millisecond, AnswerSlack: 20 * time.Millisecond,
+		ConnectTimeout: testpeer.Timeout, ConnIdle: time.Minute, DrainGrace: 500 * time.Millisecond, AnswerSlack: 20 * time.Millisecond,
 		InitialMembers: catalog.Update{Revision: 41, Members: []catalog.Member{
 			{ID: "s", HostPort: h.searcher.Addr, Phase: catalog.Ready},
 		}},
@@ -77,10 +77,10 @@
 	}
 	ended := make(chan error, 1)
 	go func() { ended <- h.Run() }()
-	testpeer.Get(t, h.Started(), "the start")
+	testpeer.Receive(t, h.Started(), "the start")
 	t.Cleanup(func() {
 		h.Drain()
-		if err := testpeer.Get(t, ended, "the end"); err != nil {
+		if err := testpeer.Receive(t, ended, "the end"); err != nil {
 			t.Error(err)
 		}
 	})
@@ -142,7 +142,7 @@
 func (h *harness) nextOutcome() eiderwinch.Outcome {
 	h.t.Helper()
 	for {
-		if o, ok := testpeer.Get(h.t, h.events, "an outcome").(eiderwinch.Outcome); ok {
+		if o, ok := testpeer.Receive(h.t, h.events, "an outcome").(eiderwinch.Outcome); ok {
 			return o
 		}
 	}
@@ -152,7 +152,7 @@
 func (h *harness) nextListChange() eiderwinch.ListChange {
 	h.t.Helper()
 	for {
-		e, ok := testpeer.Get(h.t, h.events, "a list").(eiderwinch.ListChange)
+		e, ok := testpeer.Receive(h.t, h.events, "a list").(eiderwinch.ListChange)
 		if ok && e.Kind != eiderwinch.Stale {
 			return e
 		}
@@ -161,31 +161,31 @@
 
 func (h *harness) sendQuery(class, trace string, expires time.Duration, parts int) *testpeer.Client {
 	h.t.Helper()
-	return testpeer.NewClient(h.t, h.Addr()).Say(testpeer.Query(class, trace, expires, parts))
+	return testpeer.NewClient(h.t, h.Addr()).Send(testpeer.Query(class, trace, expires, parts))
 }
 
 func (h *harness) nextPart() testpeer.Part {
 	h.t.Helper()
-	return testpeer.Get(h.t, h.searcher.Parts, "a part")
+	return testpeer.Receive(h.t, h.searcher.Parts, "a part")
 }
 
 func TestAQueryIsServed(t *testing.T) {
 	h := startHarness(t, nil)
 	c := h.sendQuery("reserve", "t1", time.Minute, 2)
 	p, q := h.nextPart(), h.nextPart()
-	if p.ID != "t1.0" || q.ID != "t1.1" || p.Text != "text" || p.Call != q.Call || !strings.HasSuffix(p.List, ",k=k") {
+	if p.ID != "t1.0" || q.ID != "t1.1" || p.Text != "text" || p.Call != q.Call || !strings.HasSuffix(p.Fields, ",k=k") {
 		t.Errorf("have %+v and %+v", p, q)
 	}
 	q.Answer("served", 1, `b"<`)
 	p.Answer("served", 1, "a")
-	resp, body := c.Hear()
+	resp, body := c.ReadResponse()
 	if resp.StatusCode != 200 || body != `{"full":true,"pieces":[{"tablet":0,"cell":"a"},{"tablet":1,"cell":"b\"\u003c"}]}` {
 		t.Errorf("have %s %s", resp.Status, body)
 	}
-	c.Say(testpeer.Query("search", "t2", time.Minute, 1)) // the connections stay open
+	c.Send(testpeer.Query("search", "t2", time.Minute, 1)) // the connections stay open
 	p = h.nextPart()
 	p.Answer("served", 1, "c")
-	if resp, _ := c.Hear(); resp.StatusCode != 200 || p.Call != 1 {
+	if resp, _ := c.ReadResponse(); resp.StatusCode != 200 || p.Call != 1 {
 		t.Errorf("on the same connections: %s, call %d", resp.Status, p.Call)
 	}
 }
@@ -218,7 +218,7 @@
 			if c.want == 200 {
 				h.nextPart().Answer("served", 1, "v") // of the second attempt
 			}
-			resp, _ := client.Hear()
+			resp, _ := client.ReadResponse()
 			if resp.StatusCode != c.want || c.want == 503 && resp.Header.Get("Retry-After") == "" {
 				t.Errorf("have %s, %v", resp.Status, resp.Header)
 			}
@@ -244,10 +244,10 @@
 		"unknown id":    {nil, func(h *harness) { h.nextPart().Answer("other", 0, "") }, eiderwinch.Reset},
 		"another's id":  {nil, func(h *harness) { h.nextPart().Write("ax.0 served 1 -\nv") }, eiderwinch.Reset},
 		"unasked probe": {nil, func(h *harness) { h.nextPart().Write("p") }, eiderwinch.Reset},
-		"odd letter":    {nil, func(h *harness) { h.nextPart().Raw("\x00\x00\x00\x09z") }, eiderwinch.Reset},
-		"3 GB to come":  {nil, func(h *harness) { h.nextPart().Raw("\xb2\xd0\x5e\x00") }, eiderwinch.Reset},
+		"odd letter":    {nil, func(h *harness) { h.nextPart().WriteRaw("\x00\x00\x00\x09z") }, eiderwinch.Reset},
+		"3 GB to come":  {nil, func(h *harness) { h.nextPart().WriteRaw("\xb2\xd0\x5e\x00") }, eiderwinch.Reset},
 		"never ends": {func(h *harness) { h.cfg.ConnectTimeout = 300 * time.Millisecond }, func(h *harness) {
-			h.nextPart().Raw("\x00\x00\x00\x09at.0")
+			h.nextPart().WriteRaw("\x00\x00\x00\x09at.0")
 		}, eiderwinch.Reset},
 		"report of noise": {nil, func(h *harness) { h.nextPart().Write("at.0 served 1 x y =\xff\nv") }, eiderwinch.OK},
 		"refused": {func(h *harness) {
@@ -282,13 +282,13 @@
 			t.Parallel()
 			h := startHarness(t, func(h *harness) { h.decide = nil })
 			c := h.sendQuery("search", "t", time.Minute, 1)
-			h.nextPart().Raw("\x00\x00\x00\x11at.0 served 1 -\nv" + extra)
-			if resp, body := c.Hear(); !strings.Contains(body, `"v"`) {
+			h.nextPart().WriteRaw("\x00\x00\x00\x11at.0 served 1 -\nv" + extra)
+			if resp, body := c.ReadResponse(); !strings.Contains(body, `"v"`) {
 				t.Errorf("have %s %s", resp.Status, body)
 			}
-			c.Say(testpeer.Query("search", "u", time.Minute, 1))
+			c.Send(testpeer.Query("search", "u", time.Minute, 1))
 			h.nextPart().Answer("served", 1, "w")
-			if resp, body := c.Hear(); !strings.Contains(body, `"w"`) {
+			if resp, body := c.ReadResponse(); !strings.Contains(body, `"w"`) {
 				t.Errorf("the next query: %s %s", resp.Status, body)
 			}
 		})
@@ -301,12 +301,12 @@
 	c := h.sendQuery("search", "t", time.Minute, 1)
 	old := h.nextPart()
 	old.Answer("served", 1, "v")
-	c.Hear()
+	c.ReadResponse()
 	h.exec(func() {
 		c := h.pool.searchers["s"].conns[0]
 		c.idleSince = c.idleSince.Add(-h.pool.maxIdle())
 	})
-	c.Say(testpeer.Query("search", "u", time.Minute, 1))
+	c.Send(testpeer.Query("search", "u", time.Minute, 1))
 	if p := h.nextPart(); p.Conn == old.Conn {
 		t.Error("the idle connection is used")
 	}
@@ -329,7 +329,7 @@
 		done <- c.conn.Buffered()
 		c.close()
 	})
-	if testpeer.Get(t, done, "the buffer") == 0 {
+	if testpeer.Receive(t, done, "the buffer") == 0 {
 		t.Fatal("nothing is buffered")
 	}
 	if got := h.nextOutcome(); got.Status != eiderwinch.NoConnection {
@@ -359,12 +359,12 @@
 	})
 	c := h.sendQuery("search", "t", time.Minute, 1)
 	old, retry := h.nextPart(), h.nextPart()
-	if id := testpeer.Get(t, h.searcher.Cancels, "a cancel"); id != "t.0" || old.Conn == retry.Conn {
+	if id := testpeer.Receive(t, h.searcher.Cancels, "a cancel"); id != "t.0" || old.Conn == retry.Conn {
 		t.Errorf("cancelled %q; the new attempt uses the connection of the old one: %v", id, old.Conn == retry.Conn)
 	}
 	old.Answer("served", 1, "old")
 	retry.Answer("served", 1, "new")
-	if _, body := c.Hear(); !strings.Contains(body, `"new"`) {
+	if _, body := c.ReadResponse(); !strings.Contains(body, `"new"`) {
 		t.Errorf("have %s", body)
 	}
 }
@@ -383,7 +383,7 @@
 	})
 	h.sendQuery("search", "t1", time.Minute, 1)
 	halfOpen := h.nextPart()
-	testpeer.Get(t, h.searcher.Cancels, "a cancel")
+	testpeer.Receive(t, h.searcher.Cancels, "a cancel")
 	h.sendQuery("search", "t2", time.Minute, 1)
 	if p := h.nextPart(); p.Conn == halfOpen.Conn {
 		t.Error("the half-open connection is used")
@@ -453,7 +453,7 @@
 	if second.Conn != first.Conn {
 		t.Error("a connection that answers was closed")
 	}
-	testpeer.Get(t, h.searcher.Cancels, "a cancel")
+	testpeer.Receive(t, h.searcher.Cancels, "a cancel")
 	h.sendQuery("search", "t3", time.Minute, 1)
 	if h.nextPart().Conn == second.Conn {
 		t.Error("the half-open connection is used")
@@ -468,10 +468,10 @@
 		sendOnce(h)
 		h.holdDials(dialed, up)
 	})
-	watch := testpeer.Get(t, h.discovery.Watches, "a watch")
+	watch := testpeer.Receive(t, h.discovery.Watches, "a watch")
 	h.sendQuery("search", "t", time.Minute, 1)
-	testpeer.Get(t, dialed, "a dial")
-	watch.Send(testpeer.List(42, false, testpeer.Member("s", h.searcher.Addr, "Terminating", 0)))
+	testpeer.Receive(t, dialed, "a dial")
+	watch.Send(testpeer.MemberList(42, false, testpeer.Member("s", h.searcher.Addr, "Terminating", 0)))
 	h.nextListChange()
 	close(up)
 	if got := h.nextOutcome(); got.Status != eiderwinch.NoConnection {
@@ -487,8 +487,8 @@
 func TestTheStartOfASearcherIsReported(t *testing.T) {
 	h := startHarness(t, nil)
 	up := time.Now().Add(-time.Second)
-	watch := testpeer.Get(t, h.discovery.Watches, "a watch")
-	watch.Send(testpeer.List(42, true, testpeer.Member("s", h.searcher.Addr, "Ready", up.UnixMilli())))
+	watch := testpeer.Receive(t, h.discovery.Watches, "a watch")
+	watch.Send(testpeer.MemberList(42, true, testpeer.Member("s", h.searcher.Addr, "Ready", up.UnixMilli())))
 	l := h.nextListChange()
 	if got := l.Replicas[0].Started; l.Kind != eiderwinch.Whole || got != time.Duration(up.UnixMilli())*time.Millisecond {
 		t.Errorf("started at %v, want the Unix time %v", got, up)
@@ -506,19 +506,19 @@
 	}
 	for range 2 {
 		p := h.nextPart()
-		if p.ID != fmt.Sprintf("t.%d.b", p.Shard) || p.Shard == 1 || !strings.HasSuffix(p.List, ",from=0+1+2,whole=1") {
+		if p.ID != fmt.Sprintf("t.%d.b", p.Shard) || p.Shard == 1 || !strings.HasSuffix(p.Fields, ",from=0+1+2,whole=1") {
 			t.Errorf("have %+v", p)
 		}
 		p.Answer("served", 0, fmt.Sprint("second", p.Shard))
 	}
-	if _, body := c.Hear(); body != `{"full":true,"pieces":[{"tablet":2,"cell":"second2"},{"tablet":0,"cell":"second0"}]}` {
+	if _, body := c.ReadResponse(); body != `{"full":true,"pieces":[{"tablet":2,"cell":"second2"},{"tablet":0,"cell":"second0"}]}` {
 		t.Errorf("have %s", body)
 	}
 	c = h.sendQuery("search", "u", 500*time.Millisecond, 2)
 	p, q := h.nextPart(), h.nextPart()
 	p.Answer("served", 1, "v")
 	q.Answer("broke", 0, "no value")
-	if resp, body := c.Hear(); resp.StatusCode == 200 {
+	if resp, body := c.ReadResponse(); resp.StatusCode == 200 {
 		t.Errorf("answered from half of the parts: %s", body)
 	}
 }
@@ -544,8 +544,8 @@
 		edit("Content-Length: ", "Content-Length: 99999"): 413,
 		edit(`{"tab`, `[[[[[`):                            400,
 	} {
-		c := testpeer.NewClient(t, h.Addr()).Say(text)
-		if resp, body := c.Hear(); resp.StatusCode != want {
+		c := testpeer.NewClient(t, h.Addr()).Send(text)
+		if resp, body := c.ReadResponse(); resp.StatusCode != want {
 			t.Errorf("%q: have %s %s, want %d", text, resp.Status, body, want)
 		}
 	}
@@ -599,12 +599,12 @@
 			q = strings.Replace(q, fmt.Sprint("Content-Length: ", length), fmt.Sprint("Content-Length: ", length+len(c.tablet)-len(`"tablet":0`)), 1)
 		}
 		q = strings.Replace(q, "X-Trace-Id", c.fields+"X-Trace-Id", 1)
-		client := testpeer.NewClient(t, h.Addr()).Say(q)
+		client := testpeer.NewClient(t, h.Addr()).Send(q)
 		if c.want.status == 200 {
 			p := h.nextPart()
 			p.Write("a" + p.ID + " served 1 waiting=3,new=x\nv")
 		}
-		resp, body := client.Hear()
+		resp, body := client.ReadResponse()
 		if resp.StatusCode != c.want.status {
 			t.Errorf("%s: have %s %s, want %d", c.name, resp.Status, body, c.want.status)
 		}
@@ -612,7 +612,7 @@
 			continue
 		}
 		for {
-			if e, ok := testpeer.Get(t, h.events, "the query").(eiderwinch.Query); ok {
+			if e, ok := testpeer.Receive(t, h.events, "the query").(eiderwinch.Query); ok {
 				if have := (want{200, e.Key, e.Tenant}); have != c.want {
 					t.Errorf("%s: have %+v, want %+v", c.name, have, c.want)
 				}
@@ -629,19 +629,19 @@
 // connection.
 func TestIncompleteRequests(t *testing.T) {
 	h := startHarness(t, nil)
-	kept := testpeer.NewClient(t, h.Addr()).Say("GET /_health HTTP/1.1\r\n\r\n")
-	kept.Hear()
+	kept := testpeer.NewClient(t, h.Addr()).Send("GET /_health HTTP/1.1\r\n\r\n")
+	kept.ReadResponse()
 	silent := testpeer.NewClient(t, h.Addr())
-	half := testpeer.NewClient(t, h.Addr()).Say("POST /search HTTP/1.1\r\nContent-Le")
+	half := testpeer.NewClient(t, h.Addr()).Send("POST /search HTTP/1.1\r\nContent-Le")
 	began := time.Now()
-	if resp, _ := half.Hear(); resp.StatusCode != 408 || !resp.Close {
+	if resp, _ := half.ReadResponse(); resp.StatusCode != 408 || !resp.Close {
 		t.Errorf("the incomplete request: %s", resp.Status)
 	}
-	silent.Closed()
+	silent.ExpectClosed()
 	if took := time.Since(began); took < h.clientTable.Bounds().RequestTimeout/2 {
 		t.Errorf("closed after %v", took)
 	}
-	if resp, _ := kept.Say("GET /_health HTTP/1.1\r\n\r\n").Hear(); resp.StatusCode != 200 {
+	if resp, _ := kept.Send("GET /_health HTTP/1.1\r\n\r\n").ReadResponse(); resp.StatusCode != 200 {
 		t.Errorf("the kept connection: %s", resp.Status)
 	}
 }
@@ -649,12 +649,12 @@
 // The error answer must be readable while the rest of the request is still arriving.
 func TestARefusedBodyIsDiscarded(t *testing.T) {
 	h := startHarness(t, nil)
-	c := testpeer.NewClient(t, h.Addr()).Say("POST /search HTTP/1.1\r\nContent-Length: 60000000\r\n\r\n")
+	c := testpeer.NewClient(t, h.Addr()).Send("POST /search HTTP/1.1\r\nContent-Length: 60000000\r\n\r\n")
 	piece := strings.Repeat("x", 1<<20)
 	for range 57 {
-		c.Say(piece)
+		c.Send(piece)
 	}
-	if resp, _ := c.Hear(); resp.StatusCode != 413 || !resp.Close {
+	if resp, _ := c.ReadResponse(); resp.StatusCode != 413 || !resp.Close {
 		t.Errorf("have %s", resp.Status)
 	}
 }
@@ -664,18 +664,18 @@
 	c := h.sendQuery("search", "t", time.Minute, 1)
 	p := h.nextPart()
 	c.Close()
-	if id := testpeer.Get(t, h.searcher.Cancels, "a cancel"); id != p.ID {
+	if id := testpeer.Receive(t, h.searcher.Cancels, "a cancel"); id != p.ID {
 		t.Errorf("cancelled %q", id)
 	}
-	c = testpeer.NewClient(t, h.Addr()).Say(testpeer.Query("search", "u", time.Minute, 1) + "GET /_health HTTP/1.1\r\nConnection: close\r\n\r\n")
+	c = testpeer.NewClient(t, h.Addr()).Send(testpeer.Query("search", "u", time.Minute, 1) + "GET /_health HTTP/1.1\r\nConnection: close\r\n\r\n")
 	h.nextPart().Answer("served", 1, "v")
-	if resp, body := c.Hear(); !strings.Contains(body, `"v"`) {
+	if resp, body := c.ReadResponse(); !strings.Contains(body, `"v"`) {
 		t.Errorf("have %s %s", resp.Status, body)
 	}
-	if resp, _ := c.Hear(); resp.StatusCode != 200 || !resp.Close {
+	if resp, _ := c.ReadResponse(); resp.StatusCode != 200 || !resp.Close {
 		t.Errorf("the pipelined request: %s", resp.Status)
 	}
-	c.Closed()
+	c.ExpectClosed()
 }
 
 // Kept connections are served during a drain, but nothing is left open when the kill may come.
@@ -687,36 +687,36 @@
 	if got := h.cfg.killAfter(); got != maxCountedDeadline+killDelay {
 		t.Errorf("killed after %v", got)
 	}
-	c := testpeer.NewClient(t, h.Addr()).Say("GET /_health HTTP/1.1\r\n\r\n")
-	c.Hear()
+	c := testpeer.NewClient(t, h.Addr()).Send("GET /_health HTTP/1.1\r\n\r\n")
+	c.ReadResponse()
 	h.Drain()
 	draining := make(chan bool, 1)
 	h.exec(func() { draining <- h.draining })
-	testpeer.Get(t, draining, "the drain")
-	c.Say(testpeer.Query("report", "t", time.Minute, 1))
+	testpeer.Receive(t, draining, "the drain")
+	c.Send(testpeer.Query("report", "t", time.Minute, 1))
 	p := h.nextPart()
 	var wait int
-	if _, err := fmt.Sscanf(p.List, "d=%d", &wait); err != nil || wait >= 3700 {
-		t.Errorf("the part may take until after the kill: %s", p.List)
+	if _, err := fmt.Sscanf(p.Fields, "d=%d", &wait); err != nil || wait >= 3700 {
+		t.Errorf("the part may take until after the kill: %s", p.Fields)
 	}
 	p.Answer("broke", 0, "")
 	h.nextPart().Answer("served", 1, "v")
 	h.nextPart().Answer("served", 1, "w")
-	if resp, body := c.Hear(); resp.StatusCode != 200 || resp.Close {
+	if resp, body := c.ReadResponse(); resp.StatusCode != 200 || resp.Close {
 		t.Errorf("have %s %s", resp.Status, body)
 	}
 	h.exec(func() { h.serveUntil = time.Now() })
-	c.Closed()
+	c.ExpectClosed()
 }
 
 func TestFullNodeRefusesAtOnce(t *testing.T) {
 	h := startHarness(t, func(h *harness) { h.decide = func(eiderwinch.Event) []eiderwinch.Action { return nil } })
 	for i := range 4 {
 		h.sendQuery("search", fmt.Sprint("t", i), time.Second, 4)
-		testpeer.Get(t, h.events, "a query")
+		testpeer.Receive(t, h.events, "a query")
 	}
 	c := h.sendQuery("search", "u", time.Hour, 4)
-	if resp, _ := c.Hear(); resp.StatusCode != 503 || resp.Header.Get("Retry-After") != "0.500" {
+	if resp, _ := c.ReadResponse(); resp.StatusCode != 503 || resp.Header.Get("Retry-After") != "0.500" {
 		t.Errorf("have %s %v", resp.Status, resp.Header)
 	}
 }
@@ -731,13 +731,13 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			h := startHarness(t, nil)
-			w := testpeer.Get(t, h.discovery.Watches, "a watch")
-			w.Send(testpeer.List(42, false, testpeer.Member("s", h.searcher.Addr, "Ready", 0)))
+			w := testpeer.Receive(t, h.discovery.Watches, "a watch")
+			w.Send(testpeer.MemberList(42, false, testpeer.Member("s", h.searcher.Addr, "Ready", 0)))
 			if got := h.nextListChange(); w.From != "41" || got.Kind != eiderwinch.Changes {
 				t.Errorf("watched from %s, received %+v", w.From, got)
 			}
 			end(w)
-			if w := testpeer.Get(t, h.discovery.Watches, "another watch"); w.From != "42" {
+			if w := testpeer.Receive(t, h.discovery.Watches, "another watch"); w.From != "42" {
 				t.Errorf("reopened from %s", w.From)
 			}
 		})
@@ -748,21 +748,21 @@
 // new one.
 func TestReloadFollowsDiscoveryToItsNewAddress(t *testing.T) {
 	h, moved, skipped := startHarness(t, nil), testpeer.NewDiscovery(t), testpeer.NewDiscovery(t)
-	old := testpeer.Get(t, h.discovery.Watches, "a watch")
+	old := testpeer.Receive(t, h.discovery.Watches, "a watch")
 	client := h.sendQuery("search", "t", time.Minute, 1)
 	part := h.nextPart()
 	h.Reload(skipped.Addr)
 	h.Reload(moved.Addr) // before the first one has sent anything
 	h.Reload(moved.Addr)
-	old.Send(testpeer.List(42, false, testpeer.Member("x", "127.0.0.1:1", "Ready", 0)))
+	old.Send(testpeer.MemberList(42, false, testpeer.Member("x", "127.0.0.1:1", "Ready", 0)))
 	if got := h.nextListChange(); got.Kind != eiderwinch.Changes || got.Replicas[0].ID != "x" {
 		t.Errorf("the old watch received %+v", got)
 	}
-	moved.Tell(testpeer.List(7, true, testpeer.Member("s", h.searcher.Addr, "Ready", 0)))
+	moved.SetList(testpeer.MemberList(7, true, testpeer.Member("s", h.searcher.Addr, "Ready", 0)))
 	if got := h.nextListChange(); got.Kind != eiderwinch.Whole || len(got.Replicas) != 1 {
 		t.Errorf("the new watch received %+v", got)
 	}
-	w := testpeer.Get(t, moved.Watches, "the new watch")
+	w := testpeer.Receive(t, moved.Watches, "the new watch")
 	if w.From != "7" {
 		t.Errorf("watched from %s", w.From)
 	}
@@ -770,11 +770,11 @@
 		t.Errorf("the old watch stays open: %v", err)
 	}
 	part.Answer("served", 1, "v")
-	if resp, _ := client.Hear(); resp.StatusCode != 200 {
+	if resp, _ := client.ReadResponse(); resp.StatusCode != 200 {
 		t.Errorf("the open query: %s", resp.Status)
 	}
 	w.Conn.Close()
-	if w := testpeer.Get(t, moved.Watches, "another watch"); w.From != "7" || len(moved.Watches)+len(h.discovery.Watches) > 0 {
+	if w := testpeer.Receive(t, moved.Watches, "another watch"); w.From != "7" || len(moved.Watches)+len(h.discovery.Watches) > 0 {
 		t.Errorf("reopened from %s, and %d more", w.From, len(moved.Watches)+len(h.discovery.Watches))
 	}
 }
@@ -788,8 +788,8 @@
 		t.Error("two parts on a connection that carries one")
 	}
 	p.Answer("served", 1, "v")
-	c.Hear()
-	testpeer.Get(t, h.searcher.Ends, "the end of the idle connection") // before the searcher closes it
+	c.ReadResponse()
+	testpeer.Receive(t, h.searcher.ClosedConns, "the end of the idle connection") // before the searcher closes it
 }
 
 func TestUnreadAnswersAreBounded(t *testing.T) {
@@ -809,9 +809,9 @@
 	h := startHarness(t, nil)
 	c := h.sendQuery("search", "t", time.Minute, 1)
 	p := h.nextPart()
-	c.Say(strings.Repeat("x", 4*maxPipelined))
+	c.Send(strings.Repeat("x", 4*maxPipelined))
 	p.Answer("served", 1, "v")
-	if resp, body := c.Hear(); resp.StatusCode != 200 || !resp.Close {
+	if resp, body := c.ReadResponse(); resp.StatusCode != 200 || !resp.Close {
 		t.Errorf("have %s %s", resp.Status, body)
 	}
 }
@@ -824,13 +824,13 @@
 	})
 	health := func(c *testpeer.Client) {
 		t.Helper()
-		if resp, _ := c.Say("GET /_health HTTP/1.1\r\n\r\n").Hear(); resp.StatusCode != 200 {
+		if resp, _ := c.Send("GET /_health HTTP/1.1\r\n\r\n").ReadResponse(); resp.StatusCode != 200 {
 			t.Errorf("have %s", resp.Status)
 		}
 	}
 	open := func(n int, text string) (out []*testpeer.Client) {
 		for range n {
-			out = append(out, testpeer.NewClient(t, h.Addr()).Say(text))
+			out = append(out, testpeer.NewClient(t, h.Addr()).Send(text))
 		}
 		return out
 	}
@@ -840,17 +840,17 @@
 	}
 	fresh := open(8, "")
 	for _, c := range kept {
-		c.Closed() // idle connections make room for new ones,
+		c.ExpectClosed() // idle connections make room for new ones,
 	}
 	for _, c := range fresh {
 		health(c) // which may be about to send a request
 	}
 	half := open(8, "POST / HTTP/1.1\r\nExpect: 100-continue\r\nContent-Length: 9\r\n\r\n")
 	for _, c := range half {
-		if resp, _ := c.Hear(); resp.StatusCode != 100 {
+		if resp, _ := c.ReadResponse(); resp.StatusCode != 100 {
 			t.Errorf("have %s", resp.Status)
 		}
 	}
 	health(testpeer.NewClient(t, h.Addr()))
-	half[0].Closed() // if there are no others, the oldest incomplete request is closed
+	half[0].ExpectClosed() // if there are no others, the oldest incomplete request is closed
 }
--- a/internal/netio/pool_test.go
+++ b/internal/netio/pool_test.go
@@ -22,7 +22,7 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			h := startHarness(t, retryOnce)
-			w := testpeer.Get(t, h.discovery.Watches, "a watch")
+			w := testpeer.Receive(t, h.discovery.Watches, "a watch")
 			h.sendQuery("search", "t1", time.Minute, 1)
 			old := h.nextPart()
 			if !inFlight {
@@ -30,7 +30,7 @@
 				h.nextOutcome()
 			}
 			h.waitUntil("the clock is past the opening of the connection", func() bool { return time.Now().UnixMilli() > h.pool.searchers["s"].conns[0].openedAt.UnixMilli() })
-			w.Send(testpeer.List(42, false, testpeer.Member("s", h.searcher.Addr, "Ready", time.Now().UnixMilli())))
+			w.Send(testpeer.MemberList(42, false, testpeer.Member("s", h.searcher.Addr, "Ready", time.Now().UnixMilli())))
 			h.nextListChange()
 			if inFlight {
 				if got := h.nextOutcome(); got.Status != eiderwinch.Reset {
@@ -46,7 +46,7 @@
 			p.Answer("served", 1, "v")
 			h.nextOutcome()
 			// A start that was already reported closes nothing.
-			w.Send(testpeer.List(43, false, testpeer.Member("s", h.searcher.Addr, "Ready", time.Now().UnixMilli()-60_000)))
+			w.Send(testpeer.MemberList(43, false, testpeer.Member("s", h.searcher.Addr, "Ready", time.Now().UnixMilli()-60_000)))
 			h.nextListChange()
 			h.sendQuery("search", "t3", time.Minute, 1)
 			if h.nextPart().Conn != p.Conn {
@@ -69,9 +69,9 @@
 		})
 	})
 	h.sendQuery("search", "t", time.Minute, 1)
-	testpeer.Get(t, dialed, "a dial")
-	testpeer.Get(t, h.discovery.Watches, "a watch").Send(testpeer.List(42, false, testpeer.Member("s", moved.Addr, "Ready", 0)))
-	if p := testpeer.Get(t, moved.Parts, "the part"); p.ID != "t.0" {
+	testpeer.Receive(t, dialed, "a dial")
+	testpeer.Receive(t, h.discovery.Watches, "a watch").Send(testpeer.MemberList(42, false, testpeer.Member("s", moved.Addr, "Ready", 0)))
+	if p := testpeer.Receive(t, moved.Parts, "the part"); p.ID != "t.0" {
 		t.Errorf("have %s", p.ID)
 	}
 }
@@ -83,7 +83,7 @@
 	client := h.sendQuery("search", "t1", time.Minute, 1)
 	old := h.nextPart()
 	old.Answer("served", 1, "v")
-	client.Hear()
+	client.ReadResponse()
 	h.nextOutcome()
 	h.onLoop(func() {
 		old.Conn.Close()
@@ -177,16 +177,16 @@
 				}
 			}
 			now <- true
-			if testpeer.Get(t, other.Parts, "the part elsewhere").ID != p.ID {
+			if testpeer.Receive(t, other.Parts, "the part elsewhere").ID != p.ID {
 				t.Error("another part was sent")
 			}
 			if !c.closes {
-				if id := testpeer.Get(t, h.searcher.Cancels, "a cancel"); id != p.ID || len(h.searcher.Ends) > 0 {
-					t.Errorf("cancelled %s, %d ends", id, len(h.searcher.Ends))
+				if id := testpeer.Receive(t, h.searcher.Cancels, "a cancel"); id != p.ID || len(h.searcher.ClosedConns) > 0 {
+					t.Errorf("cancelled %s, %d ends", id, len(h.searcher.ClosedConns))
 				}
 				return
 			}
-			testpeer.Get(t, h.searcher.Ends, "the end of the connection")
+			testpeer.Receive(t, h.searcher.ClosedConns, "the end of the connection")
 			if len(h.searcher.Cancels) > 0 {
 				t.Error("a cancel frame was sent as well")
 			}
@@ -206,7 +206,7 @@
 	client := h.sendQuery("search", "t", time.Minute, 1)
 	p := h.nextPart()
 	client.Close()
-	if id := testpeer.Get(t, h.searcher.Cancels, "a cancel"); id != p.ID {
+	if id := testpeer.Receive(t, h.searcher.Cancels, "a cancel"); id != p.ID {
 		t.Errorf("cancelled %s", id)
 	}
 	h.sendQuery("search", "u", time.Minute, 1)
@@ -379,10 +379,10 @@
 				end(p.Conn)
 				h.spinUntil("the end is received", func() bool { return remoteClosed(fd) })
 			})
-			if resp, body := client.Hear(); resp.StatusCode != 200 || h.nextOutcome().Status != eiderwinch.OK {
+			if resp, body := client.ReadResponse(); resp.StatusCode != 200 || h.nextOutcome().Status != eiderwinch.OK {
 				t.Errorf("have %s %s", resp.Status, body)
 			}
-			client.Say(testpeer.Query("search", "u", time.Minute, 1))
+			client.Send(testpeer.Query("search", "u", time.Minute, 1))
 			if h.nextPart().Conn == p.Conn {
 				t.Error("the connection that has ended is used")
 			}
@@ -396,10 +396,10 @@
 	client := h.sendQuery("search", "t", time.Minute, 1)
 	p := h.nextPart()
 	for _, b := range encodeFrame("at.0 served 1 -\nvalue") {
-		p.Raw(string(rune(b)))
+		p.WriteRaw(string(rune(b)))
 		h.onLoop(func() {})
 	}
-	if resp, body := client.Hear(); resp.StatusCode != 200 || !strings.Contains(body, `"value"`) {
+	if resp, body := client.ReadResponse(); resp.StatusCode != 200 || !strings.Contains(body, `"value"`) {
 		t.Errorf("have %s %s", resp.Status, body)
 	}
 }
--- a/internal/netio/races_test.go
+++ b/internal/netio/races_test.go
@@ -18,7 +18,7 @@
 
 // spinUntil spins on the loop until the system has brought a condition about.
 func (h *harness) spinUntil(what string, is func() bool) {
-	for end := time.Now().Add(testpeer.Patience); !is(); {
+	for end := time.Now().Add(testpeer.Timeout); !is(); {
 		if time.Now().After(end) {
 			h.t.Errorf("timed out waiting: %s", what)
 			return
@@ -86,7 +86,7 @@
 			h := startHarness(t, retryOnce)
 			client := testpeer.NewClient(t, h.Addr())
 			if c.retry {
-				client.Say(testpeer.Query("search", "t", time.Minute, 1))
+				client.Send(testpeer.Query("search", "t", time.Minute, 1))
 				h.nextPart()
 			} else {
 				h.waitUntil("the connection is accepted", func() bool { return h.clientTable.Count(limit.Silent) == 1 })
@@ -100,7 +100,7 @@
 				if !c.retry {
 					owner.Traffic([]byte(testpeer.Query("search", "t", time.Minute, 1)))
 				}
-				client.Say(c.unread)
+				client.Send(c.unread)
 				c.leave(client)
 				h.spinUntil("the end is received", func() bool { return remoteClosed(owner.conn.FD()) })
 				if c.retry {
@@ -123,7 +123,7 @@
 		h.holdDials(dialed, up)
 	})
 	client := h.sendQuery("search", "t", time.Minute, 1)
-	testpeer.Get(t, dialed, "a dial")
+	testpeer.Receive(t, dialed, "a dial")
 	client.Close()
 	h.waitUntil("the client is gone", func() bool { return h.stats.ClientsDisconnected == 1 })
 	close(up)
@@ -148,9 +148,9 @@
 			t.Parallel()
 			h := startHarness(t, nil)
 			client := testpeer.NewClient(t, h.Addr())
-			client.Say(testpeer.Query("search", "first", time.Minute, 1))
+			client.Send(testpeer.Query("search", "first", time.Minute, 1))
 			first := h.nextPart()
-			client.Say(testpeer.Query("search", "behind", time.Minute, 1))
+			client.Send(testpeer.Query("search", "behind", time.Minute, 1))
 			h.waitUntil("the second request is received", func() bool { return h.clientTable.Oldest(limit.Busy).Owner.parser.Buffered() > 0 })
 			h.onLoop(func() {
 				for i := range h.clientTable.Oldest(limit.Busy).Owner.arrivals {
@@ -159,20 +159,20 @@
 				}
 			})
 			first.Answer("served", 1, "v")
-			client.Hear()
+			client.ReadResponse()
 			if c.maxMS == 0 {
-				if resp, _ := client.Hear(); resp.StatusCode != http.StatusServiceUnavailable || len(h.searcher.Parts) > 0 {
+				if resp, _ := client.ReadResponse(); resp.StatusCode != http.StatusServiceUnavailable || len(h.searcher.Parts) > 0 {
 					t.Errorf("have %s, %d parts", resp.Status, len(h.searcher.Parts))
 				}
 				return
 			}
 			var wait int
 			p := h.nextPart()
-			if _, err := fmt.Sscanf(p.List, "d=%d", &wait); err != nil || wait > c.maxMS {
-				t.Errorf("the searcher is given %s, want at most %d", p.List, c.maxMS)
+			if _, err := fmt.Sscanf(p.Fields, "d=%d", &wait); err != nil || wait > c.maxMS {
+				t.Errorf("the searcher is given %s, want at most %d", p.Fields, c.maxMS)
 			}
 			p.Answer("served", 1, "v")
-			client.Hear()
+			client.ReadResponse()
 		})
 	}
 }
@@ -200,7 +200,7 @@
 		}
 	})
 	for {
-		if e, ok := testpeer.Get(t, h.events, "the query").(eiderwinch.Query); ok {
+		if e, ok := testpeer.Receive(t, h.events, "the query").(eiderwinch.Query); ok {
 			if e.Left < time.Minute/2 { // each of its bytes was made a second older than the next one
 				t.Errorf("a request received in pieces has %v left", e.Left)
 			}
@@ -208,7 +208,7 @@
 		}
 	}
 	h.nextPart().Answer("served", 1, "v")
-	client.Hear()
+	client.ReadResponse()
 }
 
 // A keyed part that may have run is retried within its window only. A retry that the aggregator decides in time
@@ -300,7 +300,7 @@
 	h.sendQuery("search", "t", 10*time.Second, 1)
 	var stated int64
 	p := h.nextPart()
-	if _, err := fmt.Sscanf(p.List, "d=%d", &stated); err != nil || stated > (10*time.Second-waits).Milliseconds() {
-		t.Errorf("the searcher is given %s after %v of 10 s", p.List, waits)
+	if _, err := fmt.Sscanf(p.Fields, "d=%d", &stated); err != nil || stated > (10*time.Second-waits).Milliseconds() {
+		t.Errorf("the searcher is given %s after %v of 10 s", p.Fields, waits)
 	}
 }
--- a/internal/netio/watch_test.go
+++ b/internal/netio/watch_test.go
@@ -69,13 +69,13 @@
 				h.log = slog.New(slog.NewTextHandler(log, nil))
 				h.cfg.InitialMembers.Members = append(h.cfg.InitialMembers.Members, catalog.Member{ID: "other", HostPort: "127.0.0.1:1", Phase: catalog.Ready})
 			})
-			w := testpeer.Get(t, h.discovery.Watches, "a watch")
-			w.Send(testpeer.List(42, false, testpeer.Member("s", h.searcher.Addr, "Terminating", 0)))
+			w := testpeer.Receive(t, h.discovery.Watches, "a watch")
+			w.Send(testpeer.MemberList(42, false, testpeer.Member("s", h.searcher.Addr, "Terminating", 0)))
 			h.nextListChange()
 			for range 3 {
 				sent := time.Now()
 				c.send(w)
-				if w = testpeer.Get(t, h.discovery.Watches, "another watch"); w.From != "42" || time.Since(sent) > h.cfg.DrainGrace {
+				if w = testpeer.Receive(t, h.discovery.Watches, "another watch"); w.From != "42" || time.Since(sent) > h.cfg.DrainGrace {
 					t.Errorf("reopened from %s after %v", w.From, time.Since(sent))
 				}
 			}
@@ -140,7 +140,7 @@
 				h.log = slog.New(slog.NewTextHandler(log, nil))
 				h.watch = newWatch(h.Node, l.Addr().String(), 41)
 			})
-			first, again := testpeer.Get(t, asked, "a request"), testpeer.Get(t, asked, "another")
+			first, again := testpeer.Receive(t, asked, "a request"), testpeer.Receive(t, asked, "another")
 			most := 500 * time.Millisecond
 			if c.want == "no data received in time" {
 				most = 3 * time.Second
@@ -148,7 +148,7 @@
 			if took := again.Sub(first); took > most {
 				t.Errorf("the next request came after %v", took)
 			}
-			testpeer.Until(t, "logged: "+c.want, func() bool { return log.count(c.want) > 0 })
+			testpeer.WaitUntil(t, "logged: "+c.want, func() bool { return log.count(c.want) > 0 })
 		})
 	}
 }
@@ -175,8 +175,8 @@
 					return nil
 				})
 			})
-			watch := testpeer.Get(t, h.discovery.Watches, "a watch")
-			watch.Send(testpeer.List(42, false, testpeer.Member("s", h.searcher.Addr, "Ready", 0)))
+			watch := testpeer.Receive(t, h.discovery.Watches, "a watch")
+			watch.Send(testpeer.MemberList(42, false, testpeer.Member("s", h.searcher.Addr, "Ready", 0)))
 			h.nextListChange()
 			if c.waiting {
 				h.sendQuery("search", "t", time.Minute, 1)
@@ -194,7 +194,7 @@
 					h.runDue()
 				}
 			})
-			watch.Send(testpeer.List(43, false, testpeer.Member("s", h.searcher.Addr, "Terminating", 0)))
+			watch.Send(testpeer.MemberList(43, false, testpeer.Member("s", h.searcher.Addr, "Terminating", 0)))
 			close(up)
 			time.Sleep(100 * time.Millisecond) // all of it is received
 			close(resume)
@@ -232,7 +232,7 @@
 				asked <- target
 				fmt.Fprint(conn, "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n")
 				if target == listPath {
-					fmt.Fprint(conn, testpeer.List(7, true, testpeer.Member("s", h.searcher.Addr, "Ready", 0)))
+					fmt.Fprint(conn, testpeer.MemberList(7, true, testpeer.Member("s", h.searcher.Addr, "Ready", 0)))
 					_ = conn.(*net.TCPConn).SetLinger(0)
 					conn.Close()
 					return
@@ -241,13 +241,13 @@
 			}()
 		}
 	}()
-	testpeer.Get(t, h.discovery.Watches, "a watch")
+	testpeer.Receive(t, h.discovery.Watches, "a watch")
 	h.Reload(l.Addr().String())
 	if got := h.nextListChange(); got.Kind != eiderwinch.Whole || len(got.Replicas) != 1 {
 		t.Errorf("have %+v", got)
 	}
 	for _, want := range []string{listPath, watchPath + "7"} {
-		if got := testpeer.Get(t, asked, want); got != want {
+		if got := testpeer.Receive(t, asked, want); got != want {
 			t.Errorf("asked for %s, want %s", got, want)
 		}
 	}
@@ -261,10 +261,10 @@
 		retryOnce(h)
 		h.holdDials(dialed, up)
 	})
-	w := testpeer.Get(t, h.discovery.Watches, "a watch")
+	w := testpeer.Receive(t, h.discovery.Watches, "a watch")
 	h.sendQuery("search", "t", time.Minute, 1)
-	testpeer.Get(t, dialed, "a dial")
-	w.Send(testpeer.List(42, true, testpeer.Member("other", "127.0.0.1:1", "Ready", 0)))
+	testpeer.Receive(t, dialed, "a dial")
+	w.Send(testpeer.MemberList(42, true, testpeer.Member("other", "127.0.0.1:1", "Ready", 0)))
 	h.nextListChange()
 	close(up)
 	if got := h.nextOutcome(); got.Status != eiderwinch.NoConnection {
@@ -285,7 +285,7 @@
 		t.Run(grace.String(), func(t *testing.T) {
 			t.Parallel()
 			h := startHarness(t, func(h *harness) { h.cfg.DrainGrace = grace })
-			watch := testpeer.Get(t, h.discovery.Watches, "a watch")
+			watch := testpeer.Receive(t, h.discovery.Watches, "a watch")
 			watch.Send("")
 			h.waitUntil("the watch is read", func() bool { return len(h.watch.subscriptions) == 1 && !h.deferForUpdates(time.Now()) })
 			h.onLoop(func() {
@@ -310,19 +310,19 @@
 func TestABufferedFrameIsNotSentToALeavingSearcher(t *testing.T) {
 	for name, list := range map[string]func(*harness) string{
 		"reported as draining": func(h *harness) string {
-			return testpeer.List(42, false, testpeer.Member("s", h.searcher.Addr, "Terminating", 0))
+			return testpeer.MemberList(42, false, testpeer.Member("s", h.searcher.Addr, "Terminating", 0))
 		},
 		"reported as draining at another address": func(*harness) string {
-			return testpeer.List(42, false, testpeer.Member("s", "127.0.0.1:1", "Terminating", 0))
+			return testpeer.MemberList(42, false, testpeer.Member("s", "127.0.0.1:1", "Terminating", 0))
 		},
 		"left out of a whole list": func(*harness) string {
-			return testpeer.List(42, true, testpeer.Member("other", "127.0.0.1:1", "Ready", 0))
+			return testpeer.MemberList(42, true, testpeer.Member("other", "127.0.0.1:1", "Ready", 0))
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			h := startHarness(t, sendOnce)
-			w := testpeer.Get(t, h.discovery.Watches, "a watch")
+			w := testpeer.Receive(t, h.discovery.Watches, "a watch")
 			h.sendQuery("search", "t", time.Minute, 1)
 			h.nextPart()
 			h.onLoop(func() {
@@ -352,18 +352,18 @@
 // it is, and parts are sent to its address.
 func TestAnOlderListDoesNotBringBackThePreviousProcess(t *testing.T) {
 	h, moved, later := startHarness(t, sendOnce), testpeer.NewDiscovery(t), testpeer.NewSearcher(t)
-	old := testpeer.Get(t, h.discovery.Watches, "a watch")
+	old := testpeer.Receive(t, h.discovery.Watches, "a watch")
 	started := time.Now().UnixMilli()
-	old.Send(testpeer.List(42, false, testpeer.Member("s", later.Addr, "Ready", started)))
+	old.Send(testpeer.MemberList(42, false, testpeer.Member("s", later.Addr, "Ready", started)))
 	reported := h.nextListChange().Replicas[0].Started
 	h.Reload(moved.Addr)
-	moved.Tell(testpeer.List(7, true, testpeer.Member("s", h.searcher.Addr, "Ready", started-1000)))
+	moved.SetList(testpeer.MemberList(7, true, testpeer.Member("s", h.searcher.Addr, "Ready", started-1000)))
 	if got := h.nextListChange(); got.Kind != eiderwinch.Whole || got.Replicas[0].Started != reported {
 		t.Errorf("have %+v, want the start at %v", got, reported)
 	}
 	client := h.sendQuery("search", "t", time.Minute, 1)
-	testpeer.Get(t, later.Parts, "a part").Answer("served", 1, "v")
-	if resp, _ := client.Hear(); resp.StatusCode != 200 {
+	testpeer.Receive(t, later.Parts, "a part").Answer("served", 1, "v")
+	if resp, _ := client.ReadResponse(); resp.StatusCode != 200 {
 		t.Errorf("have %s", resp.Status)
 	}
 }
@@ -380,7 +380,7 @@
 			return nil
 		})
 	})
-	testpeer.Get(t, h.discovery.Watches, "a watch")
+	testpeer.Receive(t, h.discovery.Watches, "a watch")
 	h.onLoop(func() {
 		if got := h.stats.DialRetries; got != 3 || h.stats.WatchFails != 0 {
 			t.Errorf("%d dials retried, %d watches failed; want 3 and 0", got, h.stats.WatchFails)
@@ -392,16 +392,16 @@
 // move takes place once the new address has sent its list.
 func TestAReloadWhileBothAddressesAreSilent(t *testing.T) {
 	h, moved := startHarness(t, nil), testpeer.NewDiscovery(t)
-	old := testpeer.Get(t, h.discovery.Watches, "a watch")
+	old := testpeer.Receive(t, h.discovery.Watches, "a watch")
 	h.Reload(moved.Addr)
 	h.waitUntil("the old watch is silent", func() bool { return time.Until(h.watch.follower.Due()) < time.Second })
-	old.Send(testpeer.List(42, false, testpeer.Member("s", h.searcher.Addr, "Terminating", 0)))
+	old.Send(testpeer.MemberList(42, false, testpeer.Member("s", h.searcher.Addr, "Terminating", 0)))
 	if got := h.nextListChange(); got.Replicas[0].State != eiderwinch.Draining {
 		t.Errorf("the update from the old address is %+v", got)
 	}
-	moved.Tell(testpeer.List(7, true, testpeer.Member("s", h.searcher.Addr, "Ready", 0), testpeer.Member("x", "127.0.0.1:1", "Ready", 0)))
+	moved.SetList(testpeer.MemberList(7, true, testpeer.Member("s", h.searcher.Addr, "Ready", 0), testpeer.Member("x", "127.0.0.1:1", "Ready", 0)))
 	if got := h.nextListChange(); got.Kind != eiderwinch.Whole || got.Replicas[0].State != eiderwinch.Draining || len(got.Replicas) != 2 {
 		t.Errorf("the list from the new address is %+v", got)
 	}
-	testpeer.Get(t, moved.Watches, "a watch at the new address")
+	testpeer.Receive(t, moved.Watches, "a watch at the new address")
 }
--- a/internal/trial/ask/ask.go
+++ b/internal/trial/ask/ask.go
@@ -21,7 +21,7 @@
 	Epoch        uint64        // epoch of the layout that its client knows; not sent if 0
 	Segments     []int
 	Statement    string
-	About        string // key of the user that it is about, sent as a cookie; empty if none
+	User         string // key of the user that it is about, sent as a cookie; empty if none
 	Tenant       string // empty if none
 }
 
@@ -68,8 +68,8 @@
 	if q.Key != "" {
 		r.Header.Set("Idempotency-Key", q.Key)
 	}
-	if q.About != "" {
-		r.AddCookie(&http.Cookie{Name: "user", Value: q.About})
+	if q.User != "" {
+		r.AddCookie(&http.Cookie{Name: "user", Value: q.User})
 	}
 	if q.Tenant != "" {
 		r.Header.Set("X-Customer", q.Tenant)
--- a/internal/trial/emulator/experiment.go
+++ b/internal/trial/emulator/experiment.go
@@ -76,7 +76,7 @@
 type Experiment struct {
 	Scenarios      []Scenario
 	Seeds          []uint64
-	Of             string             // the attribute that is swept; empty if there is no sweep
+	SweptAttribute string             // the attribute that is swept; empty if there is no sweep
 	Values         []float64          // the values of the swept attribute; a single 0 if there is no sweep
 	loadByScenario map[string]float64 // factor on the rates of its classes
 	partialAnswers map[string]bool    // by scenario: whether its answers may be partial
@@ -115,7 +115,7 @@
 		x.Seeds = append(x.Seeds, root.Number("first")+i)
 	}
 	if n := root.Child("sweep"); n != nil {
-		x.Of, x.Values = n.Text("of"), nil
+		x.SweptAttribute, x.Values = n.Text("of"), nil
 		for _, v := range n.Children {
 			x.Values = append(x.Values, v.Float("is"))
 		}
@@ -137,7 +137,7 @@
 		x.partialAnswers[s.Name] = n.Text("answers") == answersPartial
 		s.Classes = x.classes(s)
 		if slices.ContainsFunc(x.Scenarios, func(other Scenario) bool { return other.Name == s.Name }) {
-			faults.Add(n.Line, n.Name, "a second scenario "+s.Name, "a name of its own")
+			faults.Add(n.Line, n.Name, "a second scenario "+s.Name, "each name once")
 		}
 		x.loadByScenario[s.Name] = n.Float("load")
 		for _, f := range n.Children {
@@ -180,12 +180,12 @@
 	return out
 }
 
-// Play executes one run of the experiment.
-func (x *Experiment) Play(p Point) (*Result, error) {
+// RunPoint executes one run of the experiment.
+func (x *Experiment) RunPoint(p Point) (*Result, error) {
 	i := slices.IndexFunc(x.Scenarios, func(s Scenario) bool { return s.Name == p.Scenario })
 	s := x.Scenarios[i]
 	load := x.loadByScenario[s.Name]
-	switch x.Of {
+	switch x.SweptAttribute {
 	case "load":
 		load *= p.Value
 	case "slots":
--- a/internal/trial/experiment/experiment.go
+++ b/internal/trial/experiment/experiment.go
@@ -66,11 +66,11 @@
 // ErrBreach reports that runs of an experiment broke rules.
 var ErrBreach = errors.New("rules were broken")
 
-// Play executes the runs of an experiment whose results the file at path does not
+// RunAll executes the runs of an experiment whose results the file at path does not
 // contain yet, with the given number of workers, and appends each result to it. It
 // calls done at the start and after each run with the number of finished runs and the
 // number of all runs.
-func Play(ctx context.Context, x *emulator.Experiment, path string, workers int, done func(finished, total int)) ([]Run, error) {
+func RunAll(ctx context.Context, x *emulator.Experiment, path string, workers int, done func(finished, total int)) ([]Run, error) {
 	runs, err := Load(path)
 	if err != nil && !errors.Is(err, fs.ErrNotExist) {
 		return nil, err
@@ -100,7 +100,7 @@
 		go func() {
 			defer group.Done()
 			for p := range pending {
-				result, err := x.Play(p)
+				result, err := x.RunPoint(p)
 				if err != nil {
 					cancel(err)
 					return
--- a/internal/trial/experiment/experiment_test.go
+++ b/internal/trial/experiment/experiment_test.go
@@ -32,7 +32,7 @@
 func TestInterruptedExperimentResumes(t *testing.T) {
 	x := read(t, text)
 	path := filepath.Join(t.TempDir(), "x.results")
-	whole, err := Play(context.Background(), x, path, 4, func(int, int) {})
+	whole, err := RunAll(context.Background(), x, path, 4, func(int, int) {})
 	if err != nil || len(whole) != 8 {
 		t.Fatalf("%d runs, %v", len(whole), err)
 	}
@@ -45,7 +45,7 @@
 		t.Fatal(err)
 	}
 	first := -1
-	resumed, err := Play(context.Background(), x, path, 2, func(finished, _ int) {
+	resumed, err := RunAll(context.Background(), x, path, 2, func(finished, _ int) {
 		if first < 0 {
 			first = finished
 		}
@@ -55,7 +55,7 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
-	if _, err := Play(ctx, x, filepath.Join(t.TempDir(), "y"), 2, func(int, int) {}); !errors.Is(err, context.Canceled) {
+	if _, err := RunAll(ctx, x, filepath.Join(t.TempDir(), "y"), 2, func(int, int) {}); !errors.Is(err, context.Canceled) {
 		t.Errorf("cancelled experiment: %v", err)
 	}
 	if err := os.WriteFile(path, append([]byte("{\n"), lines...), 0o600); err != nil {
@@ -69,7 +69,7 @@
 	if err := WriteCSV(&table, whole); err != nil || strings.Count(table.String(), "\n") != 1+8*3 {
 		t.Errorf("%v, %s", err, table.String())
 	}
-	if err := Report(&page, "x <y>", x.Of, whole); err != nil {
+	if err := Report(&page, "x <y>", x.SweptAttribute, whole); err != nil {
 		t.Fatal(err)
 	}
 	html := page.String()
--- a/internal/trial/load/load.go
+++ b/internal/trial/load/load.go
@@ -27,8 +27,8 @@
 	Keyed     bool    // queries carry an idempotency key
 }
 
-// Usual returns the classes of the fake deployment (package standin).
-func Usual() []Class {
+// DefaultClasses returns the classes of the fake deployment (package standin).
+func DefaultClasses() []Class {
 	return []Class{
 		{"report", 0.1, 6, "find item", false},
 		{"search", 0.6, 4, "find item", false},
--- a/internal/trial/load/load_test.go
+++ b/internal/trial/load/load_test.go
@@ -25,7 +25,7 @@
 		_, _ = w.Write([]byte(`{"full":true}`))
 	}))
 	defer s.Close()
-	o := Options{Addr: strings.TrimPrefix(s.URL, "http://"), Rate: 200, Duration: 500 * time.Millisecond, Segments: 6, Classes: Usual(), Seed: 1}
+	o := Options{Addr: strings.TrimPrefix(s.URL, "http://"), Rate: 200, Duration: 500 * time.Millisecond, Segments: 6, Classes: DefaultClasses(), Seed: 1}
 	reports, err := Run(context.Background(), o)
 	if err != nil {
 		t.Fatal(err)
@@ -79,7 +79,7 @@
 	if r := reports[0]; r.Partial < 1 || r.Refused != 1 || r.Failed < 1 || r.Unasked == 0 {
 		t.Errorf("got %+v", r)
 	}
-	if _, err := Run(ctx, Options{Rate: 1, Duration: 1, Segments: 3, Classes: Usual()}); err == nil {
+	if _, err := Run(ctx, Options{Rate: 1, Duration: 1, Segments: 3, Classes: DefaultClasses()}); err == nil {
 		t.Error("accepted classes with six parts on three segments")
 	}
 }
--- a/internal/trial/rig/history.go
+++ b/internal/trial/rig/history.go
@@ -82,9 +82,9 @@
 // Queries counts the queries that clients sent, by how they ended.
 type Queries struct {
 	Asked, Answered, Refused, Failed int
-	Died                             int // no answer, and their gatherer was killed or stopped meanwhile
+	Interrupted                      int // no answer, and their gatherer was killed or stopped meanwhile
 	Lost                             int // no answer although their gatherer ran all the time
-	Cold                             int // of Answered: those that need the cold searcher
+	AnsweredCold                     int // of Answered: those that need the cold searcher
 }
 
 // maxViolations bounds the violations that are kept.
--- a/internal/trial/rig/rig.go
+++ b/internal/trial/rig/rig.go
@@ -32,13 +32,13 @@
 
 // Config configures a Rig.
 type Config struct {
-	Program   string // path of the built program
-	Dir       string // for files, logs and history.jsonl
-	Gatherers int
-	Seed      uint64
-	Keys      string        // text of a key file with a key named k
-	Lease     time.Duration // lease of a slot, see package share; 0: limits are not divided
-	Settle    time.Duration // a fleet that has not converged this long after a fault counts as a violation
+	Program         string // path of the built program
+	Dir             string // for files, logs and history.jsonl
+	Gatherers       int
+	Seed            uint64
+	Keys            string        // text of a key file with a key named k
+	Lease           time.Duration // lease of a slot, see package share; 0: limits are not divided
+	ConvergeTimeout time.Duration // a fleet that has not converged this long after a fault counts as a violation
 }
 
 // Parameters of the searchers, the gatherers and the clients. One searcher, alone in its cell, restarts so often that it
@@ -119,7 +119,7 @@
 			return r, err
 		}
 		r.searchers = append(r.searchers, s)
-		r.discovery.Tell(s.member(i == 2))
+		r.discovery.Publish(s.member(i == 2))
 	}
 	r.cold = r.searchers[2]
 	if err := os.WriteFile(filepath.Join(cfg.Dir, "keys.xml"), []byte(cfg.Keys), 0o600); err != nil {
@@ -135,7 +135,7 @@
 	if err := r.forEach(r.gatherers, (*gatherer).start); err != nil {
 		return r, err
 	}
-	r.spawn(func() { r.repeat(coldRestartInterval, func() { r.discovery.Tell(r.cold.member(true)) }) })
+	r.spawn(func() { r.repeat(coldRestartInterval, func() { r.discovery.Publish(r.cold.member(true)) }) })
 	for _, g := range r.gatherers {
 		r.spawn(func() { r.repeat(pollInterval, g.poll) })
 		for k := range 4 {
@@ -368,14 +368,14 @@
 	h.Asked++
 	switch {
 	case err != nil && interrupted:
-		h.Died++
+		h.Interrupted++
 	case err != nil:
 		h.Lost++
 		h.recordViolationLocked("query without an answer: %v", err)
 	case status == http.StatusOK:
 		h.Answered++
 		if cold {
-			h.Cold++
+			h.AnsweredCold++
 		}
 	case status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests:
 		h.Refused++
@@ -408,7 +408,7 @@
 		if same {
 			return took, nil
 		}
-		if took > r.cfg.Settle {
+		if took > r.cfg.ConvergeTimeout {
 			return took, fmt.Errorf("fleet not converged after %v: %d gatherers run", took, want)
 		}
 		if !r.sleep(20 * time.Millisecond) {
@@ -440,8 +440,8 @@
 	return err
 }
 
-// Settled holds how long the fleet took to converge after faults of one kind.
-type Settled struct {
+// Convergence holds how long the fleet took to converge after faults of one kind.
+type Convergence struct {
 	Kind  Kind
 	When  string // "struck": after the fault began; "over": after it ended
 	Times []time.Duration
@@ -450,26 +450,26 @@
 // Report is the result of a run.
 type Report struct {
 	Queries
-	Steps   int
-	Settled []Settled
-	Views   int // observed changes of a gatherer's view
-	Quiet   int // of Views: those without a fault, in a fleet that had converged
-	Held    int // most slots of absent gatherers that others used at once
-	// Parts that reached the cold searcher, the most of them in one window, and how many the decision module's rule
-	// allows the whole fleet in that window.
-	Parts, Most int
-	Allowed     float64
-	Faults      []string
+	Steps            int
+	Convergence      []Convergence
+	ViewChanges      int // observed changes of a gatherer's view
+	QuietViewChanges int // of ViewChanges: those without a fault, in a fleet that had converged
+	MaxHeldSlots     int // most slots of absent gatherers that others used at once
+	// ColdParts counts the parts that reached the cold searcher and MaxColdParts the most of them in one window;
+	// AllowedColdParts is how many the decision module's rule allows the whole fleet in that window.
+	ColdParts, MaxColdParts int
+	AllowedColdParts        float64
+	Violations              []string
 }
 
 // addTime adds a time that the fleet took to converge.
 func (r *Report) addTime(kind Kind, when string, took time.Duration) {
-	i := slices.IndexFunc(r.Settled, func(s Settled) bool { return s.Kind == kind && s.When == when })
+	i := slices.IndexFunc(r.Convergence, func(s Convergence) bool { return s.Kind == kind && s.When == when })
 	if i < 0 {
-		i = len(r.Settled)
-		r.Settled = append(r.Settled, Settled{Kind: kind, When: when})
+		i = len(r.Convergence)
+		r.Convergence = append(r.Convergence, Convergence{Kind: kind, When: when})
 	}
-	r.Settled[i].Times = append(r.Settled[i].Times, took)
+	r.Convergence[i].Times = append(r.Convergence[i].Times, took)
 }
 
 // quietPeriod is how long the fleet is observed without a fault before each step.
@@ -493,7 +493,7 @@
 	for _, step := range plan {
 		before := r.history.viewChangeCount()
 		r.sleep(quietPeriod)
-		report.Quiet += r.history.viewChangeCount() - before
+		report.QuietViewChanges += r.history.viewChangeCount() - before
 		report.Steps++
 		r.history.recordText("rig", "%s of %d for %v", step.Kind, step.First, step.For)
 		if err := r.inject(step, func() { waitConverged(step.Kind, "struck") }); err != nil {
@@ -607,12 +607,12 @@
 		}
 		age := float64(lastArrival.Sub(p.searcherStart)) / float64(coldDuration)
 		allowed := (startCapacity + (1-startCapacity)*min(age, 1)) * fallMultiple * coldGrantFactor * float64(limitWindow) / float64(partDuration)
-		if n > report.Most {
-			report.Most, report.Allowed = n, allowed
+		if n > report.MaxColdParts {
+			report.MaxColdParts, report.AllowedColdParts = n, allowed
 		}
 		if float64(n) > 2*allowed { // a window may overlap two turns
 			h.recordViolationLocked("the cold searcher got %d parts in %v, want %.0f at most in a turn", n, limitWindow, allowed)
 		}
 	}
-	report.Parts, report.Queries, report.Views, report.Held, report.Faults = len(parts), h.Queries, h.viewChanges, h.maxHeldSlots, h.violations
+	report.ColdParts, report.Queries, report.ViewChanges, report.MaxHeldSlots, report.Violations = len(parts), h.Queries, h.viewChanges, h.maxHeldSlots, h.violations
 }
--- a/internal/trial/soak/config.go
+++ b/internal/trial/soak/config.go
@@ -33,14 +33,14 @@
 
 // ConfigOptions configures RunConfig.
 type ConfigOptions struct {
-	Warm    time.Duration // load without changes at first, from which the regression guard learns what is typical
-	Changes time.Duration
-	Every   time.Duration // interval between changes; each fourth change is bad
-	Rate    float64       // queries per second
-	Row     int           // number of changes in sequence at the end, without load
-	Seed    uint64
-	Dir     string    // for the configuration history and sockets
-	Out     io.Writer // for progress messages
+	WarmUp         time.Duration // load without changes at first, from which the regression guard learns what is typical
+	ChangeDuration time.Duration
+	Interval       time.Duration // interval between changes; each fourth change is bad
+	Rate           float64       // queries per second
+	SequenceLength int           // number of changes in sequence at the end, without load
+	Seed           uint64
+	Dir            string    // for the configuration history and sockets
+	Out            io.Writer // for progress messages
 }
 
 // ConfigReport is the result of RunConfig.
@@ -153,7 +153,7 @@
 	r.run = run{
 		Options: Options{Rate: o.Rate, Seed: o.Seed, Dir: o.Dir, Out: o.Out},
 		rng:     &lockedRand{source: rand.New(rand.NewPCG(o.Seed, 4))}, report: &report.Report,
-		custodians: make(map[string]*standin.Custodian),
+		assignmentServers: make(map[string]*standin.AssignmentServer),
 	}
 	r.searchLatencies.Store(newLatencyWindow())
 	ctx, stop := context.WithCancel(ctx)
@@ -167,9 +167,9 @@
 	var loadDone sync.WaitGroup
 	loadDone.Add(1)
 	go func() { defer loadDone.Done(); r.generateLoad(loadCtx) }()
-	sleep(ctx, o.Warm)
-	for started := time.Now(); time.Since(started) < o.Changes && ctx.Err() == nil; r.changes++ {
-		next := time.Now().Add(o.Every)
+	sleep(ctx, o.WarmUp)
+	for started := time.Now(); time.Since(started) < o.ChangeDuration && ctx.Err() == nil; r.changes++ {
+		next := time.Now().Add(o.Interval)
 		r.submitChange(ctx)
 		sleep(ctx, time.Until(next))
 	}
@@ -186,8 +186,8 @@
 	report.Ended = c.Whole + c.Partial + c.Refused + c.Failed + c.ClientsDisconnected
 	report.Translated = c.Translated
 	report.Held = int(r.heldQueries.Load())
-	report.Doubled = len(r.store.Doubled())
-	report.Reserved, report.Repeated = r.store.Ran()
+	report.Doubled = len(r.store.DuplicateReservations())
+	report.Reserved, report.Repeated = r.store.ReservationCounts()
 	report.Linearizable = string(r.audit.checkReservations(initialStock, time.Now()))
 	return report, err
 }
@@ -217,7 +217,7 @@
 	}
 	r.operatorsFormat = `<eiderwinch xmlns="urn:eiderwinch:operators:1">%s<guard probation="60s"/></eiderwinch>`
 	var text bytes.Buffer
-	if err := layoutfile.Write(&text, r.deployment.First(), r.fleet); err != nil {
+	if err := layoutfile.Write(&text, r.deployment.InitialLayout(), r.fleet); err != nil {
 		return end, err
 	}
 	initial, err := bundle.Check(bundle.Bundle{Platform: platform, Operators: fmt.Appendf(nil, r.operatorsFormat, ""), Layout: text.Bytes()}, bundle.Names{})
@@ -276,7 +276,7 @@
 	}()
 	r.hungSearcher = "s-hung"
 	r.fleet.Zones[r.hungSearcher] = "verona"
-	r.deployment.Discovery.Tell(standin.Member{ID: r.hungSearcher, Addr: l.Addr().String(), Zone: "verona", Kind: "std", Phase: standin.Ready, Size: 1})
+	r.deployment.Discovery.Publish(standin.Member{ID: r.hungSearcher, Addr: l.Addr().String(), Zone: "verona", Kind: "std", Phase: standin.Ready, Size: 1})
 	return l, nil
 }
 
@@ -376,7 +376,7 @@
 	}
 	r.report.Applied++
 	if !bad {
-		sleep(ctx, min(time.Second, r.options.Every/2))
+		sleep(ctx, min(time.Second, r.options.Interval/2))
 		if err := r.call(ctx, http.MethodPost, path+"confirm", nil, nil); err != nil {
 			r.report.GoodUndone++
 			r.recordReason(ctx, s.Tx)
@@ -415,7 +415,7 @@
 // runSequence applies and confirms changes in sequence, and measures the heap, descriptors and goroutines they leave
 // behind.
 func (r *configRun) runSequence(ctx context.Context) error {
-	if r.options.Row == 0 {
+	if r.options.SequenceLength == 0 {
 		return nil
 	}
 	wait := func(what string, done func() bool) error {
@@ -447,8 +447,8 @@
 		return wait("a confirmation", func() bool { return r.call(ctx, http.MethodPost, path+"confirm", nil, nil) == nil })
 	}
 	use := &r.report.Row
-	for i := range r.options.Row {
-		if i == r.options.Row*3/10 { // bounded histories are full from here on
+	for i := range r.options.SequenceLength {
+		if i == r.options.SequenceLength*3/10 { // bounded histories are full from here on
 			use.HeapBefore, use.FilesBefore, use.RoutinesBefore = measure()
 		}
 		if err := applyOne(i); err != nil {
--- a/internal/trial/soak/soak.go
+++ b/internal/trial/soak/soak.go
@@ -35,14 +35,14 @@
 
 // Options configures Run.
 type Options struct {
-	Rounds  int           // each has a quiet window and one with changes; at least 1
-	Quiet   time.Duration // length of a quiet window
-	Changes time.Duration // length of one with changes
-	Every   time.Duration // interval between changes
-	Rate    float64       // queries per second
-	Seed    uint64
-	Dir     string    // for the coordinator's log and sockets
-	Out     io.Writer // for progress messages
+	Rounds   int           // each has a quiet window and one with changes; at least 1
+	Quiet    time.Duration // length of a quiet window
+	Changes  time.Duration // length of one with changes
+	Interval time.Duration // interval between changes
+	Rate     float64       // queries per second
+	Seed     uint64
+	Dir      string    // for the coordinator's log and sockets
+	Out      io.Writer // for progress messages
 }
 
 // Report is the result of a soak run.
@@ -111,7 +111,7 @@
 	deployment        *standin.Deployment
 	searcherIDs       []string // grouped by zone
 	fleet             layout.Fleet
-	store             *standin.Warehouse
+	store             *standin.ShardedCatalogue
 	nodes             []*node
 	audit             *audit
 	client            *http.Client
@@ -123,7 +123,7 @@
 	extraCheck        func(*query) string // additional check, returns what is wrong with an answer; may be nil
 	jobKinds          map[reshard.JobID]layout.ChangeKind
 	mu                sync.Mutex // guards jobKinds and the report's counts of changes and kills
-	custodians        map[string]*standin.Custodian
+	assignmentServers map[string]*standin.AssignmentServer
 	searchLatencies   atomic.Pointer[latencyWindow]
 	queries           sync.WaitGroup
 	openQueries       atomic.Int64
@@ -176,7 +176,7 @@
 func Run(ctx context.Context, o Options) (report Report, err error) {
 	r := &run{
 		Options: o, rng: &lockedRand{source: rand.New(rand.NewPCG(o.Seed, 4))}, report: &report,
-		custodians: make(map[string]*standin.Custodian), jobKinds: make(map[reshard.JobID]layout.ChangeKind),
+		assignmentServers: make(map[string]*standin.AssignmentServer), jobKinds: make(map[reshard.JobID]layout.ChangeKind),
 	}
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
@@ -207,8 +207,8 @@
 		report.Ended += c.Whole + c.Partial + c.Refused + c.Failed + c.ClientsDisconnected
 		report.Translated += c.Translated
 	}
-	report.Doubled = len(r.store.Doubled())
-	report.Reserved, report.Repeated = r.store.Ran()
+	report.Doubled = len(r.store.DuplicateReservations())
+	report.Reserved, report.Repeated = r.store.ReservationCounts()
 	report.Linearizable = string(r.audit.checkReservations(initialStock, time.Now()))
 	report.Epochs = r.latest.Load().Epoch()
 	return report, err
@@ -229,7 +229,7 @@
 			return err
 		}
 		n := &node{counters: stats.New(), ended: make(chan error, 1)}
-		n.Node = daemon.New(cfg, daemon.Options{Layout: r.deployment.First(), Record: true}, n.counters, slog.New(slog.DiscardHandler))
+		n.Node = daemon.New(cfg, daemon.Options{Layout: r.deployment.InitialLayout(), Record: true}, n.counters, slog.New(slog.DiscardHandler))
 		if err := r.serve(n); err != nil {
 			return err
 		}
@@ -256,8 +256,8 @@
 
 // deploy starts the searchers, discovery and the audit.
 func (r *run) deploy() error {
-	deployment, err := standin.NewDeployment(standin.DeploymentOptions{Seed: r.Seed, Work: func(first *layout.Layout) standin.Work {
-		r.store = standin.NewWarehouse(standin.WarehouseOptions{Seed: r.Seed, Stock: initialStock}, first)
+	deployment, err := standin.NewDeployment(standin.DeploymentOptions{Seed: r.Seed, Handler: func(first *layout.Layout) standin.Handler {
+		r.store = standin.NewShardedCatalogue(standin.ShardedCatalogueOptions{Seed: r.Seed, Stock: initialStock}, first)
 		return r.store
 	}, Layout: func(ids []string, zones []string) *layout.Layout {
 		var list []layout.Segment
@@ -280,13 +280,13 @@
 	}
 	r.deployment, r.fleet = deployment, deployment.Fleet(replicaCount)
 	r.searcherIDs = slices.Sorted(maps.Keys(r.fleet.Zones))
-	first := deployment.First()
+	first := deployment.InitialLayout()
 	r.latest.Store(first)
 	r.known.Store(first)
 	r.audit = &audit{epochs: map[layout.Epoch]*layout.Layout{1: first}, keys: r.store.Keys(), report: r.report, start: time.Now()}
 	for _, id := range r.searcherIDs {
-		c := standin.NewCustodian(id, r.store, filepath.Join(r.Dir, id+".sock"))
-		r.custodians[id] = c
+		c := standin.NewAssignmentServer(id, r.store, filepath.Join(r.Dir, id+".sock"))
+		r.assignmentServers[id] = c
 		if err := c.Open(); err != nil {
 			return err
 		}
@@ -302,11 +302,11 @@
 		gatherers = append(gatherers, coordinator.Peer{Name: "g" + strconv.Itoa(i), Endpoint: n.admin.Endpoint()})
 	}
 	for _, id := range r.searcherIDs {
-		searchers = append(searchers, coordinator.Peer{Name: id, Endpoint: r.custodians[id].Endpoint()})
+		searchers = append(searchers, coordinator.Peer{Name: id, Endpoint: r.assignmentServers[id].Endpoint()})
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	c, err := coordinator.Start(ctx, coordinator.Options{
-		LogPath: filepath.Join(r.Dir, "changes.db"), InitialLayout: r.deployment.First(), Fleet: r.fleet,
+		LogPath: filepath.Join(r.Dir, "changes.db"), InitialLayout: r.deployment.InitialLayout(), Fleet: r.fleet,
 		Limits:    reshard.Limits{GathererTimeout: 3 * time.Second},
 		Gatherers: gatherers, Searchers: searchers, MeasuredClass: "search", Timeout: time.Second,
 		Wrap:      func(t http.RoundTripper) http.RoundTripper { return &lossyTransport{t, r.rng} },
@@ -429,14 +429,14 @@
 	}
 	i := r.rng.intn(len(r.searcherIDs))
 	id := r.searcherIDs[i]
-	if err := errors.Join(r.custodians[id].Close(), r.deployment.Kill(i)); err != nil {
+	if err := errors.Join(r.assignmentServers[id].Close(), r.deployment.Kill(i)); err != nil {
 		fmt.Fprintln(r.Out, "searcher was not killed cleanly:", err)
 	}
 	r.mu.Lock()
 	r.report.SearcherKills++
 	r.mu.Unlock()
 	time.Sleep(downTime) // not bound to ctx: the searcher is restarted even if the window has ended
-	if err := errors.Join(r.deployment.Restart(i), r.custodians[id].Open()); err != nil {
+	if err := errors.Join(r.deployment.Restart(i), r.assignmentServers[id].Open()); err != nil {
 		fmt.Fprintln(r.Out, "searcher did not restart:", err)
 	}
 }
@@ -469,7 +469,7 @@
 			}
 			r.mu.Unlock()
 		}
-		if !sleep(ctx, r.Every) {
+		if !sleep(ctx, r.Interval) {
 			return
 		}
 	}
@@ -611,9 +611,9 @@
 // close stops the whole deployment.
 func (r *run) close() error {
 	errs := []error{r.stopCoordinator()}
-	for _, c := range r.custodians {
+	for _, c := range r.assignmentServers {
 		errs = append(errs, c.Close())
-		r.report.LateOrders += c.Late()
+		r.report.LateOrders += c.StaleOrders()
 	}
 	if r.client != nil {
 		r.client.CloseIdleConnections()
--- a/internal/trial/soak/soak_test.go
+++ b/internal/trial/soak/soak_test.go
@@ -15,7 +15,7 @@
 func TestChangesUnderLoad(t *testing.T) {
 	t.Parallel()
 	r, err := Run(context.Background(), Options{
-		Rounds: 1, Quiet: 3 * time.Second, Changes: 12 * time.Second, Every: time.Second, Rate: 80, Seed: 1,
+		Rounds: 1, Quiet: 3 * time.Second, Changes: 12 * time.Second, Interval: time.Second, Rate: 80, Seed: 1,
 		Dir: t.TempDir(), Out: io.Discard,
 	})
 	if err != nil {
@@ -35,7 +35,7 @@
 func TestConfigurationChangesUnderLoad(t *testing.T) {
 	t.Parallel()
 	r, err := RunConfig(context.Background(), ConfigOptions{
-		Warm: 6 * time.Second, Changes: 16 * time.Second, Every: time.Second, Rate: 100, Row: 30, Seed: 1, Dir: t.TempDir(), Out: io.Discard,
+		WarmUp: 6 * time.Second, ChangeDuration: 16 * time.Second, Interval: time.Second, Rate: 100, SequenceLength: 30, Seed: 1, Dir: t.TempDir(), Out: io.Discard,
 	})
 	if err != nil {
 		t.Fatal(err)
--- a/internal/trial/standin/custodian.go
+++ b/internal/trial/standin/custodian.go
@@ -13,16 +13,16 @@
 	"eiderwinch/internal/layout"
 )
 
-// Custodian is the endpoint of a fake searcher through which a coordinator of layouts
+// AssignmentServer is the endpoint of a fake searcher through which a coordinator of layouts
 // assigns segments: it handles PUT /v1/custody on a Unix socket, whose request is an
 // order and whose response is a report. It fills and drops the segments that the
-// searcher holds in a Warehouse. It is written from docs/operate-layout.md and shares
+// searcher holds in a ShardedCatalogue. It is written from docs/operate-layout.md and shares
 // no code with the coordinator.
 //
 // The last order is kept over Close and Open, as it would be on a searcher's disk.
-type Custodian struct {
+type AssignmentServer struct {
 	searcher string
-	store    *Warehouse
+	store    *ShardedCatalogue
 	path     string
 
 	mu          sync.Mutex
@@ -77,17 +77,17 @@
 // copyInterval is the time between two batches of copied rows.
 const copyInterval = 20 * time.Millisecond
 
-// NewCustodian returns the assignment endpoint of a searcher, to listen on a Unix
+// NewAssignmentServer returns the assignment endpoint of a searcher, to listen on a Unix
 // socket at path. It does not listen until Open is called.
-func NewCustodian(searcher string, store *Warehouse, path string) *Custodian {
-	return &Custodian{searcher: searcher, store: store, path: path, copied: make(map[fillID]bool)}
+func NewAssignmentServer(searcher string, store *ShardedCatalogue, path string) *AssignmentServer {
+	return &AssignmentServer{searcher: searcher, store: store, path: path, copied: make(map[fillID]bool)}
 }
 
 // Endpoint returns the address that c listens on.
-func (c *Custodian) Endpoint() string { return "unix:" + c.path }
+func (c *AssignmentServer) Endpoint() string { return "unix:" + c.path }
 
 // Open starts listening for orders and copying rows.
-func (c *Custodian) Open() error {
+func (c *AssignmentServer) Open() error {
 	if err := os.Remove(c.path); err != nil && !errors.Is(err, os.ErrNotExist) {
 		return err
 	}
@@ -114,7 +114,7 @@
 }
 
 // Close stops listening and copying, as if the process had crashed.
-func (c *Custodian) Close() error {
+func (c *AssignmentServer) Close() error {
 	c.mu.Lock()
 	srv, stop, done := c.srv, c.stop, c.done
 	c.srv = nil
@@ -128,15 +128,15 @@
 	return err
 }
 
-// Late returns the number of orders that were ignored because they were not newer than
+// StaleOrders returns the number of orders that were ignored because they were not newer than
 // the last one, or belonged to another log.
-func (c *Custodian) Late() int {
+func (c *AssignmentServer) StaleOrders() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.staleOrders
 }
 
-func (c *Custodian) serve(w http.ResponseWriter, r *http.Request) {
+func (c *AssignmentServer) serve(w http.ResponseWriter, r *http.Request) {
 	var o order
 	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, 16<<20)).Decode(&o); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
@@ -147,7 +147,7 @@
 
 // apply carries out an order, unless it is not newer than the last one or belongs to
 // another log.
-func (c *Custodian) apply(o order) report {
+func (c *AssignmentServer) apply(o order) report {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	sameLog := c.lastOrder.Log == "" || o.Log == c.lastOrder.Log
@@ -176,7 +176,7 @@
 }
 
 // copyLoop copies rows for the fills of the last order until ctx ends.
-func (c *Custodian) copyLoop(ctx context.Context) {
+func (c *AssignmentServer) copyLoop(ctx context.Context) {
 	t := time.NewTicker(copyInterval)
 	defer t.Stop()
 	for {
--- a/internal/trial/standin/deployment.go
+++ b/internal/trial/standin/deployment.go
@@ -26,12 +26,12 @@
 	// second copies. There are no second steps and no reservations.
 	Partial bool
 
-	// Layout and Work make a deployment whose segments change. Layout returns the initial
-	// layout for the searchers, whose zones are at the same indices; Work returns what
+	// Layout and Handler make a deployment whose segments change. Layout returns the initial
+	// layout for the searchers, whose zones are at the same indices; Handler returns what
 	// serves their parts. If they are nil, the segments are assigned by cell and all
 	// searchers share one SharedCatalogue.
-	Layout func(searchers, zones []string) *layout.Layout
-	Work   func(*layout.Layout) Work
+	Layout  func(searchers, zones []string) *layout.Layout
+	Handler func(*layout.Layout) Handler
 }
 
 // Deployment is everything that one gatherer needs to run: searchers in zones, the
@@ -40,9 +40,9 @@
 	opts      DeploymentOptions
 	Searchers []*Searcher
 	Discovery *Discovery
-	Stock     *SharedCatalogue // nil if DeploymentOptions.Work is set
+	Catalogue *SharedCatalogue // nil if DeploymentOptions.Handler is set
 
-	work    Work
+	handler Handler
 	initial *layout.Layout
 	members []Member
 }
@@ -85,11 +85,11 @@
 	if o.Layout != nil {
 		d.initial = o.Layout(ids, zones)
 	}
-	if o.Work != nil {
-		d.work = o.Work(d.initial)
+	if o.Handler != nil {
+		d.handler = o.Handler(d.initial)
 	} else {
-		d.Stock = NewSharedCatalogue(SharedCatalogueOptions{Segments: o.Cells * o.SegmentsPerCell, Service: o.Service, Seed: o.Seed})
-		d.work = d.Stock
+		d.Catalogue = NewSharedCatalogue(SharedCatalogueOptions{Segments: o.Cells * o.SegmentsPerCell, Service: o.Service, Seed: o.Seed})
+		d.handler = d.Catalogue
 	}
 	var err error
 	if d.Discovery, err = NewDiscovery(); err != nil {
@@ -105,16 +105,16 @@
 			ID: id, Addr: s.Addr(), Zone: zones[i], Kind: "std", Cell: i % o.Cells, Phase: Ready, Size: 1,
 		})
 	}
-	d.Discovery.Tell(d.members...)
+	d.Discovery.Publish(d.members...)
 	return d, nil
 }
 
 func (d *Deployment) newSearcher(id string) (*Searcher, error) {
-	return NewSearcher(SearcherOptions{ID: id, Work: d.work, CallCost: callCost})
+	return NewSearcher(SearcherOptions{ID: id, Work: d.handler, CallCost: callCost})
 }
 
-// First returns the initial layout. It is nil if the segments are assigned by cell.
-func (d *Deployment) First() *layout.Layout { return d.initial }
+// InitialLayout returns the initial layout. It is nil if the segments are assigned by cell.
+func (d *Deployment) InitialLayout() *layout.Layout { return d.initial }
 
 // Fleet returns the searchers and their zones, with the given number of replicas.
 func (d *Deployment) Fleet(replicas int) layout.Fleet {
@@ -131,7 +131,7 @@
 	err := d.Searchers[i].Close()
 	gone := d.members[i]
 	gone.Phase = Gone
-	d.Discovery.Tell(gone)
+	d.Discovery.Publish(gone)
 	return err
 }
 
@@ -143,7 +143,7 @@
 	}
 	d.Searchers[i] = s
 	d.members[i].Addr, d.members[i].UpSince = s.Addr(), time.Now().UnixMilli()
-	d.Discovery.Tell(d.members[i])
+	d.Discovery.Publish(d.members[i])
 	return nil
 }
 
--- a/internal/trial/standin/discovery.go
+++ b/internal/trial/standin/discovery.go
@@ -36,14 +36,14 @@
 	srv    *Server
 	closed chan struct{} // closed by Close
 
-	mu           sync.Mutex
-	members      map[string]listedMember
-	revision     int64
-	changed      chan struct{} // closed and replaced at each change
-	silenceEnded chan struct{} // closed by Speak; nil if discovery is not silenced
-	mutedUpTo    int64         // watches with a number up to this one receive nothing more
-	watchCount   int64         // watches opened so far
-	indent       bool          // whether lists are written over several lines
+	mu         sync.Mutex
+	members    map[string]listedMember
+	revision   int64
+	changed    chan struct{} // closed and replaced at each change
+	resumed    chan struct{} // closed by ResumeResponses; nil if responses are not paused
+	mutedUpTo  int64         // watches with a number up to this one receive nothing more
+	watchCount int64         // watches opened so far
+	indent     bool          // whether lists are written over several lines
 }
 
 type listedMember struct {
@@ -80,9 +80,9 @@
 	return d.srv.Close()
 }
 
-// Tell adds or replaces members of the list in one revision and notifies the open
+// Publish adds or replaces members of the list in one revision and notifies the open
 // watches.
-func (d *Discovery) Tell(members ...Member) {
+func (d *Discovery) Publish(members ...Member) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.revision++
@@ -93,28 +93,28 @@
 	d.changed = make(chan struct{})
 }
 
-// Break resets all connections.
-func (d *Discovery) Break() { d.srv.Break() }
+// ResetConns resets all connections.
+func (d *Discovery) ResetConns() { d.srv.ResetConns() }
 
-// Silence stops all responses until Speak: requests hang, and open watches receive
+// PauseResponses stops all responses until ResumeResponses: requests hang, and open watches receive
 // nothing.
-func (d *Discovery) Silence() {
+func (d *Discovery) PauseResponses() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.silenceEnded = make(chan struct{})
+	d.resumed = make(chan struct{})
 }
 
-// Speak resumes responses after Silence.
-func (d *Discovery) Speak() {
+// ResumeResponses resumes responses after PauseResponses.
+func (d *Discovery) ResumeResponses() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	close(d.silenceEnded)
-	d.silenceEnded = nil
+	close(d.resumed)
+	d.resumed = nil
 }
 
-// Deafen stops sending to the watches that are open now. They stay open but no longer
+// MuteOpenWatches stops sending to the watches that are open now. They stay open but no longer
 // receive updates or heartbeats.
-func (d *Discovery) Deafen() {
+func (d *Discovery) MuteOpenWatches() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.mutedUpTo = d.watchCount
@@ -127,17 +127,17 @@
 	d.indent = true
 }
 
-// awaitSpeak waits until responses are no longer silenced. It returns false if d is
+// awaitResumed waits until responses are no longer paused. It returns false if d is
 // closed first.
-func (d *Discovery) awaitSpeak() bool {
+func (d *Discovery) awaitResumed() bool {
 	d.mu.Lock()
-	silenceEnded := d.silenceEnded
+	resumed := d.resumed
 	d.mu.Unlock()
-	if silenceEnded == nil {
+	if resumed == nil {
 		return true
 	}
 	select {
-	case <-silenceEnded:
+	case <-resumed:
 		return true
 	case <-d.closed:
 		return false
@@ -188,7 +188,7 @@
 		if err != nil {
 			return
 		}
-		if !d.awaitSpeak() {
+		if !d.awaitResumed() {
 			return
 		}
 		switch {
@@ -237,11 +237,11 @@
 		}
 		select {
 		case <-changed:
-			if !d.awaitSpeak() {
+			if !d.awaitResumed() {
 				return
 			}
 		case <-tick.C:
-			if !d.awaitSpeak() || writeLine(nil) != nil {
+			if !d.awaitResumed() || writeLine(nil) != nil {
 				return
 			}
 		case <-d.closed:
--- a/internal/trial/standin/searcher.go
+++ b/internal/trial/standin/searcher.go
@@ -43,17 +43,17 @@
 	Value string
 }
 
-// Work computes the answer to a part and how long serving it takes. Its method is
+// Handler computes the answer to a part and how long serving it takes. Its method is
 // called from several goroutines at once.
-type Work interface {
-	// Do runs a part at the searcher with the given id.
-	Do(searcher string, p Part) (Answer, time.Duration)
+type Handler interface {
+	// Handle runs a part at the searcher with the given id.
+	Handle(searcher string, p Part) (Answer, time.Duration)
 }
 
 // SearcherOptions configures a Searcher.
 type SearcherOptions struct {
 	ID       string
-	Work     Work
+	Work     Handler
 	Slots    int           // parts served at once; 0 means 4, as on the platform's two cores
 	Queue    int           // parts that may wait for a slot; further ones are skipped; 0 means 64
 	CallCost time.Duration // time that a call takes in addition to its parts
@@ -248,7 +248,7 @@
 		return
 	}
 	defer func() { <-s.running }()
-	a, duration := s.opts.Work.Do(s.opts.ID, p)
+	a, duration := s.opts.Work.Handle(s.opts.ID, p)
 	if duration += cost; duration > 0 {
 		t := time.NewTimer(duration)
 		defer t.Stop()
--- a/internal/trial/standin/shared_catalogue.go
+++ b/internal/trial/standin/shared_catalogue.go
@@ -13,7 +13,7 @@
 
 // SharedCatalogue is a catalogue that all searchers of a deployment share: the rows of each
 // segment, and the reservations made, which are known to all holders of a segment. It
-// implements Work and records the parts that ran.
+// implements Handler and records the parts that ran.
 type SharedCatalogue struct {
 	opts SharedCatalogueOptions
 
@@ -92,10 +92,10 @@
 	return s
 }
 
-// Do implements Work. The operation is the first word of the statement: "total" sums the
+// Handle implements Handler. The operation is the first word of the statement: "total" sums the
 // stock, "reserve" reserves one of the item with the most stock, and any other word finds
 // that item. The rest of the statement is ignored.
-func (s *SharedCatalogue) Do(searcher string, p Part) (Answer, time.Duration) {
+func (s *SharedCatalogue) Handle(searcher string, p Part) (Answer, time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	duration := time.Duration(float64(s.opts.Service) * math.Exp(s.opts.Spread*s.rng.NormFloat64()))
@@ -173,8 +173,8 @@
 	return slices.Clone(s.runs), s.droppedRuns
 }
 
-// Doubled returns the segments and keys for which more than one reservation was made.
-func (s *SharedCatalogue) Doubled() []string {
+// DuplicateReservations returns the segments and keys for which more than one reservation was made.
+func (s *SharedCatalogue) DuplicateReservations() []string {
 	runs, _ := s.Runs()
 	made := make(map[string]int)
 	var doubled []string
--- a/internal/trial/standin/standin.go
+++ b/internal/trial/standin/standin.go
@@ -82,8 +82,8 @@
 	s.mu.Unlock()
 }
 
-// Break resets all open connections.
-func (s *Server) Break() {
+// ResetConns resets all open connections.
+func (s *Server) ResetConns() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for c := range s.conns {
--- a/internal/trial/standin/standin_test.go
+++ b/internal/trial/standin/standin_test.go
@@ -96,8 +96,8 @@
 	if answers[0] != answers[1] || answers[1] != answers[2] {
 		t.Errorf("got %q", answers)
 	}
-	runs, dropped := d.Stock.Runs()
-	if len(runs) != 3 || runs[0].Repeat || !runs[1].Repeat || !runs[2].Repeat || dropped != 0 || len(d.Stock.Doubled()) != 0 {
+	runs, dropped := d.Catalogue.Runs()
+	if len(runs) != 3 || runs[0].Repeat || !runs[1].Repeat || !runs[2].Repeat || dropped != 0 || len(d.Catalogue.DuplicateReservations()) != 0 {
 		t.Errorf("runs %+v", runs)
 	}
 }
@@ -107,9 +107,9 @@
 func TestDoubledReservationIsReported(t *testing.T) {
 	s := NewSharedCatalogue(SharedCatalogueOptions{Segments: 1, Window: time.Nanosecond})
 	for range 2 {
-		s.Do("s", Part{ID: "t.0", Key: "key", Text: "reserve"})
+		s.Handle("s", Part{ID: "t.0", Key: "key", Text: "reserve"})
 	}
-	if got := s.Doubled(); len(got) != 1 || got[0] != "0/key" {
+	if got := s.DuplicateReservations(); len(got) != 1 || got[0] != "0/key" {
 		t.Errorf("got %v", got)
 	}
 }
@@ -145,6 +145,6 @@
 	}
 	read(`"complete":true`)
 	read(`"complete":false,"members":[]}`)
-	d.Discovery.Tell(Member{ID: "s-00", Phase: Gone})
+	d.Discovery.Publish(Member{ID: "s-00", Phase: Gone})
 	read(`{"revision":2,"complete":false,"members":[{"id":"s-00",`)
 }
--- a/internal/trial/standin/warehouse.go
+++ b/internal/trial/standin/warehouse.go
@@ -13,17 +13,17 @@
 	"eiderwinch/internal/layout"
 )
 
-// Warehouse is a catalogue whose segments change. Each searcher has its own replica of each
+// ShardedCatalogue is a catalogue whose segments change. Each searcher has its own replica of each
 // segment that it holds, with the segment's rows and the reservations made on them.
-// It implements Work. A searcher without a complete replica of a segment skips its parts,
+// It implements Handler. A searcher without a complete replica of a segment skips its parts,
 // which shows that they were not run.
 //
 // A reservation is made at all replicas of its segment, as by searchers that replicate it.
 // A replica that was filled from other segments and the replicas of those exchange their
 // reservations until StopFollowing: a reservation made between copy and cut-over, or
 // at the old holders afterwards, reaches the successors, and the reverse.
-type Warehouse struct {
-	opts WarehouseOptions
+type ShardedCatalogue struct {
+	opts ShardedCatalogueOptions
 
 	mu          sync.Mutex
 	rng         *rand.Rand
@@ -33,8 +33,8 @@
 	droppedRuns int
 }
 
-// WarehouseOptions configures the content of a Warehouse and its service times.
-type WarehouseOptions struct {
+// ShardedCatalogueOptions configures the content of a ShardedCatalogue and its service times.
+type ShardedCatalogueOptions struct {
 	Keys    int           // rows; 0 means 600
 	Stock   int           // of each row; 0 means 1,000,000
 	Service time.Duration // median time to serve a part; 0 means 6 ms
@@ -62,9 +62,9 @@
 // Range is the key range of a segment.
 type Range = layout.Range
 
-// NewWarehouse returns a Warehouse in which the holders of each segment of a layout have
+// NewShardedCatalogue returns a ShardedCatalogue in which the holders of each segment of a layout have
 // a complete replica of it.
-func NewWarehouse(o WarehouseOptions, l *layout.Layout) *Warehouse {
+func NewShardedCatalogue(o ShardedCatalogueOptions, l *layout.Layout) *ShardedCatalogue {
 	setDefault := func(value *int, defaultValue int) {
 		if *value == 0 {
 			*value = defaultValue
@@ -76,7 +76,7 @@
 	if o.Service == 0 {
 		o.Service = defaultService
 	}
-	w := &Warehouse{opts: o, rng: rand.New(rand.NewPCG(o.Seed, 3)), held: make(map[heldKey]*heldSegment)}
+	w := &ShardedCatalogue{opts: o, rng: rand.New(rand.NewPCG(o.Seed, 3)), held: make(map[heldKey]*heldSegment)}
 	for i := range o.Keys {
 		w.keys = append(w.keys, ItemKey(i))
 	}
@@ -98,11 +98,11 @@
 func ItemKey(i int) layout.Key { return layout.Key(fmt.Sprintf("k%05d", i)) }
 
 // Keys returns the keys of all rows, in order.
-func (w *Warehouse) Keys() []layout.Key { return w.keys }
+func (w *ShardedCatalogue) Keys() []layout.Key { return w.keys }
 
-// Do implements Work. "scan FROM TO" lists the keys from FROM to TO that lie in
+// Handle implements Handler. "scan FROM TO" lists the keys from FROM to TO that lie in
 // the segment, "reserve KEY" takes one off the stock of a row.
-func (w *Warehouse) Do(searcher string, p Part) (Answer, time.Duration) {
+func (w *ShardedCatalogue) Handle(searcher string, p Part) (Answer, time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	held := w.held[heldKey{searcher, layout.SegmentID(p.Shard)}]
@@ -138,7 +138,7 @@
 // reserve takes one off the stock of a row. An idempotency key that the replica knows gets
 // the earlier answer. A replica whose range does not contain the row's key does nothing and
 // answers with an empty value.
-func (w *Warehouse) reserve(searcher string, held *heldSegment, p Part, k layout.Key) (value string, ok bool) {
+func (w *ShardedCatalogue) reserve(searcher string, held *heldSegment, p Part, k layout.Key) (value string, ok bool) {
 	if !held.keys.Contains(k) {
 		return "", true // the query names a segment that was split: the other successor has the row
 	}
@@ -169,8 +169,8 @@
 	return value, true
 }
 
-// Doubled returns the idempotency keys for which more than one reservation was made.
-func (w *Warehouse) Doubled() (doubled []string) {
+// DuplicateReservations returns the idempotency keys for which more than one reservation was made.
+func (w *ShardedCatalogue) DuplicateReservations() (doubled []string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	made := make(map[string]int)
@@ -184,9 +184,9 @@
 	return doubled
 }
 
-// Ran returns the number of reservations requested, and how many of those recorded were
+// ReservationCounts returns the number of reservations requested, and how many of those recorded were
 // repeats.
-func (w *Warehouse) Ran() (runs, repeats int) {
+func (w *ShardedCatalogue) ReservationCounts() (runs, repeats int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, r := range w.runs {
@@ -201,7 +201,7 @@
 // complete replica of a source segment at the searchers in from. A replica that belongs to
 // another job is replaced by an empty one first. Fill reports in done whether all rows have
 // been copied; ok is false if no source has the next row.
-func (w *Warehouse) Fill(searcher string, segment layout.SegmentID, job uint64, keys Range, sources []layout.SegmentID, from []string, maxRows int) (done, ok bool) {
+func (w *ShardedCatalogue) Fill(searcher string, segment layout.SegmentID, job uint64, keys Range, sources []layout.SegmentID, from []string, maxRows int) (done, ok bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	held := w.held[heldKey{searcher, segment}]
@@ -240,7 +240,7 @@
 }
 
 // source returns a complete replica that has a row, or nil.
-func (w *Warehouse) source(k layout.Key, sources []layout.SegmentID, from []string) *heldSegment {
+func (w *ShardedCatalogue) source(k layout.Key, sources []layout.SegmentID, from []string) *heldSegment {
 	for _, s := range sources {
 		for _, h := range from {
 			if source := w.held[heldKey{h, s}]; source != nil && source.complete {
@@ -254,7 +254,7 @@
 }
 
 // Drop removes a searcher's replica of a segment.
-func (w *Warehouse) Drop(searcher string, segment layout.SegmentID) {
+func (w *ShardedCatalogue) Drop(searcher string, segment layout.SegmentID) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	delete(w.held, heldKey{searcher, segment})
@@ -262,7 +262,7 @@
 
 // StopFollowing ends the exchange of reservations between a replica that was filled for a
 // job and the segments that it was filled from.
-func (w *Warehouse) StopFollowing(searcher string, segment layout.SegmentID, job uint64) {
+func (w *ShardedCatalogue) StopFollowing(searcher string, segment layout.SegmentID, job uint64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if held := w.held[heldKey{searcher, segment}]; held != nil && held.job == job {
@@ -271,7 +271,7 @@
 }
 
 // Held returns the segments of which a searcher has a replica, complete or not.
-func (w *Warehouse) Held(searcher string) (out []layout.SegmentID) {
+func (w *ShardedCatalogue) Held(searcher string) (out []layout.SegmentID) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for key := range w.held {
@@ -284,7 +284,7 @@
 }
 
 // Wipe removes all replicas of a searcher, as if it had lost its disk.
-func (w *Warehouse) Wipe(searcher string) {
+func (w *ShardedCatalogue) Wipe(searcher string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for key := range w.held {
@@ -295,7 +295,7 @@
 }
 
 // HeldCount returns the number of replicas of all segments.
-func (w *Warehouse) HeldCount() int {
+func (w *ShardedCatalogue) HeldCount() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return len(w.held)
--- a/internal/trial/testpeer/testpeer.go
+++ b/internal/trial/testpeer/testpeer.go
@@ -16,28 +16,28 @@
 	"eiderwinch/internal/trial/standin"
 )
 
-// Patience bounds each wait of a test for something that must happen. Only a failing test
+// Timeout bounds each wait of a test for something that must happen. Only a failing test
 // waits that long.
-const Patience = 20 * time.Second
+const Timeout = 20 * time.Second
 
-// Get receives a value from a channel. It fails the test if none arrives within Patience.
-func Get[T any](t testing.TB, from <-chan T, what string) T {
+// Receive receives a value from a channel. It fails the test if none arrives within Timeout.
+func Receive[T any](t testing.TB, from <-chan T, what string) T {
 	t.Helper()
 	select {
 	case v := <-from:
 		return v
-	case <-time.After(Patience):
+	case <-time.After(Timeout):
 		t.Fatalf("timed out waiting for %s", what)
 		panic("not reached")
 	}
 }
 
-// Until waits until a condition holds. It fails the test if that takes longer than Patience.
-func Until(t testing.TB, what string, condition func() bool) {
+// WaitUntil waits until a condition holds. It fails the test if that takes longer than Timeout.
+func WaitUntil(t testing.TB, what string, condition func() bool) {
 	t.Helper()
-	for end := time.Now().Add(Patience); !condition(); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(Timeout); !condition(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("%s: condition does not hold after %v", what, Patience)
+			t.Fatalf("%s: condition does not hold after %v", what, Timeout)
 		}
 	}
 }
@@ -60,29 +60,29 @@
 
 // Searcher is a searcher that passes what it receives to the test, which sends the answers.
 type Searcher struct {
-	Addr    string
-	Parts   chan Part
-	Cancels chan string   // ids of cancelled parts
-	Ends    chan struct{} // receives a value for each connection that has ended
+	Addr        string
+	Parts       chan Part
+	Cancels     chan string   // ids of cancelled parts
+	ClosedConns chan struct{} // receives a value for each connection that has ended
 }
 
 // Part is a part that a Searcher has received. Call is the number of its frame on the
 // connection, from 0.
 type Part struct {
-	ID, List, Text string
-	Shard, Call    int
-	Conn           net.Conn
+	ID, Fields, Text string
+	Shard, Call      int
+	Conn             net.Conn
 }
 
 // NewSearcher starts a Searcher that runs until the test ends.
 func NewSearcher(t testing.TB) *Searcher {
-	s := &Searcher{Parts: make(chan Part, 100), Cancels: make(chan string, 100), Ends: make(chan struct{}, 100)}
+	s := &Searcher{Parts: make(chan Part, 100), Cancels: make(chan string, 100), ClosedConns: make(chan struct{}, 100)}
 	s.Addr = listen(t, s.serve)
 	return s
 }
 
 func (s *Searcher) serve(c net.Conn) {
-	defer func() { s.Ends <- struct{}{} }()
+	defer func() { s.ClosedConns <- struct{}{} }()
 	for call := 0; ; call++ {
 		letter, payload, err := standin.ReadFrame(c)
 		if err != nil {
@@ -110,8 +110,8 @@
 // Write sends a frame on the part's connection.
 func (p Part) Write(body string) { standin.WriteFrame(p.Conn, body) }
 
-// Raw sends bytes on the part's connection, which need not form a frame.
-func (p Part) Raw(text string) { _, _ = io.WriteString(p.Conn, text) }
+// WriteRaw sends bytes on the part's connection, which need not form a frame.
+func (p Part) WriteRaw(text string) { _, _ = io.WriteString(p.Conn, text) }
 
 // Discovery is a discovery that passes the open watches to the test, which writes to them.
 type Discovery struct {
@@ -160,9 +160,9 @@
 	return d
 }
 
-// Tell sets the response to requests for the whole member list, including those that
+// SetList sets the response to requests for the whole member list, including those that
 // already wait for it. A second call blocks.
-func (d *Discovery) Tell(list string) { d.list <- list }
+func (d *Discovery) SetList(list string) { d.list <- list }
 
 // Send sends a line to the watch.
 func (w *Watch) Send(line string) { fmt.Fprintf(w.Conn, "%x\r\n%s\n\r\n", len(line)+1, line) }
@@ -173,8 +173,8 @@
 		id, addr, phase, upSinceMS)
 }
 
-// List returns a member list in JSON, or an update of one if complete is false.
-func List(revision int, complete bool, members ...string) string {
+// MemberList returns a member list in JSON, or an update of one if complete is false.
+func MemberList(revision int, complete bool, members ...string) string {
 	return fmt.Sprintf(`{"revision":%d,"complete":%t,"members":[%s]}`, revision, complete, strings.Join(members, ","))
 }
 
@@ -196,7 +196,7 @@
 	in *bufio.Reader
 }
 
-// NewClient connects to a gatherer. The connection has a deadline of Patience and is closed
+// NewClient connects to a gatherer. The connection has a deadline of Timeout and is closed
 // when the test ends.
 func NewClient(t testing.TB, addr string) *Client {
 	c, err := net.Dial("tcp", addr)
@@ -204,20 +204,20 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { c.Close() })
-	_ = c.SetDeadline(time.Now().Add(Patience))
+	_ = c.SetDeadline(time.Now().Add(Timeout))
 	return &Client{c, t, bufio.NewReader(c)}
 }
 
-// Say sends text unchanged.
-func (c *Client) Say(text string) *Client {
+// Send sends text unchanged.
+func (c *Client) Send(text string) *Client {
 	if _, err := io.WriteString(c, text); err != nil {
 		c.t.Fatal(err)
 	}
 	return c
 }
 
-// Hear reads one response and returns it with its body.
-func (c *Client) Hear() (*http.Response, string) {
+// ReadResponse reads one response and returns it with its body.
+func (c *Client) ReadResponse() (*http.Response, string) {
 	c.t.Helper()
 	r, err := http.ReadResponse(c.in, nil)
 	if err != nil {
@@ -230,9 +230,9 @@
 	return r, string(b)
 }
 
-// Closed waits until the gatherer has closed the connection, and fails the test if it sends
+// ExpectClosed waits until the gatherer has closed the connection, and fails the test if it sends
 // anything before.
-func (c *Client) Closed() {
+func (c *Client) ExpectClosed() {
 	c.t.Helper()
 	if b, err := io.ReadAll(c.in); len(b) > 0 || err != nil {
 		c.t.Errorf("want the connection closed, got %q, %v", b, err)
@@ -248,6 +248,6 @@
 	c.Close()
 }
 
-// ReadAhead sets the size of the socket's receive buffer: it bounds the data that the
+// SetReadBuffer sets the size of the socket's receive buffer: it bounds the data that the
 // client has received but not yet read.
-func (c *Client) ReadAhead(bytes int) { _ = c.Conn.(*net.TCPConn).SetReadBuffer(bytes) }
+func (c *Client) SetReadBuffer(bytes int) { _ = c.Conn.(*net.TCPConn).SetReadBuffer(bytes) }
