--- a/cmd/eiderwinch/cluster_test.go
+++ b/cmd/eiderwinch/cluster_test.go
@@ -10,7 +10,7 @@
 	"time"
 
 	"eiderwinch/internal/fleet/share"
-	"eiderwinch/internal/trial/rig"
+	"eiderwinch/internal/trial/testcluster"
 	"eiderwinch/internal/trial/testpeer"
 )
 
@@ -35,7 +35,7 @@
 	if dir == "" {
 		dir = t.TempDir()
 	}
-	r, err := rig.New(rig.Config{
+	r, err := testcluster.New(testcluster.Config{
 		Program: buildProgram(t), Dir: dir, Gatherers: *clusterGatherers, Seed: *clusterSeed, Keys: testpeer.KeyFile("k"), Lease: *clusterLease, ConvergeTimeout: 15 * time.Second,
 	})
 	if err != nil {
@@ -46,14 +46,14 @@
 			t.Error(err)
 		}
 	}()
-	plan := rig.NewPlan(*clusterSeed, *clusterGatherers, *clusterFaultTime, *clusterFaultSpan)
+	plan := testcluster.NewPlan(*clusterSeed, *clusterGatherers, *clusterFaultTime, *clusterFaultSpan)
 	if *clusterPlan != "" {
 		f, err := os.Open(*clusterPlan)
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer f.Close()
-		if plan, err = rig.ReadPlan(f, *clusterGatherers); err != nil {
+		if plan, err = testcluster.ReadPlan(f, *clusterGatherers); err != nil {
 			t.Fatal(err)
 		}
 	}
--- a/cmd/eiderwinch/config.go
+++ b/cmd/eiderwinch/config.go
@@ -11,7 +11,7 @@
 
 	"eiderwinch/internal/configuration/bundle"
 	"eiderwinch/internal/configuration/change"
-	"eiderwinch/internal/configuration/keeper"
+	"eiderwinch/internal/configuration/manager"
 	"eiderwinch/internal/format/settings"
 )
 
@@ -89,12 +89,12 @@
 
 // Run stages the configuration.
 func (c configStage) Run(e environment) error {
-	p := keeper.StageRequest{Against: change.Generation(c.Against), Note: c.Note, Signature: c.Signature}
+	p := manager.StageRequest{Against: change.Generation(c.Against), Note: c.Note, Signature: c.Signature}
 	var err error
 	if p.Bundle, err = c.proposedFiles.read(); err != nil {
 		return err
 	}
-	var s keeper.StageResult
+	var s manager.StageResult
 	if err := c.do(http.MethodPost, "/v1/config", p, &s); err != nil {
 		return err
 	}
@@ -117,7 +117,7 @@
 
 // Run applies the transaction.
 func (c configApply) Run(e environment) error {
-	a := keeper.ApplyRequest{WithinMS: c.Within.Milliseconds()}
+	a := manager.ApplyRequest{WithinMS: c.Within.Milliseconds()}
 	if c.Confirm != "file" {
 		auto := c.Confirm == "auto"
 		a.Auto = &auto
@@ -156,7 +156,7 @@
 
 // Run undoes the transaction.
 func (c configUndo) Run(e environment) error {
-	if err := c.do(http.MethodPost, transactionPath(c.Transaction, "undo"), keeper.UndoRequest{Reason: c.Reason}, nil); err != nil {
+	if err := c.do(http.MethodPost, transactionPath(c.Transaction, "undo"), manager.UndoRequest{Reason: c.Reason}, nil); err != nil {
 		return err
 	}
 	fmt.Fprintf(e.stdout, "transaction %d is being undone\n", c.Transaction)
@@ -170,7 +170,7 @@
 
 // Run prints the configuration in force and the transactions under way.
 func (c configStatus) Run(e environment) error {
-	var s keeper.Status
+	var s manager.Status
 	if err := c.do(http.MethodGet, "/v1/config", nil, &s); err != nil {
 		return err
 	}
@@ -199,7 +199,7 @@
 
 // Run prints all transactions that the gatherer knows.
 func (c configHistory) Run(e environment) error {
-	var s keeper.Status
+	var s manager.Status
 	if err := c.do(http.MethodGet, "/v1/config", nil, &s); err != nil {
 		return err
 	}
--- a/cmd/eiderwinch/config_test.go
+++ b/cmd/eiderwinch/config_test.go
@@ -9,21 +9,21 @@
 	"testing"
 
 	"eiderwinch/internal/configuration/bundle"
-	"eiderwinch/internal/configuration/keeper"
-	"eiderwinch/internal/trial/standin"
+	"eiderwinch/internal/configuration/manager"
+	"eiderwinch/internal/trial/fake"
 )
 
 // managedProgram is the built program with an operators' file and a fake deployment around it.
 type managedProgram struct {
 	path, ops  string
-	deployment *standin.Deployment
+	deployment *fake.Deployment
 	text       string // of the platform's configuration
 }
 
 func newManagedProgram(t *testing.T) *managedProgram {
 	m := &managedProgram{path: buildProgram(t), ops: filepath.Join(t.TempDir(), "eiderwinch.xml")}
 	var err error
-	if m.deployment, err = standin.NewDeployment(standin.DeploymentOptions{Searchers: 4, Seed: 1}); err != nil {
+	if m.deployment, err = fake.NewDeployment(fake.DeploymentOptions{Searchers: 4, Seed: 1}); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = m.deployment.Close() })
@@ -55,7 +55,7 @@
 }
 
 // waitForStatus waits until the status of the configuration satisfies is.
-func (m *managedProgram) waitForStatus(t *testing.T, what string, is func(keeper.Status) bool) keeper.Status {
+func (m *managedProgram) waitForStatus(t *testing.T, what string, is func(manager.Status) bool) manager.Status {
 	t.Helper()
 	return waitForJSON(t, what, is, "config", "status", "--json", "--file", m.ops)
 }
@@ -67,8 +67,8 @@
 }
 
 // lastTransaction returns a check that there are n transactions, the last of them in the wanted state.
-func lastTransaction(n int, want string) func(keeper.Status) bool {
-	return func(s keeper.Status) bool { return len(s.Transactions) == n && s.Transactions[n-1].State == want }
+func lastTransaction(n int, want string) func(manager.Status) bool {
+	return func(s manager.Status) bool { return len(s.Transactions) == n && s.Transactions[n-1].State == want }
 }
 
 // Changes are made through SIGHUP and the admin socket. The program is killed while one is on probation: after
@@ -121,7 +121,7 @@
 	}
 	p.kill(t)
 	p, addr = m.launch(t)
-	s := m.waitForStatus(t, "a status", func(keeper.Status) bool { return true })
+	s := m.waitForStatus(t, "a status", func(manager.Status) bool { return true })
 	if s.Confirmed != 2 || s.InForce != 2 || !s.Durable || s.Transactions[1].State != "undone" || !strings.Contains(s.Transactions[1].Reason, "the process ended") {
 		t.Errorf("after the kill: %+v", s)
 	}
@@ -136,7 +136,7 @@
 	hup()
 	n := len(s.Transactions) + 1
 	m.waitForStatus(t, "probation", lastTransaction(n, "probation"))
-	tx := fmt.Sprint(m.waitForStatus(t, "a status", func(keeper.Status) bool { return true }).Transactions[n-1].Tx)
+	tx := fmt.Sprint(m.waitForStatus(t, "a status", func(manager.Status) bool { return true }).Transactions[n-1].Tx)
 	if code, _, errs := runCommand(t, nil, "config", "undo", "--file", m.ops, tx); code != exitOK {
 		t.Errorf("undo: %s", errs)
 	}
--- a/cmd/eiderwinch/coordinate_test.go
+++ b/cmd/eiderwinch/coordinate_test.go
@@ -15,25 +15,25 @@
 	"eiderwinch/internal/layout"
 	"eiderwinch/internal/layout/layoutfile"
 	"eiderwinch/internal/layout/reshard"
-	"eiderwinch/internal/trial/standin"
+	"eiderwinch/internal/trial/fake"
 )
 
 // reshardDeployment is a deployment whose layout changes: fake searchers, and the built program as gatherer
 // and as coordinator.
 type reshardDeployment struct {
 	dir, path, ops string
-	deployment     *standin.Deployment
-	catalogue      *standin.ShardedCatalogue
+	deployment     *fake.Deployment
+	catalogue      *fake.ShardedCatalogue
 }
 
 func newReshardDeployment(t *testing.T) *reshardDeployment {
 	m := &reshardDeployment{dir: t.TempDir(), path: buildProgram(t)}
 	m.ops = filepath.Join(m.dir, "eiderwinch.xml")
 	var err error
-	m.deployment, err = standin.NewDeployment(standin.DeploymentOptions{
+	m.deployment, err = fake.NewDeployment(fake.DeploymentOptions{
 		Searchers: 4, Zones: 2, Cells: 2, Seed: 1,
-		Handler: func(l *layout.Layout) standin.Handler {
-			m.catalogue = standin.NewShardedCatalogue(standin.ShardedCatalogueOptions{Keys: 20, Seed: 1}, l)
+		Handler: func(l *layout.Layout) fake.Handler {
+			m.catalogue = fake.NewShardedCatalogue(fake.ShardedCatalogueOptions{Keys: 20, Seed: 1}, l)
 			return m.catalogue
 		},
 		Layout: func(ids, _ []string) *layout.Layout {
@@ -50,7 +50,7 @@
 	t.Cleanup(func() { _ = m.deployment.Close() })
 	var peers strings.Builder
 	for _, s := range m.deployment.Searchers {
-		c := standin.NewAssignmentServer(s.ID(), m.catalogue, filepath.Join(m.dir, s.ID()))
+		c := fake.NewAssignmentServer(s.ID(), m.catalogue, filepath.Join(m.dir, s.ID()))
 		if err := c.Open(); err != nil {
 			t.Fatal(err)
 		}
--- a/cmd/eiderwinch/demo.go
+++ b/cmd/eiderwinch/demo.go
@@ -16,7 +16,7 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 
 	"eiderwinch/internal/trial/ask"
-	"eiderwinch/internal/trial/standin"
+	"eiderwinch/internal/trial/fake"
 )
 
 // demoCommand starts a fake deployment and a gatherer on loopback and sends queries to it.
@@ -51,7 +51,7 @@
 	if d.Verbose {
 		log = slog.New(slog.NewTextHandler(e.stderr, nil))
 	}
-	l, err := startLoopback(standin.DeploymentOptions{Seed: d.Seed, Ring: d.Layout == "ring", Partial: d.partial()}, log)
+	l, err := startLoopback(fake.DeploymentOptions{Seed: d.Seed, Ring: d.Layout == "ring", Partial: d.partial()}, log)
 	if err != nil {
 		return err
 	}
@@ -120,7 +120,7 @@
 			if class == "report" {
 				parts = segments * 2 / 5
 			}
-			q.about, q.tenant = fmt.Sprintf("%016x", rng.Uint64()), standin.Tenants[rng.IntN(len(standin.Tenants))]
+			q.about, q.tenant = fmt.Sprintf("%016x", rng.Uint64()), fake.Tenants[rng.IntN(len(fake.Tenants))]
 		}
 		first := rng.IntN(segments)
 		for j := range min(parts, segments) {
@@ -207,7 +207,7 @@
 const maxLatencyMS = 20_000
 
 // report prints the summary, and returns an error if a query was not answered whole.
-func (a *demoClient) report(ctx context.Context, deployment *standin.Deployment) error {
+func (a *demoClient) report(ctx context.Context, deployment *fake.Deployment) error {
 	fmt.Fprintln(a.out)
 	table := tabwriter.NewWriter(a.out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(table, "class\tasked\twhole\tp50 ms\tp99 ms")
--- a/cmd/eiderwinch/experiment.go
+++ b/cmd/eiderwinch/experiment.go
@@ -15,7 +15,7 @@
 	"eiderwinch/internal/admin"
 	"eiderwinch/internal/trial/emulator"
 	"eiderwinch/internal/trial/experiment"
-	"eiderwinch/internal/trial/rig"
+	"eiderwinch/internal/trial/testcluster"
 )
 
 // experimentCommands run deployments in virtual time.
@@ -124,7 +124,7 @@
 		return &exitError{exitConfig, err}
 	}
 	defer f.Close()
-	list, err := rig.ReadHistory(f)
+	list, err := testcluster.ReadHistory(f)
 	if err != nil {
 		return &exitError{exitConfig, fmt.Errorf("%s: %w", c.File, err)}
 	}
--- a/cmd/eiderwinch/faults_test.go
+++ b/cmd/eiderwinch/faults_test.go
@@ -18,9 +18,9 @@
 
 	"golang.org/x/sys/unix"
 
-	"eiderwinch/internal/configuration/keeper"
+	"eiderwinch/internal/configuration/manager"
+	"eiderwinch/internal/trial/fake"
 	"eiderwinch/internal/trial/faults"
-	"eiderwinch/internal/trial/standin"
 )
 
 func TestMain(m *testing.M) {
@@ -106,7 +106,7 @@
 // tracedProgram is the program, possibly under faults, with a fake deployment around it.
 type tracedProgram struct {
 	*program
-	deployment *standin.Deployment
+	deployment *fake.Deployment
 }
 
 // launchTraced starts the program under a plan of faults.
@@ -122,7 +122,7 @@
 // launchDeployed starts a command that runs the program, with a fake deployment around it.
 func launchDeployed(t *testing.T, cmd *exec.Cmd, seed uint64) *tracedProgram {
 	t.Helper()
-	deployment, err := standin.NewDeployment(standin.DeploymentOptions{Seed: seed})
+	deployment, err := fake.NewDeployment(fake.DeploymentOptions{Seed: seed})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -175,12 +175,12 @@
 	*exec.Cmd
 	log        *os.File
 	addr       string
-	deployment *standin.Deployment
+	deployment *fake.Deployment
 }
 
 func newLogHarness(t *testing.T, args ...string) *logHarness {
 	t.Helper()
-	deployment, err := standin.NewDeployment(standin.DeploymentOptions{Searchers: 4})
+	deployment, err := fake.NewDeployment(fake.DeploymentOptions{Searchers: 4})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -277,7 +277,7 @@
 			}
 			p.kill(t)
 			p, _ = m.launch(t)
-			if s := m.waitForStatus(t, "a status", func(keeper.Status) bool { return true }); s.Confirmed != 2 {
+			if s := m.waitForStatus(t, "a status", func(manager.Status) bool { return true }); s.Confirmed != 2 {
 				t.Errorf("after the kill: %+v", s)
 			}
 			_ = p.Process.Kill()
--- a/cmd/eiderwinch/fleet.go
+++ b/cmd/eiderwinch/fleet.go
@@ -16,17 +16,17 @@
 	"eiderwinch/internal/admin"
 	"eiderwinch/internal/configuration/signature"
 	"eiderwinch/internal/durable"
-	fleetnet "eiderwinch/internal/fleet/net"
+	"eiderwinch/internal/fleet/membership"
 	"eiderwinch/internal/fleet/seal"
 	"eiderwinch/internal/fleet/share"
-	"eiderwinch/internal/fleet/view"
+	"eiderwinch/internal/fleet/transport"
 	"eiderwinch/internal/format/config"
 	"eiderwinch/internal/format/settings"
 	"eiderwinch/internal/netio"
 )
 
 // joinFleet starts a gatherer's fleet node as an operators' file configures it.
-func joinFleet(f *settings.Fleet, file string, cfg *config.Config, log *slog.Logger) (*fleetnet.Node, error) {
+func joinFleet(f *settings.Fleet, file string, cfg *config.Config, log *slog.Logger) (*transport.Node, error) {
 	if cfg.Name == "" {
 		return nil, errors.New("fleet: the gatherer has no name, want LB_NAME")
 	}
@@ -44,12 +44,12 @@
 	if _, err := sealer.Seal(now, nil); err != nil {
 		return nil, fmt.Errorf("fleet: %s: %w", f.Keys, err)
 	}
-	set := view.LAN()
+	set := membership.LAN()
 	if f.WAN {
-		set = view.WAN()
+		set = membership.WAN()
 	}
-	n, err := listenFleet(fleetnet.Config{
-		Self:     view.Member{Name: cfg.Name, Addr: f.Listen, Zone: cfg.Settings.Module.Zone, Incarnation: view.Incarnation{Start: uint64(now.UnixMicro())}},
+	n, err := listenFleet(transport.Config{
+		Self:     membership.Member{Name: cfg.Name, Addr: f.Listen, Zone: cfg.Settings.Module.Zone, Incarnation: membership.Incarnation{Start: uint64(now.UnixMicro())}},
 		Settings: set, Sealer: sealer, Seeds: f.Seeds, Seed: seed, Log: log, Advertise: f.Advertise, Slots: f.Slots,
 		Share: share.Settings{
 			Slots: len(f.Slots), Number: cfg.Settings.Module.GathererNumber, Lease: f.Lease, Window: cfg.Settings.Module.ColdOverloadWindow, Seed: seed,
@@ -63,9 +63,9 @@
 }
 
 // listenFleet opens the fleet node, and retries for a while if the system fails.
-func listenFleet(c fleetnet.Config) (n *fleetnet.Node, err error) {
+func listenFleet(c transport.Config) (n *transport.Node, err error) {
 	err = durable.RetryTransient(durable.ReadTimeout, func() error {
-		n, err = fleetnet.Listen(c)
+		n, err = transport.Listen(c)
 		return err
 	})
 	return n, err
@@ -73,7 +73,7 @@
 
 // shareForwarder tells a gatherer its share of the fleet's limits until the gatherer leaves the fleet.
 type shareForwarder struct {
-	fleet *fleetnet.Node
+	fleet *transport.Node
 	node  *netio.Node
 	mu    sync.Mutex
 	left  bool
@@ -116,7 +116,7 @@
 const publishInterval = time.Second
 
 // publishState publishes a gatherer's configuration generation and layout epoch to the fleet until ctx ends.
-func publishState(ctx context.Context, fleet *fleetnet.Node, node *netio.Node, seed uint64) {
+func publishState(ctx context.Context, fleet *transport.Node, node *netio.Node, seed uint64) {
 	rng := rand.New(rand.NewPCG(seed, 0x64657363))
 	for {
 		if s, ok := node.State(ctx, 1<<62); ok {
@@ -228,7 +228,7 @@
 		return err.Error()
 	}
 	if c.JSON {
-		s.Counts = fleetnet.Counts{} // the counters change all the time
+		s.Counts = transport.Counts{} // the counters change all the time
 		b, err := json.Marshal(s)
 		if err != nil {
 			return err.Error()
@@ -240,7 +240,7 @@
 		text += fmt.Sprintf(", holds %d slots", s.Share.Slots)
 	}
 	for _, m := range s.Members {
-		if m.State != view.Alive.String() {
+		if m.State != membership.Alive.String() {
 			text += ", " + m.Name + " " + m.State
 		}
 	}
@@ -287,7 +287,7 @@
 			fault("%s no longer takes part: a newer process bears its name", s.Name)
 		}
 		for _, m := range s.Members {
-			if m.State == view.Suspect.String() || m.State == view.Dead.String() {
+			if m.State == membership.Suspect.String() || m.State == membership.Dead.String() {
 				fault("%s considers %s at %s %s", s.Name, m.Name, m.Addr, m.State)
 			}
 		}
--- a/cmd/eiderwinch/leaving_test.go
+++ b/cmd/eiderwinch/leaving_test.go
@@ -11,7 +11,7 @@
 	"testing"
 	"time"
 
-	"eiderwinch/internal/trial/standin"
+	"eiderwinch/internal/trial/fake"
 	"eiderwinch/internal/trial/testpeer"
 )
 
@@ -47,8 +47,8 @@
 }
 
 // member returns the searcher's entry in the member list.
-func (r *recordingSearcher) member(phase string) standin.Member {
-	return standin.Member{ID: r.id, Addr: r.Addr, Zone: "a", Phase: phase, Size: 1}
+func (r *recordingSearcher) member(phase string) fake.Member {
+	return fake.Member{ID: r.id, Addr: r.Addr, Zone: "a", Phase: phase, Size: 1}
 }
 
 // sendQueries sends a gatherer one query after another with pauses in between, until the gatherer is gone or stop is
@@ -78,7 +78,7 @@
 func TestNoSendsToLeavingSearcherUnderDiscoveryFaults(t *testing.T) {
 	const gatherers, clients, grace = 3, 3, 500 * time.Millisecond
 	path := buildProgram(t)
-	d, err := standin.NewDiscovery()
+	d, err := fake.NewDiscovery()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -86,7 +86,7 @@
 	// This searcher holds each part for 10 ms, so that the other one gets parts meanwhile. Of two idle searchers the
 	// one that was faster in the first calls gets nearly all parts: on a busy machine the other got 7 of 11,578 in 19 s.
 	stays := newRecordingSearcher(t, "stays", 10*time.Millisecond)
-	d.Publish(stays.member(standin.Ready))
+	d.Publish(stays.member(fake.Ready))
 	var running []*program
 	var stop chan struct{}
 	begin := func(known []byte) {
@@ -148,9 +148,9 @@
 		}},
 	} {
 		leaves := newRecordingSearcher(t, fmt.Sprint("leaves", i), 0)
-		d.Publish(leaves.member(standin.Ready))
+		d.Publish(leaves.member(fake.Ready))
 		testpeer.WaitUntil(t, c.name+": parts before the update", func() bool { n, _ := leaves.seen(); return n > 20 })
-		counts := c.fault(func() { d.Publish(leaves.member(standin.Terminating)) })
+		counts := c.fault(func() { d.Publish(leaves.member(fake.Terminating)) })
 		time.Sleep(time.Until(counts.Add(grace)))
 		n, _ := leaves.seen()
 		other, _ := stays.seen()
@@ -166,15 +166,15 @@
 func TestFleetOfAThousandFitsAllBounds(t *testing.T) {
 	const size = 1024
 	s := testpeer.NewSearcher(t)
-	d, err := standin.NewDiscovery()
+	d, err := fake.NewDiscovery()
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = d.Close() })
 	d.Indent()
-	var members []standin.Member
+	var members []fake.Member
 	for i := range size {
-		m := standin.Member{ID: fmt.Sprintf("s-%08x", i), Addr: fmt.Sprintf("127.0.0.1:%d", 1+i%1000), Zone: "zone-with-a-long-name", Kind: "standard", Cell: i, Phase: standin.Ready, Size: 1}
+		m := fake.Member{ID: fmt.Sprintf("s-%08x", i), Addr: fmt.Sprintf("127.0.0.1:%d", 1+i%1000), Zone: "zone-with-a-long-name", Kind: "standard", Cell: i, Phase: fake.Ready, Size: 1}
 		if i == size-1 {
 			m.Addr = s.Addr
 		}
--- a/cmd/eiderwinch/load.go
+++ b/cmd/eiderwinch/load.go
@@ -11,20 +11,20 @@
 	"eiderwinch/internal/format/config"
 	"eiderwinch/internal/netio"
 	"eiderwinch/internal/stats"
+	"eiderwinch/internal/trial/fake"
 	"eiderwinch/internal/trial/load"
-	"eiderwinch/internal/trial/standin"
 )
 
 // loopbackDeployment is a fake deployment on loopback with a gatherer.
 type loopbackDeployment struct {
-	deployment *standin.Deployment
+	deployment *fake.Deployment
 	node       *netio.Node
 	ended      chan error
 }
 
 // startLoopback starts a fake deployment and a gatherer, and waits until the gatherer serves.
-func startLoopback(o standin.DeploymentOptions, log *slog.Logger) (l *loopbackDeployment, err error) {
-	deployment, err := standin.NewDeployment(o)
+func startLoopback(o fake.DeploymentOptions, log *slog.Logger) (l *loopbackDeployment, err error) {
+	deployment, err := fake.NewDeployment(o)
 	if err != nil {
 		return nil, err
 	}
@@ -91,7 +91,7 @@
 		Addr: c.At, Rate: c.Rate, Duration: c.Duration, Segments: c.Segments, Classes: load.DefaultClasses(), Open: c.Open, Timeout: loadTimeout, Seed: c.Seed,
 	}
 	if c.At == "" {
-		l, startErr := startLoopback(standin.DeploymentOptions{Seed: c.Seed}, slog.New(slog.DiscardHandler))
+		l, startErr := startLoopback(fake.DeploymentOptions{Seed: c.Seed}, slog.New(slog.DiscardHandler))
 		if startErr != nil {
 			return startErr
 		}
--- a/cmd/eiderwinch/serve.go
+++ b/cmd/eiderwinch/serve.go
@@ -15,7 +15,7 @@
 	"eiderwinch/internal/asynclog"
 	"eiderwinch/internal/daemon"
 	"eiderwinch/internal/durable"
-	fleetnet "eiderwinch/internal/fleet/net"
+	"eiderwinch/internal/fleet/transport"
 	"eiderwinch/internal/format/config"
 	"eiderwinch/internal/netio"
 	"eiderwinch/internal/stats"
@@ -99,7 +99,7 @@
 		return err
 	}
 	level.Set(logLevel(b.candidate))
-	var fleet *fleetnet.Node
+	var fleet *transport.Node
 	if ops.Fleet != nil {
 		if fleet, err = joinFleet(ops.Fleet, c.File, cfg, log); err != nil {
 			return &exitError{exitFailure, err}
--- a/cmd/eiderwinch/startup.go
+++ b/cmd/eiderwinch/startup.go
@@ -13,7 +13,7 @@
 	"eiderwinch/internal/configuration/bundle"
 	"eiderwinch/internal/configuration/change"
 	"eiderwinch/internal/configuration/history"
-	"eiderwinch/internal/configuration/keeper"
+	"eiderwinch/internal/configuration/manager"
 	"eiderwinch/internal/configuration/signature"
 	"eiderwinch/internal/daemon"
 	"eiderwinch/internal/durable"
@@ -229,8 +229,8 @@
 }
 
 // startManager starts the manager of a gatherer's configuration.
-func (b *bootState) startManager(ctx context.Context, f configFiles, node *netio.Node, level *slog.LevelVar, log *slog.Logger) *keeper.Keeper {
-	o := keeper.Options{
+func (b *bootState) startManager(ctx context.Context, f configFiles, node *netio.Node, level *slog.LevelVar, log *slog.Logger) *manager.Manager {
+	o := manager.Options{
 		Node: node, Initial: b.candidate, Machine: b.machine, Names: f.names(), ReadFiles: f.readSigned, LiveSettings: daemon.Live, Logger: log,
 		Applied: func(c *bundle.Candidate) { level.Set(logLevel(c)) },
 	}
@@ -240,7 +240,7 @@
 	if path := b.candidate.File.Signing; path != "" {
 		o.Verify = signatureVerifier(resolveBeside(f.operators, path))
 	}
-	return keeper.Start(ctx, o)
+	return manager.Start(ctx, o)
 }
 
 // logLevel returns the log level that a configuration names, or info.
--- a/internal/admin/coordinator.go
+++ b/internal/admin/coordinator.go
@@ -4,7 +4,7 @@
 	"fmt"
 
 	"eiderwinch/internal/layout"
-	"eiderwinch/internal/layout/custody"
+	"eiderwinch/internal/layout/assignment"
 	"eiderwinch/internal/layout/reshard"
 )
 
@@ -77,14 +77,14 @@
 
 // Status is the state that a coordinator reports.
 type Status struct {
-	Term               uint64         `json:"term"`
-	Epoch              layout.Epoch   `json:"epoch"`
-	Segments           int            `json:"segments"`
-	RowsPerSecond      float64        `json:"rows_per_second"`
-	P99WithoutCopiesMS float64        `json:"p99_without_copies_ms,omitempty"`
-	Jobs               []Job          `json:"jobs"`
-	Gatherers          []PeerState    `json:"gatherers"`
-	Searchers          []PeerState    `json:"searchers"`
-	Counts             reshard.Counts `json:"counts"`
-	Custody            custody.Counts `json:"custody"`
+	Term               uint64            `json:"term"`
+	Epoch              layout.Epoch      `json:"epoch"`
+	Segments           int               `json:"segments"`
+	RowsPerSecond      float64           `json:"rows_per_second"`
+	P99WithoutCopiesMS float64           `json:"p99_without_copies_ms,omitempty"`
+	Jobs               []Job             `json:"jobs"`
+	Gatherers          []PeerState       `json:"gatherers"`
+	Searchers          []PeerState       `json:"searchers"`
+	Counts             reshard.Counts    `json:"counts"`
+	Custody            assignment.Counts `json:"custody"`
 }
--- a/internal/admin/gatherer.go
+++ b/internal/admin/gatherer.go
@@ -11,11 +11,11 @@
 	"strconv"
 	"time"
 
-	fleetnet "eiderwinch/internal/fleet/net"
+	"eiderwinch/internal/fleet/transport"
 	"eiderwinch/internal/layout"
 	"eiderwinch/internal/layout/layoutfile"
 	"eiderwinch/internal/netio"
-	"eiderwinch/internal/service"
+	"eiderwinch/internal/querystats"
 )
 
 // Node is the part of a gatherer that its admin socket uses.
@@ -26,11 +26,11 @@
 
 // GathererState is the state that a gatherer reports.
 type GathererState struct {
-	Name     string           `json:"name"`
-	Epoch    layout.Epoch     `json:"epoch"`
-	Oldest   layout.Epoch     `json:"oldest"` // oldest epoch that an open query is bound to
-	Draining bool             `json:"draining"`
-	Service  []service.Window `json:"service,omitempty"`
+	Name     string              `json:"name"`
+	Epoch    layout.Epoch        `json:"epoch"`
+	Oldest   layout.Epoch        `json:"oldest"` // oldest epoch that an open query is bound to
+	Draining bool                `json:"draining"`
+	Service  []querystats.Window `json:"service,omitempty"`
 }
 
 // Gatherer serves the admin socket of a gatherer.
@@ -48,7 +48,7 @@
 	// no epochs.
 	LayoutPath string
 	// Fleet is the gatherer's view of its fleet; nil: it has no fleet.
-	Fleet *fleetnet.Node
+	Fleet *transport.Node
 	// Leave makes the gatherer leave the fleet.
 	Leave func(context.Context) error
 	// RegisterConfigHandlers registers the handlers of the configuration manager; may be nil.
@@ -70,15 +70,15 @@
 
 // FleetState is a gatherer's view of its fleet.
 type FleetState struct {
-	Name     string          `json:"name"`
-	Addr     string          `json:"addr"`
-	View     uint64          `json:"view"`   // number of the view, counted by this gatherer alone
-	Digest   string          `json:"digest"` // equal where the same processes are counted
-	Counted  int             `json:"counted"`
-	Replaced bool            `json:"over"`            // a newer process has the same name
-	Share    *FleetShare     `json:"share,omitempty"` // set if the fleet's limits are divided
-	Members  []FleetMember   `json:"members"`
-	Counts   fleetnet.Counts `json:"counts"`
+	Name     string           `json:"name"`
+	Addr     string           `json:"addr"`
+	View     uint64           `json:"view"`   // number of the view, counted by this gatherer alone
+	Digest   string           `json:"digest"` // equal where the same processes are counted
+	Counted  int              `json:"counted"`
+	Replaced bool             `json:"over"`            // a newer process has the same name
+	Share    *FleetShare      `json:"share,omitempty"` // set if the fleet's limits are divided
+	Members  []FleetMember    `json:"members"`
+	Counts   transport.Counts `json:"counts"`
 }
 
 // FleetShare is a gatherer's share of the fleet's limits.
--- a/internal/backoff/backoff_test.go
+++ b/internal/backoff/backoff_test.go
@@ -7,11 +7,11 @@
 
 	"pgregory.net/rapid"
 
-	"eiderwinch/internal/due"
-	"eiderwinch/internal/trial/steady"
+	"eiderwinch/internal/timerqueue"
+	"eiderwinch/internal/trial/fixedseed"
 )
 
-func TestMain(m *testing.M) { steady.Main(m) }
+func TestMain(m *testing.M) { fixedseed.Main(m) }
 
 func TestWaitsAreBoundedAndReproducible(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
@@ -60,12 +60,12 @@
 
 // serve simulates a service and its clients until all are served or 90 s are over.
 func serve(clients int, callTime, queueTimeout time.Duration, waits func(int) func() time.Duration) (served []time.Duration, calls int) {
-	var pending due.Queue[int] // clients by the time of their next call
+	var pending timerqueue.Queue[int] // clients by the time of their next call
 	start := time.Unix(0, 0)
 	next := make([]func() time.Duration, clients)
 	for i := range clients {
 		next[i] = waits(i)
-		pending.Set(&due.Timer[int]{Value: i}, start)
+		pending.Set(&timerqueue.Timer[int]{Value: i}, start)
 	}
 	free := time.Duration(0) // when the service's queue is empty
 	for pending.Len() > 0 {
--- a/internal/configuration/guard/guard.go
+++ b/internal/configuration/guard/guard.go
@@ -25,7 +25,7 @@
 
 	"gonum.org/v1/gonum/stat/distuv"
 
-	"eiderwinch/internal/service"
+	"eiderwinch/internal/querystats"
 )
 
 // Class describes a class of queries to the guard.
@@ -110,7 +110,7 @@
 	ended    int             // answered, refused or failed
 	gone     int             // their client left
 	bad      [unanswered]int // by metric; without slow, which depends on the baseline
-	times    []service.Bucket
+	times    []querystats.Bucket
 	answered int
 }
 
@@ -151,9 +151,9 @@
 	g.watching, g.changeSecond = true, at
 	for _, c := range g.classes {
 		c.afterChange, c.worseSeconds = nil, [metricCount]int{}
-		sum := service.NewTotals()
+		sum := querystats.NewTotals()
 		for _, s := range c.baseline {
-			sum.Add(service.ClassCounts{Times: s.times})
+			sum.Add(querystats.ClassCounts{Times: s.times})
 		}
 		if c.baselineP99 = 0; isSufficient(c.baseline) {
 			c.baselineP99 = sum.Quantile(0.99)
@@ -198,7 +198,7 @@
 
 // Add records a finished second of a gatherer, and reports whether service has
 // regressed.
-func (g *Guard) Add(w service.Window) (Regression, bool) {
+func (g *Guard) Add(w querystats.Window) (Regression, bool) {
 	var regression Regression
 	found := false
 	for _, k := range w.Classes {
@@ -231,7 +231,7 @@
 }
 
 // summarize counts the queries of a class in one second.
-func summarize(at int64, k service.ClassCounts, aim time.Duration) secondCounts {
+func summarize(at int64, k querystats.ClassCounts, aim time.Duration) secondCounts {
 	s := secondCounts{second: at, taken: k.Taken, gone: k.Gone, times: k.Times}
 	s.answered = k.Whole + k.Partial
 	s.ended = s.answered + k.Refused + k.Failed
@@ -379,9 +379,9 @@
 
 // p99 returns the 99th percentile of the latencies in some seconds.
 func (c *classState) p99(list []secondCounts) time.Duration {
-	sum := service.NewTotals()
+	sum := querystats.NewTotals()
 	for _, s := range list {
-		sum.Add(service.ClassCounts{Times: s.times})
+		sum.Add(querystats.ClassCounts{Times: s.times})
 	}
 	return sum.Quantile(0.99)
 }
--- a/internal/configuration/guard/guard_test.go
+++ b/internal/configuration/guard/guard_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"eiderwinch/internal/service"
+	"eiderwinch/internal/querystats"
 )
 
 // generator generates random seconds of service.
@@ -24,10 +24,10 @@
 
 // second generates one second of the class 'search': one in a hundred queries fails,
 // in bursts, and latencies are distributed log-normally from 40 ms.
-func (g *generator) second(f fault) service.Window {
+func (g *generator) second(f fault) querystats.Window {
 	g.now++
 	sum := make(map[int64]int64)
-	c := service.ClassCounts{Name: "search"}
+	c := querystats.ClassCounts{Name: "search"}
 	burst := 0.0
 	if g.rng.Float64() < 0.1 {
 		burst = 0.08
@@ -53,9 +53,9 @@
 		}
 	}
 	for us, n := range sum {
-		c.Times = append(c.Times, service.Bucket{Micros: us, N: n})
+		c.Times = append(c.Times, querystats.Bucket{Micros: us, N: n})
 	}
-	return service.Window{Second: g.now, Classes: []service.ClassCounts{c}}
+	return querystats.Window{Second: g.now, Classes: []querystats.ClassCounts{c}}
 }
 
 func startWatching(seed uint64, rate int) (*Guard, *generator) {
--- a/internal/configuration/keeper/dryrun.go
+++ b/internal/configuration/manager/dryrun.go
@@ -1,4 +1,4 @@
-package keeper
+package manager
 
 import (
 	"context"
@@ -26,13 +26,13 @@
 // dryRun checks a configuration against the running system: its memory limit,
 // discovery, and the holders of the layout's segments. It can't find every fault:
 // a searcher may accept a connection and answer no query. The guard covers the rest.
-func (k *Keeper) dryRun(ctx context.Context, c *bundle.Candidate) error {
+func (m *Manager) dryRun(ctx context.Context, c *bundle.Candidate) error {
 	faults := &faultList{}
 	if open := c.File.Live.Admission.Open; open > 0 && int64(open)*maxQueryBytes > c.Config.MemoryLimit {
 		faults.add(fmt.Errorf("admission: found open=%d, want at most %d: each may take %d KiB, and limits.memory_mb is %d",
 			open, c.Config.MemoryLimit/maxQueryBytes, maxQueryBytes>>10, c.Config.MemoryLimit>>20))
 	}
-	list, ok := k.opts.Node.Searchers(ctx)
+	list, ok := m.opts.Node.Searchers(ctx)
 	if !ok {
 		return faults.err()
 	}
--- a/internal/configuration/keeper/keeper.go
+++ b/internal/configuration/manager/manager.go
@@ -1,4 +1,4 @@
-// Package keeper is the configuration manager of a running gatherer. It runs each
+// Package manager is the configuration manager of a running gatherer. It runs each
 // change as a transaction (package change), does a dry run before the change is
 // applied, swaps the configuration on the gatherer's event loop, watches service
 // (package guard) and records the transactions (package history). It makes no
@@ -6,7 +6,7 @@
 //
 // Two goroutines run: one owns the transactions, the other executes swaps in
 // order, so that a blocked event loop does not delay the deadline of an undo.
-package keeper
+package manager
 
 import (
 	"context"
@@ -38,7 +38,7 @@
 	NeedsCompaction() bool
 }
 
-// Options are the dependencies and settings of a Keeper.
+// Options are the dependencies and settings of a Manager.
 type Options struct {
 	Node      Node
 	Initial   *bundle.Candidate // in force at the start: the configuration that Machine has confirmed
@@ -66,8 +66,8 @@
 	maxKeptCandidates = 16
 )
 
-// Keeper is the configuration manager of one gatherer. Create it with Start.
-type Keeper struct {
+// Manager is the configuration manager of one gatherer. Create it with Start.
+type Manager struct {
 	opts           Options
 	machine        *change.Machine
 	guard          *guard.Guard
@@ -89,64 +89,64 @@
 
 // Start starts a configuration manager. It runs until ctx ends or a write to the
 // history fails permanently.
-func Start(ctx context.Context, o Options) *Keeper {
-	k := &Keeper{
+func Start(ctx context.Context, o Options) *Manager {
+	m := &Manager{
 		opts: o, machine: o.Machine, candidates: make(map[change.Hash]*bundle.Candidate),
 		requests: make(chan func(), queueCapacity), swaps: make(chan change.Effect, queueCapacity), done: make(chan struct{}),
 	}
-	k.inForce = o.Initial
-	k.generation, _ = k.machine.Confirmed()
-	k.addCandidate(o.Initial)
+	m.inForce = o.Initial
+	m.generation, _ = m.machine.Confirmed()
+	m.addCandidate(o.Initial)
 	var classes []guard.Class
 	for _, c := range o.Initial.Config.Settings.Module.Classes {
 		classes = append(classes, guard.Class{Name: c.Name, Aim: c.Aim})
 	}
-	k.guard = guard.New(classes, o.Initial.File.Guard.Limits)
-	k.layout, k.layoutText = o.Initial.Layout, o.Initial.Bundle.Layout
+	m.guard = guard.New(classes, o.Initial.File.Guard.Limits)
+	m.layout, m.layoutText = o.Initial.Layout, o.Initial.Bundle.Layout
 	ctx, stop := context.WithCancel(ctx)
-	k.ctx = ctx
-	go k.runSwaps(ctx)
+	m.ctx = ctx
+	go m.runSwaps(ctx)
 	go func() {
 		defer stop()
-		k.run(ctx)
+		m.run(ctx)
 	}()
-	return k
+	return m
 }
 
 // Wait waits until the manager has stopped. It returns nil if ctx ended, else the
 // error that stopped the manager.
-func (k *Keeper) Wait() error {
-	<-k.done
-	return k.err
+func (m *Manager) Wait() error {
+	<-m.done
+	return m.err
 }
 
-func (k *Keeper) run(ctx context.Context) {
-	defer close(k.done)
+func (m *Manager) run(ctx context.Context) {
+	defer close(m.done)
 	clockTicker, guardTicker := time.NewTicker(clockInterval), time.NewTicker(guardInterval)
 	defer clockTicker.Stop()
 	defer guardTicker.Stop()
-	for k.err == nil {
+	for m.err == nil {
 		select {
 		case <-ctx.Done():
 			return
-		case f := <-k.requests:
+		case f := <-m.requests:
 			f()
 		case <-clockTicker.C:
-			k.step(change.Tick{}, nil)
+			m.step(change.Tick{}, nil)
 		case <-guardTicker.C:
-			k.updateGuard(ctx)
+			m.updateGuard(ctx)
 		}
 	}
 }
 
 // runInLoop runs f on the goroutine that owns the transactions and waits for it.
-func (k *Keeper) runInLoop(ctx context.Context, f func()) error {
+func (m *Manager) runInLoop(ctx context.Context, f func()) error {
 	ran := make(chan struct{})
 	select {
-	case k.requests <- func() { f(); close(ran) }:
+	case m.requests <- func() { f(); close(ran) }:
 	case <-ctx.Done():
 		return ctx.Err()
-	case <-k.done:
+	case <-m.done:
 		return ErrEnded
 	}
 	select {
@@ -154,7 +154,7 @@
 		return nil
 	case <-ctx.Done():
 		return ctx.Err()
-	case <-k.done:
+	case <-m.done:
 		return ErrEnded
 	}
 }
@@ -164,28 +164,28 @@
 
 // step passes one event to the state machine. It writes the records to the history
 // before it executes the effects.
-func (k *Keeper) step(e change.Event, text *bundle.Candidate) change.Result {
-	r := k.machine.Step(time.Now(), e)
-	if k.opts.History != nil {
+func (m *Manager) step(e change.Event, text *bundle.Candidate) change.Result {
+	r := m.machine.Step(time.Now(), e)
+	if m.opts.History != nil {
 		var b *bundle.Bundle
 		if text != nil {
 			b = &text.Bundle
 		}
 		// No effect may happen before its records are on disk, so a temporary disk failure delays all changes.
-		if err := k.writeHistory("records of configuration changes", func() error { return k.opts.History.Append(r.Records, b) }); err != nil {
+		if err := m.writeHistory("records of configuration changes", func() error { return m.opts.History.Append(r.Records, b) }); err != nil {
 			// The gatherer keeps the configuration in force; the next start recovers from the disk.
-			k.err = err
-			k.opts.Logger.Error("cannot write the configuration history: no further changes are accepted", "err", err)
+			m.err = err
+			m.opts.Logger.Error("cannot write the configuration history: no further changes are accepted", "err", err)
 			r.Err = errors.Join(r.Err, err)
 			return r
 		}
 	}
 	for _, x := range r.Effects {
-		k.execute(x)
+		m.execute(x)
 	}
-	if k.opts.History != nil && k.opts.History.NeedsCompaction() {
-		if base, ok := k.machine.Base(); ok {
-			k.err = k.writeHistory("compacted history", func() error { return k.opts.History.SetBase(base, k.candidates[base.Hash].Bundle) })
+	if m.opts.History != nil && m.opts.History.NeedsCompaction() {
+		if base, ok := m.machine.Base(); ok {
+			m.err = m.writeHistory("compacted history", func() error { return m.opts.History.SetBase(base, m.candidates[base.Hash].Bundle) })
 		}
 	}
 	return r
@@ -193,30 +193,30 @@
 
 // writeHistory repeats a write to the history until it succeeds, fails permanently or
 // the manager is to stop.
-func (k *Keeper) writeHistory(what string, f func() error) error {
-	return durable.Retry(k.ctx, k.opts.Logger, what, f)
+func (m *Manager) writeHistory(what string, f func() error) error {
+	return durable.Retry(m.ctx, m.opts.Logger, what, f)
 }
 
-func (k *Keeper) execute(e change.Effect) {
+func (m *Manager) execute(e change.Effect) {
 	switch e := e.(type) {
 	case change.Swap, change.Revert:
-		k.swaps <- e // at most two per transaction, and one at a time
+		m.swaps <- e // at most two per transaction, and one at a time
 	case change.Ended:
-		k.opts.Logger.Info("configuration change finished", "transaction", uint64(e.Tx), "state", e.State.String(), "reason", e.Reason)
+		m.opts.Logger.Info("configuration change finished", "transaction", uint64(e.Tx), "state", e.State.String(), "reason", e.Reason)
 		if e.State != change.Discarded {
-			k.guard.End(e.State == change.Confirmed, k.lastSecond+1)
+			m.guard.End(e.State == change.Confirmed, m.lastSecond+1)
 		}
 	}
 }
 
 // runSwaps executes swaps one after the other.
-func (k *Keeper) runSwaps(ctx context.Context) {
+func (m *Manager) runSwaps(ctx context.Context) {
 	for {
 		var e change.Effect
 		select {
 		case <-ctx.Done():
 			return
-		case e = <-k.swaps:
+		case e = <-m.swaps:
 		}
 		var to *bundle.Candidate
 		var live netio.LiveSettings
@@ -224,23 +224,23 @@
 		prepare := func() {
 			switch e := e.(type) {
 			case change.Swap:
-				to, gen = k.candidates[e.Hash], e.Gen
+				to, gen = m.candidates[e.Hash], e.Gen
 			case change.Revert:
-				to, gen = k.candidates[e.Hash], e.Gen
+				to, gen = m.candidates[e.Hash], e.Gen
 			}
-			live = k.liveSettings(to, gen)
+			live = m.liveSettings(to, gen)
 		}
-		if k.runInLoop(ctx, prepare) != nil {
+		if m.runInLoop(ctx, prepare) != nil {
 			return
 		}
 		swap, stop := context.WithTimeout(ctx, swapTimeout)
-		err := k.opts.Node.Apply(swap, live)
+		err := m.opts.Node.Apply(swap, live)
 		stop()
-		if err == nil && k.opts.Applied != nil {
-			k.opts.Applied(to)
+		if err == nil && m.opts.Applied != nil {
+			m.opts.Applied(to)
 		}
-		finish := func() { k.finishSwap(e, to, gen, err) }
-		if k.runInLoop(ctx, finish) != nil {
+		finish := func() { m.finishSwap(e, to, gen, err) }
+		if m.runInLoop(ctx, finish) != nil {
 			return
 		}
 	}
@@ -248,68 +248,68 @@
 
 // liveSettings returns the settings that the node is given for a candidate. A layout
 // that is put in force again gets a newer epoch, because epochs only increase.
-func (k *Keeper) liveSettings(to *bundle.Candidate, gen change.Generation) netio.LiveSettings {
-	live := k.opts.LiveSettings(to, gen)
+func (m *Manager) liveSettings(to *bundle.Candidate, gen change.Generation) netio.LiveSettings {
+	live := m.opts.LiveSettings(to, gen)
 	live.Layout = nil
-	if k.layout == nil || to.Layout == nil || to.File.Follow {
+	if m.layout == nil || to.Layout == nil || to.File.Follow {
 		// A gatherer that started without a layout takes one at its next start only. One
 		// that follows a coordinator gets its layouts from there.
 		return live
 	}
-	if text := to.Bundle.Layout; string(text) != string(k.layoutText) {
+	if text := to.Bundle.Layout; string(text) != string(m.layoutText) {
 		live.Layout = to.Layout
-		if live.Layout.Epoch() <= k.layout.Epoch() {
-			live.Layout = to.Layout.Reissue(k.layout)
+		if live.Layout.Epoch() <= m.layout.Epoch() {
+			live.Layout = to.Layout.Reissue(m.layout)
 		}
-		k.layout, k.layoutText = live.Layout, text
+		m.layout, m.layoutText = live.Layout, text
 	}
 	return live
 }
 
 // finishSwap records the outcome of a swap.
-func (k *Keeper) finishSwap(e change.Effect, to *bundle.Candidate, gen change.Generation, err error) {
+func (m *Manager) finishSwap(e change.Effect, to *bundle.Candidate, gen change.Generation, err error) {
 	if err == nil {
-		k.inForce, k.generation = to, gen
-		k.opts.Logger.Info("configuration in force", "generation", uint64(gen), "hash", fmt.Sprintf("%x", to.Hash[:8]))
+		m.inForce, m.generation = to, gen
+		m.opts.Logger.Info("configuration in force", "generation", uint64(gen), "hash", fmt.Sprintf("%x", to.Hash[:8]))
 	} else {
-		k.opts.Logger.Error("configuration not put in force", "generation", uint64(gen), "err", err)
+		m.opts.Logger.Error("configuration not put in force", "generation", uint64(gen), "err", err)
 	}
 	switch e := e.(type) {
 	case change.Swap:
 		if err == nil {
-			k.updateGuard(context.Background()) // the seconds finished by now precede the change
-			k.guard.Begin(k.lastSecond + 1)
+			m.updateGuard(context.Background()) // the seconds finished by now precede the change
+			m.guard.Begin(m.lastSecond + 1)
 		}
-		k.step(change.Applied{Tx: e.Tx, Err: err}, nil)
+		m.step(change.Applied{Tx: e.Tx, Err: err}, nil)
 	case change.Revert:
 		if err != nil && !errors.Is(err, netio.ErrNotServing) {
-			k.swaps <- e // retried until it succeeds: nothing else can be applied until then
+			m.swaps <- e // retried until it succeeds: nothing else can be applied until then
 			return
 		}
-		k.step(change.Reverted{Tx: e.Tx}, nil)
+		m.step(change.Reverted{Tx: e.Tx}, nil)
 	}
 }
 
 // updateGuard passes finished seconds to the guard. If the guard finds a regression,
 // the change on probation is undone.
-func (k *Keeper) updateGuard(ctx context.Context) {
+func (m *Manager) updateGuard(ctx context.Context) {
 	ctx, stop := context.WithTimeout(ctx, guardInterval)
 	defer stop()
-	s, ok := k.opts.Node.State(ctx, k.lastSecond)
+	s, ok := m.opts.Node.State(ctx, m.lastSecond)
 	if !ok {
 		return
 	}
 	for _, w := range s.Service {
-		k.lastSecond = max(k.lastSecond, w.Second)
-		regression, regressed := k.guard.Add(w)
+		m.lastSecond = max(m.lastSecond, w.Second)
+		regression, regressed := m.guard.Add(w)
 		if !regressed {
 			continue
 		}
-		k.regressions = append([]string{regression.String()}, k.regressions[:min(len(k.regressions), maxKeptCandidates-1)]...)
-		for _, t := range k.machine.Txs() {
+		m.regressions = append([]string{regression.String()}, m.regressions[:min(len(m.regressions), maxKeptCandidates-1)]...)
+		for _, t := range m.machine.Txs() {
 			if t.State == change.Probation {
-				k.opts.Logger.Warn("service has regressed since a configuration change", "transaction", uint64(t.Tx), "fall", regression.String())
-				k.step(change.Regressed{Tx: t.Tx, Reason: "service fell: " + regression.String()}, nil)
+				m.opts.Logger.Warn("service has regressed since a configuration change", "transaction", uint64(t.Tx), "fall", regression.String())
+				m.step(change.Regressed{Tx: t.Tx, Reason: "service fell: " + regression.String()}, nil)
 			}
 		}
 	}
@@ -317,27 +317,27 @@
 
 // addCandidate holds a candidate in memory and evicts old ones. The candidates in
 // force, confirmed, or of unfinished transactions are never evicted.
-func (k *Keeper) addCandidate(c *bundle.Candidate) {
-	if _, ok := k.candidates[c.Hash]; ok {
+func (m *Manager) addCandidate(c *bundle.Candidate) {
+	if _, ok := m.candidates[c.Hash]; ok {
 		return
 	}
-	k.candidates[c.Hash] = c
-	k.candidateOrder = append(k.candidateOrder, c.Hash)
-	needed := map[change.Hash]bool{c.Hash: true, k.inForce.Hash: true}
-	_, confirmed := k.machine.Confirmed()
+	m.candidates[c.Hash] = c
+	m.candidateOrder = append(m.candidateOrder, c.Hash)
+	needed := map[change.Hash]bool{c.Hash: true, m.inForce.Hash: true}
+	_, confirmed := m.machine.Confirmed()
 	needed[confirmed] = true
-	for _, t := range k.machine.Txs() {
+	for _, t := range m.machine.Txs() {
 		if !t.State.IsFinal() {
 			needed[t.Hash] = true
 		}
 	}
 	var kept []change.Hash
-	for i, h := range k.candidateOrder {
-		if needed[h] || len(k.candidateOrder)-i <= maxKeptCandidates {
+	for i, h := range m.candidateOrder {
+		if needed[h] || len(m.candidateOrder)-i <= maxKeptCandidates {
 			kept = append(kept, h)
 		} else {
-			delete(k.candidates, h)
+			delete(m.candidates, h)
 		}
 	}
-	k.candidateOrder = kept
+	m.candidateOrder = kept
 }
--- a/internal/configuration/keeper/keeper_test.go
+++ b/internal/configuration/manager/manager_test.go
@@ -1,4 +1,4 @@
-package keeper
+package manager
 
 import (
 	"bytes"
@@ -21,7 +21,7 @@
 	"eiderwinch/internal/configuration/history"
 	"eiderwinch/internal/daemon"
 	"eiderwinch/internal/netio"
-	"eiderwinch/internal/service"
+	"eiderwinch/internal/querystats"
 	"eiderwinch/internal/trial/testpeer"
 )
 
@@ -29,7 +29,7 @@
 type fakeNode struct {
 	mu        sync.Mutex
 	applied   []netio.LiveSettings
-	windows   []service.Window
+	windows   []querystats.Window
 	applyErr  error
 	searchers []netio.Searcher
 }
@@ -81,7 +81,7 @@
 
 // startManager starts the configuration manager of a fake node. Its discovery address
 // accepts connections.
-func startManager(t testing.TB, h History) (*Keeper, *fakeNode) {
+func startManager(t testing.TB, h History) (*Manager, *fakeNode) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -92,21 +92,21 @@
 	}
 	n := &fakeNode{}
 	ctx, stop := context.WithCancel(context.Background())
-	k := Start(ctx, Options{
+	m := Start(ctx, Options{
 		Node: n, Initial: boot, Machine: change.New(boot.Hash, change.Limits{}), History: h, LiveSettings: daemon.Live, Logger: slog.New(slog.DiscardHandler),
 		Names: bundle.Names{Operators: "e.xml"}, ReadFiles: func() (bundle.Bundle, string, error) { return boot.Bundle, "", nil },
 	})
 	t.Cleanup(func() {
 		stop()
-		_ = k.Wait()
+		_ = m.Wait()
 		_ = l.Close()
 	})
-	return k, n
+	return m, n
 }
 
-func (k *Keeper) stateOf(t *testing.T, tx change.Tx) string {
+func (m *Manager) stateOf(t *testing.T, tx change.Tx) string {
 	t.Helper()
-	s, err := k.Status(context.Background())
+	s, err := m.Status(context.Background())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -118,9 +118,9 @@
 	return "unknown"
 }
 
-func stage(t *testing.T, k *Keeper, inner string) change.Tx {
+func stage(t *testing.T, m *Manager, inner string) change.Tx {
 	t.Helper()
-	s, err := k.Stage(context.Background(), bundle.Bundle{Operators: operators(inner)}, 0, "test", "")
+	s, err := m.Stage(context.Background(), bundle.Bundle{Operators: operators(inner)}, 0, "test", "")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -128,38 +128,38 @@
 }
 
 func TestChangeIsAppliedConfirmedAndShown(t *testing.T) {
-	k, n := startManager(t, nil)
+	m, n := startManager(t, nil)
 	ctx := context.Background()
-	tx := stage(t, k, `<class name="search" open="7" attempts="2"/><pools multiplex="3"/>`)
+	tx := stage(t, m, `<class name="search" open="7" attempts="2"/><pools multiplex="3"/>`)
 	auto := false
-	if err := k.Apply(ctx, tx, time.Minute, &auto); err != nil {
+	if err := m.Apply(ctx, tx, time.Minute, &auto); err != nil {
 		t.Fatal(err)
 	}
-	testpeer.WaitUntil(t, "probation", func() bool { return k.stateOf(t, tx) == "probation" })
+	testpeer.WaitUntil(t, "probation", func() bool { return m.stateOf(t, tx) == "probation" })
 	if l := n.applied[0]; l.Core.Generation != 2 || l.Core.Classes[0].MaxOpen != 7 || l.Core.Classes[0].Attempts != 2 || l.Multiplex != 3 || l.Core.MaxOpen != 1000 {
 		t.Errorf("applied %+v with %+v", l, l.Core)
 	}
-	other := stage(t, k, `<pools multiplex="4"/>`)
-	if err := k.Apply(ctx, other, 0, nil); !errors.Is(err, change.ErrBusy) {
+	other := stage(t, m, `<pools multiplex="4"/>`)
+	if err := m.Apply(ctx, other, 0, nil); !errors.Is(err, change.ErrBusy) {
 		t.Errorf("applying a second change: %v", err)
 	}
-	if err := k.Confirm(ctx, tx); err != nil {
+	if err := m.Confirm(ctx, tx); err != nil {
 		t.Fatal(err)
 	}
-	if err := k.Apply(ctx, other, 0, nil); !errors.Is(err, change.ErrStale) {
+	if err := m.Apply(ctx, other, 0, nil); !errors.Is(err, change.ErrStale) {
 		t.Errorf("applying a change made against the previous generation: %v", err)
 	}
-	if b, err := k.Show(ctx, 2); err != nil || !strings.Contains(string(b.Operators), `multiplex="3"`) {
+	if b, err := m.Show(ctx, 2); err != nil || !strings.Contains(string(b.Operators), `multiplex="3"`) {
 		t.Errorf("generation 2: %v, %s", err, b.Operators)
 	}
-	if _, err := k.Show(ctx, 9); err == nil {
+	if _, err := m.Show(ctx, 9); err == nil {
 		t.Error("generation 9 is shown")
 	}
-	if _, err := k.Stage(ctx, bundle.Bundle{Operators: operators(`<class name="search" within="5s" copies="2"/><class name="x"/>`)}, 0, "", ""); err == nil ||
+	if _, err := m.Stage(ctx, bundle.Bundle{Operators: operators(`<class name="search" within="5s" copies="2"/><class name="x"/>`)}, 0, "", ""); err == nil ||
 		!strings.Contains(err.Error(), "copies=2") {
 		t.Errorf("staging an invalid configuration: %v", err)
 	}
-	if _, err := k.Stage(ctx, bundle.Bundle{Operators: operators(`<class name="search" within="5s"/><admission open="900000"/>`)}, 0, "", ""); err == nil ||
+	if _, err := m.Stage(ctx, bundle.Bundle{Operators: operators(`<class name="search" within="5s"/><admission open="900000"/>`)}, 0, "", ""); err == nil ||
 		!strings.Contains(err.Error(), "at most the deadline of search, 4s") || !strings.Contains(err.Error(), "at most max_open, 1000") {
 		t.Errorf("staging a configuration outside the platform's limits: %v", err)
 	}
@@ -168,45 +168,45 @@
 // A change after which most queries fail must be undone during its probation, with
 // the regression as its reason.
 func TestChangeIsUndoneAfterRegression(t *testing.T) {
-	k, n := startManager(t, nil)
+	m, n := startManager(t, nil)
 	second := time.Now().Unix() - 100
 	add := func(failed int) {
 		n.mu.Lock()
 		defer n.mu.Unlock()
 		second++
-		n.windows = append(n.windows, service.Window{Second: second, Classes: []service.ClassCounts{{
-			Name: "search", Taken: 100, Whole: 100 - failed, Failed: failed, Times: []service.Bucket{{Micros: 20_000, N: int64(100 - failed)}},
+		n.windows = append(n.windows, querystats.Window{Second: second, Classes: []querystats.ClassCounts{{
+			Name: "search", Taken: 100, Whole: 100 - failed, Failed: failed, Times: []querystats.Bucket{{Micros: 20_000, N: int64(100 - failed)}},
 		}}})
 	}
 	for range 60 {
 		add(0)
 	}
-	tx := stage(t, k, `<class name="search" within="20ms"/>`)
-	if err := k.Apply(context.Background(), tx, time.Hour, nil); err != nil {
+	tx := stage(t, m, `<class name="search" within="20ms"/>`)
+	if err := m.Apply(context.Background(), tx, time.Hour, nil); err != nil {
 		t.Fatal(err)
 	}
-	testpeer.WaitUntil(t, "probation", func() bool { return k.stateOf(t, tx) == "probation" })
+	testpeer.WaitUntil(t, "probation", func() bool { return m.stateOf(t, tx) == "probation" })
 	add(60) // the second of the change itself
 	add(60)
 	add(60)
-	testpeer.WaitUntil(t, "the undo", func() bool { return k.stateOf(t, tx) == "undone" })
+	testpeer.WaitUntil(t, "the undo", func() bool { return m.stateOf(t, tx) == "undone" })
 	if n.lastGeneration() != 1 {
 		t.Errorf("generation %d is in force", n.lastGeneration())
 	}
-	s, _ := k.Status(context.Background())
+	s, _ := m.Status(context.Background())
 	if len(s.Regressions) == 0 || !strings.Contains(s.Transactions[0].Reason, "service fell: search: 60.0%") {
 		t.Errorf("%+v", s)
 	}
 }
 
 func TestFailedSwapIsUndone(t *testing.T) {
-	k, n := startManager(t, nil)
+	m, n := startManager(t, nil)
 	n.applyErr = netio.ErrNotServing
-	tx := stage(t, k, `<pools multiplex="4"/>`)
-	if err := k.Apply(context.Background(), tx, 0, nil); err != nil {
+	tx := stage(t, m, `<pools multiplex="4"/>`)
+	if err := m.Apply(context.Background(), tx, 0, nil); err != nil {
 		t.Fatal(err)
 	}
-	testpeer.WaitUntil(t, "the undo", func() bool { return k.stateOf(t, tx) == "undone" })
+	testpeer.WaitUntil(t, "the undo", func() bool { return m.stateOf(t, tx) == "undone" })
 }
 
 // Runs many changes one after the other: none may be lost, and the candidates and
@@ -217,9 +217,9 @@
 		t.Fatal(err)
 	}
 	defer h.Close()
-	k, n := startManager(t, nil)
-	b, _ := k.machine.Base()
-	if err := h.SetBase(b, k.inForce.Bundle); err != nil {
+	m, n := startManager(t, nil)
+	b, _ := m.machine.Base()
+	if err := h.SetBase(b, m.inForce.Bundle); err != nil {
 		t.Fatal(err)
 	}
 	ctx := context.Background()
@@ -228,18 +228,18 @@
 		changes = 50
 	}
 	for i := range changes {
-		tx := stage(t, k, fmt.Sprintf(`<class name="search" open="%d"/>`, i+1))
-		if err := k.Apply(ctx, tx, time.Minute, nil); err != nil {
+		tx := stage(t, m, fmt.Sprintf(`<class name="search" open="%d"/>`, i+1))
+		if err := m.Apply(ctx, tx, time.Minute, nil); err != nil {
 			t.Fatal(err)
 		}
-		testpeer.WaitUntil(t, "probation", func() bool { return k.Confirm(ctx, tx) == nil })
+		testpeer.WaitUntil(t, "probation", func() bool { return m.Confirm(ctx, tx) == nil })
 	}
 	if n.lastGeneration() != uint64(changes)+1 {
 		t.Errorf("generation %d", n.lastGeneration())
 	}
-	_ = k.runInLoop(ctx, func() {
-		if len(k.candidates) > maxKeptCandidates+2 || len(k.candidateOrder) != len(k.candidates) || len(k.machine.Txs()) > 256 {
-			t.Errorf("%d candidates, %d entries in their order and %d transactions are held", len(k.candidates), len(k.candidateOrder), len(k.machine.Txs()))
+	_ = m.runInLoop(ctx, func() {
+		if len(m.candidates) > maxKeptCandidates+2 || len(m.candidateOrder) != len(m.candidates) || len(m.machine.Txs()) > 256 {
+			t.Errorf("%d candidates, %d entries in their order and %d transactions are held", len(m.candidates), len(m.candidateOrder), len(m.machine.Txs()))
 		}
 	})
 }
@@ -247,7 +247,7 @@
 // A layout must be refused if a segment has no ready holder that can be connected to,
 // and only such segments may be reported.
 func TestDryRunReportsSegmentsWithoutReachableHolder(t *testing.T) {
-	k, n := startManager(t, nil)
+	m, n := startManager(t, nil)
 	reachable, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -262,7 +262,7 @@
 	text := `<layout xmlns="urn:eiderwinch:layout:1" epoch="1" next="3" replicas="1"><searcher id="a" zone="x"/><searcher id="b" zone="x"/><searcher id="c" zone="x"/>
 		<segment id="0" to="d"><holder searcher="a"/><holder searcher="b"/></segment><segment id="1" from="d" to="k"><holder searcher="b"/></segment>
 		<segment id="2" from="k"><holder searcher="c"/></segment></layout>`
-	_, err = k.Stage(context.Background(), bundle.Bundle{Layout: []byte(text)}, 0, "", "")
+	_, err = m.Stage(context.Background(), bundle.Bundle{Layout: []byte(text)}, 0, "", "")
 	if err == nil || !strings.Contains(err.Error(), "segment 1: none of its holders [b] can be connected to") ||
 		!strings.Contains(err.Error(), "segment 2: none of its holders [c] is ready") || strings.Contains(err.Error(), "segment 0") {
 		t.Errorf("have %v", err)
@@ -279,9 +279,9 @@
 	} {
 		f.Add(s.method, s.path, s.body)
 	}
-	k, _ := startManager(f, nil)
-	m := http.NewServeMux()
-	k.RegisterHandlers(m)
+	m, _ := startManager(f, nil)
+	mux := http.NewServeMux()
+	m.RegisterHandlers(mux)
 	f.Fuzz(func(t *testing.T, method, path, body string) {
 		r, err := http.NewRequest(method, "http://admin/", bytes.NewReader([]byte(body)))
 		if err != nil || !strings.HasPrefix(path, "/") {
@@ -291,7 +291,7 @@
 			return
 		}
 		w := httptest.NewRecorder()
-		m.ServeHTTP(w, r)
+		mux.ServeHTTP(w, r)
 		if w.Header().Get("Content-Type") == "application/json" && !json.Valid(w.Body.Bytes()) || w.Code < 200 || w.Code == 500 {
 			t.Errorf("%s %q %q: %d %s", method, path, body, w.Code, w.Body)
 		}
@@ -313,7 +313,7 @@
 		return c
 	}
 	first := candidate(1, "a")
-	k := &Keeper{opts: Options{LiveSettings: daemon.Live}, layout: first.Layout, layoutText: first.Bundle.Layout}
+	m := &Manager{opts: Options{LiveSettings: daemon.Live}, layout: first.Layout, layoutText: first.Bundle.Layout}
 	for i, c := range []struct {
 		to     *bundle.Candidate
 		epoch  uint64
@@ -323,16 +323,16 @@
 		{candidate(2, "b"), 4, "b"}, {first, 5, "a"}, // the same file again
 		{candidate(9, "b"), 9, "b"},
 	} {
-		l := k.liveSettings(c.to, 2).Layout
+		l := m.liveSettings(c.to, 2).Layout
 		if l == nil || uint64(l.Epoch()) != c.epoch || l.Segment(0).Holders[0] != c.holder {
 			t.Fatalf("change %d: have %v, want epoch %d at %s", i+1, l, c.epoch, c.holder)
 		}
 	}
-	if l := k.liveSettings(candidate(9, "b"), 3).Layout; l != nil {
+	if l := m.liveSettings(candidate(9, "b"), 3).Layout; l != nil {
 		t.Errorf("the layout in force is given to the node again, as epoch %d", l.Epoch())
 	}
-	k = &Keeper{opts: Options{LiveSettings: daemon.Live}}
-	if l := k.liveSettings(first, 2).Layout; l != nil {
+	m = &Manager{opts: Options{LiveSettings: daemon.Live}}
+	if l := m.liveSettings(first, 2).Layout; l != nil {
 		t.Error("a layout that takes effect at the next start only is put in force")
 	}
 }
--- a/internal/configuration/keeper/requests.go
+++ b/internal/configuration/manager/requests.go
@@ -1,4 +1,4 @@
-package keeper
+package manager
 
 import (
 	"context"
@@ -21,14 +21,14 @@
 // in the bundle are taken from the configuration in force. Against is the generation
 // that the configuration was made against; 0 means the one in force. The signature,
 // if one is required, is of the bundle as passed in.
-func (k *Keeper) Stage(ctx context.Context, b bundle.Bundle, against change.Generation, note, signature string) (StageResult, error) {
-	if k.opts.Verify != nil {
-		if err := k.opts.Verify(b.Hash(), signature); err != nil {
+func (m *Manager) Stage(ctx context.Context, b bundle.Bundle, against change.Generation, note, signature string) (StageResult, error) {
+	if m.opts.Verify != nil {
+		if err := m.opts.Verify(b.Hash(), signature); err != nil {
 			return StageResult{}, err
 		}
 	}
 	var inForce *bundle.Candidate
-	if err := k.runInLoop(ctx, func() { inForce = k.inForce }); err != nil {
+	if err := m.runInLoop(ctx, func() { inForce = m.inForce }); err != nil {
 		return StageResult{}, err
 	}
 	if len(b.Platform) == 0 {
@@ -40,18 +40,18 @@
 	if len(b.Layout) == 0 {
 		b.Layout = inForce.Bundle.Layout
 	}
-	c, err := bundle.Check(b, k.opts.Names)
+	c, err := bundle.Check(b, m.opts.Names)
 	if err != nil {
 		return StageResult{}, err
 	}
-	if err := k.dryRun(ctx, c); err != nil {
+	if err := m.dryRun(ctx, c); err != nil {
 		return StageResult{}, err
 	}
-	out := StageResult{Hash: fmt.Sprintf("%x", c.Hash), Restart: bundle.RestartKeys(k.opts.Initial, c)}
-	err = k.runInLoop(ctx, func() {
-		r := k.step(change.Stage{Hash: c.Hash, Against: against, Note: note}, c)
+	out := StageResult{Hash: fmt.Sprintf("%x", c.Hash), Restart: bundle.RestartKeys(m.opts.Initial, c)}
+	err = m.runInLoop(ctx, func() {
+		r := m.step(change.Stage{Hash: c.Hash, Against: against, Note: note}, c)
 		if out.Tx, err = r.Tx, r.Err; err == nil {
-			k.addCandidate(c)
+			m.addCandidate(c)
 		}
 	})
 	if err != nil {
@@ -62,11 +62,11 @@
 
 // Apply puts a staged configuration in force and on probation for the time within.
 // If within is 0 or auto is nil, the configuration's own setting applies.
-func (k *Keeper) Apply(ctx context.Context, tx change.Tx, within time.Duration, auto *bool) error {
-	return k.submit(ctx, func() change.Event {
+func (m *Manager) Apply(ctx context.Context, tx change.Tx, within time.Duration, auto *bool) error {
+	return m.submit(ctx, func() change.Event {
 		e := change.Apply{Tx: tx, Probation: within}
-		for _, t := range k.machine.Txs() {
-			if c := k.candidates[t.Hash]; t.Tx == tx && c != nil {
+		for _, t := range m.machine.Txs() {
+			if c := m.candidates[t.Hash]; t.Tx == tx && c != nil {
 				if e.AutoConfirm = c.File.Guard.Auto; e.Probation == 0 {
 					e.Probation = c.File.Guard.Probation
 				}
@@ -80,45 +80,45 @@
 }
 
 // Confirm ends the probation of a transaction and keeps its configuration in force.
-func (k *Keeper) Confirm(ctx context.Context, tx change.Tx) error {
-	return k.submit(ctx, func() change.Event { return change.Confirm{Tx: tx} })
+func (m *Manager) Confirm(ctx context.Context, tx change.Tx) error {
+	return m.submit(ctx, func() change.Event { return change.Confirm{Tx: tx} })
 }
 
 // Undo takes back a transaction that is not confirmed yet.
-func (k *Keeper) Undo(ctx context.Context, tx change.Tx, reason string) error {
-	return k.submit(ctx, func() change.Event { return change.Undo{Tx: tx, Reason: reason} })
+func (m *Manager) Undo(ctx context.Context, tx change.Tx, reason string) error {
+	return m.submit(ctx, func() change.Event { return change.Undo{Tx: tx, Reason: reason} })
 }
 
 // submit passes an event, made on the goroutine that owns the transactions, to the
 // state machine.
-func (k *Keeper) submit(ctx context.Context, event func() change.Event) error {
+func (m *Manager) submit(ctx context.Context, event func() change.Event) error {
 	var err error
-	if loopErr := k.runInLoop(ctx, func() { err = k.step(event(), nil).Err }); loopErr != nil {
+	if loopErr := m.runInLoop(ctx, func() { err = m.step(event(), nil).Err }); loopErr != nil {
 		return loopErr
 	}
 	return err
 }
 
 // Reload reads the configuration files again and applies them; SIGHUP triggers it.
-func (k *Keeper) Reload(ctx context.Context) error {
-	b, signature, err := k.opts.ReadFiles()
+func (m *Manager) Reload(ctx context.Context) error {
+	b, signature, err := m.opts.ReadFiles()
 	if err != nil {
 		return err
 	}
-	s, err := k.Stage(ctx, b, 0, "reload", signature)
+	s, err := m.Stage(ctx, b, 0, "reload", signature)
 	if errors.Is(err, change.ErrNothing) {
-		k.opts.Logger.Info("configuration not changed")
+		m.opts.Logger.Info("configuration not changed")
 		return nil
 	}
 	if err != nil {
 		return err
 	}
 	if len(s.Restart) > 0 {
-		k.opts.Logger.Warn("some changed settings take effect only at the next start", "keys", s.Restart)
+		m.opts.Logger.Warn("some changed settings take effect only at the next start", "keys", s.Restart)
 	}
-	if err := k.Apply(ctx, s.Tx, 0, nil); err != nil {
+	if err := m.Apply(ctx, s.Tx, 0, nil); err != nil {
 		// Without this, the transaction would stay staged for ever, because nobody knows its number.
-		return errors.Join(err, k.Undo(ctx, s.Tx, err.Error()))
+		return errors.Join(err, m.Undo(ctx, s.Tx, err.Error()))
 	}
 	return nil
 }
@@ -149,14 +149,14 @@
 }
 
 // Status returns the state of the configuration and its transactions.
-func (k *Keeper) Status(ctx context.Context) (s Status, err error) {
-	s.OpenGenerations, _ = k.opts.Node.Generations(ctx)
-	err = k.runInLoop(ctx, func() {
-		s.Confirmed, _ = k.machine.Confirmed()
-		s.InForce, s.Hash = k.generation, fmt.Sprintf("%x", k.inForce.Hash)
-		s.Durable, s.Regressions, s.Counts = k.opts.History != nil, k.regressions, k.machine.Counts()
+func (m *Manager) Status(ctx context.Context) (s Status, err error) {
+	s.OpenGenerations, _ = m.opts.Node.Generations(ctx)
+	err = m.runInLoop(ctx, func() {
+		s.Confirmed, _ = m.machine.Confirmed()
+		s.InForce, s.Hash = m.generation, fmt.Sprintf("%x", m.inForce.Hash)
+		s.Durable, s.Regressions, s.Counts = m.opts.History != nil, m.regressions, m.machine.Counts()
 		s.Transactions = []Transaction{}
-		for _, t := range k.machine.Txs() {
+		for _, t := range m.machine.Txs() {
 			x := Transaction{
 				Tx: t.Tx, State: t.State.String(), Over: t.State.IsFinal(), Hash: fmt.Sprintf("%x", t.Hash),
 				Against: t.Against, Generation: t.Gen, Reason: t.Reason, At: t.At,
@@ -174,14 +174,14 @@
 var ErrNoText = errors.New("its text is no longer kept")
 
 // Show returns the files of a generation that is or was in force.
-func (k *Keeper) Show(ctx context.Context, gen change.Generation) (b bundle.Bundle, err error) {
+func (m *Manager) Show(ctx context.Context, gen change.Generation) (b bundle.Bundle, err error) {
 	found := errors.New("no such generation")
-	loopErr := k.runInLoop(ctx, func() {
+	loopErr := m.runInLoop(ctx, func() {
 		hash := change.Hash{}
-		if confirmed, h := k.machine.Confirmed(); confirmed == gen {
+		if confirmed, h := m.machine.Confirmed(); confirmed == gen {
 			hash, found = h, nil
 		}
-		for _, t := range k.machine.Txs() {
+		for _, t := range m.machine.Txs() {
 			if t.Gen == gen {
 				hash, found = t.Hash, nil
 			}
@@ -189,11 +189,11 @@
 		if found != nil {
 			return
 		}
-		if c := k.candidates[hash]; c != nil {
+		if c := m.candidates[hash]; c != nil {
 			b = c.Bundle
 			return
 		}
-		disk, ok := k.opts.History.(interface {
+		disk, ok := m.opts.History.(interface {
 			Text(change.Hash) (bundle.Bundle, error)
 		})
 		if !ok {
--- a/internal/configuration/keeper/serve.go
+++ b/internal/configuration/manager/serve.go
@@ -1,4 +1,4 @@
-package keeper
+package manager
 
 import (
 	"context"
@@ -43,33 +43,33 @@
 //	POST /v1/config/reload                  same as SIGHUP
 //	GET  /v1/config                         Status
 //	GET  /v1/config/generations/{number}    bundle.Bundle
-func (k *Keeper) RegisterHandlers(m *http.ServeMux) {
-	m.HandleFunc("POST /v1/config", func(w http.ResponseWriter, r *http.Request) {
+func (m *Manager) RegisterHandlers(mux *http.ServeMux) {
+	mux.HandleFunc("POST /v1/config", func(w http.ResponseWriter, r *http.Request) {
 		var p StageRequest
 		if !admin.ReadJSON(w, r, &p) {
 			return
 		}
-		s, err := k.Stage(r.Context(), p.Bundle, p.Against, p.Note, p.Signature)
+		s, err := m.Stage(r.Context(), p.Bundle, p.Against, p.Note, p.Signature)
 		respond(w, s, err)
 	})
-	m.HandleFunc("POST /v1/config/reload", func(w http.ResponseWriter, r *http.Request) {
-		respond(w, struct{}{}, k.Reload(r.Context()))
+	mux.HandleFunc("POST /v1/config/reload", func(w http.ResponseWriter, r *http.Request) {
+		respond(w, struct{}{}, m.Reload(r.Context()))
 	})
-	m.HandleFunc("GET /v1/config", func(w http.ResponseWriter, r *http.Request) {
-		s, err := k.Status(r.Context())
+	mux.HandleFunc("GET /v1/config", func(w http.ResponseWriter, r *http.Request) {
+		s, err := m.Status(r.Context())
 		respond(w, s, err)
 	})
-	m.HandleFunc("GET /v1/config/generations/{number}", func(w http.ResponseWriter, r *http.Request) {
+	mux.HandleFunc("GET /v1/config/generations/{number}", func(w http.ResponseWriter, r *http.Request) {
 		n, err := strconv.ParseUint(r.PathValue("number"), 10, 64)
 		if err != nil {
 			admin.WriteError(w, http.StatusBadRequest, fmt.Errorf("found generation %.40q, want a number", r.PathValue("number")))
 			return
 		}
-		b, err := k.Show(r.Context(), change.Generation(n))
+		b, err := m.Show(r.Context(), change.Generation(n))
 		respond(w, b, err)
 	})
 	handleTransaction := func(verb string, do func(context.Context, change.Tx, *http.Request, func(any) bool) error) {
-		m.HandleFunc("POST /v1/config/{transaction}/"+verb, func(w http.ResponseWriter, r *http.Request) {
+		mux.HandleFunc("POST /v1/config/{transaction}/"+verb, func(w http.ResponseWriter, r *http.Request) {
 			n, err := strconv.ParseUint(r.PathValue("transaction"), 10, 64)
 			if err != nil {
 				admin.WriteError(w, http.StatusBadRequest, fmt.Errorf("found transaction %.40q, want a number", r.PathValue("transaction")))
@@ -87,17 +87,17 @@
 		if !read(&a) {
 			return nil
 		}
-		return k.Apply(ctx, tx, time.Duration(a.WithinMS)*time.Millisecond, a.Auto)
+		return m.Apply(ctx, tx, time.Duration(a.WithinMS)*time.Millisecond, a.Auto)
 	})
 	handleTransaction("confirm", func(ctx context.Context, tx change.Tx, _ *http.Request, _ func(any) bool) error {
-		return k.Confirm(ctx, tx)
+		return m.Confirm(ctx, tx)
 	})
 	handleTransaction("undo", func(ctx context.Context, tx change.Tx, _ *http.Request, read func(any) bool) error {
 		var u UndoRequest
 		if !read(&u) {
 			return nil
 		}
-		return k.Undo(ctx, tx, u.Reason)
+		return m.Undo(ctx, tx, u.Reason)
 	})
 }
 
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -14,7 +14,7 @@
 	"eiderwinch/internal/gatherer"
 	"eiderwinch/internal/layout"
 	"eiderwinch/internal/netio"
-	"eiderwinch/internal/service"
+	"eiderwinch/internal/querystats"
 	"eiderwinch/internal/stats"
 )
 
@@ -30,13 +30,13 @@
 // New returns a gatherer, which is started with its Run method.
 func New(cfg *config.Config, o Options, counters *stats.Counters, log *slog.Logger) *netio.Node {
 	limits := cfg.Settings.Limits
-	var recorder *service.Recorder
+	var recorder *querystats.Recorder
 	if o.Record {
 		var names []string
 		for _, c := range cfg.Settings.Module.Classes {
 			names = append(names, c.Name)
 		}
-		recorder = service.New(names)
+		recorder = querystats.New(names)
 	}
 	live := netio.LiveSettings{Multiplex: limits.Multiplex, ConnectTimeout: limits.ConnectTimeout, ConnIdle: limits.ConnIdle}
 	if o.Live != nil {
--- a/internal/follow/follow.go
+++ b/internal/discovery/follower.go
@@ -1,4 +1,4 @@
-// Package follow decides when a gatherer requests the member list from discovery, which
+// Package discovery decides when a gatherer requests the member list from discovery, which
 // of its requests is used, and which entries of a list are believed. It does no I/O and
 // reads no clock, and its types are not safe for concurrent use.
 //
@@ -12,7 +12,7 @@
 // If all gatherers request the list from one shared service (Settings.Pushed is false),
 // each request costs that service work, and the gatherer counts as notified later. In that
 // case the waits grow, see package backoff.
-package follow
+package discovery
 
 import (
 	"math/rand/v2"
--- a/internal/follow/follow_test.go
+++ b/internal/discovery/follower_test.go
@@ -1,4 +1,4 @@
-package follow
+package discovery
 
 import (
 	"slices"
@@ -8,10 +8,10 @@
 	"pgregory.net/rapid"
 
 	"eiderwinch/internal/format/catalog"
-	"eiderwinch/internal/trial/steady"
+	"eiderwinch/internal/trial/fixedseed"
 )
 
-func TestMain(m *testing.M) { steady.Main(m) }
+func TestMain(m *testing.M) { fixedseed.Main(m) }
 
 const (
 	ms    = time.Millisecond
--- a/internal/follow/leaving_test.go
+++ b/internal/discovery/leaving_test.go
@@ -1,4 +1,4 @@
-package follow
+package discovery
 
 import (
 	"fmt"
--- a/internal/fleet/view/bench_test.go
+++ b/internal/fleet/membership/bench_test.go
@@ -1,4 +1,4 @@
-package view
+package membership
 
 import (
 	"fmt"
--- a/internal/fleet/view/core.go
+++ b/internal/fleet/membership/core.go
@@ -1,4 +1,4 @@
-package view
+package membership
 
 import (
 	"fmt"
@@ -7,7 +7,7 @@
 	"slices"
 	"time"
 
-	"eiderwinch/internal/due"
+	"eiderwinch/internal/timerqueue"
 )
 
 // Event is an input of Step.
@@ -72,10 +72,10 @@
 // peer is another member.
 type peer struct {
 	Member
-	stateSince time.Time           // when any member found out the state; Suspect: when this member learned of it
-	lastHeard  time.Time           // when any member last heard from it directly; gives the age of updates about it
-	accusers   map[string]struct{} // Suspect: the members that suspect it
-	timer      due.Timer[func()]   // Suspect: when it is declared dead; Dead, Left: when it is forgotten
+	stateSince time.Time                // when any member found out the state; Suspect: when this member learned of it
+	lastHeard  time.Time                // when any member last heard from it directly; gives the age of updates about it
+	accusers   map[string]struct{}      // Suspect: the members that suspect it
+	timer      timerqueue.Timer[func()] // Suspect: when it is declared dead; Dead, Left: when it is forgotten
 }
 
 // Core is the state of one member. It belongs to one goroutine.
@@ -84,7 +84,7 @@
 	self           Member
 	rng            *rand.Rand
 	now            time.Time
-	timers         due.Queue[func()]
+	timers         timerqueue.Queue[func()]
 	peers          map[string]*peer
 	seeds          []string
 	probeOrder     []string // members still to be probed in this round, in random order
@@ -107,7 +107,7 @@
 	counts         Counts
 	effects        []Effect
 
-	gossipTimer due.Timer[func()]
+	gossipTimer timerqueue.Timer[func()]
 }
 
 // probe is a probe in progress.
@@ -237,7 +237,7 @@
 func (c *Core) warn(format string, args ...any) { c.emit(Warn{fmt.Sprintf(format, args...)}) }
 
 func (c *Core) schedule(d time.Duration, f func()) {
-	c.timers.Set(&due.Timer[func()]{Value: f}, c.now.Add(d))
+	c.timers.Set(&timerqueue.Timer[func()]{Value: f}, c.now.Add(d))
 }
 
 // jitter returns a random duration between three quarters and five quarters of d.
--- a/internal/fleet/view/view.go
+++ b/internal/fleet/membership/membership.go
@@ -1,4 +1,4 @@
-// Package view maintains what one gatherer believes about the other gatherers of its fleet: which of them are
+// Package membership maintains what one gatherer believes about the other gatherers of its fleet: which of them are
 // there, which are not, and what each serves. It does no I/O, reads no clock and starts no goroutine: Step takes an
 // event and returns effects, which are byte-identical for the same seed and events.
 //
@@ -10,7 +10,7 @@
 // suspicion lasts shorter the more members confirm it.
 //
 // Members do not agree on a common view. What a view may be used for, and what not, is in docs/fleet-view.md.
-package view
+package membership
 
 import (
 	"cmp"
--- a/internal/fleet/view/simulation_test.go
+++ b/internal/fleet/membership/simulation_test.go
@@ -1,4 +1,4 @@
-package view
+package membership
 
 import (
 	"fmt"
@@ -6,11 +6,11 @@
 	"testing"
 	"time"
 
-	"eiderwinch/internal/due"
-	"eiderwinch/internal/trial/steady"
+	"eiderwinch/internal/timerqueue"
+	"eiderwinch/internal/trial/fixedseed"
 )
 
-func TestMain(m *testing.M) { steady.Main(m) }
+func TestMain(m *testing.M) { fixedseed.Main(m) }
 
 const ms = time.Millisecond
 
@@ -20,7 +20,7 @@
 type node struct {
 	*Core
 	addr        string
-	wake        due.Timer[func()]
+	wake        timerqueue.Timer[func()]
 	paused      bool
 	deferred    []Event // received while it was paused
 	down        bool
@@ -35,7 +35,7 @@
 	t           testing.TB
 	rng         *rand.Rand
 	now         time.Time
-	events      due.Queue[func()]
+	events      timerqueue.Queue[func()]
 	nodes       map[string]*node // by address
 	order       []*node
 	settings    Settings
@@ -136,7 +136,7 @@
 	if x.Stream {
 		delay *= 3 // a connection has to be opened first
 	}
-	sim.events.Set(&due.Timer[func()]{Value: func() {
+	sim.events.Set(&timerqueue.Timer[func()]{Value: func() {
 		if n := sim.nodes[x.To]; n != nil && !sim.partitioned(from, x.To) {
 			sim.step(n, Received{from, x.Data})
 		}
--- a/internal/fleet/seal/seal.go
+++ b/internal/fleet/seal/seal.go
@@ -8,7 +8,7 @@
 //
 // A replayed envelope is recognized by its sender's sequence number, provided that the receiver has heard from
 // that process before. A receiver that has just started has not: what an old envelope can make it believe is
-// limited by how package view treats old updates.
+// limited by how package membership treats old updates.
 package seal
 
 import (
--- a/internal/fleet/net/node.go
+++ b/internal/fleet/transport/node.go
@@ -1,8 +1,8 @@
-// Package net runs a gatherer's view of its fleet (package view) over sockets: datagrams over UDP, and messages
-// that may be longer than a datagram over TCP, at the same address. One goroutine owns the view. All queues to
-// and from it are bounded, and what does not fit is dropped and counted, because the view tolerates loss and no
-// peer or log may block it.
-package net
+// Package transport runs a gatherer's view of its fleet (package membership) over sockets: datagrams over UDP, and
+// messages that may be longer than a datagram over TCP, at the same address. One goroutine owns the view. All
+// queues to and from it are bounded, and what does not fit is dropped and counted, because the view tolerates loss
+// and no peer or log may block it.
+package transport
 
 import (
 	"context"
@@ -11,15 +11,15 @@
 	"fmt"
 	"io"
 	"log/slog"
-	stdnet "net"
+	"net"
 	"net/netip"
 	"sync"
 	"syscall"
 	"time"
 
+	"eiderwinch/internal/fleet/membership"
 	"eiderwinch/internal/fleet/seal"
 	"eiderwinch/internal/fleet/share"
-	"eiderwinch/internal/fleet/view"
 )
 
 const (
@@ -36,8 +36,8 @@
 
 // Config configures a Node.
 type Config struct {
-	Self     view.Member // the port may be 0
-	Settings view.Settings
+	Self     membership.Member // the port may be 0
+	Settings membership.Settings
 	Sealer   *seal.Sealer
 	Seeds    []string // addresses at which other members may be
 	Seed     uint64   // of all random numbers
@@ -50,7 +50,7 @@
 
 // Counts are the counters of a Node, its view, its share of the limits and its envelopes.
 type Counts struct {
-	View       view.Counts
+	View       membership.Counts
 	Share      share.Counts
 	Seal       seal.Counts
 	Datagrams  int // received
@@ -64,11 +64,11 @@
 // Node is one fleet member on sockets.
 type Node struct {
 	cfg        Config
-	core       *view.Core
+	core       *membership.Core
 	addr       string // at which other members reach this one
-	listenIP   stdnet.IP
-	udp        *stdnet.UDPConn
-	tcp        *stdnet.TCPListener
+	listenIP   net.IP
+	udp        *net.UDPConn
+	tcp        *net.TCPListener
 	inbox      chan inbound
 	commands   chan func()
 	writeSlots chan struct{} // semaphore of streams being written
@@ -84,9 +84,9 @@
 	counts Counts
 
 	mu            sync.Mutex // guards the fields below, which others read while the loop runs
-	view          view.View
+	view          membership.View
 	steppedDown   bool // a newer process has the member's name
-	watchers      []chan view.View
+	watchers      []chan membership.View
 	droppedInputs int // messages dropped because the inbox was full
 	streamFails   int // streams that could not be sent
 }
@@ -114,7 +114,7 @@
 	self := cfg.Self
 	self.Addr = n.addr
 	var err error
-	if n.core, err = view.New(cfg.Settings, self, cfg.Seed, time.Now()); err != nil {
+	if n.core, err = membership.New(cfg.Settings, self, cfg.Seed, time.Now()); err != nil {
 		_, _ = n.udp.Close(), n.tcp.Close()
 		return nil, err
 	}
@@ -148,11 +148,11 @@
 		return fmt.Errorf("want a numeric address and port: %w", err)
 	}
 	for range bindAttempts {
-		if n.tcp, err = stdnet.ListenTCP("tcp", stdnet.TCPAddrFromAddrPort(want)); err != nil {
+		if n.tcp, err = net.ListenTCP("tcp", net.TCPAddrFromAddrPort(want)); err != nil {
 			return err
 		}
-		at := n.tcp.Addr().(*stdnet.TCPAddr).AddrPort()
-		if n.udp, err = stdnet.ListenUDP("udp", stdnet.UDPAddrFromAddrPort(at)); err == nil {
+		at := n.tcp.Addr().(*net.TCPAddr).AddrPort()
+		if n.udp, err = net.ListenUDP("udp", net.UDPAddrFromAddrPort(at)); err == nil {
 			n.addr, n.listenIP = at.String(), at.Addr().AsSlice()
 			return nil
 		}
@@ -168,7 +168,7 @@
 func (n *Node) Addr() string { return n.addr }
 
 // View returns the latest view. It is safe for concurrent use.
-func (n *Node) View() view.View {
+func (n *Node) View() membership.View {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.view
@@ -183,8 +183,8 @@
 
 // Watch returns a channel that receives the current view, then each new one. A slow reader misses intermediate
 // views, never the latest. The channel is closed when the node ends.
-func (n *Node) Watch() <-chan view.View {
-	ch := make(chan view.View, 1)
+func (n *Node) Watch() <-chan membership.View {
+	ch := make(chan membership.View, 1)
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	ch <- n.view
@@ -194,12 +194,12 @@
 
 // Describe announces the configuration generation and the layout epoch that the gatherer serves from now on.
 func (n *Node) Describe(generation, epoch uint64) {
-	n.post(func() { n.step(view.Describe{Generation: generation, Epoch: epoch}) })
+	n.post(func() { n.step(membership.Describe{Generation: generation, Epoch: epoch}) })
 }
 
 // KnownMembers returns all known members, including those that are gone, and the counters. ok is false once the node
 // has ended.
-func (n *Node) KnownMembers() (list []view.Member, c Counts, ok bool) {
+func (n *Node) KnownMembers() (list []membership.Member, c Counts, ok bool) {
 	ok = n.call(func() {
 		list, c = n.core.Known(), n.counts
 		c.View, c.Seal = n.core.Counts(), n.cfg.Sealer.Counts()
@@ -242,7 +242,7 @@
 
 // Leave announces that the member is about to end, and waits for that message to go out.
 func (n *Node) Leave() {
-	n.post(func() { n.step(view.Leave{}) })
+	n.post(func() { n.step(membership.Leave{}) })
 	select {
 	case <-time.After(leaveDelay):
 	case <-n.ctx.Done():
@@ -261,7 +261,7 @@
 	defer n.done.Done()
 	timer := time.NewTimer(0)
 	defer timer.Stop()
-	n.step(view.Join{Seeds: n.cfg.Seeds})
+	n.step(membership.Join{Seeds: n.cfg.Seeds})
 	for {
 		wait := idleInterval
 		if due := n.core.Due(); !due.IsZero() {
@@ -282,7 +282,7 @@
 		case message := <-n.inbox:
 			n.receive(message)
 		case <-timer.C:
-			n.step(view.Wake{})
+			n.step(membership.Wake{})
 		}
 	}
 }
@@ -314,30 +314,30 @@
 		}
 		message.from, data = string(data[1:1+int(data[0])]), data[1+int(data[0]):]
 	}
-	n.step(view.Received{From: message.from, Data: data})
+	n.step(membership.Received{From: message.from, Data: data})
 }
 
 // step passes an event to the view and carries out the effects.
-func (n *Node) step(e view.Event) {
+func (n *Node) step(e membership.Event) {
 	for _, x := range n.core.Step(time.Now(), e) {
 		switch x := x.(type) {
-		case view.Send:
+		case membership.Send:
 			n.send(x)
-		case view.ViewChanged:
+		case membership.ViewChanged:
 			n.publishView(x.View)
-		case view.MemberChanged:
+		case membership.MemberChanged:
 			n.cfg.Log.Info("member", "name", x.Member.Name, "state", x.Member.State, "was", x.Previous, "addr", x.Member.Addr, "new", x.New)
-		case view.SteppedDown:
+		case membership.SteppedDown:
 			n.mu.Lock()
 			n.steppedDown = true
 			n.mu.Unlock()
-		case view.Warn:
+		case membership.Warn:
 			n.cfg.Log.Warn(x.Text)
 		}
 	}
 }
 
-func (n *Node) publishView(v view.View) {
+func (n *Node) publishView(v membership.View) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.view = v
@@ -351,7 +351,7 @@
 }
 
 // send seals and sends a message.
-func (n *Node) send(x view.Send) {
+func (n *Node) send(x membership.Send) {
 	data := x.Data
 	if x.Stream {
 		data = append(append([]byte{byte(len(n.addr))}, n.addr...), data...)
@@ -433,8 +433,8 @@
 
 // dialer opens connections from the member's listen address, so that others can tell members on one machine with
 // several of them apart.
-func (n *Node) dialer() *stdnet.Dialer {
-	return &stdnet.Dialer{LocalAddr: &stdnet.TCPAddr{IP: n.listenIP}}
+func (n *Node) dialer() *net.Dialer {
+	return &net.Dialer{LocalAddr: &net.TCPAddr{IP: n.listenIP}}
 }
 
 // enqueue hands a message to the loop, or drops it if the inbox is full.
--- a/internal/fleet/net/node_test.go
+++ b/internal/fleet/transport/node_test.go
@@ -1,22 +1,22 @@
-package net
+package transport
 
 import (
 	"fmt"
 	"log/slog"
-	stdnet "net"
+	"net"
 	"slices"
 	"strings"
 	"testing"
 	"time"
 
 	"eiderwinch/internal/configuration/signature"
+	"eiderwinch/internal/fleet/membership"
 	"eiderwinch/internal/fleet/seal"
-	"eiderwinch/internal/fleet/view"
-	"eiderwinch/internal/trial/steady"
+	"eiderwinch/internal/trial/fixedseed"
 	"eiderwinch/internal/trial/testpeer"
 )
 
-func TestMain(m *testing.M) { steady.Main(m) }
+func TestMain(m *testing.M) { fixedseed.Main(m) }
 
 func testKeys(t testing.TB) *signature.Keys {
 	k, err := signature.Read("keys.xml", strings.NewReader(testpeer.KeyFile("k")))
@@ -37,8 +37,8 @@
 		t.Fatal(err)
 	}
 	n, err := Listen(Config{
-		Self:     view.Member{Name: name, Addr: "127.0.0.1:0", Incarnation: view.Incarnation{Start: uint64(i + 1)}},
-		Settings: view.LAN(), Sealer: s, Seeds: seeds, Seed: uint64(i), Log: slog.New(slog.DiscardHandler),
+		Self:     membership.Member{Name: name, Addr: "127.0.0.1:0", Incarnation: membership.Incarnation{Start: uint64(i + 1)}},
+		Settings: membership.LAN(), Sealer: s, Seeds: seeds, Seed: uint64(i), Log: slog.New(slog.DiscardHandler),
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -77,7 +77,7 @@
 	nodes[2].Describe(3, 4)
 	testpeer.WaitUntil(t, "others know what a member serves", func() bool {
 		list, _, _ := nodes[1].KnownMembers()
-		return slices.ContainsFunc(list, func(m view.Member) bool { return m.Name == "g2" && m.Generation == 3 && m.Epoch == 4 })
+		return slices.ContainsFunc(list, func(m membership.Member) bool { return m.Name == "g2" && m.Generation == 3 && m.Epoch == 4 })
 	})
 	newer := listenNamed(t, "g3", 50, "f", first.Addr())
 	testpeer.WaitUntil(t, "the older of two processes with one name steps down", nodes[3].SteppedDown)
@@ -109,7 +109,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	udp, err := stdnet.Dial("udp", n.Addr())
+	udp, err := net.Dial("udp", n.Addr())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -118,7 +118,7 @@
 		_, _ = udp.Write([]byte(b))
 	}
 	for _, b := range []string{"\xff\xff\xff\xff", "\x00\x00\x00\x05nois", "\x00\x00\x00\x05noise", ""} {
-		c, err := stdnet.Dial("tcp", n.Addr())
+		c, err := net.Dial("tcp", n.Addr())
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -137,7 +137,7 @@
 func TestUnusableAddressesAreRejected(t *testing.T) {
 	n := listenNode(t, 0, "f")
 	for _, addr := range []string{"localhost:1", "127.0.0.1", n.Addr()} {
-		if _, err := Listen(Config{Self: view.Member{Name: "x", Addr: addr}, Settings: view.LAN()}); err == nil || !strings.Contains(err.Error(), addr) {
+		if _, err := Listen(Config{Self: membership.Member{Name: "x", Addr: addr}, Settings: membership.LAN()}); err == nil || !strings.Contains(err.Error(), addr) {
 			t.Errorf("%s: %v", addr, err)
 		}
 	}
--- a/internal/fleet/net/shares.go
+++ b/internal/fleet/transport/shares.go
@@ -1,4 +1,4 @@
-package net
+package transport
 
 import (
 	"context"
@@ -11,8 +11,8 @@
 
 	"github.com/fxamacker/cbor/v2"
 
+	"eiderwinch/internal/fleet/membership"
 	"eiderwinch/internal/fleet/share"
-	"eiderwinch/internal/fleet/view"
 )
 
 // slotManager determines which slots of the fleet's limits this member may use. It dials the addresses of
@@ -81,10 +81,10 @@
 }
 
 // aliveSlots returns a function that reports whether the view has an alive member at a slot's address.
-func aliveSlots(v view.View, slots []string) func(slot int) bool {
+func aliveSlots(v membership.View, slots []string) func(slot int) bool {
 	alive := make(map[string]bool)
 	for _, m := range v.Members {
-		if m.State == view.Alive {
+		if m.State == membership.Alive {
 			alive[m.Addr] = true
 		}
 	}
--- a/internal/fleet/net/shares_test.go
+++ b/internal/fleet/transport/shares_test.go
@@ -1,4 +1,4 @@
-package net
+package transport
 
 import (
 	"fmt"
@@ -6,9 +6,9 @@
 	"testing"
 	"time"
 
+	"eiderwinch/internal/fleet/membership"
 	"eiderwinch/internal/fleet/seal"
 	"eiderwinch/internal/fleet/share"
-	"eiderwinch/internal/fleet/view"
 	"eiderwinch/internal/trial/testpeer"
 )
 
@@ -27,8 +27,8 @@
 			t.Fatal(err)
 		}
 		n, err := Listen(Config{
-			Self:     view.Member{Name: fmt.Sprint("g", i), Addr: addrs[i], Incarnation: view.Incarnation{Start: uint64(10*run + i + 1)}},
-			Settings: view.LAN(), Sealer: s, Seeds: addrs[:1], Seed: uint64(i), Log: slog.New(slog.DiscardHandler), Slots: addrs,
+			Self:     membership.Member{Name: fmt.Sprint("g", i), Addr: addrs[i], Incarnation: membership.Incarnation{Start: uint64(10*run + i + 1)}},
+			Settings: membership.LAN(), Sealer: s, Seeds: addrs[:1], Seed: uint64(i), Log: slog.New(slog.DiscardHandler), Slots: addrs,
 			Share: share.Settings{Slots: slots, Number: i, Lease: 300 * time.Millisecond, Window: 200 * time.Millisecond},
 		})
 		if err != nil {
--- a/internal/format/xmlform/xmlform_test.go
+++ b/internal/format/xmlform/xmlform_test.go
@@ -12,10 +12,10 @@
 
 	"pgregory.net/rapid"
 
-	"eiderwinch/internal/trial/steady"
+	"eiderwinch/internal/trial/fixedseed"
 )
 
-func TestMain(m *testing.M) { steady.Main(m) }
+func TestMain(m *testing.M) { fixedseed.Main(m) }
 
 // testForm returns a form with an attribute of each kind.
 func testForm() *Form {
--- a/internal/gatherer/attempts.go
+++ b/internal/gatherer/attempts.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"eiderwinch"
-	"eiderwinch/internal/due"
+	"eiderwinch/internal/timerqueue"
 )
 
 // Attempt is one attempt of a part at a searcher.
@@ -29,7 +29,7 @@
 	number        int
 	decidedAt     time.Time
 	ended         bool
-	deadlineTimer due.Timer[*Attempt] // expires at Deadline
+	deadlineTimer timerqueue.Timer[*Attempt] // expires at Deadline
 }
 
 // DecidedAt returns the time of the turn in which the aggregator decided on the attempt.
--- a/internal/gatherer/completion.go
+++ b/internal/gatherer/completion.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"eiderwinch"
-	"eiderwinch/internal/service"
+	"eiderwinch/internal/querystats"
 )
 
 // weightTolerance is how far a sum of weights may fall short of a limit, because weights are rounded.
@@ -206,14 +206,14 @@
 	if c.settings.Service == nil {
 		return
 	}
-	outcome := service.Partial
+	outcome := querystats.Partial
 	switch {
 	case reply.Kind == Refused:
-		outcome = service.Refused
+		outcome = querystats.Refused
 	case reply.Kind == Failed:
-		outcome = service.Failed
+		outcome = querystats.Failed
 	case reply.Whole:
-		outcome = service.Whole
+		outcome = querystats.Whole
 	}
 	c.settings.Service.Record(now, class, outcome, took)
 }
--- a/internal/gatherer/core.go
+++ b/internal/gatherer/core.go
@@ -22,10 +22,10 @@
 	"time"
 
 	"eiderwinch"
-	"eiderwinch/internal/due"
 	"eiderwinch/internal/layout"
-	"eiderwinch/internal/service"
+	"eiderwinch/internal/querystats"
 	"eiderwinch/internal/stats"
+	"eiderwinch/internal/timerqueue"
 )
 
 // Decider makes the decisions. An eiderwinch.Aggregator implements it.
@@ -97,7 +97,7 @@
 
 	// Service records the outcomes of queries by class number. Nil means that
 	// they are not recorded.
-	Service *service.Recorder
+	Service *querystats.Recorder
 }
 
 // Core holds the queries of a gatherer and carries out the aggregator's decisions.
@@ -117,13 +117,13 @@
 	lastID         uint64
 	queries        map[uint64]*query
 	queriesByTrace map[string]*query
-	parts          map[uint64]*part    // parts of open queries, and parts with an attempt in flight
-	inFlight       due.Queue[*Attempt] // attempts in flight, by deadline
-	endedAttempts  []*Attempt          // attempts that ended since the last Run
-	disconnected   []*query            // queries whose client was found disconnected in this turn
-	backstops      due.Queue[*query]   // open queries by the time at which the core ends them itself
-	endBy          time.Time           // when all queries must have ended, see EndBy; zero if there is no such time
-	openCount      int                 // number of open queries plus their parts
+	parts          map[uint64]*part           // parts of open queries, and parts with an attempt in flight
+	inFlight       timerqueue.Queue[*Attempt] // attempts in flight, by deadline
+	endedAttempts  []*Attempt                 // attempts that ended since the last Run
+	disconnected   []*query                   // queries whose client was found disconnected in this turn
+	backstops      timerqueue.Queue[*query]   // open queries by the time at which the core ends them itself
+	endBy          time.Time                  // when all queries must have ended, see EndBy; zero if there is no such time
+	openCount      int                        // number of open queries plus their parts
 	members        map[string]member
 	startTimes     startTimes
 	unconfirmed    []eiderwinch.Replica // ready entries of a stale member list with the start times listed there, see ConfirmMembers
--- a/internal/gatherer/intake.go
+++ b/internal/gatherer/intake.go
@@ -9,7 +9,7 @@
 
 	"eiderwinch"
 	"eiderwinch/internal/layout"
-	"eiderwinch/internal/service"
+	"eiderwinch/internal/querystats"
 )
 
 // QueryRequest is a query as a client sends it.
@@ -140,7 +140,7 @@
 	if q := c.queries[id]; q != nil {
 		c.stats.ClientsDisconnected++
 		if c.settings.Service != nil {
-			c.settings.Service.Record(now, q.class, service.Gone, now.Sub(q.takenAt))
+			c.settings.Service.Record(now, q.class, querystats.Gone, now.Sub(q.takenAt))
 		}
 		c.addEvent(now, eiderwinch.Gone{Query: id})
 		c.removeQuery(q)
--- a/internal/gatherer/live_settings_test.go
+++ b/internal/gatherer/live_settings_test.go
@@ -10,7 +10,7 @@
 
 	"eiderwinch"
 	"eiderwinch/internal/layout"
-	"eiderwinch/internal/service"
+	"eiderwinch/internal/querystats"
 	"eiderwinch/internal/stats"
 )
 
@@ -71,20 +71,20 @@
 
 func TestOutcomesAreRecorded(t *testing.T) {
 	h := newHarness(t)
-	h.settings.Service = service.New([]string{"search", "reserve", "report", "half"})
+	h.settings.Service = querystats.New([]string{"search", "reserve", "report", "half"})
 	h.submit("search", "a", 0)
 	gone := h.submit("search", "b", 0)
 	h.Gone(h.at, gone)
 	h.Apply(searchLimits(1, ClassLimits{MaxOpen: 1}))
 	h.submit("search", "c", 0)
 	h.advance(2 * time.Second)
-	var sum service.ClassCounts
+	var sum querystats.ClassCounts
 	for _, w := range h.settings.Service.Since(h.at.Add(time.Hour), 0) {
 		for _, c := range w.Classes {
 			sum.Taken, sum.Refused, sum.Failed, sum.Gone = sum.Taken+c.Taken, sum.Refused+c.Refused, sum.Failed+c.Failed, sum.Gone+c.Gone
 		}
 	}
-	h.checkEqual("outcomes of 3 queries", sum, service.ClassCounts{Taken: 3, Refused: 1, Failed: 1, Gone: 1})
+	h.checkEqual("outcomes of 3 queries", sum, querystats.ClassCounts{Taken: 3, Refused: 1, Failed: 1, Gone: 1})
 }
 
 // echo is a Decider, Searchers and Client in one: each part is answered at once, and each query
@@ -130,7 +130,7 @@
 	}}
 	with := set
 	with.LiveSettings = &LiveSettings{Generation: 7, MaxOpen: 1000, Classes: []ClassLimits{{MaxDuration: 900 * ms, Attempts: 3, MaxOpen: 500}}}
-	with.Service = service.New([]string{"search"})
+	with.Service = querystats.New([]string{"search"})
 	for _, c := range []struct {
 		name string
 		set  Settings
--- a/internal/gatherer/records.go
+++ b/internal/gatherer/records.go
@@ -4,8 +4,8 @@
 	"time"
 
 	"eiderwinch"
-	"eiderwinch/internal/due"
 	"eiderwinch/internal/layout"
+	"eiderwinch/internal/timerqueue"
 )
 
 // query is the record of an open query.
@@ -18,7 +18,7 @@
 	client        Client
 	liveSettings  *LiveSettings // the settings in force when the query was taken
 	takenAt       time.Time
-	backstopTimer due.Timer[*query] // ends the query at its backstop
+	backstopTimer timerqueue.Timer[*query] // ends the query at its backstop
 	deadline      time.Time
 	layout        *layout.Layout // the epoch that the query is bound to; nil if there is no layout
 	parts         []*part        // of the current step
--- a/internal/layout/custody/custody.go
+++ b/internal/layout/assignment/assignment.go
@@ -1,4 +1,4 @@
-// Package custody decides which segments each searcher holds, copies and drops while
+// Package assignment decides which segments each searcher holds, copies and drops while
 // a layout changes. It does no I/O and reads no clock.
 //
 // Searchers are not sent individual commands, which could get lost. Each exchange
@@ -12,7 +12,7 @@
 // a delayed order must not make it drop a segment that it has been filled with since.
 // A searcher accepts orders of one log only: a coordinator with another log, started
 // from an older layout, would make it drop all segments that were added later.
-package custody
+package assignment
 
 import (
 	"cmp"
--- a/internal/layout/custody/custody_test.go
+++ b/internal/layout/assignment/assignment_test.go
@@ -1,4 +1,4 @@
-package custody
+package assignment
 
 import (
 	"fmt"
@@ -10,10 +10,10 @@
 
 	"eiderwinch/internal/layout"
 	"eiderwinch/internal/layout/reshard"
-	"eiderwinch/internal/trial/steady"
+	"eiderwinch/internal/trial/fixedseed"
 )
 
-func TestMain(m *testing.M) { steady.Main(m) }
+func TestMain(m *testing.M) { fixedseed.Main(m) }
 
 // fakeSearcher is a fake searcher: it carries out orders and reports its state.
 type fakeSearcher struct {
--- a/internal/layout/coordinator/coordinator.go
+++ b/internal/layout/coordinator/coordinator.go
@@ -1,6 +1,6 @@
 // Package coordinator runs changes of the layout at gatherers and searchers over
 // their admin sockets. It connects the coordinator's state machine (reshard), its
-// durable log (reshardlog, migrate) and the orders to searchers (custody) to the
+// durable log (reshardlog, migrate) and the orders to searchers (assignment) to the
 // network. One goroutine polls each peer; those packages make all decisions.
 package coordinator
 
@@ -18,11 +18,11 @@
 
 	"eiderwinch/internal/admin"
 	"eiderwinch/internal/layout"
-	"eiderwinch/internal/layout/custody"
+	"eiderwinch/internal/layout/assignment"
 	"eiderwinch/internal/layout/layoutfile"
 	"eiderwinch/internal/layout/migrate"
 	"eiderwinch/internal/layout/reshard"
-	"eiderwinch/internal/service"
+	"eiderwinch/internal/querystats"
 )
 
 // Peer is a gatherer or searcher, with the endpoint of its admin socket.
@@ -65,7 +65,7 @@
 	term           uint64
 	layout         *layout.Layout
 	layoutXML      []byte // layout, as sent to gatherers
-	tracker        *custody.Tracker
+	tracker        *assignment.Tracker
 	meter          *reshard.Meter
 	gathererEpochs map[string]layout.Epoch // epochs of the gatherers that answered their last poll
 	lastSecond     map[string]int64        // by gatherer: last second whose service record was processed
@@ -229,7 +229,7 @@
 	c.mu.Lock()
 	order := c.tracker.Order(p.Name)
 	c.mu.Unlock()
-	var r custody.Report
+	var r assignment.Report
 	err := client.Do(ctx, http.MethodPut, "/v1/custody", order, &r)
 	if ctx.Err() != nil {
 		return
@@ -265,14 +265,14 @@
 	if !c.tracker.IsCopying() {
 		return
 	}
-	now := c.startedAt.Unix() + int64(time.Since(c.startedAt)/time.Second) // numbered as in service.Recorder, which clock steps do not affect
+	now := c.startedAt.Unix() + int64(time.Since(c.startedAt)/time.Second) // numbered as in querystats.Recorder, which clock steps do not affect
 	c.copySeconds[now] = true
-	maps.DeleteFunc(c.copySeconds, func(second int64, _ bool) bool { return second < now-service.MaxWindows })
+	maps.DeleteFunc(c.copySeconds, func(second int64, _ bool) bool { return second < now-querystats.MaxWindows })
 }
 
 // addServiceWindows passes a gatherer's service records to the meter, and returns
 // the resulting events. c.mu must be held.
-func (c *Coordinator) addServiceWindows(gatherer string, windows []service.Window) (events []reshard.Event) {
+func (c *Coordinator) addServiceWindows(gatherer string, windows []querystats.Window) (events []reshard.Event) {
 	for _, w := range windows {
 		c.lastSecond[gatherer] = max(c.lastSecond[gatherer], w.Second)
 		for _, class := range w.Classes {
@@ -306,7 +306,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.term = term
-	c.tracker = custody.New(log, term, slices.Sorted(maps.Keys(c.options.Fleet.Zones)), c.options.Limits.MaxRate, custody.Limits{})
+	c.tracker = assignment.New(log, term, slices.Sorted(maps.Keys(c.options.Fleet.Zones)), c.options.Limits.MaxRate, assignment.Limits{})
 }
 
 // Publish implements migrate.Peers.
@@ -332,7 +332,7 @@
 
 // Fill implements migrate.Peers.
 func (c *Coordinator) Fill(f reshard.Fill) {
-	c.updateLedger(func(l *custody.Tracker) {
+	c.updateLedger(func(l *assignment.Tracker) {
 		l.SetRate(f.Rate)
 		l.AddFill(f)
 		c.recordCopying()
@@ -341,7 +341,7 @@
 
 // updateLedger changes the orders to searchers, and requests an immediate poll of
 // those whose order has changed.
-func (c *Coordinator) updateLedger(change func(*custody.Tracker)) {
+func (c *Coordinator) updateLedger(change func(*assignment.Tracker)) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	change(c.tracker)
@@ -350,18 +350,18 @@
 
 // Stop implements migrate.Peers.
 func (c *Coordinator) Stop(job reshard.JobID) {
-	c.updateLedger(func(l *custody.Tracker) { l.RemoveFills(job) })
+	c.updateLedger(func(l *assignment.Tracker) { l.RemoveFills(job) })
 }
 
 // SetRate implements migrate.Peers.
 func (c *Coordinator) SetRate(rows float64) {
-	c.updateLedger(func(l *custody.Tracker) { l.SetRate(rows) })
+	c.updateLedger(func(l *assignment.Tracker) { l.SetRate(rows) })
 }
 
 // Drop implements migrate.Peers. The tracker derives from the layout in force which
 // segments a searcher must drop; this call requests an event once it has.
 func (c *Coordinator) Drop(t reshard.Target) {
-	c.updateLedger(func(l *custody.Tracker) { l.AwaitDrop(t) })
+	c.updateLedger(func(l *assignment.Tracker) { l.AwaitDrop(t) })
 }
 
 func (c *Coordinator) jobEnded(e reshard.Ended) {
--- a/internal/layout/layout_test.go
+++ b/internal/layout/layout_test.go
@@ -11,10 +11,10 @@
 
 	"pgregory.net/rapid"
 
-	"eiderwinch/internal/trial/steady"
+	"eiderwinch/internal/trial/fixedseed"
 )
 
-func TestMain(m *testing.M) { steady.Main(m) }
+func TestMain(m *testing.M) { fixedseed.Main(m) }
 
 // newTestLayout returns a layout of n segments with equal key ranges, on a fleet with the
 // given number of searchers in three zones.
--- a/internal/layout/layoutfile/layoutfile_test.go
+++ b/internal/layout/layoutfile/layoutfile_test.go
@@ -13,10 +13,10 @@
 
 	"eiderwinch/internal/format/xmlform"
 	"eiderwinch/internal/layout"
-	"eiderwinch/internal/trial/steady"
+	"eiderwinch/internal/trial/fixedseed"
 )
 
-func TestMain(m *testing.M) { steady.Main(m) }
+func TestMain(m *testing.M) { fixedseed.Main(m) }
 
 const validFile = `<?xml version="1.0"?>
 <layout xmlns="urn:eiderwinch:layout:1" epoch="7" next="6" replicas="2">
--- a/internal/layout/reshard/coordinator_test.go
+++ b/internal/layout/reshard/coordinator_test.go
@@ -13,10 +13,10 @@
 	"pgregory.net/rapid"
 
 	"eiderwinch/internal/layout"
-	"eiderwinch/internal/trial/steady"
+	"eiderwinch/internal/trial/fixedseed"
 )
 
-func TestMain(m *testing.M) { steady.Main(m) }
+func TestMain(m *testing.M) { fixedseed.Main(m) }
 
 // harness is a coordinator with its log, and simulated gatherers and searchers.
 type harness struct {
--- a/internal/layout/reshard/meter.go
+++ b/internal/layout/reshard/meter.go
@@ -4,15 +4,15 @@
 	"slices"
 	"time"
 
-	"eiderwinch/internal/service"
+	"eiderwinch/internal/querystats"
 )
 
 // Meter derives Pressure events from query times. It compares the p99 of batches
 // of answers recorded while copies ran with that of earlier batches recorded
 // without copies. It has no clock.
 type Meter struct {
-	batches      [2]*service.Totals // being collected: without copies, with copies
-	baselineP99s []time.Duration    // of the last batches without copies
+	batches      [2]*querystats.Totals // being collected: without copies, with copies
+	baselineP99s []time.Duration       // of the last batches without copies
 }
 
 // Batch sizes. The p99 of 300 answers is the third highest, which spreads by some
@@ -27,12 +27,12 @@
 
 // NewMeter returns a meter without a baseline.
 func NewMeter() *Meter {
-	return &Meter{batches: [2]*service.Totals{service.NewTotals(), service.NewTotals()}}
+	return &Meter{batches: [2]*querystats.Totals{querystats.NewTotals(), querystats.NewTotals()}}
 }
 
 // Add records one second of a safe class, and whether copies ran in that second.
 // It returns a Pressure event and true if one is due.
-func (m *Meter) Add(copying bool, c service.ClassCounts) (Pressure, bool) {
+func (m *Meter) Add(copying bool, c querystats.ClassCounts) (Pressure, bool) {
 	batch := m.batches[0]
 	if copying {
 		batch = m.batches[1]
--- a/internal/layout/reshard/meter_test.go
+++ b/internal/layout/reshard/meter_test.go
@@ -3,13 +3,13 @@
 import (
 	"testing"
 
-	"eiderwinch/internal/service"
+	"eiderwinch/internal/querystats"
 )
 
 func TestPressureIsRelativeToBaselineP99(t *testing.T) {
 	m := NewMeter()
-	second := func(ms int64) service.ClassCounts {
-		return service.ClassCounts{Name: "search", Times: []service.Bucket{{Micros: 10_000, N: 97}, {Micros: ms * 1000, N: 3}}}
+	second := func(ms int64) querystats.ClassCounts {
+		return querystats.ClassCounts{Name: "search", Times: []querystats.Bucket{{Micros: 10_000, N: 97}, {Micros: ms * 1000, N: 3}}}
 	}
 	var got []float64
 	add := func(copying bool, ms int64, seconds int) {
--- a/internal/limit/table_test.go
+++ b/internal/limit/table_test.go
@@ -8,10 +8,10 @@
 
 	"pgregory.net/rapid"
 
-	"eiderwinch/internal/trial/steady"
+	"eiderwinch/internal/trial/fixedseed"
 )
 
-func TestMain(m *testing.M) { steady.Main(m) }
+func TestMain(m *testing.M) { fixedseed.Main(m) }
 
 var start = time.Unix(1_000_000, 0)
 
--- a/internal/netio/node.go
+++ b/internal/netio/node.go
@@ -14,13 +14,13 @@
 	"golang.org/x/sys/unix"
 
 	"eiderwinch"
-	"eiderwinch/internal/follow"
+	"eiderwinch/internal/discovery"
 	"eiderwinch/internal/format/catalog"
 	"eiderwinch/internal/gatherer"
 	"eiderwinch/internal/layout"
 	"eiderwinch/internal/limit"
 	"eiderwinch/internal/netio/eventloop"
-	"eiderwinch/internal/service"
+	"eiderwinch/internal/querystats"
 	"eiderwinch/internal/stats"
 )
 
@@ -77,7 +77,7 @@
 	watch     *watch
 	nextWatch *watch // replaces watch once it has received a list; nil if discovery's address is not changing
 
-	memberFilter follow.MemberFilter // searchers that were reported as leaving
+	memberFilter discovery.MemberFilter // searchers that were reported as leaving
 
 	wakeups          int       // calls of runDue
 	deferredSince    time.Time // since when due work has waited for unread updates; zero if it does not wait
@@ -183,10 +183,10 @@
 
 // State describes a running node.
 type State struct {
-	Epoch       layout.Epoch     // that new queries are bound to
-	OldestEpoch layout.Epoch     // oldest epoch that an open query is bound to
-	Generation  uint64           // of the configuration that new queries are taken under; 0 if it can't change
-	Service     []service.Window // completed seconds, if service is recorded
+	Epoch       layout.Epoch        // that new queries are bound to
+	OldestEpoch layout.Epoch        // oldest epoch that an open query is bound to
+	Generation  uint64              // of the configuration that new queries are taken under; 0 if it can't change
+	Service     []querystats.Window // completed seconds, if service is recorded
 	Draining    bool
 }
 
--- a/internal/netio/pool.go
+++ b/internal/netio/pool.go
@@ -4,9 +4,9 @@
 	"slices"
 	"time"
 
-	"eiderwinch/internal/due"
 	"eiderwinch/internal/format/frame"
 	"eiderwinch/internal/gatherer"
+	"eiderwinch/internal/timerqueue"
 )
 
 const (
@@ -24,12 +24,12 @@
 	connCount           int                                 // all connections, including those being dialed
 	dialing             int                                 // connections being dialed, also those past their time limit until the dial has returned
 	awaitingDescriptors []*searcher                         // searchers whose calls wait for descriptors, the longest waiting first
-	timers              due.Queue[func(now time.Time)]
+	timers              timerqueue.Queue[func(now time.Time)]
 	typicalLatency      time.Duration // smoothed latency of answered attempts; 0 until the first answer
 }
 
 // timer is a timer of the pool. Its value is run when it is due.
-type timer = due.Timer[func(now time.Time)]
+type timer = timerqueue.Timer[func(now time.Time)]
 
 func newPool(n *Node) *pool {
 	return &pool{node: n, searchers: make(map[string]*searcher), connByAttempt: make(map[*gatherer.Attempt]*searcherConn)}
--- a/internal/netio/watch.go
+++ b/internal/netio/watch.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"eiderwinch"
-	"eiderwinch/internal/follow"
+	"eiderwinch/internal/discovery"
 	"eiderwinch/internal/format/catalog"
 	"eiderwinch/internal/format/http1"
 	"eiderwinch/internal/netio/eventloop"
@@ -35,8 +35,8 @@
 type watch struct {
 	node           *Node
 	addr           string
-	follower       *follow.Follower
-	subscriptions  map[follow.RequestID]*subscription
+	follower       *discovery.Follower
+	subscriptions  map[discovery.RequestID]*subscription
 	needsWholeList bool      // nothing was received from this address yet: the whole list is requested first
 	revision       int64     // of the last list or change received
 	failures       int       // failed requests since the last update
@@ -47,7 +47,7 @@
 // subscription is one request of a watch to discovery.
 type subscription struct {
 	watch          *watch
-	id             follow.RequestID
+	id             discovery.RequestID
 	conn           *eventloop.Conn // nil while it is being dialed
 	ended          bool            // whatever it still receives is ignored
 	needsWholeList bool            // the whole list has not been received in full yet
@@ -64,8 +64,8 @@
 func newWatch(n *Node, addr string, revision int64) *watch {
 	m, now := n.cfg.Gatherer.Module, time.Now()
 	return &watch{
-		node: n, addr: addr, revision: revision, subscriptions: make(map[follow.RequestID]*subscription), lastUpdate: now,
-		follower: follow.New(follow.Settings{
+		node: n, addr: addr, revision: revision, subscriptions: make(map[discovery.RequestID]*subscription), lastUpdate: now,
+		follower: discovery.New(discovery.Settings{
 			Pushed: !m.SubscribeToList, DrainGrace: n.cfg.DrainGrace, MaxTimeWithoutWatch: m.SubscribeWithin, Gatherers: m.Gatherers, Seed: m.Seed,
 		}, now),
 	}
@@ -90,7 +90,7 @@
 }
 
 // drop gives up requests.
-func (w *watch) drop(ids []follow.RequestID) {
+func (w *watch) drop(ids []discovery.RequestID) {
 	for _, id := range ids {
 		if s := w.subscriptions[id]; s != nil {
 			s.end()
--- a/internal/service/service.go
+++ b/internal/querystats/querystats.go
@@ -1,8 +1,8 @@
-// Package service records the outcomes of queries by class and second: how many
+// Package querystats records the outcomes of queries by class and second: how many
 // were answered, refused and failed, and how long the answers took (high dynamic
 // range histograms, G. Tene). It does no I/O and reads no clock. A Recorder must be
 // used from one goroutine only.
-package service
+package querystats
 
 import (
 	"maps"
--- a/internal/service/service_test.go
+++ b/internal/querystats/querystats_test.go
@@ -1,4 +1,4 @@
-package service
+package querystats
 
 import (
 	"testing"
--- a/internal/due/due.go
+++ b/internal/timerqueue/timerqueue.go
@@ -1,7 +1,7 @@
-// Package due implements a queue of timers. The next timer is found in constant time;
+// Package timerqueue implements a queue of timers. The next timer is found in constant time;
 // setting, moving and stopping one takes logarithmic time. The package reads no clock.
 // A Queue must be used from one goroutine only.
-package due
+package timerqueue
 
 import (
 	"container/heap"
--- a/internal/due/due_test.go
+++ b/internal/timerqueue/timerqueue_test.go
@@ -1,4 +1,4 @@
-package due
+package timerqueue
 
 import (
 	"cmp"
@@ -8,10 +8,10 @@
 
 	"pgregory.net/rapid"
 
-	"eiderwinch/internal/trial/steady"
+	"eiderwinch/internal/trial/fixedseed"
 )
 
-func TestMain(m *testing.M) { steady.Main(m) }
+func TestMain(m *testing.M) { fixedseed.Main(m) }
 
 // TestQueueMatchesModel sets, moves, stops and pops timers at random, and compares the
 // queue with a sorted list.
--- a/internal/trial/emulator/node.go
+++ b/internal/trial/emulator/node.go
@@ -85,7 +85,7 @@
 }
 
 // peerDetectionDelay is how long the other gatherers still count a gatherer as alive after it has died:
-// some probe periods and a suspicion timeout, see package view.
+// some probe periods and a suspicion timeout, see package membership.
 const peerDetectionDelay = 1500 * time.Millisecond
 
 // startSharing makes a process that has just started hold its slots of the fleet's limits. The first process of
--- a/internal/trial/emulator/simulation.go
+++ b/internal/trial/emulator/simulation.go
@@ -12,21 +12,21 @@
 	"github.com/zeebo/blake3"
 
 	"eiderwinch"
-	"eiderwinch/internal/due"
+	"eiderwinch/internal/timerqueue"
 )
 
 // runStart is when every run starts. Searchers that are up from the start are warm.
 var runStart = time.Unix(1_700_000_000, 0).UTC()
 
 // event is a function that is called at some time of a run.
-type event = due.Timer[func()]
+type event = timerqueue.Timer[func()]
 
 // simulation is one run.
 type simulation struct {
 	Scenario
 	rng             *rand.Rand
 	now             time.Time
-	events          due.Queue[func()]
+	events          timerqueue.Queue[func()]
 	nodes           []*node
 	searchers       []*searcher
 	searcherByID    map[string]*searcher
--- a/internal/trial/experiment/fleet_report.go
+++ b/internal/trial/experiment/fleet_report.go
@@ -12,7 +12,7 @@
 	"gonum.org/v1/plot/plotter"
 	"gonum.org/v1/plot/plotutil"
 
-	"eiderwinch/internal/trial/rig"
+	"eiderwinch/internal/trial/testcluster"
 )
 
 // fleetPage is the template of the report on a fleet.
@@ -25,7 +25,7 @@
 
 // settleTimes holds how long a fleet took to settle after the faults of one kind, in milliseconds.
 type settleTimes struct {
-	Kind rig.Kind
+	Kind testcluster.Kind
 	When string
 	MS   []int64
 }
@@ -39,7 +39,7 @@
 // FleetReport writes a report on the history of a test fleet as one page of HTML that refers to no other file: how
 // long the fleet took to settle after faults, and over time how many gatherers each gatherer counted as members, how
 // many slots it held and how much it sent.
-func FleetReport(w io.Writer, title string, list []rig.Entry) error {
+func FleetReport(w io.Writer, title string, list []testcluster.Entry) error {
 	data := struct {
 		Title             string
 		Processes, Faults int
@@ -79,11 +79,11 @@
 	}
 	for _, f := range []struct {
 		caption, axis string
-		value         func(e, before rig.Entry) (float64, bool)
+		value         func(e, before testcluster.Entry) (float64, bool)
 	}{
-		{"gatherers that each one counts, over time", "counted", func(e, _ rig.Entry) (float64, bool) { return float64(e.Counted), true }},
-		{"slots of the fleet's limits that each one holds, over time", "slots", func(e, _ rig.Entry) (float64, bool) { return float64(e.Slots), true }},
-		{"bytes a second that each one sends to the others, over time", "bytes a second", func(e, before rig.Entry) (float64, bool) {
+		{"gatherers that each one counts, over time", "counted", func(e, _ testcluster.Entry) (float64, bool) { return float64(e.Counted), true }},
+		{"slots of the fleet's limits that each one holds, over time", "slots", func(e, _ testcluster.Entry) (float64, bool) { return float64(e.Slots), true }},
+		{"bytes a second that each one sends to the others, over time", "bytes a second", func(e, before testcluster.Entry) (float64, bool) {
 			seconds := float64(e.MS-before.MS) / 1000
 			return float64(e.Bytes-before.Bytes) / seconds, before.Who == e.Who && seconds >= 0.2
 		}},
@@ -106,11 +106,11 @@
 }
 
 // plotByGatherer plots one line of values over time for each gatherer.
-func plotByGatherer(axis string, indexByName map[string]int, list []rig.Entry, value func(e, before rig.Entry) (float64, bool)) (*plot.Plot, error) {
+func plotByGatherer(axis string, indexByName map[string]int, list []testcluster.Entry, value func(e, before testcluster.Entry) (float64, bool)) (*plot.Plot, error) {
 	p := plot.New()
 	p.X.Label.Text, p.Y.Label.Text = "second", axis
 	p.Y.Min = 0
-	lines, before := make([]plotter.XYs, len(indexByName)), make([]rig.Entry, len(indexByName))
+	lines, before := make([]plotter.XYs, len(indexByName)), make([]testcluster.Entry, len(indexByName))
 	for _, e := range list {
 		if e.Digest == "" {
 			continue
--- a/internal/trial/standin/discovery.go
+++ b/internal/trial/fake/discovery.go
@@ -1,4 +1,4 @@
-package standin
+package fake
 
 import (
 	"bufio"
--- a/internal/trial/standin/standin.go
+++ b/internal/trial/fake/fake.go
@@ -1,9 +1,9 @@
-// Package standin provides fakes, on loopback, of the processes that a gatherer
+// Package fake provides fakes, on loopback, of the processes that a gatherer
 // talks to: searchers that hold rows and remember reservations, and discovery.
 // It is written from the protocol's description alone and shares no parser with
 // the gatherer, so that a fault in one is not hidden by the same fault in the
 // other. The demo, experiments and tests run against it.
-package standin
+package fake
 
 import (
 	"errors"
--- a/internal/trial/steady/steady.go
+++ b/internal/trial/fixedseed/fixedseed.go
@@ -1,6 +1,6 @@
-// Package steady runs the tests of a package with a fixed seed for property-based
+// Package fixedseed runs the tests of a package with a fixed seed for property-based
 // tests, so that each execution of them checks the same inputs.
-package steady
+package fixedseed
 
 import (
 	"flag"
--- a/internal/trial/load/load.go
+++ b/internal/trial/load/load.go
@@ -27,7 +27,7 @@
 	Keyed     bool    // queries carry an idempotency key
 }
 
-// DefaultClasses returns the classes of the fake deployment (package standin).
+// DefaultClasses returns the classes of the fake deployment (package fake).
 func DefaultClasses() []Class {
 	return []Class{
 		{"report", 0.1, 6, "find item", false},
--- a/internal/trial/soak/config.go
+++ b/internal/trial/soak/config.go
@@ -22,13 +22,13 @@
 	"eiderwinch/internal/configuration/bundle"
 	"eiderwinch/internal/configuration/change"
 	"eiderwinch/internal/configuration/history"
-	"eiderwinch/internal/configuration/keeper"
+	"eiderwinch/internal/configuration/manager"
 	"eiderwinch/internal/daemon"
 	"eiderwinch/internal/layout"
 	"eiderwinch/internal/layout/layoutfile"
 	"eiderwinch/internal/netio"
 	"eiderwinch/internal/stats"
-	"eiderwinch/internal/trial/standin"
+	"eiderwinch/internal/trial/fake"
 )
 
 // ConfigOptions configures RunConfig.
@@ -135,7 +135,7 @@
 type configRun struct {
 	run
 	options           ConfigOptions
-	keeper            *keeper.Keeper
+	manager           *manager.Manager
 	client            *admin.Client
 	operatorsFormat   string // the operators' file, with a verb in place of the settings that change
 	hungSearcher      string // a searcher that accepts connections and never answers
@@ -153,7 +153,7 @@
 	r.run = run{
 		Options: Options{Rate: o.Rate, Seed: o.Seed, Dir: o.Dir, Out: o.Out},
 		rng:     &lockedRand{source: rand.New(rand.NewPCG(o.Seed, 4))}, report: &report.Report,
-		assignmentServers: make(map[string]*standin.AssignmentServer),
+		assignmentServers: make(map[string]*fake.AssignmentServer),
 	}
 	r.searchLatencies.Store(newLatencyWindow())
 	ctx, stop := context.WithCancel(ctx)
@@ -243,9 +243,9 @@
 		return end, err
 	}
 	ctx, stop := context.WithCancel(ctx)
-	r.keeper = keeper.Start(ctx, keeper.Options{Node: &auditedNode{n.Node, r}, Initial: initial, Machine: machine, History: configHistory, LiveSettings: daemon.Live, Logger: log})
-	closers = append(closers, func() error { stop(); return r.keeper.Wait() })
-	gatherer := &admin.Gatherer{Name: "g0", Node: n.Node, RegisterConfigHandlers: r.keeper.RegisterHandlers}
+	r.manager = manager.Start(ctx, manager.Options{Node: &auditedNode{n.Node, r}, Initial: initial, Machine: machine, History: configHistory, LiveSettings: daemon.Live, Logger: log})
+	closers = append(closers, func() error { stop(); return r.manager.Wait() })
+	gatherer := &admin.Gatherer{Name: "g0", Node: n.Node, RegisterConfigHandlers: r.manager.RegisterHandlers}
 	socket, err := admin.Serve("unix:"+filepath.Join(r.Dir, "admin.sock"), gatherer.Handler())
 	if err != nil {
 		return end, err
@@ -276,7 +276,7 @@
 	}()
 	r.hungSearcher = "s-hung"
 	r.fleet.Zones[r.hungSearcher] = "verona"
-	r.deployment.Discovery.Publish(standin.Member{ID: r.hungSearcher, Addr: l.Addr().String(), Zone: "verona", Kind: "std", Phase: standin.Ready, Size: 1})
+	r.deployment.Discovery.Publish(fake.Member{ID: r.hungSearcher, Addr: l.Addr().String(), Zone: "verona", Kind: "std", Phase: fake.Ready, Size: 1})
 	return l, nil
 }
 
@@ -301,13 +301,13 @@
 }
 
 // status returns the status of the configuration manager.
-func (r *configRun) status(ctx context.Context) (s keeper.Status, err error) {
+func (r *configRun) status(ctx context.Context) (s manager.Status, err error) {
 	return s, r.call(ctx, http.MethodGet, "", nil, &s)
 }
 
 // proposal returns the next change. Each fourth is bad. The bad ones are, in turn: a segment whose only holder never
 // answers, searches within 10 ms, one open search at most, and three admitted queries at most.
-func (r *configRun) proposal() (p keeper.StageRequest, bad bool) {
+func (r *configRun) proposal() (p manager.StageRequest, bad bool) {
 	i := r.changes
 	inner := ""
 	switch {
@@ -358,20 +358,20 @@
 // guard to undo.
 func (r *configRun) submitChange(ctx context.Context) {
 	p, bad := r.proposal()
-	var s keeper.StageResult
+	var s manager.StageResult
 	if err := r.call(ctx, http.MethodPost, "", p, &s); err != nil {
 		fmt.Fprintln(r.Out, "change was not staged:", err)
 		return
 	}
 	path := fmt.Sprintf("/%d/", s.Tx)
 	applied := time.Now()
-	if err := r.call(ctx, http.MethodPost, path+"apply", keeper.ApplyRequest{}, nil); err != nil {
+	if err := r.call(ctx, http.MethodPost, path+"apply", manager.ApplyRequest{}, nil); err != nil {
 		if strings.Contains(err.Error(), "under way") {
 			r.report.Busy++
 		} else {
 			r.report.Late++
 		}
-		_ = r.call(ctx, http.MethodPost, path+"undo", keeper.UndoRequest{Reason: "refused"}, nil)
+		_ = r.call(ctx, http.MethodPost, path+"undo", manager.UndoRequest{Reason: "refused"}, nil)
 		return
 	}
 	r.report.Applied++
@@ -435,13 +435,13 @@
 		return m.HeapAlloc, len(list), runtime.NumGoroutine()
 	}
 	applyOne := func(i int) error {
-		var s keeper.StageResult
-		p := keeper.StageRequest{Bundle: bundle.Bundle{Operators: fmt.Appendf(nil, r.operatorsFormat, fmt.Sprintf(`<class name="search" open="%d"/>`, 1000+i))}}
+		var s manager.StageResult
+		p := manager.StageRequest{Bundle: bundle.Bundle{Operators: fmt.Appendf(nil, r.operatorsFormat, fmt.Sprintf(`<class name="search" open="%d"/>`, 1000+i))}}
 		if err := r.call(ctx, http.MethodPost, "", p, &s); err != nil {
 			return err
 		}
 		path := fmt.Sprintf("/%d/", s.Tx)
-		if err := r.call(ctx, http.MethodPost, path+"apply", keeper.ApplyRequest{}, nil); err != nil {
+		if err := r.call(ctx, http.MethodPost, path+"apply", manager.ApplyRequest{}, nil); err != nil {
 			return err
 		}
 		return wait("a confirmation", func() bool { return r.call(ctx, http.MethodPost, path+"confirm", nil, nil) == nil })
--- a/internal/trial/soak/soak.go
+++ b/internal/trial/soak/soak.go
@@ -30,7 +30,7 @@
 	"eiderwinch/internal/netio"
 	"eiderwinch/internal/stats"
 	"eiderwinch/internal/trial/ask"
-	"eiderwinch/internal/trial/standin"
+	"eiderwinch/internal/trial/fake"
 )
 
 // Options configures Run.
@@ -108,10 +108,10 @@
 type run struct {
 	Options
 	rng               *lockedRand
-	deployment        *standin.Deployment
+	deployment        *fake.Deployment
 	searcherIDs       []string // grouped by zone
 	fleet             layout.Fleet
-	store             *standin.ShardedCatalogue
+	store             *fake.ShardedCatalogue
 	nodes             []*node
 	audit             *audit
 	client            *http.Client
@@ -123,7 +123,7 @@
 	extraCheck        func(*query) string // additional check, returns what is wrong with an answer; may be nil
 	jobKinds          map[reshard.JobID]layout.ChangeKind
 	mu                sync.Mutex // guards jobKinds and the report's counts of changes and kills
-	assignmentServers map[string]*standin.AssignmentServer
+	assignmentServers map[string]*fake.AssignmentServer
 	searchLatencies   atomic.Pointer[latencyWindow]
 	queries           sync.WaitGroup
 	openQueries       atomic.Int64
@@ -176,7 +176,7 @@
 func Run(ctx context.Context, o Options) (report Report, err error) {
 	r := &run{
 		Options: o, rng: &lockedRand{source: rand.New(rand.NewPCG(o.Seed, 4))}, report: &report,
-		assignmentServers: make(map[string]*standin.AssignmentServer), jobKinds: make(map[reshard.JobID]layout.ChangeKind),
+		assignmentServers: make(map[string]*fake.AssignmentServer), jobKinds: make(map[reshard.JobID]layout.ChangeKind),
 	}
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
@@ -256,13 +256,13 @@
 
 // deploy starts the searchers, discovery and the audit.
 func (r *run) deploy() error {
-	deployment, err := standin.NewDeployment(standin.DeploymentOptions{Seed: r.Seed, Handler: func(first *layout.Layout) standin.Handler {
-		r.store = standin.NewShardedCatalogue(standin.ShardedCatalogueOptions{Seed: r.Seed, Stock: initialStock}, first)
+	deployment, err := fake.NewDeployment(fake.DeploymentOptions{Seed: r.Seed, Handler: func(first *layout.Layout) fake.Handler {
+		r.store = fake.NewShardedCatalogue(fake.ShardedCatalogueOptions{Seed: r.Seed, Stock: initialStock}, first)
 		return r.store
 	}, Layout: func(ids []string, zones []string) *layout.Layout {
 		var list []layout.Segment
 		for i := range segmentCount {
-			s := layout.Segment{ID: layout.SegmentID(i), Keys: layout.Range{From: standin.ItemKey(i * 100), To: standin.ItemKey((i + 1) * 100)}}
+			s := layout.Segment{ID: layout.SegmentID(i), Keys: layout.Range{From: fake.ItemKey(i * 100), To: fake.ItemKey((i + 1) * 100)}}
 			for z := range replicaCount { // ids is grouped by zone
 				s.Holders = append(s.Holders, ids[z*len(ids)/replicaCount+i%(len(ids)/replicaCount)])
 			}
@@ -285,7 +285,7 @@
 	r.known.Store(first)
 	r.audit = &audit{epochs: map[layout.Epoch]*layout.Layout{1: first}, keys: r.store.Keys(), report: r.report, start: time.Now()}
 	for _, id := range r.searcherIDs {
-		c := standin.NewAssignmentServer(id, r.store, filepath.Join(r.Dir, id+".sock"))
+		c := fake.NewAssignmentServer(id, r.store, filepath.Join(r.Dir, id+".sock"))
 		r.assignmentServers[id] = c
 		if err := c.Open(); err != nil {
 			return err
--- a/internal/trial/rig/network.go
+++ b/internal/trial/testcluster/network.go
@@ -1,4 +1,4 @@
-package rig
+package testcluster
 
 import (
 	"fmt"
--- a/internal/trial/rig/searcher.go
+++ b/internal/trial/testcluster/searcher.go
@@ -1,4 +1,4 @@
-package rig
+package testcluster
 
 import (
 	"fmt"
@@ -7,12 +7,12 @@
 	"sync"
 	"time"
 
-	"eiderwinch/internal/trial/standin"
+	"eiderwinch/internal/trial/fake"
 )
 
 // searcher is a fake searcher that answers each part after a fixed time and records which process sent it.
 type searcher struct {
-	server       *standin.Server
+	server       *fake.Server
 	id           string
 	cell         int
 	partDuration time.Duration
@@ -33,21 +33,21 @@
 func newSearcher(id string, cell int, partDuration time.Duration) (*searcher, error) {
 	searcher := &searcher{id: id, cell: cell, partDuration: partDuration}
 	var err error
-	searcher.server, err = standin.Listen(searcher.serve)
+	searcher.server, err = fake.Listen(searcher.serve)
 	return searcher, err
 }
 
 // serve answers the calls on a connection until it is closed.
 func (s *searcher) serve(c net.Conn) {
 	for {
-		letter, rest, err := standin.ReadFrame(c)
+		letter, rest, err := fake.ReadFrame(c)
 		if err != nil {
 			return
 		}
 		if letter == 'c' { // a cancel: ignored, since a part's work is over shortly anyway
 			continue
 		}
-		parts, err := standin.ParseCall(rest)
+		parts, err := fake.ParseCall(rest)
 		if err != nil {
 			return
 		}
@@ -58,19 +58,19 @@
 			s.parts = append(s.parts, arrival{now, processOf(trace), s.started})
 			s.mu.Unlock()
 			text := fmt.Sprintf("a%s served 1 -\nv", p.ID)
-			time.AfterFunc(s.partDuration, func() { standin.WriteFrame(c, text) })
+			time.AfterFunc(s.partDuration, func() { fake.WriteFrame(c, text) })
 		}
 	}
 }
 
 // member returns the searcher's entry of the member list. With restarted, the searcher counts as just started.
-func (s *searcher) member(restarted bool) standin.Member {
+func (s *searcher) member(restarted bool) fake.Member {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if restarted {
 		s.started = time.Now()
 	}
-	m := standin.Member{ID: s.id, Addr: s.server.Addr(), Zone: "a", Cell: s.cell, Phase: standin.Ready, Size: 1}
+	m := fake.Member{ID: s.id, Addr: s.server.Addr(), Zone: "a", Cell: s.cell, Phase: fake.Ready, Size: 1}
 	if !s.started.IsZero() {
 		m.UpSince = s.started.UnixMilli()
 	}
--- a/internal/trial/rig/rig.go
+++ b/internal/trial/testcluster/testcluster.go
@@ -1,4 +1,4 @@
-// Package rig runs a test cluster on loopback: several processes of the built program, as a fleet of gatherers, with
+// Package testcluster runs a test cluster on loopback: several processes of the built program, as a fleet of gatherers, with
 // fake searchers and a fake discovery. It injects faults between the gatherers: relays partition, drop, delay, duplicate and
 // throttle what they send each other, and processes are stopped, killed and restarted. It ends only processes that it
 // has started. One history of the run is recorded from the outside, by the clients, the searchers and the polls of the
@@ -6,7 +6,7 @@
 //
 // A plan of faults comes from a seed or a file. Runs take place in real time, so the same plan doesn't give exactly the
 // same run; what is audited must hold in every run.
-package rig
+package testcluster
 
 import (
 	"bufio"
@@ -27,10 +27,10 @@
 	"eiderwinch/internal/admin"
 	"eiderwinch/internal/fleet/share"
 	"eiderwinch/internal/trial/ask"
-	"eiderwinch/internal/trial/standin"
+	"eiderwinch/internal/trial/fake"
 )
 
-// Config configures a Rig.
+// Config configures a Cluster.
 type Config struct {
 	Program         string // path of the built program
 	Dir             string // for files, logs and history.jsonl
@@ -64,11 +64,11 @@
 	answerTimeout = 20 * time.Second // a query without an answer by then is lost
 )
 
-// Rig is a running test cluster.
-type Rig struct {
+// Cluster is a running test cluster.
+type Cluster struct {
 	cfg        Config
 	network    *network
-	discovery  *standin.Discovery
+	discovery  *fake.Discovery
 	searchers  []*searcher
 	cold       *searcher
 	gatherers  []*gatherer
@@ -81,7 +81,7 @@
 
 // gatherer is one member of the fleet. Its process changes with each restart.
 type gatherer struct {
-	rig           *Rig
+	cluster       *Cluster
 	number        int
 	operatorsFile string // path of the operators' file
 	admin         *admin.Client
@@ -95,8 +95,8 @@
 }
 
 // New starts a test cluster and its clients.
-func New(cfg Config) (r *Rig, err error) {
-	r = &Rig{cfg: cfg}
+func New(cfg Config) (r *Cluster, err error) {
+	r = &Cluster{cfg: cfg}
 	r.ctx, r.stop = context.WithCancel(context.Background())
 	defer func() {
 		if err != nil {
@@ -110,7 +110,7 @@
 	if r.network, err = newNetwork(cfg.Gatherers, cfg.Seed); err != nil {
 		return r, err
 	}
-	if r.discovery, err = standin.NewDiscovery(); err != nil {
+	if r.discovery, err = fake.NewDiscovery(); err != nil {
 		return r, err
 	}
 	for i := range 3 { // the last is the cold searcher, alone in its cell
@@ -126,7 +126,7 @@
 		return r, err
 	}
 	for i := range cfg.Gatherers {
-		g := &gatherer{rig: r, number: i}
+		g := &gatherer{cluster: r, number: i}
 		if err := g.writeFiles(); err != nil {
 			return r, err
 		}
@@ -146,7 +146,7 @@
 }
 
 // spawn runs a function in a goroutine that Close waits for.
-func (r *Rig) spawn(f func()) {
+func (r *Cluster) spawn(f func()) {
 	r.goroutines.Add(1)
 	go func() {
 		defer r.goroutines.Done()
@@ -155,14 +155,14 @@
 }
 
 // repeat calls a function periodically until the test cluster stops.
-func (r *Rig) repeat(d time.Duration, f func()) {
+func (r *Cluster) repeat(d time.Duration, f func()) {
 	for r.sleep(d) {
 		f()
 	}
 }
 
 // sleep waits for d, and reports whether the test cluster still runs then.
-func (r *Rig) sleep(d time.Duration) bool {
+func (r *Cluster) sleep(d time.Duration) bool {
 	select {
 	case <-r.ctx.Done():
 		return false
@@ -172,7 +172,7 @@
 }
 
 // forEach calls a function for all gatherers of a list at once, and waits for them.
-func (r *Rig) forEach(list []*gatherer, f func(*gatherer) error) error {
+func (r *Cluster) forEach(list []*gatherer, f func(*gatherer) error) error {
 	errs := make([]error, len(list))
 	var done sync.WaitGroup
 	for i, g := range list {
@@ -188,13 +188,13 @@
 
 // writeFiles writes the gatherer's configuration files.
 func (g *gatherer) writeFiles() error {
-	network, dir := g.rig.network, g.rig.cfg.Dir
+	network, dir := g.cluster.network, g.cluster.cfg.Dir
 	g.operatorsFile = filepath.Join(dir, fmt.Sprintf("g%d.xml", g.number))
 	endpoint := fmt.Sprintf("unix:%s/g%d", dir, g.number)
 	g.admin = admin.NewClient(endpoint, time.Second, nil)
 	var text strings.Builder
 	fmt.Fprintf(&text, `<eiderwinch xmlns="urn:eiderwinch:operators:1"><admin endpoint=%q/><fleet name="rig" listen=%q advertise=%q keys="keys.xml" key="k" lease=%q>`,
-		endpoint, network.listenAddr(g.number), network.relays[g.number].tcp.Addr(), cmp.Or(g.rig.cfg.Lease, share.DefaultLease))
+		endpoint, network.listenAddr(g.number), network.relays[g.number].tcp.Addr(), cmp.Or(g.cluster.cfg.Lease, share.DefaultLease))
 	for i := range min(seedCount, network.size) {
 		fmt.Fprintf(&text, "<seed addr=%q/>", network.relays[i].tcp.Addr())
 	}
@@ -203,23 +203,23 @@
 		if j == g.number {
 			addr = network.listenAddr(j)
 		}
-		if g.rig.cfg.Lease > 0 {
+		if g.cluster.cfg.Lease > 0 {
 			fmt.Fprintf(&text, "<slot number=\"%d\" addr=%q/>", j, addr)
 		}
 	}
 	text.WriteString("</fleet></eiderwinch>")
-	known := g.rig.discovery.List()
+	known := g.cluster.discovery.List()
 	config := fmt.Sprintf(`{"name":"g%d","listen":%q,"discovery":%q,"limits":{"memory_mb":128,"sockets":256},"known":%s,"settings":{`+
 		`"membership_mode":"pushed","tick":5000000,"balancers":%d,"my_number":%d,"domain":{"places":2,"in_a_row":1,"shards":2,"per_call":4,"call_cost":1000000},`+
 		`"classes":[{"name":"search","aim":%d,"deadline":%d,"effect":"safe","worth":1}],"policy_limits":{"cancel":true,"attempts_cap":4},`+
 		`"rules":{"cold":%d,"start_capacity":%v,"fall_multiple":%v,"overload_for":%d}}}`,
-		g.number, network.queryAddr(g.number), g.rig.discovery.Addr(), known, network.size, g.number, aim, deadline, coldDuration, startCapacity, fallMultiple, limitWindow)
+		g.number, network.queryAddr(g.number), g.cluster.discovery.Addr(), known, network.size, g.number, aim, deadline, coldDuration, startCapacity, fallMultiple, limitWindow)
 	return errors.Join(os.WriteFile(g.operatorsFile, []byte(text.String()), 0o600), os.WriteFile(g.configFile(), []byte(config), 0o600))
 }
 
 // configFile returns the path of the gatherer's configuration file.
 func (g *gatherer) configFile() string {
-	return filepath.Join(g.rig.cfg.Dir, fmt.Sprintf("g%d.json", g.number))
+	return filepath.Join(g.cluster.cfg.Dir, fmt.Sprintf("g%d.json", g.number))
 }
 
 // start starts a process unless one runs, and waits until it serves.
@@ -229,12 +229,12 @@
 		g.mu.Unlock()
 		return nil
 	}
-	if err := g.rig.network.setRunning(g.number, true); err != nil {
+	if err := g.cluster.network.setRunning(g.number, true); err != nil {
 		g.mu.Unlock()
 		return err
 	}
 	g.process = processID{g.number, g.process.Start + 1}
-	g.cmd = exec.Command(g.rig.cfg.Program, "serve", "--file", g.operatorsFile)
+	g.cmd = exec.Command(g.cluster.cfg.Program, "serve", "--file", g.operatorsFile)
 	g.cmd.Env = append(os.Environ(), "LB_CONFIG="+g.configFile(), "LB_LISTEN=", "LB_DISCOVERY=", "LB_NAME=")
 	out, err := g.cmd.StderrPipe()
 	if err == nil {
@@ -248,10 +248,10 @@
 	serving, exited, cmd, process := make(chan struct{}), make(chan struct{}), g.cmd, g.process
 	g.exited, g.stopped = exited, false
 	g.mu.Unlock()
-	g.rig.history.recordText(process.String(), "starts")
+	g.cluster.history.recordText(process.String(), "starts")
 	go func() {
 		defer close(exited)
-		log, err := os.Create(filepath.Join(g.rig.cfg.Dir, process.String()+".log"))
+		log, err := os.Create(filepath.Join(g.cluster.cfg.Dir, process.String()+".log"))
 		if err != nil {
 			log = nil
 		}
@@ -286,8 +286,8 @@
 	_ = g.cmd.Process.Kill()
 	<-g.exited
 	g.cmd, g.stopped = nil, false
-	g.rig.history.recordEnd(g.process)
-	return g.rig.network.setRunning(g.number, false)
+	g.cluster.history.recordEnd(g.process)
+	return g.cluster.network.setRunning(g.number, false)
 }
 
 // signal sends a signal to the process, if one runs.
@@ -299,7 +299,7 @@
 	}
 	g.interruptions++
 	g.stopped = s == syscall.SIGSTOP
-	g.rig.history.recordText(g.process.String(), "%v", s)
+	g.cluster.history.recordText(g.process.String(), "%v", s)
 	return g.cmd.Process.Signal(s)
 }
 
@@ -315,14 +315,14 @@
 func (g *gatherer) fetchState() (state admin.FleetState, ok bool) {
 	process, _, ok := g.running()
 	asked := time.Now()
-	if !ok || g.admin.Do(g.rig.ctx, http.MethodGet, "/v1/fleet", nil, &state) != nil {
+	if !ok || g.admin.Do(g.cluster.ctx, http.MethodGet, "/v1/fleet", nil, &state) != nil {
 		return state, false
 	}
 	now := time.Now()
 	if again, _, ok := g.running(); !ok || again != process {
 		return state, false
 	}
-	g.rig.history.recordState(process, g.rig.network.size, state, asked, now)
+	g.cluster.history.recordState(process, g.cluster.network.size, state, asked, now)
 	return state, true
 }
 
@@ -336,8 +336,8 @@
 	defer client.CloseIdleConnections()
 	var connected processID // the process to which its connection leads
 	// A fleet of more than five gets no more queries than one of five: the number of searchers is the same.
-	interval := time.Duration(10+5*number) * time.Millisecond * time.Duration(max(g.rig.network.size, 5)) / 5
-	for i := 0; g.rig.sleep(interval); i++ {
+	interval := time.Duration(10+5*number) * time.Millisecond * time.Duration(max(g.cluster.network.size, 5)) / 5
+	for i := 0; g.cluster.sleep(interval); i++ {
 		process, interruptions, ok := g.running()
 		if !ok {
 			continue
@@ -347,17 +347,17 @@
 			connected = process
 		}
 		shard := number % 2
-		answer, err := ask.Do(g.rig.ctx, client, g.rig.network.queryAddr(g.number), ask.Query{
+		answer, err := ask.Do(g.cluster.ctx, client, g.cluster.network.queryAddr(g.number), ask.Query{
 			Class: "search", Trace: fmt.Sprintf("%v-%d-%d", process, number, i), Expires: deadline, Segments: []int{shard}, Statement: "q",
 		})
 		switch {
-		case g.rig.ctx.Err() != nil:
+		case g.cluster.ctx.Err() != nil:
 			return
 		case errors.Is(err, syscall.ECONNREFUSED): // the gatherer doesn't listen yet, so it got no query
 			continue
 		}
 		again, interruptionsNow, _ := g.running()
-		g.rig.history.recordAnswer(answer.Status, shard == 1, again != process || interruptions != interruptionsNow, err)
+		g.cluster.history.recordAnswer(answer.Status, shard == 1, again != process || interruptions != interruptionsNow, err)
 	}
 }
 
@@ -386,7 +386,7 @@
 
 // waitConverged waits until the views of all running gatherers agree and contain exactly these gatherers, and returns how
 // long that took.
-func (r *Rig) waitConverged() (time.Duration, error) {
+func (r *Cluster) waitConverged() (time.Duration, error) {
 	started := time.Now()
 	for {
 		want, same, digest := 0, true, ""
@@ -418,7 +418,7 @@
 }
 
 // Close ends all processes and goroutines of the test cluster.
-func (r *Rig) Close() error {
+func (r *Cluster) Close() error {
 	r.stop()
 	err := r.forEach(r.gatherers, (*gatherer).kill)
 	r.goroutines.Wait()
@@ -477,7 +477,7 @@
 
 // Play injects the faults of a plan, one after the other. Each begins after the fleet has converged, or failed to in
 // time, after the one before. The test cluster stops at the end.
-func (r *Rig) Play(plan []Step) (*Report, error) {
+func (r *Cluster) Play(plan []Step) (*Report, error) {
 	report := &Report{}
 	waitConverged := func(k Kind, when string) {
 		took, err := r.waitConverged()
@@ -516,7 +516,7 @@
 }
 
 // inject injects a fault and ends it. It calls waitConverged during the fault if the fleet should converge meanwhile.
-func (r *Rig) inject(step Step, waitConverged func()) error {
+func (r *Cluster) inject(step Step, waitConverged func()) error {
 	n := len(r.gatherers)
 	member := func(i int) *gatherer { return r.gatherers[(step.First+i)%n] }
 	members := func(count int) (list []*gatherer) {
@@ -586,7 +586,7 @@
 }
 
 // summarize audits the parts that reached the cold searcher, and fills in the report.
-func (r *Rig) summarize(report *Report) {
+func (r *Cluster) summarize(report *Report) {
 	h := r.history
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/trial/testpeer/testpeer.go
+++ b/internal/trial/testpeer/testpeer.go
@@ -1,6 +1,6 @@
 // Package testpeer provides searchers, discovery and clients on loopback sockets whose
 // messages a test scripts: the test decides what each of them sends, and when. The searchers
-// parse frames with package standin, whose own searchers answer by themselves.
+// parse frames with package fake, whose own searchers answer by themselves.
 package testpeer
 
 import (
@@ -13,7 +13,7 @@
 	"testing"
 	"time"
 
-	"eiderwinch/internal/trial/standin"
+	"eiderwinch/internal/trial/fake"
 )
 
 // Timeout bounds each wait of a test for something that must happen. Only a failing test
@@ -50,7 +50,7 @@
 
 // listen serves connections on a loopback port until the test ends.
 func listen(t testing.TB, serve func(net.Conn)) string {
-	s, err := standin.Listen(serve)
+	s, err := fake.Listen(serve)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -84,7 +84,7 @@
 func (s *Searcher) serve(c net.Conn) {
 	defer func() { s.ClosedConns <- struct{}{} }()
 	for call := 0; ; call++ {
-		letter, payload, err := standin.ReadFrame(c)
+		letter, payload, err := fake.ReadFrame(c)
 		if err != nil {
 			return
 		}
@@ -92,7 +92,7 @@
 			s.Cancels <- payload
 			continue
 		}
-		parts, err := standin.ParseCall(payload)
+		parts, err := fake.ParseCall(payload)
 		if err != nil {
 			panic("malformed call: " + err.Error())
 		}
@@ -108,7 +108,7 @@
 }
 
 // Write sends a frame on the part's connection.
-func (p Part) Write(body string) { standin.WriteFrame(p.Conn, body) }
+func (p Part) Write(body string) { fake.WriteFrame(p.Conn, body) }
 
 // WriteRaw sends bytes on the part's connection, which need not form a frame.
 func (p Part) WriteRaw(text string) { _, _ = io.WriteString(p.Conn, text) }
