--- a/internal/discovery/follower_test.go
+++ b/internal/discovery/follower_test.go
@@ -352,7 +352,7 @@
 			addr = "new:1"
 		}
 		if got != ready(c.want, addr) || (r.Rejected == 1) != (c.want == 8) {
-			t.Errorf("%s: have %+v, doubted %d", name, got, r.Rejected)
+			t.Errorf("%s: have %+v, rejected %d", name, got, r.Rejected)
 		}
 	}
 }
--- a/internal/netio/node.go
+++ b/internal/netio/node.go
@@ -44,7 +44,7 @@
 
 // Durations that are not configurable.
 const (
-	housekeepingInterval = 250 * time.Millisecond // how often idle connections, client time limits and doubted members are checked
+	housekeepingInterval = 250 * time.Millisecond // how often idle connections, client time limits and rejected members are checked
 	drainAcceptTime      = 600 * time.Millisecond // new connections keep arriving for 0.4 s after SIGTERM
 	partialRequestWait   = time.Second            // how much longer a draining node waits for the rest of incomplete requests
 	bootTimeout          = 5 * time.Second        // for opening the listener
@@ -372,7 +372,7 @@
 	if now.Sub(n.lastHousekeeping) >= housekeepingInterval {
 		n.lastHousekeeping = now
 		n.pool.closeIdleConns(now)
-		n.reviewDoubted(now)
+		n.reinstateRejected(now)
 		n.checkClients(now)
 		if every := n.cfg.ReportEvery; every > 0 && now.Sub(n.lastReport) >= every {
 			n.lastReport = now
--- a/internal/netio/updates.go
+++ b/internal/netio/updates.go
@@ -65,9 +65,9 @@
 	}
 }
 
-// reviewDoubted reinstates the searchers that were reported as ready again by a list that might have been outdated,
+// reinstateRejected reinstates the searchers that were reported as ready again by a list that might have been outdated,
 // once it can't be outdated any more.
-func (n *Node) reviewDoubted(now time.Time) {
+func (n *Node) reinstateRejected(now time.Time) {
 	if reinstated := n.memberFilter.Reinstated(n.watch.lastUpdate); len(reinstated) > 0 {
 		n.forwardMembers(now, eiderwinch.Changes, reinstated)
 	}
