--- a/internal/fleet/net/node_test.go
+++ b/internal/fleet/transport/node_test.go
@@ -1,22 +1,22 @@
-package net
+package transport
 
 import (
 	"fmt"
 	"log/slog"
-	stdnet "net"
+	"net"
 	"slices"
 	"strings"
 	"testing"
 	"time"
 
 	"eiderwinch/internal/configuration/signature"
+	"eiderwinch/internal/fleet/membership"
 	"eiderwinch/internal/fleet/seal"
-	"eiderwinch/internal/fleet/view"
-	"eiderwinch/internal/trial/steady"
+	"eiderwinch/internal/trial/fixedseed"
 	"eiderwinch/internal/trial/testpeer"
 )
 
-func TestMain(m *testing.M) { steady.Main(m) }
+func TestMain(m *testing.M) { fixedseed.Main(m) }
 
 func testKeys(t testing.TB) *signature.Keys {
 	k, err := signature.Read("keys.xml", strings.NewReader(testpeer.KeyFile("k")))
@@ -37,8 +37,8 @@
 		t.Fatal(err)
 	}
 	n, err := Listen(Config{
-		Self:     view.Member{Name: name, Addr: "127.0.0.1:0", Incarnation: view.Incarnation{Start: uint64(i + 1)}},
-		Settings: view.LAN(), Sealer: s, Seeds: seeds, Seed: uint64(i), Log: slog.New(slog.DiscardHandler),
+		Self:     membership.Member{Name: name, Addr: "127.0.0.1:0", Incarnation: membership.Incarnation{Start: uint64(i + 1)}},
+		Settings: membership.LAN(), Sealer: s, Seeds: seeds, Seed: uint64(i), Log: slog.New(slog.DiscardHandler),
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -51,7 +51,7 @@
 func waitForMembers(t testing.TB, what string, nodes []*Node, want int) time.Duration {
 	t.Helper()
 	began := time.Now()
-	testpeer.Until(t, fmt.Sprintf("%s: all views have %d members", what, want), func() bool {
+	testpeer.WaitUntil(t, fmt.Sprintf("%s: all views have %d members", what, want), func() bool {
 		for _, n := range nodes {
 			if v := n.View(); len(v.Members) != want || v.Digest != nodes[0].View().Digest {
 				return false
@@ -75,13 +75,13 @@
 		t.Errorf("watched %+v", v)
 	}
 	nodes[2].Describe(3, 4)
-	testpeer.Until(t, "others know what a member serves", func() bool {
-		list, _, _ := nodes[1].Known()
-		return slices.ContainsFunc(list, func(m view.Member) bool { return m.Name == "g2" && m.Generation == 3 && m.Epoch == 4 })
+	testpeer.WaitUntil(t, "others know what a member serves", func() bool {
+		list, _, _ := nodes[1].KnownMembers()
+		return slices.ContainsFunc(list, func(m membership.Member) bool { return m.Name == "g2" && m.Generation == 3 && m.Epoch == 4 })
 	})
 	newer := listenNamed(t, "g3", 50, "f", first.Addr())
-	testpeer.Until(t, "the older of two processes with one name steps down", nodes[3].Over)
-	if newer.Over() {
+	testpeer.WaitUntil(t, "the older of two processes with one name steps down", nodes[3].SteppedDown)
+	if newer.SteppedDown() {
 		t.Error("the newer process has stepped down, too")
 	}
 	nodes[3].Close()
@@ -109,7 +109,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	udp, err := stdnet.Dial("udp", n.Addr())
+	udp, err := net.Dial("udp", n.Addr())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -118,15 +118,15 @@
 		_, _ = udp.Write([]byte(b))
 	}
 	for _, b := range []string{"\xff\xff\xff\xff", "\x00\x00\x00\x05nois", "\x00\x00\x00\x05noise", ""} {
-		c, err := stdnet.Dial("tcp", n.Addr())
+		c, err := net.Dial("tcp", n.Addr())
 		if err != nil {
 			t.Fatal(err)
 		}
 		_, _ = c.Write([]byte(b))
 		_ = c.Close()
 	}
-	testpeer.Until(t, "all of it is counted", func() bool {
-		_, c, _ := n.Known()
+	testpeer.WaitUntil(t, "all of it is counted", func() bool {
+		_, c, _ := n.KnownMembers()
 		return c.Seal.Malformed >= 4 && c.Seal.Fleet > 0 && c.Seal.Replayed == 1 && c.View.Malformed == 1
 	})
 	if len(n.View().Members) != 1 {
@@ -137,7 +137,7 @@
 func TestUnusableAddressesAreRejected(t *testing.T) {
 	n := listenNode(t, 0, "f")
 	for _, addr := range []string{"localhost:1", "127.0.0.1", n.Addr()} {
-		if _, err := Listen(Config{Self: view.Member{Name: "x", Addr: addr}, Settings: view.LAN()}); err == nil || !strings.Contains(err.Error(), addr) {
+		if _, err := Listen(Config{Self: membership.Member{Name: "x", Addr: addr}, Settings: membership.LAN()}); err == nil || !strings.Contains(err.Error(), addr) {
 			t.Errorf("%s: %v", addr, err)
 		}
 	}
--- a/internal/fleet/net/shares_test.go
+++ b/internal/fleet/transport/shares_test.go
@@ -1,4 +1,4 @@
-package net
+package transport
 
 import (
 	"fmt"
@@ -6,9 +6,9 @@
 	"testing"
 	"time"
 
+	"eiderwinch/internal/fleet/membership"
 	"eiderwinch/internal/fleet/seal"
 	"eiderwinch/internal/fleet/share"
-	"eiderwinch/internal/fleet/view"
 	"eiderwinch/internal/trial/testpeer"
 )
 
@@ -27,8 +27,8 @@
 			t.Fatal(err)
 		}
 		n, err := Listen(Config{
-			Self:     view.Member{Name: fmt.Sprint("g", i), Addr: addrs[i], Incarnation: view.Incarnation{Start: uint64(10*run + i + 1)}},
-			Settings: view.LAN(), Sealer: s, Seeds: addrs[:1], Seed: uint64(i), Log: slog.New(slog.DiscardHandler), Slots: addrs,
+			Self:     membership.Member{Name: fmt.Sprint("g", i), Addr: addrs[i], Incarnation: membership.Incarnation{Start: uint64(10*run + i + 1)}},
+			Settings: membership.LAN(), Sealer: s, Seeds: addrs[:1], Seed: uint64(i), Log: slog.New(slog.DiscardHandler), Slots: addrs,
 			Share: share.Settings{Slots: slots, Number: i, Lease: 300 * time.Millisecond, Window: 200 * time.Millisecond},
 		})
 		if err != nil {
@@ -43,7 +43,7 @@
 	}
 	waitForSlots := func(what string, want ...int) {
 		t.Helper()
-		testpeer.Until(t, what, func() bool {
+		testpeer.WaitUntil(t, what, func() bool {
 			for i, n := range nodes {
 				if s, _ := n.Share(); n.ctx.Err() == nil && s.Slots != want[i] {
 					return false
@@ -63,7 +63,7 @@
 	waitForSlots("a restarted member has its own slot, and the one before it", 1, 0, 2, 1)
 	var last share.Share
 	nodes[2].Close()
-	for s := range nodes[2].Shares() {
+	for s := range nodes[2].WatchShare() {
 		last = s
 	}
 	if last.Slots != 2 {
--- a/internal/netio/searcherconn.go
+++ b/internal/netio/searcherconn.go
@@ -127,8 +127,8 @@
 	now := time.Now() // parts carry the time that is left to their clients at this moment
 	parts := make([]frame.Part, len(attempts))
 	for i, a := range attempts {
-		parts[i] = frame.Part{ID: a.PartID(), Shard: a.Shard, Text: a.Text, List: frame.List{
-			Wait: a.Deadline.Sub(now), Key: a.Key, From: a.From, Whole: a.Whole,
+		parts[i] = frame.Part{ID: a.PartID(), Shard: a.Shard, Text: a.Text, Options: frame.PartOptions{
+			Wait: a.Deadline.Sub(now), Key: a.Key, From: a.FirstStepShards, Whole: a.FirstStepWhole,
 		}}
 	}
 	frameBytes := frame.AppendCall(nil, parts)
@@ -140,7 +140,7 @@
 	}
 	if node := c.pool.node; c.write(frameBytes) && node.log.Enabled(node.ctx, slog.LevelDebug) {
 		for i, a := range attempts {
-			node.log.Debug("part sent", "part", parts[i].ID, "searcher", c.searcher.id, "waited", now.Sub(a.Decided()),
+			node.log.Debug("part sent", "part", parts[i].ID, "searcher", c.searcher.id, "waited", now.Sub(a.DecidedAt()),
 				"buffered", c.conn.Buffered(), "last_news", now.Sub(node.watch.lastUpdate))
 		}
 	}
@@ -196,7 +196,7 @@
 			break
 		}
 	}
-	if c.parser.Buffered() > 0 && !c.frameTimer.Set() {
+	if c.parser.Buffered() > 0 && !c.frameTimer.IsSet() {
 		c.pool.timers.Set(&c.frameTimer, now.Add(c.pool.node.cfg.ConnectTimeout))
 	}
 	c.pool.resumeQueued(now, c.searcher)
@@ -221,14 +221,14 @@
 
 // handleFrame handles one frame.
 func (c *searcherConn) handleFrame(now time.Time, f frame.Frame) error {
-	switch f.Letter {
+	switch f.Type {
 	case frame.Answer:
 	case frame.Error:
-		return fmt.Errorf("%w: %.80q", errFrameRejected, f.Rest)
+		return fmt.Errorf("%w: %.80q", errFrameRejected, f.Payload)
 	default:
-		return c.unsolicited(f.Letter)
+		return c.unsolicited(f.Type)
 	}
-	answer, err := frame.ParseAnswer(f.Rest)
+	answer, err := frame.ParseAnswer(f.Payload)
 	if err != nil {
 		return err
 	}
@@ -239,7 +239,7 @@
 			delete(c.abandoned, answer.ID) // nobody waits for this answer any more, or it is a duplicate
 			return nil
 		}
-		return c.unsolicited(f.Letter)
+		return c.unsolicited(f.Type)
 	}
 	a := c.inFlight[index].attempt
 	if took := now.Sub(c.removeAttempt(a)); c.pool.typicalLatency == 0 {
@@ -250,10 +250,10 @@
 	c.clearUnreadCancels()
 	c.lastAnswered = answer.ID
 	switch {
-	case answer.Report.Given:
+	case answer.Report.Present:
 		c.pool.node.stats.Reports++
 		a.Load = &eiderwinch.Load{Waiting: answer.Report.Waiting}
-	case answer.Report.Spoilt:
+	case answer.Report.Malformed:
 		c.pool.node.stats.MalformedReports++
 	}
 	c.pool.node.core.Result(now, a, statusByEnd[answer.End], answer.Score, answer.Value)
@@ -275,7 +275,7 @@
 )
 
 var statusByEnd = map[frame.End]eiderwinch.Status{
-	frame.Served: eiderwinch.OK, frame.Broke: eiderwinch.Failed, frame.Skipped: eiderwinch.Full,
+	frame.Served: eiderwinch.OK, frame.Failed: eiderwinch.Failed, frame.Skipped: eiderwinch.Full,
 }
 
 // Closed implements eventloop.Handler. Data still in the connection's buffer was not sent and is dropped.
@@ -288,9 +288,9 @@
 	flushed := c.written - uint64(c.conn.Buffered())
 	unanswered := c.inFlight
 	if !c.retired {
-		c.pool.node.stats.Left++
+		c.pool.node.stats.ClosedBySearcher++
 		if len(unanswered) > 0 {
-			c.pool.node.stats.LeftOut++
+			c.pool.node.stats.ClosedBySearcherInFlight++
 		}
 	}
 	c.inFlight = nil
@@ -298,9 +298,9 @@
 	for _, f := range unanswered {
 		delete(c.pool.connByAttempt, f.attempt)
 		if f.endByte <= flushed {
-			c.pool.node.core.Broken(now, f.attempt)
+			c.pool.node.core.ConnectionBroken(now, f.attempt)
 		} else {
-			c.pool.node.core.Unsent(now, f.attempt)
+			c.pool.node.core.NotSent(now, f.attempt)
 		}
 	}
 	c.pool.resumeQueued(now, c.searcher)
