--- a/cmd/eiderwinch/cluster_test.go
+++ b/cmd/eiderwinch/cluster_test.go
@@ -35,14 +35,14 @@
 	if dir == "" {
 		dir = t.TempDir()
 	}
-	r, err := testcluster.New(testcluster.Config{
+	cluster, err := testcluster.New(testcluster.Config{
 		Program: buildProgram(t), Dir: dir, Gatherers: *clusterGatherers, Seed: *clusterSeed, Keys: testpeer.KeyFile("k"), Lease: *clusterLease, ConvergeTimeout: 15 * time.Second,
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer func() {
-		if err := r.Close(); err != nil {
+		if err := cluster.Close(); err != nil {
 			t.Error(err)
 		}
 	}()
@@ -57,23 +57,23 @@
 			t.Fatal(err)
 		}
 	}
-	x, err := r.Play(plan)
+	report, err := cluster.Play(plan)
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Logf("seed %d, %d gatherers, %d faults", *clusterSeed, *clusterGatherers, x.Steps)
-	for _, s := range x.Convergence {
+	t.Logf("seed %d, %d gatherers, %d faults", *clusterSeed, *clusterGatherers, report.Steps)
+	for _, s := range report.Convergence {
 		slices.Sort(s.Times)
 		t.Logf("%-8s %-7s %3d times, settled after %5d ms (median), %5d ms (worst)", s.Kind, s.When, len(s.Times),
 			s.Times[len(s.Times)/2].Milliseconds(), s.Times[len(s.Times)-1].Milliseconds())
 	}
-	t.Logf("queries %+v", x.Queries)
-	t.Logf("%d changes of views, %d of them without a fault; at most %d slots of gone gatherers held", x.ViewChanges, x.QuietViewChanges, x.MaxHeldSlots)
-	t.Logf("cold searcher: %d parts, %d in its fullest window, where %.0f are allowed", x.ColdParts, x.MaxColdParts, x.AllowedColdParts)
-	for _, f := range x.Violations {
+	t.Logf("queries %+v", report.Queries)
+	t.Logf("%d changes of views, %d of them without a fault; at most %d slots of gone gatherers held", report.ViewChanges, report.QuietViewChanges, report.MaxHeldSlots)
+	t.Logf("cold searcher: %d parts, %d in its fullest window, where %.0f are allowed", report.ColdParts, report.MaxColdParts, report.AllowedColdParts)
+	for _, f := range report.Violations {
 		t.Error(f)
 	}
-	if q := x.Queries; q.Asked == 0 || q.Asked != q.Answered+q.Refused+q.Failed+q.Interrupted+q.Lost || q.AnsweredCold == 0 {
+	if q := report.Queries; q.Asked == 0 || q.Asked != q.Answered+q.Refused+q.Failed+q.Interrupted+q.Lost || q.AnsweredCold == 0 {
 		t.Errorf("%+v", q)
 	}
 	page := filepath.Join(dir, "fleet.html")
--- a/cmd/eiderwinch/config.go
+++ b/cmd/eiderwinch/config.go
@@ -117,12 +117,12 @@
 
 // Run applies the transaction.
 func (c configApply) Run(e environment) error {
-	a := manager.ApplyRequest{WithinMS: c.Within.Milliseconds()}
+	request := manager.ApplyRequest{WithinMS: c.Within.Milliseconds()}
 	if c.Confirm != "file" {
 		auto := c.Confirm == "auto"
-		a.Auto = &auto
+		request.Auto = &auto
 	}
-	if err := c.do(http.MethodPost, transactionPath(c.Transaction, "apply"), a, nil); err != nil {
+	if err := c.do(http.MethodPost, transactionPath(c.Transaction, "apply"), request, nil); err != nil {
 		return err
 	}
 	fmt.Fprintf(e.stdout, "transaction %d is being applied\n", c.Transaction)
--- a/cmd/eiderwinch/coordinate.go
+++ b/cmd/eiderwinch/coordinate.go
@@ -114,7 +114,7 @@
 	return printStatus(e.stdout, s)
 }
 
-// printStatus prints a coordinator's state for people.
+// printStatus prints a coordinator's state as text.
 func printStatus(w io.Writer, s admin.Status) error {
 	fmt.Fprintf(w, "epoch %d, %d segments, term %d, copies at up to %.0f rows a second", s.Epoch, s.Segments, s.Term, s.RowsPerSecond)
 	if s.P99WithoutCopiesMS > 0 {
@@ -191,11 +191,11 @@
 		return err
 	}
 	var errs []error
-	for i, t := range results {
-		if t.Error != "" {
-			errs = append(errs, fmt.Errorf("change %d was refused: %s", i+1, t.Error))
+	for i, result := range results {
+		if result.Error != "" {
+			errs = append(errs, fmt.Errorf("change %d was refused: %s", i+1, result.Error))
 		} else if !c.JSON {
-			fmt.Fprintf(e.stdout, "change %d: %s %v is job %d\n", i+1, s.Changes[i].Kind, s.Changes[i].Segments, t.Job)
+			fmt.Fprintf(e.stdout, "change %d: %s %v is job %d\n", i+1, s.Changes[i].Kind, s.Changes[i].Segments, result.Job)
 		}
 	}
 	if c.JSON {
@@ -217,9 +217,9 @@
 	ctx, end := context.WithTimeout(signalled, c.Wait)
 	defer end()
 	waiting := make(map[reshard.JobID]bool)
-	for _, t := range results {
-		if t.Error == "" {
-			waiting[t.Job] = true
+	for _, result := range results {
+		if result.Error == "" {
+			waiting[result.Job] = true
 		}
 	}
 	var errs []error
--- a/cmd/eiderwinch/coordinate_test.go
+++ b/cmd/eiderwinch/coordinate_test.go
@@ -27,14 +27,14 @@
 }
 
 func newReshardDeployment(t *testing.T) *reshardDeployment {
-	m := &reshardDeployment{dir: t.TempDir(), path: buildProgram(t)}
-	m.ops = filepath.Join(m.dir, "eiderwinch.xml")
+	d := &reshardDeployment{dir: t.TempDir(), path: buildProgram(t)}
+	d.ops = filepath.Join(d.dir, "eiderwinch.xml")
 	var err error
-	m.deployment, err = fake.NewDeployment(fake.DeploymentOptions{
+	d.deployment, err = fake.NewDeployment(fake.DeploymentOptions{
 		Searchers: 4, Zones: 2, Cells: 2, Seed: 1,
 		Handler: func(l *layout.Layout) fake.Handler {
-			m.catalogue = fake.NewShardedCatalogue(fake.ShardedCatalogueOptions{Keys: 20, Seed: 1}, l)
-			return m.catalogue
+			d.catalogue = fake.NewShardedCatalogue(fake.ShardedCatalogueOptions{Keys: 20, Seed: 1}, l)
+			return d.catalogue
 		},
 		Layout: func(ids, _ []string) *layout.Layout {
 			l, err := layout.First(layout.Segment{Holders: []string{ids[0], ids[2]}})
@@ -47,18 +47,18 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { _ = m.deployment.Close() })
+	t.Cleanup(func() { _ = d.deployment.Close() })
 	var peers strings.Builder
-	for _, s := range m.deployment.Searchers {
-		c := fake.NewAssignmentServer(s.ID(), m.catalogue, filepath.Join(m.dir, s.ID()))
-		if err := c.Open(); err != nil {
+	for _, s := range d.deployment.Searchers {
+		server := fake.NewAssignmentServer(s.ID(), d.catalogue, filepath.Join(d.dir, s.ID()))
+		if err := server.Open(); err != nil {
 			t.Fatal(err)
 		}
-		t.Cleanup(func() { _ = c.Close() })
-		fmt.Fprintf(&peers, `<searcher name=%q endpoint=%q/>`, s.ID(), c.Endpoint())
+		t.Cleanup(func() { _ = server.Close() })
+		fmt.Fprintf(&peers, `<searcher name=%q endpoint=%q/>`, s.ID(), server.Endpoint())
 	}
 	var text strings.Builder
-	if err := layoutfile.Write(&text, m.deployment.InitialLayout(), m.deployment.Fleet(2)); err != nil {
+	if err := layoutfile.Write(&text, d.deployment.InitialLayout(), d.deployment.Fleet(2)); err != nil {
 		t.Fatal(err)
 	}
 	for name, text := range map[string]string{
@@ -66,38 +66,38 @@
 		"eiderwinch.xml": fmt.Sprintf(`<eiderwinch xmlns="urn:eiderwinch:operators:1">
 			<admin endpoint="unix:%[1]s/g"/><layout file="layout.xml" follow="true"/>
 			<coordinator endpoint="unix:%[1]s/co" log="changes.db" layout="first.xml" poll="20ms">
-			<gatherer name="g" endpoint="unix:%[1]s/g"/>%[2]s</coordinator></eiderwinch>`, m.dir, peers.String()),
+			<gatherer name="g" endpoint="unix:%[1]s/g"/>%[2]s</coordinator></eiderwinch>`, d.dir, peers.String()),
 	} {
-		if err := os.WriteFile(filepath.Join(m.dir, name), []byte(text), 0o600); err != nil {
+		if err := os.WriteFile(filepath.Join(d.dir, name), []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
 	}
-	return m
+	return d
 }
 
 // startGatherer starts a gatherer, waits until it serves and returns its address.
-func (m *reshardDeployment) startGatherer(t *testing.T) (p *program, addr string) {
-	text, err := m.deployment.Config("g", "127.0.0.1:0")
+func (d *reshardDeployment) startGatherer(t *testing.T) (p *program, addr string) {
+	text, err := d.deployment.Config("g", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	p = launchWith(t, m.path, []string{"serve", "--file", m.ops}, string(text))
+	p = launchWith(t, d.path, []string{"serve", "--file", d.ops}, string(text))
 	_, addr, _ = strings.Cut(p.waitForLog(t, "msg=serving"), "addr=")
 	addr, _, _ = strings.Cut(addr, " ")
 	return p, addr
 }
 
 // startCoordinator starts a coordinator and waits until it runs.
-func (m *reshardDeployment) startCoordinator(t *testing.T) *program {
-	p := launchWith(t, m.path, []string{"coordinate", m.ops}, "{}")
+func (d *reshardDeployment) startCoordinator(t *testing.T) *program {
+	p := launchWith(t, d.path, []string{"coordinate", d.ops}, "{}")
 	p.waitForLog(t, "msg=coordinating")
 	return p
 }
 
 // waitForStatus waits until the status of the coordinator satisfies is.
-func (m *reshardDeployment) waitForStatus(t *testing.T, what string, is func(admin.Status) bool) admin.Status {
+func (d *reshardDeployment) waitForStatus(t *testing.T, what string, is func(admin.Status) bool) admin.Status {
 	t.Helper()
-	return waitForJSON(t, what, is, "layout", "status", "--json", "--file", m.ops)
+	return waitForJSON(t, what, is, "layout", "status", "--json", "--file", d.ops)
 }
 
 // waitForJSON repeats a command until the JSON that it prints satisfies is, for at most 30 s.
@@ -154,38 +154,38 @@
 // Built programs move a segment between searchers. Gatherer and coordinator are killed during the move: the
 // change continues after the restart, and no process goes back to an older epoch.
 func TestSegmentMoveSurvivesKills(t *testing.T) {
-	m := newReshardDeployment(t)
-	g, addr := m.startGatherer(t)
-	co := m.startCoordinator(t)
-	m.waitForStatus(t, "a gatherer that answers", func(s admin.Status) bool { return s.Epoch == 1 && s.Gatherers[0].Up })
+	d := newReshardDeployment(t)
+	g, addr := d.startGatherer(t)
+	co := d.startCoordinator(t)
+	d.waitForStatus(t, "a gatherer that answers", func(s admin.Status) bool { return s.Epoch == 1 && s.Gatherers[0].Up })
 	if e := queryEpoch(t, addr, "t1"); e != "1" {
 		t.Errorf("epoch %s, want 1", e)
 	}
 
-	changes := filepath.Join(m.dir, "changes.json")
+	changes := filepath.Join(d.dir, "changes.json")
 	put := func(text string) {
 		if err := os.WriteFile(changes, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
 	}
 	put(`{"epoch":9,"changes":[{"change":"move","segments":[0],"holders":[["s-01","s-03"]]}]}`)
-	if code, _, errs := runCommand(t, nil, "layout", "apply", "--file", m.ops, changes); code != exitFailure || !strings.Contains(errs, "the changes are for epoch 9, in force is 1") {
+	if code, _, errs := runCommand(t, nil, "layout", "apply", "--file", d.ops, changes); code != exitFailure || !strings.Contains(errs, "the changes are for epoch 9, in force is 1") {
 		t.Errorf("for another epoch: code %d, %s", code, errs)
 	}
 	put(`{"changes":[{"change":"move","segments":[0],"holders":[["s-01"]]}]}`)
-	if code, _, errs := runCommand(t, nil, "layout", "apply", "--file", m.ops, changes); code != exitFailure || !strings.Contains(errs, "too few holders") {
+	if code, _, errs := runCommand(t, nil, "layout", "apply", "--file", d.ops, changes); code != exitFailure || !strings.Contains(errs, "too few holders") {
 		t.Errorf("to one holder: code %d, %s", code, errs)
 	}
 	put(`{"epoch":1,"changes":[{"change":"move","segments":[0],"holders":[["s-01","s-03"]]}]}`)
-	if code, out, errs := runCommand(t, nil, "layout", "apply", "--at", "unix:"+m.dir+"/co", changes); code != exitOK || !strings.Contains(out, "is job 1") {
+	if code, out, errs := runCommand(t, nil, "layout", "apply", "--at", "unix:"+d.dir+"/co", changes); code != exitOK || !strings.Contains(out, "is job 1") {
 		t.Fatalf("code %d, %s%s", code, out, errs)
 	}
 	co.kill(t)
-	if code, _, _ := runCommand(t, nil, "layout", "status", "--file", m.ops); code != exitFailure {
+	if code, _, _ := runCommand(t, nil, "layout", "status", "--file", d.ops); code != exitFailure {
 		t.Errorf("status without a coordinator: code %d", code)
 	}
-	co = m.startCoordinator(t)
-	s := m.waitForStatus(t, "the cut-over", func(s admin.Status) bool {
+	co = d.startCoordinator(t)
+	s := d.waitForStatus(t, "the cut-over", func(s admin.Status) bool {
 		return len(s.Jobs) == 1 && s.Jobs[0].Phase == reshard.Cutting.String() && s.Gatherers[0].Epoch == s.Epoch
 	})
 	if s.Term != 2 || s.Epoch < 3 {
@@ -194,32 +194,32 @@
 	if e := queryEpoch(t, addr, "t2"); e != fmt.Sprint(s.Epoch) {
 		t.Errorf("epoch %s, want %d", e, s.Epoch)
 	}
-	if code, _, errs := runCommand(t, nil, "layout", "abort", "--file", m.ops, "1"); code != exitFailure || !strings.Contains(errs, "can only go forward") {
+	if code, _, errs := runCommand(t, nil, "layout", "abort", "--file", d.ops, "1"); code != exitFailure || !strings.Contains(errs, "can only go forward") {
 		t.Errorf("an abort after the cut-over: code %d, %s", code, errs)
 	}
-	if code, out, _ := runCommand(t, nil, "layout", "status", "--file", m.ops); code != exitOK || !strings.Contains(out, "cutting") {
+	if code, out, _ := runCommand(t, nil, "layout", "status", "--file", d.ops); code != exitOK || !strings.Contains(out, "cutting") {
 		t.Errorf("status: code %d, %s", code, out)
 	}
 
 	// A gatherer that is killed never goes back to an older epoch.
 	co.kill(t)
 	g.kill(t)
-	g, addr = m.startGatherer(t)
+	g, addr = d.startGatherer(t)
 	if e := queryEpoch(t, addr, "t3"); e != fmt.Sprint(s.Epoch) {
 		t.Errorf("epoch %s after a restart, want %d", e, s.Epoch)
 	}
 	// A coordinator whose log is lost starts from the first layout. The searchers must not obey it.
-	if err := os.Remove(filepath.Join(m.dir, "changes.db")); err != nil {
+	if err := os.Remove(filepath.Join(d.dir, "changes.db")); err != nil {
 		t.Fatal(err)
 	}
-	lost := m.startCoordinator(t)
+	lost := d.startCoordinator(t)
 	lost.waitForLog(t, "searchers obey a coordinator of a later term")
 	for range lost.lines {
 	}
 	if _ = lost.Wait(); lost.ProcessState.ExitCode() != exitFailure {
 		t.Errorf("the coordinator without its log ended with %v", lost.ProcessState)
 	}
-	if held := m.catalogue.Held("s-01"); len(held) != 1 {
+	if held := d.catalogue.Held("s-01"); len(held) != 1 {
 		t.Errorf("it made a new holder drop its segment: %v", held)
 	}
 	_ = g.Process.Signal(syscall.SIGTERM)
--- a/cmd/eiderwinch/demo.go
+++ b/cmd/eiderwinch/demo.go
@@ -43,7 +43,7 @@
 // startTimeout bounds the time that the gatherer takes to start serving.
 const startTimeout = 5 * time.Second
 
-// Run runs the demo until all queries are answered or a signal comes, then drains the gatherer.
+// Run runs the demo until all queries are answered or a signal arrives, then drains the gatherer.
 func (d demoCommand) Run(e environment) (err error) {
 	ctx, stop := e.untilSignal()
 	defer stop()
@@ -88,7 +88,7 @@
 	out     io.Writer
 	queries []*demoQuery
 
-	mu   sync.Mutex // of out and done
+	mu   sync.Mutex // guards out and done
 	done []*demoQuery
 }
 
@@ -103,13 +103,14 @@
 }
 
 func newDemoClient(d demoCommand, addr string, segments int, out io.Writer) *demoClient {
-	a := &demoClient{demoCommand: d, addr: addr, out: out, client: &http.Client{
+	c := &demoClient{demoCommand: d, addr: addr, out: out, client: &http.Client{
 		Transport: &http.Transport{MaxIdleConnsPerHost: d.Clients, MaxConnsPerHost: d.Clients},
 	}}
 	rng := rand.New(rand.NewPCG(d.Seed, 2))
 	classes, mix := d.classes()
 	for i := range d.Queries {
-		// Each class comes once first, so that a short demo shows all; then they come in the weighted mix of branches.
+		// The first queries take each class once, so that a short demo shows all of them. The others follow the weighted
+		// mix that branches send.
 		class := classes[i%len(classes)]
 		if i >= len(classes) {
 			class = mix[rng.IntN(len(mix))]
@@ -134,25 +135,25 @@
 		default:
 			q.statement, q.key = "reserve one", fmt.Sprintf("key-%d-%d", d.Seed, i)
 		}
-		a.queries = append(a.queries, q)
+		c.queries = append(c.queries, q)
 	}
-	return a
+	return c
 }
 
-// run sends all queries, a.Clients at a time, until ctx ends.
-func (a *demoClient) run(ctx context.Context) {
+// run sends all queries, c.Clients at a time, until ctx ends.
+func (c *demoClient) run(ctx context.Context) {
 	next := make(chan *demoQuery)
 	var all sync.WaitGroup
-	for range a.Clients {
+	for range c.Clients {
 		all.Add(1)
 		go func() {
 			defer all.Done()
 			for q := range next {
-				a.ask(ctx, q)
+				c.ask(ctx, q)
 			}
 		}()
 	}
-	for _, q := range a.queries {
+	for _, q := range c.queries {
 		select {
 		case next <- q:
 			continue
@@ -162,18 +163,18 @@
 	}
 	close(next)
 	all.Wait()
-	a.client.CloseIdleConnections()
+	c.client.CloseIdleConnections()
 }
 
 // ask sends one query, records it and prints its result.
-func (a *demoClient) ask(ctx context.Context, q *demoQuery) {
-	q.err = a.post(ctx, q)
-	a.mu.Lock()
-	defer a.mu.Unlock()
+func (c *demoClient) ask(ctx context.Context, q *demoQuery) {
+	q.err = c.post(ctx, q)
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	if ctx.Err() != nil {
 		return // the signal may have cancelled the query, so its result means nothing
 	}
-	a.done = append(a.done, q)
+	c.done = append(c.done, q)
 	what := "not served"
 	switch {
 	case q.err != nil:
@@ -183,13 +184,13 @@
 	case q.status == http.StatusOK:
 		what = "partial"
 	}
-	fmt.Fprintf(a.out, "%-8s %d %-6s %6.1f ms  segments %s: %s\n", q.class, q.status, what,
+	fmt.Fprintf(c.out, "%-8s %d %-6s %6.1f ms  segments %s: %s\n", q.class, q.status, what,
 		float64(q.took.Microseconds())/1000, strings.Trim(fmt.Sprint(q.segments), "[]"), strings.Join(q.values, "; "))
 }
 
 // post sends one query and reads its answer.
-func (a *demoClient) post(ctx context.Context, q *demoQuery) error {
-	got, err := ask.Do(ctx, a.client, a.addr, ask.Query{
+func (c *demoClient) post(ctx context.Context, q *demoQuery) error {
+	got, err := ask.Do(ctx, c.client, c.addr, ask.Query{
 		Class: q.class, Trace: q.trace, Key: q.key, Expires: 4 * time.Second, Segments: q.segments, Statement: q.statement,
 		User: q.about, Tenant: q.tenant,
 	})
@@ -207,16 +208,16 @@
 const maxLatencyMS = 20_000
 
 // report prints the summary, and returns an error if a query was not answered whole.
-func (a *demoClient) report(ctx context.Context, deployment *fake.Deployment) error {
-	fmt.Fprintln(a.out)
-	table := tabwriter.NewWriter(a.out, 0, 0, 2, ' ', 0)
+func (c *demoClient) report(ctx context.Context, deployment *fake.Deployment) error {
+	fmt.Fprintln(c.out)
+	table := tabwriter.NewWriter(c.out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(table, "class\tasked\twhole\tp50 ms\tp99 ms")
 	whole := 0
-	classes, _ := a.classes()
+	classes, _ := c.classes()
 	for _, class := range classes {
 		times := hdrhistogram.New(1, maxLatencyMS*1000, 3) // microseconds, to three digits
 		count, full := 0, 0
-		for _, q := range a.done {
+		for _, q := range c.done {
 			if q.class != class {
 				continue
 			}
@@ -238,15 +239,15 @@
 		calls, parts = calls+n.Calls, parts+n.Parts
 	}
 	doubled := deployment.Catalogue.DuplicateReservations()
-	fmt.Fprintf(a.out, "\n%d of %d answered whole; %d parts in %d calls; %d reservations made twice.\n",
-		whole, len(a.queries), parts, calls, len(doubled))
+	fmt.Fprintf(c.out, "\n%d of %d answered whole; %d parts in %d calls; %d reservations made twice.\n",
+		whole, len(c.queries), parts, calls, len(doubled))
 	switch {
 	case len(doubled) > 0:
 		return fmt.Errorf("reserved more than once: %s", strings.Join(doubled, ", "))
 	case ctx.Err() != nil:
-		fmt.Fprintf(a.out, "Ended early, after %d.\n", len(a.done))
-	case whole < len(a.queries):
-		return fmt.Errorf("%d of %d were not answered whole", len(a.queries)-whole, len(a.queries))
+		fmt.Fprintf(c.out, "Ended early, after %d.\n", len(c.done))
+	case whole < len(c.queries):
+		return fmt.Errorf("%d of %d were not answered whole", len(c.queries)-whole, len(c.queries))
 	}
 	return nil
 }
--- a/cmd/eiderwinch/faults_test.go
+++ b/cmd/eiderwinch/faults_test.go
@@ -42,7 +42,7 @@
 func faultCases() map[string][]faults.Fault {
 	const startDelay = 300 * time.Millisecond
 	once := func(call string, errno syscall.Errno) faults.Fault {
-		return faults.Fault{Call: call, Errno: errno, After: startDelay, Most: 1}
+		return faults.Fault{Call: call, Errno: errno, After: startDelay, MaxFailures: 1}
 	}
 	share := func(call string, errno syscall.Errno, to faults.Target, rate float64) faults.Fault {
 		return faults.Fault{Call: call, Errno: errno, Target: to, After: startDelay, Rate: rate}
@@ -197,50 +197,50 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &logHarness{Cmd: exec.Command(buildProgram(t), append([]string{"serve"}, args...)...), log: reader, deployment: deployment}
-	r.Env = append(os.Environ(), "LB_CONFIG="+file, "LB_LISTEN=", "LB_DISCOVERY=", "LB_NAME=")
-	r.Stderr = writer
-	if err := r.Start(); err != nil {
+	h := &logHarness{Cmd: exec.Command(buildProgram(t), append([]string{"serve"}, args...)...), log: reader, deployment: deployment}
+	h.Env = append(os.Environ(), "LB_CONFIG="+file, "LB_LISTEN=", "LB_DISCOVERY=", "LB_NAME=")
+	h.Stderr = writer
+	if err := h.Start(); err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { _ = r.Process.Kill() })
+	t.Cleanup(func() { _ = h.Process.Kill() })
 	_ = writer.Close()
 	buffered := bufio.NewReader(reader)
-	for r.addr == "" {
+	for h.addr == "" {
 		line, err := buffered.ReadString('\n')
 		if err != nil {
 			t.Fatalf("%q, %v", line, err)
 		}
 		if _, after, ok := strings.Cut(line, "addr="); ok {
-			r.addr, _, _ = strings.Cut(after, " ")
+			h.addr, _, _ = strings.Cut(after, " ")
 		}
 	}
-	return r
+	return h
 }
 
 // The reader of the log closes the pipe, so that writes to it raise SIGPIPE or fail. The gatherer keeps running
 // and drains cleanly.
 func TestClosedLogReaderDoesNotEndProgram(t *testing.T) {
-	r := newLogHarness(t)
-	_ = r.log.Close()
+	h := newLogHarness(t)
+	_ = h.log.Close()
 	for range 5 {
-		_ = r.Process.Signal(syscall.SIGUSR1)
+		_ = h.Process.Signal(syscall.SIGUSR1)
 		time.Sleep(20 * time.Millisecond)
 	}
-	_ = r.Process.Signal(syscall.SIGTERM)
-	if err := r.Wait(); err != nil {
+	_ = h.Process.Signal(syscall.SIGTERM)
+	if err := h.Wait(); err != nil {
 		t.Errorf("the program ended with %v", err)
 	}
 }
 
 // The reader of the log keeps the pipe open but stops reading, so that the pipe fills. No query is delayed.
 func TestStalledLogReaderDelaysNoQuery(t *testing.T) {
-	r := newLogHarness(t, "--log", "debug")
-	defer r.log.Close()
-	c := dialGatherer(r.addr)
+	h := newLogHarness(t, "--log", "debug")
+	defer h.log.Close()
+	c := dialGatherer(h.addr)
 	defer c.close()
 	for i := range 500 { // about 200 KB of log; a pipe holds 64 KiB
-		if got := c.ask(fmt.Sprintf("t-%d", i), i%(r.deployment.Segments()-1)); got != "200" {
+		if got := c.ask(fmt.Sprintf("t-%d", i), i%(h.deployment.Segments()-1)); got != "200" {
 			t.Fatalf("query %d: %s", i, got)
 		}
 	}
@@ -250,9 +250,9 @@
 // kill after its confirmation.
 func TestConfigChangeSurvivesDiskFailures(t *testing.T) {
 	for name, list := range map[string][]faults.Fault{
-		"syncs":      {{Call: "fdatasync", Errno: syscall.EIO, Most: 5}},
-		"full":       {{Call: "pwrite64", Errno: syscall.ENOSPC, Target: faults.File, Path: ".db", Most: 5}},
-		"growing":    {{Call: "ftruncate", Errno: syscall.ENOSPC, Most: 3}, {Call: "fsync", Errno: syscall.EIO, Most: 3}},
+		"syncs":      {{Call: "fdatasync", Errno: syscall.EIO, MaxFailures: 5}},
+		"full":       {{Call: "pwrite64", Errno: syscall.ENOSPC, Target: faults.File, Path: ".db", MaxFailures: 5}},
+		"growing":    {{Call: "ftruncate", Errno: syscall.ENOSPC, MaxFailures: 3}, {Call: "fsync", Errno: syscall.EIO, MaxFailures: 3}},
 		"in between": {{Call: "fdatasync", Errno: syscall.EIO, Rate: 0.5}, {Call: "pwrite64", Errno: syscall.EIO, Rate: 0.2, Path: ".db", Target: faults.File}},
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/cmd/eiderwinch/faultsoak_test.go
+++ b/cmd/eiderwinch/faultsoak_test.go
@@ -15,8 +15,8 @@
 	"eiderwinch/internal/trial/faults"
 )
 
-// Sizes and times of a soak. The kill comes as early as the platform allows: the longest deadline, but 3 s at the
-// most, which applies here, and 0.7 s more.
+// Sizes and times of a soak. The process is killed as early as the platform may do it: after the longest deadline,
+// capped at 3 s, plus 0.7 s. The longest deadline is above the cap here, so the kill comes after 3.7 s.
 const (
 	soakServeTime     = 1500 * time.Millisecond
 	soakKillTimeout   = 3700 * time.Millisecond
--- a/cmd/eiderwinch/fleet.go
+++ b/cmd/eiderwinch/fleet.go
@@ -30,7 +30,7 @@
 	if cfg.Name == "" {
 		return nil, errors.New("fleet: the gatherer has no name, want LB_NAME")
 	}
-	keys, err := readForm(resolveBeside(file, f.Keys), signature.Read)
+	keys, err := readForm(resolveRelative(file, f.Keys), signature.Read)
 	if err != nil {
 		return nil, fmt.Errorf("fleet: %w", err)
 	}
@@ -71,7 +71,7 @@
 	return n, err
 }
 
-// shareForwarder tells a gatherer its share of the fleet's limits until the gatherer leaves the fleet.
+// shareForwarder notifies a gatherer of its share of the fleet's limits until the gatherer leaves the fleet.
 type shareForwarder struct {
 	fleet *transport.Node
 	node  *netio.Node
@@ -203,7 +203,7 @@
 // Run prints each change of the view; a failure to answer counts as a change.
 func (c fleetWatch) Run(e environment) error {
 	if c.Every < 10*time.Millisecond {
-		return &exitError{exitConfig, fmt.Errorf("--every: found %v, want 10ms at least", c.Every)}
+		return &exitError{exitConfig, fmt.Errorf("--every: found %v, want at least 10ms", c.Every)}
 	}
 	ctx, stop := e.untilSignal()
 	defer stop()
--- a/cmd/eiderwinch/fleet_test.go
+++ b/cmd/eiderwinch/fleet_test.go
@@ -91,8 +91,8 @@
 }
 
 // waitConverged waits until all members count the wanted number of members with the same digest, logs how long
-// that took, and fails the test if it took longer than most.
-func (f *testFleet) waitConverged(what string, most time.Duration, want int, members ...*member) {
+// that took, and fails the test if it took longer than limit.
+func (f *testFleet) waitConverged(what string, limit time.Duration, want int, members ...*member) {
 	f.t.Helper()
 	began := time.Now()
 	testpeer.WaitUntil(f.t, what, func() bool {
@@ -108,8 +108,8 @@
 	})
 	took := time.Since(began)
 	f.t.Logf("%s: converged after %v", what, took.Round(time.Millisecond))
-	if took > most {
-		f.t.Errorf("%s: converged after %v, want at most %v", what, took, most)
+	if took > limit {
+		f.t.Errorf("%s: converged after %v, want at most %v", what, took, limit)
 	}
 }
 
@@ -126,20 +126,20 @@
 	_ = all[3].Process.Kill()
 	f.waitConverged("one is killed", 10*time.Second, 3, all[:3]...)
 	all[3] = f.start("g3", all[3].listen)
-	f.waitConverged("it comes again", 10*time.Second, 4, all...)
+	f.waitConverged("it is restarted", 10*time.Second, 4, all...)
 
 	_ = all[2].Process.Signal(syscall.SIGSTOP)
 	f.waitConverged("one is stopped", 10*time.Second, 3, all[0], all[1], all[3])
 	_ = all[2].Process.Signal(syscall.SIGCONT)
-	f.waitConverged("it wakes", 10*time.Second, 4, all...)
+	f.waitConverged("it continues", 10*time.Second, 4, all...)
 
 	_ = all[1].Process.Signal(syscall.SIGTERM)
 	all[1].waitForLog(t, "msg=counters")
 	f.waitConverged("one ends", 10*time.Second, 3, all[0], all[2], all[3])
 
 	newer := f.start("g3", freeAddr(t)) // a second process with the same name
-	waitForJSON(t, "the older steps down", func(s admin.FleetState) bool { return s.Replaced }, "fleet", "status", "--json", "--file", all[3].ops)
-	f.waitConverged("the newer counts", 10*time.Second, 3, all[0], all[2], newer)
+	waitForJSON(t, "the older process steps down", func(s admin.FleetState) bool { return s.Replaced }, "fleet", "status", "--json", "--file", all[3].ops)
+	f.waitConverged("the newer process counts", 10*time.Second, 3, all[0], all[2], newer)
 	code, out, _ := runCommand(t, nil, "fleet", "members", "--file", all[0].ops)
 	if code != exitOK || !strings.Contains(out, newer.listen) || !strings.Contains(out, "left") {
 		t.Errorf("code %d\n%s", code, out)
--- a/cmd/eiderwinch/layout.go
+++ b/cmd/eiderwinch/layout.go
@@ -36,7 +36,7 @@
 }
 
 // print prints v as indented JSON.
-func (a outputFormat) print(w io.Writer, v any) error {
+func (f outputFormat) print(w io.Writer, v any) error {
 	e := json.NewEncoder(w)
 	e.SetIndent("", "  ")
 	return e.Encode(v)
--- a/cmd/eiderwinch/leaving_test.go
+++ b/cmd/eiderwinch/leaving_test.go
@@ -72,9 +72,9 @@
 }
 
 // Several gatherers follow one discovery, whose watches fail in different ways. No gatherer may send anything to a
-// leaving searcher later than 500 ms after the update about it counts. The update counts from the moment at which
-// discovery has it, at which discovery answers again after a silence, or at which a new process starts; and 6 s after
-// an open watch has fallen silent.
+// leaving searcher later than 500 ms after the update about it takes effect. It takes effect when discovery
+// has it, when discovery responds again after a silence, or when a new process starts; and 6 s after an open watch has
+// fallen silent.
 func TestNoSendsToLeavingSearcherUnderDiscoveryFaults(t *testing.T) {
 	const gatherers, clients, grace = 3, 3, 500 * time.Millisecond
 	path := buildProgram(t)
@@ -119,7 +119,7 @@
 	defer func() { end() }()
 	for i, c := range []struct {
 		name  string
-		fault func(leave func()) (counts time.Time)
+		fault func(leave func()) (effective time.Time)
 	}{
 		{"nothing", func(leave func()) time.Time { leave(); return time.Now() }},
 		{"a reset", func(leave func()) time.Time { d.ResetConns(); leave(); return time.Now() }},
@@ -134,29 +134,29 @@
 		{"lists over several lines", func(leave func()) time.Time { d.Indent(); leave(); return time.Now() }},
 		{"watches that fall silent", func(leave func()) time.Time {
 			d.MuteOpenWatches()
-			counts := time.Now().Add(6 * time.Second)
+			effective := time.Now().Add(6 * time.Second)
 			leave()
-			return counts
+			return effective
 		}},
 		{"a start from an old list", func(leave func()) time.Time {
 			old := d.List()
 			end()
 			leave()
-			counts := time.Now()
+			effective := time.Now()
 			begin(old)
-			return counts
+			return effective
 		}},
 	} {
 		leaves := newRecordingSearcher(t, fmt.Sprint("leaves", i), 0)
 		d.Publish(leaves.member(fake.Ready))
 		testpeer.WaitUntil(t, c.name+": parts before the update", func() bool { n, _ := leaves.seen(); return n > 20 })
-		counts := c.fault(func() { d.Publish(leaves.member(fake.Terminating)) })
-		time.Sleep(time.Until(counts.Add(grace)))
+		effective := c.fault(func() { d.Publish(leaves.member(fake.Terminating)) })
+		time.Sleep(time.Until(effective.Add(grace)))
 		n, _ := leaves.seen()
 		other, _ := stays.seen()
 		testpeer.WaitUntil(t, c.name+": service after the update", func() bool { m, _ := stays.seen(); return m > other+20 })
 		if m, last := leaves.seen(); m > n {
-			t.Errorf("%s: %d parts later than %v after the update counts, the last after %v", c.name, m-n, grace, last.Sub(counts))
+			t.Errorf("%s: %d parts later than %v after the update took effect, the last after %v", c.name, m-n, grace, last.Sub(effective))
 		}
 	}
 }
@@ -211,7 +211,7 @@
 		t.Errorf("have %s", resp.Status)
 	}
 	if rss := residentKB(t, p.Process.Pid); rss > 64<<10 {
-		t.Errorf("%d KB resident, want 64 MB at most", rss)
+		t.Errorf("%d KB resident, want at most 64 MB", rss)
 	} else {
 		t.Logf("%d KB resident", rss)
 	}
--- a/cmd/eiderwinch/main.go
+++ b/cmd/eiderwinch/main.go
@@ -70,7 +70,7 @@
 }
 
 func main() {
-	// The channels are set up first: until SIGHUP is caught it would end the process.
+	// The channels are set up first, because a SIGHUP that is not caught ends the process.
 	e := environment{
 		getenv: os.Getenv, stdout: os.Stdout, stderr: os.Stderr, stdin: os.Stdin,
 		signals: signalChannel(syscall.SIGTERM, syscall.SIGINT), reloads: signalChannel(syscall.SIGHUP), reports: signalChannel(syscall.SIGUSR1),
@@ -78,9 +78,9 @@
 	os.Exit(run(os.Args[1:], e))
 }
 
-// signalChannel returns a channel for signals that have the same effect. It holds one signal: one that
-// waits there stands for all that follow it. Signals with other effects have channels of their own, so that
-// they can't fill this one, however many come.
+// signalChannel returns a channel for signals that have the same effect. It buffers one signal,
+// because a waiting signal covers all that follow it. Signals with other effects have separate channels, so that
+// they can't fill this one, however many arrive.
 func signalChannel(kind ...os.Signal) <-chan os.Signal {
 	c := make(chan os.Signal, 1)
 	signal.Notify(c, kind...)
--- a/cmd/eiderwinch/operatorsfile.go
+++ b/cmd/eiderwinch/operatorsfile.go
@@ -44,14 +44,14 @@
 	}
 	for _, name := range names {
 		if *name != "" {
-			*name = resolveBeside(path, *name)
+			*name = resolveRelative(path, *name)
 		}
 	}
 	return f, nil
 }
 
-// resolveBeside returns name if it is absolute, else name in the folder of path.
-func resolveBeside(path, name string) string {
+// resolveRelative returns name if it is absolute, else name in the folder of path.
+func resolveRelative(path, name string) string {
 	if filepath.IsAbs(name) {
 		return name
 	}
--- a/cmd/eiderwinch/serve.go
+++ b/cmd/eiderwinch/serve.go
@@ -115,10 +115,10 @@
 	options.NoShareUntil = share.Until
 	node := daemon.New(b.candidate.Config, options, counters, log)
 	ctx, stop := context.WithCancel(context.Background())
-	k := b.startManager(ctx, f, node, level, log)
+	configManager := b.startManager(ctx, f, node, level, log)
 	defer func() {
 		stop()
-		err = errors.Join(err, k.Wait())
+		err = errors.Join(err, configManager.Wait())
 		if b.history != nil {
 			err = errors.Join(err, b.history.Close())
 		}
@@ -131,7 +131,7 @@
 		go forwarder.run()
 	}
 	if ops.Admin != "" {
-		g := &admin.Gatherer{Name: cfg.Name, Node: node, RegisterConfigHandlers: k.RegisterHandlers, Fleet: fleet, Leave: forwarder.leave}
+		g := &admin.Gatherer{Name: cfg.Name, Node: node, RegisterConfigHandlers: configManager.RegisterHandlers, Fleet: fleet, Leave: forwarder.leave}
 		if ops.Follow {
 			g.LayoutPath = ops.Layout
 		}
@@ -148,7 +148,7 @@
 	}
 	return runNode(e, node, counters, log, func() {
 		go func() {
-			if err := durable.RetryTransient(reloadTimeout, func() error { return k.Reload(ctx) }); err != nil {
+			if err := durable.RetryTransient(reloadTimeout, func() error { return configManager.Reload(ctx) }); err != nil {
 				log.Error("configuration not reloaded, the old one stays", "err", err)
 				node.ReloadFailed()
 			}
--- a/cmd/eiderwinch/startup.go
+++ b/cmd/eiderwinch/startup.go
@@ -104,7 +104,7 @@
 	// The operators' file may name another layout than at the start.
 	path := f.layout
 	if ops, err := settings.Read(f.operators, bytes.NewReader(b.Operators)); err == nil && ops.Layout != "" {
-		path = resolveBeside(f.operators, ops.Layout)
+		path = resolveRelative(f.operators, ops.Layout)
 	}
 	if path != "" {
 		b.Layout, err = durable.ReadFile(path)
@@ -158,7 +158,7 @@
 	}
 	var h *history.History
 	err = durable.RetryTransient(durable.StartTimeout, func() error {
-		h, err = history.Open(resolveBeside(f.operators, path))
+		h, err = history.Open(resolveRelative(f.operators, path))
 		return err
 	})
 	if err != nil {
@@ -238,7 +238,7 @@
 		o.History = b.history
 	}
 	if path := b.candidate.File.Signing; path != "" {
-		o.Verify = signatureVerifier(resolveBeside(f.operators, path))
+		o.Verify = signatureVerifier(resolveRelative(f.operators, path))
 	}
 	return manager.Start(ctx, o)
 }
--- a/internal/trial/emulator/client.go
+++ b/internal/trial/emulator/client.go
@@ -9,7 +9,7 @@
 	"eiderwinch/internal/gatherer"
 )
 
-// client asks one query, and asks it again when it is refused.
+// client sends one query, and sends it again when it is refused.
 type client struct {
 	sim            *simulation
 	class          int
@@ -82,15 +82,15 @@
 			c.finish(failed)
 			return
 		}
-		a := gatherer.QueryRequest{Trace: c.trace, Class: spec.Name, Key: c.idempotencyKey, Timeout: left, Repeat: c.tries > 1, Text: "q", About: c.subject}
+		request := gatherer.QueryRequest{Trace: c.trace, Class: spec.Name, Key: c.idempotencyKey, Timeout: left, Repeat: c.tries > 1, Text: "q", About: c.subject}
 		if c.tenant >= 0 {
-			a.Tenant = tenantName(c.tenant)
+			request.Tenant = tenantName(c.tenant)
 		}
 		for i := range spec.Parts {
-			a.Parts = append(a.Parts, gatherer.PartRequest{Shard: (c.firstSegment + i) % (sim.Cells * sim.SegmentsPerCell), Weight: 1 / float64(spec.Parts)})
+			request.Parts = append(request.Parts, gatherer.PartRequest{Shard: (c.firstSegment + i) % (sim.Cells * sim.SegmentsPerCell), Weight: 1 / float64(spec.Parts)})
 		}
 		sim.result.addOpen(c)
-		id, err := n.core.Take(sim.now, a, c)
+		id, err := n.core.Take(sim.now, request, c)
 		if err != nil {
 			sim.result.addBreach("query %s was not accepted: %v", c.trace, err)
 			c.finish(failed)
@@ -146,8 +146,8 @@
 	return true
 }
 
-// gathererDied fails the query when its gatherer has died. The client does not ask again: a keyed
-// query may have been executed, and nobody can tell the client whether it was.
+// gathererDied fails the query when its gatherer has died. The client does not send it again: a keyed
+// query may have been executed, and the client can't find out whether it was.
 func (c *client) gathererDied() {
 	c.ended = true
 	c.sim.result.removeOpen(c)
--- a/internal/trial/emulator/experiment.go
+++ b/internal/trial/emulator/experiment.go
@@ -12,14 +12,14 @@
 
 // Form returns the form of scenario files. deploy/scenario.xsd is generated from it.
 func Form() *xmlform.Form {
-	span := func(name, def string, least, most float64, doc string) xmlform.Attribute {
-		return xmlform.Attribute{Name: name, Kind: xmlform.Duration, Default: def, Min: least, Max: most, Doc: doc}
+	span := func(name, def string, minValue, maxValue float64, doc string) xmlform.Attribute {
+		return xmlform.Attribute{Name: name, Kind: xmlform.Duration, Default: def, Min: minValue, Max: maxValue, Doc: doc}
 	}
-	count := func(name, def string, most float64, doc string) xmlform.Attribute {
-		return xmlform.Attribute{Name: name, Kind: xmlform.Count, Default: def, Min: 1, Max: most, Doc: doc}
+	count := func(name, def string, maxValue float64, doc string) xmlform.Attribute {
+		return xmlform.Attribute{Name: name, Kind: xmlform.Count, Default: def, Min: 1, Max: maxValue, Doc: doc}
 	}
-	factor := func(name, def string, least, most float64, doc string) xmlform.Attribute {
-		return xmlform.Attribute{Name: name, Kind: xmlform.Factor, Default: def, Min: least, Max: most, Doc: doc}
+	factor := func(name, def string, minValue, maxValue float64, doc string) xmlform.Attribute {
+		return xmlform.Attribute{Name: name, Kind: xmlform.Factor, Default: def, Min: minValue, Max: maxValue, Doc: doc}
 	}
 	choice := func(name, doc string, values ...string) xmlform.Attribute { // the first is the default
 		return xmlform.Attribute{Name: name, Kind: xmlform.Choice, Default: values[0], Values: values, Doc: doc}
--- a/internal/trial/emulator/node.go
+++ b/internal/trial/emulator/node.go
@@ -139,9 +139,9 @@
 				})
 			})
 		}
-		for _, a := range n.holder.NextDials(sim.now, alive) {
-			connect(a.Slot, func(*node) share.Reply { return share.Reply{} },
-				func(r share.Reply) { n.holder.DialEnded(sim.now, a, r.Kind == share.Refused) })
+		for _, dial := range n.holder.NextDials(sim.now, alive) {
+			connect(dial.Slot, func(*node) share.Reply { return share.Reply{} },
+				func(r share.Reply) { n.holder.DialEnded(sim.now, dial, r.Kind == share.Refused) })
 		}
 		if slot, ok := n.holder.NextQuestion(sim.now); ok {
 			connect(slot, func(other *node) share.Reply { return other.holder.Answer(sim.now, n.number) },
--- a/internal/trial/emulator/scenario.go
+++ b/internal/trial/emulator/scenario.go
@@ -21,14 +21,14 @@
 // default, which the field's comment gives last.
 type Scenario struct {
 	Name                string
-	Duration            time.Duration // how long clients ask queries; 60 s
+	Duration            time.Duration // how long clients send queries; 60 s
 	Gatherers           int           // 3
 	Searchers           int           // 12
 	Zones               int           // data centres; 3
 	Cells               int           // replica groups, the searchers of each hold the same segments; Searchers/3
 	SegmentsPerCell     int           // segments that begin at each cell; 3
 	Reach               int           // consecutive cells that hold a segment: 1 for sets, more for a ring; 1
-	Batch               int           // most parts in one call; 4
+	Batch               int           // maximum number of parts in one call; 4
 	Classes             []Class       // StockClasses()
 	Slots               int           // parts that a searcher serves at once; 4
 	Queue               int           // parts that wait at a searcher before it refuses more; 64
@@ -36,7 +36,7 @@
 	CallCost            time.Duration // time that a call takes in addition to its parts; 2 ms
 	QueueSlowdown       float64       // share by which a part takes longer when the queue is full; 0.5
 	NearDelay, FarDelay time.Duration // one-way network delays within a zone and between zones; 300 us, 1.5 ms
-	DiscoveryLag        time.Duration // mean delay of membership updates, which is 6 s at most; 200 ms
+	DiscoveryLag        time.Duration // mean delay of membership updates, each of which takes at most 6 s; 200 ms
 	ConnectTimeout      time.Duration // time limit for opening a connection; 250 ms
 	ColdFor             time.Duration // time from its start until a searcher is warm; 18 s
 	ColdShare           float64       // share of its full speed that a searcher has at its start; 0.18
@@ -44,7 +44,7 @@
 	ColdOverloads       time.Duration // a cold searcher that is overloaded for this long crashes; 3 s
 	Tries               int           // tries of a client, the first included; 2
 	MaxOpen             int           // queries and parts that are open at a gatherer; 1,000
-	Attempts            int           // most attempts of a part; 4
+	Attempts            int           // maximum number of attempts of a part; 4
 	SecondCopies        bool          // a part may have two attempts in flight
 	IgnoresCancel       bool          // searchers serve queued parts even if they are cancelled
 	ReportInterval      time.Duration // mean interval at which searchers record the queue length that their answers carry; 0: answers carry none
@@ -195,14 +195,14 @@
 		}
 	}
 	for i, f := range s.Faults {
-		most := s.Searchers
+		available := s.Searchers
 		if f.Kind == Restart || f.Kind == Kill {
-			most = s.Gatherers
+			available = s.Gatherers
 		}
 		switch f.Kind {
 		case Crash, Pause, Drain, Restart, Slow, Kill:
-			if f.First < 0 || f.Count < 1 || f.First+f.Count > most {
-				reject("fault %d, %s: found %d from %d on, want some of %d", i+1, f.Kind, f.Count, f.First, most)
+			if f.First < 0 || f.Count < 1 || f.First+f.Count > available {
+				reject("fault %d, %s: found %d from %d on, want some of %d", i+1, f.Kind, f.Count, f.First, available)
 			}
 		case Partition:
 			if f.Zone < 0 || f.Zone >= s.Zones {
--- a/internal/trial/emulator/simulation.go
+++ b/internal/trial/emulator/simulation.go
@@ -242,7 +242,7 @@
 // maxDiscoveryLag bounds how late an update of the member list reaches a gatherer.
 const maxDiscoveryLag = 6 * time.Second
 
-// announce sends an update about a searcher to all gatherers. Each receives it after a delay of its own.
+// announce sends an update about a searcher to all gatherers. Each receives it after a delay that is drawn separately.
 func (sim *simulation) announce(s *searcher, state eiderwinch.State) {
 	s.revision++
 	revision := s.revision
--- a/internal/trial/experiment/fleet_report.go
+++ b/internal/trial/experiment/fleet_report.go
@@ -23,28 +23,28 @@
 {{end}}</table>
 ` + foot
 
-// settleTimes holds how long a fleet took to settle after the faults of one kind, in milliseconds.
-type settleTimes struct {
+// convergenceTimes holds how long a fleet took to converge after the faults of one kind, in milliseconds.
+type convergenceTimes struct {
 	Kind testcluster.Kind
 	When string
 	MS   []int64
 }
 
 // Median returns the median of the sorted times.
-func (s settleTimes) Median() int64 { return s.MS[len(s.MS)/2] }
+func (s convergenceTimes) Median() int64 { return s.MS[len(s.MS)/2] }
 
 // Worst returns the longest of the sorted times.
-func (s settleTimes) Worst() int64 { return s.MS[len(s.MS)-1] }
+func (s convergenceTimes) Worst() int64 { return s.MS[len(s.MS)-1] }
 
 // FleetReport writes a report on the history of a test fleet as one page of HTML that refers to no other file: how
-// long the fleet took to settle after faults, and over time how many gatherers each gatherer counted as members, how
+// long the fleet took to converge after faults, and over time how many gatherers each gatherer counted as members, how
 // many slots it held and how much it sent.
 func FleetReport(w io.Writer, title string, list []testcluster.Entry) error {
 	data := struct {
 		Title             string
 		Processes, Faults int
 		Audit             []string
-		Settled           []settleTimes
+		Settled           []convergenceTimes
 		Plots             []figure
 	}{Title: title}
 	indexByName := make(map[string]int) // of gatherers, in the order of their names
@@ -55,10 +55,10 @@
 		case e.Who == "audit":
 			data.Audit = append(data.Audit, e.What)
 		case e.Kind != "":
-			i := slices.IndexFunc(data.Settled, func(s settleTimes) bool { return s.Kind == e.Kind && s.When == e.When })
+			i := slices.IndexFunc(data.Settled, func(s convergenceTimes) bool { return s.Kind == e.Kind && s.When == e.When })
 			if i < 0 {
 				i = len(data.Settled)
-				data.Settled = append(data.Settled, settleTimes{Kind: e.Kind, When: e.When})
+				data.Settled = append(data.Settled, convergenceTimes{Kind: e.Kind, When: e.When})
 			}
 			data.Settled[i].MS = append(data.Settled[i].MS, e.TookMS)
 		case e.What == "starts":
--- a/internal/trial/experiment/report.go
+++ b/internal/trial/experiment/report.go
@@ -48,9 +48,9 @@
 	SVG     template.HTML
 }
 
-// Report writes a report on runs as one page of HTML that refers to no other file. of
-// is the swept attribute; empty if there is no sweep.
-func Report(w io.Writer, title, of string, runs []Run) error {
+// Report writes a report on runs as one page of HTML that refers to no other file.
+// attribute is the swept attribute; empty if there is no sweep.
+func Report(w io.Writer, title, attribute string, runs []Run) error {
 	data := struct {
 		Title, Of     string
 		Swept         bool
@@ -59,7 +59,7 @@
 		Breaches      int
 		Groups        []Group
 		Plots         []figure
-	}{Title: title, Of: of, Swept: of != "", Runs: len(runs), Groups: Groups(runs)}
+	}{Title: title, Of: attribute, Swept: attribute != "", Runs: len(runs), Groups: Groups(runs)}
 	for _, r := range runs {
 		data.Events, data.Turns, data.Breaches = data.Events+r.Events, data.Turns+r.Turns, data.Breaches+r.Breaches
 	}
@@ -75,16 +75,16 @@
 		return nil
 	}
 	for _, s := range distinct(runs, func(r Run) string { return r.Scenario }) {
-		if of != "" {
-			p, err := plotSweep(s, of, data.Groups)
-			if err := add(fmt.Sprintf("%s: share answered in time over %s, by class, with 95%% confidence", s, of), p, err); err != nil {
+		if attribute != "" {
+			p, err := plotSweep(s, attribute, data.Groups)
+			if err := add(fmt.Sprintf("%s: share answered in time over %s, by class, with 95%% confidence", s, attribute), p, err); err != nil {
 				return err
 			}
 		}
 		for _, v := range distinct(runs, func(r Run) float64 { return r.Value }) {
 			at := s
-			if of != "" {
-				at = fmt.Sprintf("%s, %s %g", s, of, v)
+			if attribute != "" {
+				at = fmt.Sprintf("%s, %s %g", s, attribute, v)
 			}
 			var selected []Run
 			for _, r := range runs {
@@ -163,9 +163,9 @@
 
 // plotSweep plots the share of queries that were answered in time over the swept values, one line for each class
 // with its confidence band.
-func plotSweep(scenario, of string, groups []Group) (*plot.Plot, error) {
+func plotSweep(scenario, attribute string, groups []Group) (*plot.Plot, error) {
 	p := plot.New()
-	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = scenario, of, "in time"
+	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = scenario, attribute, "in time"
 	byClass := make(map[string][]Group)
 	var classes []string
 	for _, g := range groups {
--- a/internal/trial/fake/assignment_server.go
+++ b/internal/trial/fake/assignment_server.go
@@ -83,30 +83,30 @@
 	return &AssignmentServer{searcher: searcher, store: store, path: path, copied: make(map[fillID]bool)}
 }
 
-// Endpoint returns the address that c listens on.
-func (c *AssignmentServer) Endpoint() string { return "unix:" + c.path }
+// Endpoint returns the address that a listens on.
+func (a *AssignmentServer) Endpoint() string { return "unix:" + a.path }
 
 // Open starts listening for orders and copying rows.
-func (c *AssignmentServer) Open() error {
-	if err := os.Remove(c.path); err != nil && !errors.Is(err, os.ErrNotExist) {
+func (a *AssignmentServer) Open() error {
+	if err := os.Remove(a.path); err != nil && !errors.Is(err, os.ErrNotExist) {
 		return err
 	}
-	l, err := net.Listen("unix", c.path)
+	l, err := net.Listen("unix", a.path)
 	if err != nil {
 		return err
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	mux := http.NewServeMux()
-	mux.HandleFunc("PUT /v1/custody", c.serve)
+	mux.HandleFunc("PUT /v1/custody", a.serve)
 	srv := &http.Server{Handler: mux, ReadHeaderTimeout: time.Second}
 	done := make(chan struct{})
-	c.mu.Lock()
-	c.srv, c.stop, c.done = srv, stop, done
-	c.mu.Unlock()
+	a.mu.Lock()
+	a.srv, a.stop, a.done = srv, stop, done
+	a.mu.Unlock()
 	go func() {
 		defer close(done)
 		copies := make(chan struct{})
-		go func() { defer close(copies); c.copyLoop(ctx) }()
+		go func() { defer close(copies); a.copyLoop(ctx) }()
 		_ = srv.Serve(l) // returns after Close
 		<-copies
 	}()
@@ -114,11 +114,11 @@
 }
 
 // Close stops listening and copying, as if the process had crashed.
-func (c *AssignmentServer) Close() error {
-	c.mu.Lock()
-	srv, stop, done := c.srv, c.stop, c.done
-	c.srv = nil
-	c.mu.Unlock()
+func (a *AssignmentServer) Close() error {
+	a.mu.Lock()
+	srv, stop, done := a.srv, a.stop, a.done
+	a.srv = nil
+	a.mu.Unlock()
 	if srv == nil {
 		return nil
 	}
@@ -130,53 +130,53 @@
 
 // StaleOrders returns the number of orders that were ignored because they were not newer than
 // the last one, or belonged to another log.
-func (c *AssignmentServer) StaleOrders() int {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return c.staleOrders
+func (a *AssignmentServer) StaleOrders() int {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	return a.staleOrders
 }
 
-func (c *AssignmentServer) serve(w http.ResponseWriter, r *http.Request) {
+func (a *AssignmentServer) serve(w http.ResponseWriter, r *http.Request) {
 	var o order
 	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, 16<<20)).Decode(&o); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	_ = json.NewEncoder(w).Encode(c.apply(o)) // an error means that the client has disconnected
+	_ = json.NewEncoder(w).Encode(a.apply(o)) // an error means that the client has disconnected
 }
 
 // apply carries out an order, unless it is not newer than the last one or belongs to
 // another log.
-func (c *AssignmentServer) apply(o order) report {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	sameLog := c.lastOrder.Log == "" || o.Log == c.lastOrder.Log
-	if sameLog && (o.Term > c.lastOrder.Term || o.Term == c.lastOrder.Term && o.Number > c.lastOrder.Number) {
+func (a *AssignmentServer) apply(o order) report {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	sameLog := a.lastOrder.Log == "" || o.Log == a.lastOrder.Log
+	if sameLog && (o.Term > a.lastOrder.Term || o.Term == a.lastOrder.Term && o.Number > a.lastOrder.Number) {
 		for _, id := range o.Drops {
-			c.store.Drop(c.searcher, id)
+			a.store.Drop(a.searcher, id)
 		}
 		wanted := make(map[fillID]bool)
 		for _, f := range o.Fills {
-			wanted[fillID{f.Job, f.Segment}] = c.copied[fillID{f.Job, f.Segment}]
+			wanted[fillID{f.Job, f.Segment}] = a.copied[fillID{f.Job, f.Segment}]
 		}
-		for f := range c.copied {
+		for f := range a.copied {
 			if _, ok := wanted[f]; !ok {
-				c.store.StopFollowing(c.searcher, f.Segment, f.Job)
+				a.store.StopFollowing(a.searcher, f.Segment, f.Job)
 			}
 		}
-		c.copied, c.lastOrder = wanted, o
+		a.copied, a.lastOrder = wanted, o
 	} else {
-		c.staleOrders++
+		a.staleOrders++
 	}
-	r := report{Log: c.lastOrder.Log, Term: c.lastOrder.Term, Number: c.lastOrder.Number, Held: c.store.Held(c.searcher)}
-	for _, f := range c.lastOrder.Fills {
-		r.Fills = append(r.Fills, fillProgress{Job: f.Job, Segment: f.Segment, Copied: c.copied[fillID{f.Job, f.Segment}]})
+	r := report{Log: a.lastOrder.Log, Term: a.lastOrder.Term, Number: a.lastOrder.Number, Held: a.store.Held(a.searcher)}
+	for _, f := range a.lastOrder.Fills {
+		r.Fills = append(r.Fills, fillProgress{Job: f.Job, Segment: f.Segment, Copied: a.copied[fillID{f.Job, f.Segment}]})
 	}
 	return r
 }
 
 // copyLoop copies rows for the fills of the last order until ctx ends.
-func (c *AssignmentServer) copyLoop(ctx context.Context) {
+func (a *AssignmentServer) copyLoop(ctx context.Context) {
 	t := time.NewTicker(copyInterval)
 	defer t.Stop()
 	for {
@@ -185,16 +185,16 @@
 			return
 		case <-t.C:
 		}
-		c.mu.Lock()
-		for _, f := range c.lastOrder.Fills {
+		a.mu.Lock()
+		for _, f := range a.lastOrder.Fills {
 			id := fillID{f.Job, f.Segment}
-			if c.copied[id] {
+			if a.copied[id] {
 				continue
 			}
-			maxRows := max(int(c.lastOrder.Rows*copyInterval.Seconds()), 1)
-			done, _ := c.store.Fill(c.searcher, f.Segment, f.Job, Range{From: f.From, To: f.To}, f.Sources, f.Holders, maxRows)
-			c.copied[id] = done
+			maxRows := max(int(a.lastOrder.Rows*copyInterval.Seconds()), 1)
+			done, _ := a.store.Fill(a.searcher, f.Segment, f.Job, Range{From: f.From, To: f.To}, f.Sources, f.Holders, maxRows)
+			a.copied[id] = done
 		}
-		c.mu.Unlock()
+		a.mu.Unlock()
 	}
 }
--- a/internal/trial/fake/deployment.go
+++ b/internal/trial/fake/deployment.go
@@ -18,8 +18,8 @@
 	Service         time.Duration // median time to serve a part; 0 means 6 ms
 	Seed            uint64
 
-	// Ring places the segments in a ring: each searcher is the first holder of two, and
-	// the next searcher holds them as well. Cells and SegmentsPerCell are ignored.
+	// Ring places the segments in a ring: each searcher is the first holder of two segments,
+	// which the next searcher holds as well. Cells and SegmentsPerCell are ignored.
 	Ring bool
 	// Partial configures classes for lookups in batches and for wide reports, which may be
 	// answered from half of their segments. The queries belong to tenants and may have
--- a/internal/trial/fake/sharded_catalogue.go
+++ b/internal/trial/fake/sharded_catalogue.go
@@ -39,7 +39,7 @@
 	Stock   int           // of each row; 0 means 1,000,000
 	Service time.Duration // median time to serve a part; 0 means 6 ms
 	Seed    uint64
-	MaxRuns int // most reservations that are recorded; 0 means 1,000,000
+	MaxRuns int // maximum number of recorded reservations; 0 means 1,000,000
 }
 
 // heldKey identifies a searcher's replica of a segment.
@@ -76,43 +76,43 @@
 	if o.Service == 0 {
 		o.Service = defaultService
 	}
-	w := &ShardedCatalogue{opts: o, rng: rand.New(rand.NewPCG(o.Seed, 3)), held: make(map[heldKey]*heldSegment)}
+	c := &ShardedCatalogue{opts: o, rng: rand.New(rand.NewPCG(o.Seed, 3)), held: make(map[heldKey]*heldSegment)}
 	for i := range o.Keys {
-		w.keys = append(w.keys, ItemKey(i))
+		c.keys = append(c.keys, ItemKey(i))
 	}
 	for s := range l.Serving() {
 		for _, h := range s.Holders {
 			held := &heldSegment{keys: s.Keys, rows: make(map[layout.Key]int), reservations: make(map[string]string), complete: true}
-			for _, k := range w.keys {
+			for _, k := range c.keys {
 				if s.Keys.Contains(k) {
 					held.rows[k] = o.Stock
 				}
 			}
-			w.held[heldKey{h, s.ID}] = held
+			c.held[heldKey{h, s.ID}] = held
 		}
 	}
-	return w
+	return c
 }
 
 // ItemKey returns the key of row i.
 func ItemKey(i int) layout.Key { return layout.Key(fmt.Sprintf("k%05d", i)) }
 
 // Keys returns the keys of all rows, in order.
-func (w *ShardedCatalogue) Keys() []layout.Key { return w.keys }
+func (c *ShardedCatalogue) Keys() []layout.Key { return c.keys }
 
 // Handle implements Handler. "scan FROM TO" lists the keys from FROM to TO that lie in
 // the segment, "reserve KEY" takes one off the stock of a row.
-func (w *ShardedCatalogue) Handle(searcher string, p Part) (Answer, time.Duration) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	held := w.held[heldKey{searcher, layout.SegmentID(p.Shard)}]
+func (c *ShardedCatalogue) Handle(searcher string, p Part) (Answer, time.Duration) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	held := c.held[heldKey{searcher, layout.SegmentID(p.Shard)}]
 	if held == nil || !held.complete {
 		return Answer{End: Skipped}, 0
 	}
 	if p.IsSecondStep() && !slices.Contains(p.Answered, p.Shard) {
 		return Answer{End: Broke}, 0
 	}
-	duration := time.Duration(float64(w.opts.Service) * math.Exp(defaultSpread*w.rng.NormFloat64()))
+	duration := time.Duration(float64(c.opts.Service) * math.Exp(defaultSpread*c.rng.NormFloat64()))
 	f := strings.Fields(p.Text)
 	switch {
 	case len(f) == 3 && f[0] == "scan":
@@ -126,7 +126,7 @@
 		slices.Sort(found)
 		return Answer{End: Served, Score: int64(len(found)), Value: strings.Join(found, " ")}, duration
 	case len(f) == 2 && f[0] == "reserve":
-		value, ok := w.reserve(searcher, held, p, layout.Key(f[1]))
+		value, ok := c.reserve(searcher, held, p, layout.Key(f[1]))
 		if !ok {
 			return Answer{End: Broke}, 0
 		}
@@ -138,7 +138,7 @@
 // reserve takes one off the stock of a row. An idempotency key that the replica knows gets
 // the earlier answer. A replica whose range does not contain the row's key does nothing and
 // answers with an empty value.
-func (w *ShardedCatalogue) reserve(searcher string, held *heldSegment, p Part, k layout.Key) (value string, ok bool) {
+func (c *ShardedCatalogue) reserve(searcher string, held *heldSegment, p Part, k layout.Key) (value string, ok bool) {
 	if !held.keys.Contains(k) {
 		return "", true // the query names a segment that was split: the other successor has the row
 	}
@@ -147,17 +147,17 @@
 		return "", false
 	}
 	value, known := held.reservations[p.Key]
-	if len(w.runs) < w.opts.MaxRuns {
-		w.runs = append(w.runs, Run{Part: p.ID, Shard: p.Shard, Searcher: searcher, Key: p.Key, Repeat: known, At: time.Now()})
+	if len(c.runs) < c.opts.MaxRuns {
+		c.runs = append(c.runs, Run{Part: p.ID, Shard: p.Shard, Searcher: searcher, Key: p.Key, Repeat: known, At: time.Now()})
 	} else {
-		w.droppedRuns++
+		c.droppedRuns++
 	}
 	if known {
 		return value, true
 	}
 	value = strconv.Itoa(left - 1)
 	segment := layout.SegmentID(p.Shard)
-	for key, other := range w.held {
+	for key, other := range c.held {
 		if key.segment != segment && !slices.Contains(other.followed, segment) && !slices.Contains(held.followed, key.segment) {
 			continue
 		}
@@ -170,56 +170,56 @@
 }
 
 // DuplicateReservations returns the idempotency keys for which more than one reservation was made.
-func (w *ShardedCatalogue) DuplicateReservations() (doubled []string) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+func (c *ShardedCatalogue) DuplicateReservations() (duplicates []string) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	made := make(map[string]int)
-	for _, r := range w.runs {
+	for _, r := range c.runs {
 		if !r.Repeat {
 			if made[r.Key]++; made[r.Key] == 2 {
-				doubled = append(doubled, r.Key)
+				duplicates = append(duplicates, r.Key)
 			}
 		}
 	}
-	return doubled
+	return duplicates
 }
 
 // ReservationCounts returns the number of reservations requested, and how many of those recorded were
 // repeats.
-func (w *ShardedCatalogue) ReservationCounts() (runs, repeats int) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	for _, r := range w.runs {
+func (c *ShardedCatalogue) ReservationCounts() (runs, repeats int) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	for _, r := range c.runs {
 		if r.Repeat {
 			repeats++
 		}
 	}
-	return len(w.runs) + w.droppedRuns, repeats
+	return len(c.runs) + c.droppedRuns, repeats
 }
 
 // Fill copies up to maxRows further rows into a searcher's replica of a segment, from any
 // complete replica of a source segment at the searchers in from. A replica that belongs to
 // another job is replaced by an empty one first. Fill reports in done whether all rows have
 // been copied; ok is false if no source has the next row.
-func (w *ShardedCatalogue) Fill(searcher string, segment layout.SegmentID, job uint64, keys Range, sources []layout.SegmentID, from []string, maxRows int) (done, ok bool) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	held := w.held[heldKey{searcher, segment}]
+func (c *ShardedCatalogue) Fill(searcher string, segment layout.SegmentID, job uint64, keys Range, sources []layout.SegmentID, from []string, maxRows int) (done, ok bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	held := c.held[heldKey{searcher, segment}]
 	if held == nil || held.job != job {
 		held = &heldSegment{job: job, keys: keys, rows: make(map[layout.Key]int), reservations: make(map[string]string), followed: sources}
-		w.held[heldKey{searcher, segment}] = held
+		c.held[heldKey{searcher, segment}] = held
 	}
 	if held.complete {
 		return true, true
 	}
-	for _, k := range w.keys {
-		if _, there := held.rows[k]; there || !keys.Contains(k) {
+	for _, k := range c.keys {
+		if _, copied := held.rows[k]; copied || !keys.Contains(k) {
 			continue
 		}
 		if maxRows--; maxRows < 0 {
 			return false, true
 		}
-		source := w.source(k, sources, from)
+		source := c.source(k, sources, from)
 		if source == nil {
 			return false, false
 		}
@@ -228,7 +228,7 @@
 	// The reservations are copied last and all at once: from here on the replica receives new ones.
 	for _, s := range sources {
 		for _, h := range from {
-			if source := w.held[heldKey{h, s}]; source != nil && source.complete && source != held {
+			if source := c.held[heldKey{h, s}]; source != nil && source.complete && source != held {
 				for id, value := range source.reservations {
 					held.reservations[id] = value
 				}
@@ -240,10 +240,10 @@
 }
 
 // source returns a complete replica that has a row, or nil.
-func (w *ShardedCatalogue) source(k layout.Key, sources []layout.SegmentID, from []string) *heldSegment {
+func (c *ShardedCatalogue) source(k layout.Key, sources []layout.SegmentID, from []string) *heldSegment {
 	for _, s := range sources {
 		for _, h := range from {
-			if source := w.held[heldKey{h, s}]; source != nil && source.complete {
+			if source := c.held[heldKey{h, s}]; source != nil && source.complete {
 				if _, holds := source.rows[k]; holds {
 					return source
 				}
@@ -254,27 +254,27 @@
 }
 
 // Drop removes a searcher's replica of a segment.
-func (w *ShardedCatalogue) Drop(searcher string, segment layout.SegmentID) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	delete(w.held, heldKey{searcher, segment})
+func (c *ShardedCatalogue) Drop(searcher string, segment layout.SegmentID) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	delete(c.held, heldKey{searcher, segment})
 }
 
 // StopFollowing ends the exchange of reservations between a replica that was filled for a
 // job and the segments that it was filled from.
-func (w *ShardedCatalogue) StopFollowing(searcher string, segment layout.SegmentID, job uint64) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if held := w.held[heldKey{searcher, segment}]; held != nil && held.job == job {
+func (c *ShardedCatalogue) StopFollowing(searcher string, segment layout.SegmentID, job uint64) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if held := c.held[heldKey{searcher, segment}]; held != nil && held.job == job {
 		held.followed = nil
 	}
 }
 
 // Held returns the segments of which a searcher has a replica, complete or not.
-func (w *ShardedCatalogue) Held(searcher string) (out []layout.SegmentID) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	for key := range w.held {
+func (c *ShardedCatalogue) Held(searcher string) (out []layout.SegmentID) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	for key := range c.held {
 		if key.searcher == searcher {
 			out = append(out, key.segment)
 		}
@@ -284,19 +284,19 @@
 }
 
 // Wipe removes all replicas of a searcher, as if it had lost its disk.
-func (w *ShardedCatalogue) Wipe(searcher string) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	for key := range w.held {
+func (c *ShardedCatalogue) Wipe(searcher string) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	for key := range c.held {
 		if key.searcher == searcher {
-			delete(w.held, key)
+			delete(c.held, key)
 		}
 	}
 }
 
 // HeldCount returns the number of replicas of all segments.
-func (w *ShardedCatalogue) HeldCount() int {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return len(w.held)
+func (c *ShardedCatalogue) HeldCount() int {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return len(c.held)
 }
--- a/internal/trial/fake/shared_catalogue.go
+++ b/internal/trial/fake/shared_catalogue.go
@@ -43,7 +43,7 @@
 	Spread   float64       // standard deviation of the service time's logarithm; 0 means 0.3
 	Window   time.Duration // a reservation repeated within it is not made again; 0 means 2.5 s
 	Seed     uint64
-	MaxRuns  int // most runs that are recorded; 0 means 100,000
+	MaxRuns  int // maximum number of recorded runs; 0 means 100,000
 }
 
 // Run is the record of a part that a searcher has run.
@@ -177,15 +177,15 @@
 func (s *SharedCatalogue) DuplicateReservations() []string {
 	runs, _ := s.Runs()
 	made := make(map[string]int)
-	var doubled []string
+	var duplicates []string
 	for _, r := range runs {
 		if r.Key == "" || r.Repeat {
 			continue
 		}
 		id := strconv.Itoa(r.Shard) + "/" + r.Key
 		if made[id]++; made[id] == 2 {
-			doubled = append(doubled, id)
+			duplicates = append(duplicates, id)
 		}
 	}
-	return doubled
+	return duplicates
 }
--- a/internal/trial/faults/plan.go
+++ b/internal/trial/faults/plan.go
@@ -23,14 +23,14 @@
 
 // Fault describes which system calls fail, and how.
 type Fault struct {
-	Call   string        // name of the system call, a key of syscallNumbers
-	Errno  syscall.Errno // 0: the call is made, but transfers one byte at most
-	Target Target
-	Path   string        // for File: a suffix of the path
-	Rate   float64       // share of the calls that fail; 0: all
-	After  time.Duration // begin of the fault, since the start of the process
-	For    time.Duration // length of the fault; 0: until the process ends
-	Most   int           // bound of the calls that fail; 0: unlimited
+	Call        string        // name of the system call, a key of syscallNumbers
+	Errno       syscall.Errno // 0: the call is made, but transfers at most one byte
+	Target      Target
+	Path        string        // for File: a suffix of the path
+	Rate        float64       // share of the calls that fail; 0: all
+	After       time.Duration // start of the fault, counted from the start of the process
+	For         time.Duration // length of the fault; 0: until the process ends
+	MaxFailures int           // maximum number of calls that fail; 0: unlimited
 }
 
 // Plan lists the faults of one process. The seed decides which calls fail if a fault has a rate. For each call the first
--- a/internal/trial/faults/trace_linux_amd64.go
+++ b/internal/trial/faults/trace_linux_amd64.go
@@ -225,7 +225,7 @@
 		switch {
 		case syscallNumbers[f.Call] != regs.Orig_rax,
 			elapsed < f.After, f.For > 0 && elapsed > f.After+f.For,
-			f.Most > 0 && t.faultCounts[i] >= f.Most,
+			f.MaxFailures > 0 && t.faultCounts[i] >= f.MaxFailures,
 			f.Rate > 0 && t.rng.Float64() >= f.Rate,
 			!t.matchesTarget(f, regs):
 			continue
--- a/internal/trial/load/load.go
+++ b/internal/trial/load/load.go
@@ -43,7 +43,7 @@
 	Duration time.Duration
 	Segments int
 	Classes  []Class
-	Open     int // most open queries; further ones are not sent but counted in Report.Unasked; 0 means 2,000
+	Open     int // maximum number of open queries; further ones are not sent but counted in Report.Unasked; 0 means 2,000
 	Timeout  time.Duration
 	Seed     uint64
 }
@@ -55,14 +55,14 @@
 	Class                                  string
 	Asked, Whole, Partial, Refused, Failed int
 	Unasked                                int           // not sent because Options.Open queries were open
-	Behind                                 time.Duration // longest delay of a query's sending after its planned time
+	Behind                                 time.Duration // maximum delay of a send after its planned time
 
 	latencies *hdrhistogram.Histogram // in microseconds
 	mu        sync.Mutex
 }
 
 // Quantile returns the latency that a share q of the answered queries, whole or partial, did
-// not exceed, counted from their planned send times.
+// not exceed, measured from their planned send times.
 func (r *Report) Quantile(q float64) time.Duration {
 	return time.Duration(r.latencies.ValueAtQuantile(100*q)) * time.Microsecond
 }
--- a/internal/trial/soak/config.go
+++ b/internal/trial/soak/config.go
@@ -305,8 +305,8 @@
 	return s, r.call(ctx, http.MethodGet, "", nil, &s)
 }
 
-// proposal returns the next change. Each fourth is bad. The bad ones are, in turn: a segment whose only holder never
-// answers, searches within 10 ms, one open search at most, and three admitted queries at most.
+// proposal returns the next change. Each fourth is bad. The bad ones are, in rotation: a segment whose only holder never
+// answers, searches within 10 ms, at most one open search, and at most three admitted queries.
 func (r *configRun) proposal() (p manager.StageRequest, bad bool) {
 	i := r.changes
 	inner := ""
--- a/internal/trial/soak/soak.go
+++ b/internal/trial/soak/soak.go
@@ -285,9 +285,9 @@
 	r.known.Store(first)
 	r.audit = &audit{epochs: map[layout.Epoch]*layout.Layout{1: first}, keys: r.store.Keys(), report: r.report, start: time.Now()}
 	for _, id := range r.searcherIDs {
-		c := fake.NewAssignmentServer(id, r.store, filepath.Join(r.Dir, id+".sock"))
-		r.assignmentServers[id] = c
-		if err := c.Open(); err != nil {
+		server := fake.NewAssignmentServer(id, r.store, filepath.Join(r.Dir, id+".sock"))
+		r.assignmentServers[id] = server
+		if err := server.Open(); err != nil {
 			return err
 		}
 	}
@@ -611,9 +611,9 @@
 // close stops the whole deployment.
 func (r *run) close() error {
 	errs := []error{r.stopCoordinator()}
-	for _, c := range r.assignmentServers {
-		errs = append(errs, c.Close())
-		r.report.LateOrders += c.StaleOrders()
+	for _, server := range r.assignmentServers {
+		errs = append(errs, server.Close())
+		r.report.LateOrders += server.StaleOrders()
 	}
 	if r.client != nil {
 		r.client.CloseIdleConnections()
--- a/internal/trial/testcluster/history.go
+++ b/internal/trial/testcluster/history.go
@@ -74,7 +74,7 @@
 	slotUses     map[int][]slotUse // by slot
 	violations   []string
 	viewChanges  int // observed changes of a gatherer's view
-	maxHeldSlots int // most slots that other gatherers than their owners used at once, as polls report it
+	maxHeldSlots int // maximum number of slots that gatherers other than their owners used at once, as polls report it
 
 	Queries
 }
@@ -84,7 +84,7 @@
 	Asked, Answered, Refused, Failed int
 	Interrupted                      int // no answer, and their gatherer was killed or stopped meanwhile
 	Lost                             int // no answer although their gatherer ran all the time
-	AnsweredCold                     int // of Answered: those that need the cold searcher
+	AnsweredCold                     int // those of Answered that need the cold searcher
 }
 
 // maxViolations bounds the violations that are kept.
--- a/internal/trial/testcluster/history_test.go
+++ b/internal/trial/testcluster/history_test.go
@@ -13,13 +13,13 @@
 func TestHistoryRoundTrip(t *testing.T) {
 	var b bytes.Buffer
 	h := newHistory(&b)
-	h.recordText("rig", "%s of %d", Halves, 2)
-	h.recordEntryLocked(Entry{Who: "rig", What: "settled", Kind: Halves, When: "over", TookMS: 12})
+	h.recordText("rig", "%s of %d", PartitionHalves, 2)
+	h.recordEntryLocked(Entry{Who: "rig", What: "settled", Kind: PartitionHalves, When: "over", TookMS: 12})
 	list, err := ReadHistory(bytes.NewReader(b.Bytes()))
 	for i := range list {
 		list[i].MS = 0
 	}
-	if want := []Entry{{Who: "rig", What: "halves of 2"}, {Who: "rig", What: "settled", Kind: Halves, When: "over", TookMS: 12}}; err != nil || !reflect.DeepEqual(list, want) {
+	if want := []Entry{{Who: "rig", What: "halves of 2"}, {Who: "rig", What: "settled", Kind: PartitionHalves, When: "over", TookMS: 12}}; err != nil || !reflect.DeepEqual(list, want) {
 		t.Errorf("got %+v, %v", list, err)
 	}
 	if _, err := ReadHistory(strings.NewReader("{}\nno\n")); err == nil || !strings.Contains(err.Error(), "line 2") {
--- a/internal/trial/testcluster/network.go
+++ b/internal/trial/testcluster/network.go
@@ -67,61 +67,61 @@
 	replies []*net.UDPConn // by sender: receives what the gatherer answers to it
 }
 
-// newNetwork starts the relays of n gatherers, none of which runs yet. The seed decides which datagrams links drop,
-// duplicate and delay.
-func newNetwork(n int, seed uint64) (*network, error) {
-	if n < 1 || n > maxGatherers {
-		return nil, fmt.Errorf("rig: %d gatherers, want 1 to %d", n, maxGatherers)
+// newNetwork starts the relays of a number of gatherers, none of which runs yet. The seed decides which messages
+// links drop, duplicate and delay.
+func newNetwork(gatherers int, seed uint64) (*network, error) {
+	if gatherers < 1 || gatherers > maxGatherers {
+		return nil, fmt.Errorf("test cluster: %d gatherers, want 1 to %d", gatherers, maxGatherers)
 	}
-	w := &network{size: n, rng: rand.New(rand.NewPCG(seed, 0x6e6574)), down: make([]bool, n)}
+	n := &network{size: gatherers, rng: rand.New(rand.NewPCG(seed, 0x6e6574)), down: make([]bool, gatherers)}
 	var err error
-	for w.octet = firstOctet; w.octet <= lastOctet; w.octet++ { // other test clusters may run at the same time
-		if w.octetLock, err = net.Listen("tcp", fmt.Sprintf("127.%d.255.1:%d", w.octet, port)); err == nil {
+	for n.octet = firstOctet; n.octet <= lastOctet; n.octet++ { // other test clusters may run at the same time
+		if n.octetLock, err = net.Listen("tcp", fmt.Sprintf("127.%d.255.1:%d", n.octet, port)); err == nil {
 			break
 		}
 	}
 	if err != nil {
-		return nil, fmt.Errorf("rig: no loopback addresses left: %w", err)
+		return nil, fmt.Errorf("test cluster: no loopback addresses left: %w", err)
 	}
-	for range n {
-		w.links, w.traffic, w.slotListeners = append(w.links, make([]Link, n)), append(w.traffic, make([]traffic, n)), append(w.slotListeners, make([]net.Listener, n))
+	for range gatherers {
+		n.links, n.traffic, n.slotListeners = append(n.links, make([]Link, gatherers)), append(n.traffic, make([]traffic, gatherers)), append(n.slotListeners, make([]net.Listener, gatherers))
 	}
-	for i := range n {
-		w.down[i] = true
-		r, err := w.newRelay(i)
+	for i := range gatherers {
+		n.down[i] = true
+		r, err := n.newRelay(i)
 		if err != nil {
-			w.close()
-			return nil, fmt.Errorf("rig: %w", err)
+			n.close()
+			return nil, fmt.Errorf("test cluster: %w", err)
 		}
-		w.relays = append(w.relays, r)
+		n.relays = append(n.relays, r)
 	}
-	return w, nil
+	return n, nil
 }
 
 // listenAddr returns the address at which a gatherer itself listens.
-func (w *network) listenAddr(i int) string { return fmt.Sprintf("127.%d.0.%d:%d", w.octet, i+1, port) }
+func (n *network) listenAddr(i int) string { return fmt.Sprintf("127.%d.0.%d:%d", n.octet, i+1, port) }
 
 // slotAddr returns the address to which gatherer i connects to check whether the host of slot j refuses connections.
-func (w *network) slotAddr(i, j int) string {
-	return fmt.Sprintf("127.%d.%d.%d:%d", w.octet, i+1, j+1, port)
+func (n *network) slotAddr(i, j int) string {
+	return fmt.Sprintf("127.%d.%d.%d:%d", n.octet, i+1, j+1, port)
 }
 
 // queryAddr returns the address at which a gatherer takes queries.
-func (w *network) queryAddr(i int) string { return fmt.Sprintf("127.%d.254.%d:%d", w.octet, i+1, port) }
+func (n *network) queryAddr(i int) string { return fmt.Sprintf("127.%d.254.%d:%d", n.octet, i+1, port) }
 
 // sender returns the gatherer that has an address, or -1 if none has it.
-func (w *network) sender(a netip.Addr) int {
+func (n *network) sender(a netip.Addr) int {
 	b := a.Unmap().As4()
-	if i := int(b[3]) - 1; int(b[1]) == w.octet && b[2] == 0 && i >= 0 && i < w.size {
+	if i := int(b[3]) - 1; int(b[1]) == n.octet && b[2] == 0 && i >= 0 && i < n.size {
 		return i
 	}
 	return -1
 }
 
 // newRelay starts the relay of a gatherer.
-func (w *network) newRelay(to int) (*relay, error) {
-	r := &relay{network: w, to: to, replies: make([]*net.UDPConn, w.size)}
-	addr := netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, byte(w.octet), 253, byte(to + 1)}), port)
+func (n *network) newRelay(to int) (*relay, error) {
+	r := &relay{network: n, to: to, replies: make([]*net.UDPConn, n.size)}
+	addr := netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, byte(n.octet), 253, byte(to + 1)}), port)
 	var err error
 	if r.udp, err = net.ListenUDP("udp4", net.UDPAddrFromAddrPort(addr)); err != nil {
 		return nil, err
@@ -129,39 +129,39 @@
 	if r.tcp, err = net.ListenTCP("tcp4", net.TCPAddrFromAddrPort(addr)); err != nil {
 		return nil, err
 	}
-	for i := range w.size {
-		if r.replies[i], err = net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, byte(w.octet), 252, byte(to+1))}); err != nil {
+	for i := range n.size {
+		if r.replies[i], err = net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, byte(n.octet), 252, byte(to+1))}); err != nil {
 			return nil, err
 		}
-		w.goroutines.Add(1)
+		n.goroutines.Add(1)
 		go r.relayReplies(i)
 	}
-	w.goroutines.Add(2)
+	n.goroutines.Add(2)
 	go r.relayDatagrams()
 	go r.relayStreams()
 	return r, nil
 }
 
 // forward delivers a message between two gatherers as the link between them allows: once, twice, late or not at all.
-func (w *network) forward(from, to, bytes int, deliver func()) {
-	w.mu.Lock()
-	l, t := w.links[from][to], &w.traffic[from][to]
+func (n *network) forward(from, to, bytes int, deliver func()) {
+	n.mu.Lock()
+	l, t := n.links[from][to], &n.traffic[from][to]
 	if now := time.Now(); now.Sub(t.since) > time.Second {
 		*t = traffic{since: now}
 	}
 	t.bytes += bytes
 	times := 1
 	switch {
-	case w.closed || l.Partitioned || w.rng.Float64() < l.LossRate || l.BytesPerSecond > 0 && t.bytes > l.BytesPerSecond:
+	case n.closed || l.Partitioned || n.rng.Float64() < l.LossRate || l.BytesPerSecond > 0 && t.bytes > l.BytesPerSecond:
 		times = 0
-	case w.rng.Float64() < l.DuplicateRate:
+	case n.rng.Float64() < l.DuplicateRate:
 		times = 2
 	}
 	var delays []time.Duration
 	for range times {
-		delays = append(delays, l.Delay+time.Duration(w.rng.Float64()*float64(l.Jitter)))
+		delays = append(delays, l.Delay+time.Duration(n.rng.Float64()*float64(l.Jitter)))
 	}
-	w.mu.Unlock()
+	n.mu.Unlock()
 	for _, d := range delays {
 		if d == 0 {
 			deliver()
@@ -233,47 +233,47 @@
 }
 
 // setLinks replaces the links for which change returns true, and updates the slot listeners accordingly.
-func (w *network) setLinks(change func(from, to int) (Link, bool)) error {
-	w.mu.Lock()
-	for i := range w.size {
-		for j := range w.size {
+func (n *network) setLinks(change func(from, to int) (Link, bool)) error {
+	n.mu.Lock()
+	for i := range n.size {
+		for j := range n.size {
 			if l, ok := change(i, j); ok && i != j {
-				w.links[i][j] = l
+				n.links[i][j] = l
 			}
 		}
 	}
-	w.mu.Unlock()
-	return w.updateSlotListeners()
+	n.mu.Unlock()
+	return n.updateSlotListeners()
 }
 
 // setRunning records that a gatherer's process is about to start, or has certainly ended.
-func (w *network) setRunning(i int, running bool) error {
-	w.mu.Lock()
-	w.down[i] = !running
-	w.mu.Unlock()
-	return w.updateSlotListeners()
+func (n *network) setRunning(i int, running bool) error {
+	n.mu.Lock()
+	n.down[i] = !running
+	n.mu.Unlock()
+	return n.updateSlotListeners()
 }
 
 // updateSlotListeners opens and closes the slot listeners to match the links and the gatherers that run.
-func (w *network) updateSlotListeners() error {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	for i := range w.size {
-		for j := range w.size {
-			refused := w.down[j] && !w.links[i][j].Partitioned && !w.links[j][i].Partitioned
-			switch l := w.slotListeners[i][j]; {
-			case i == j || w.closed:
+func (n *network) updateSlotListeners() error {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	for i := range n.size {
+		for j := range n.size {
+			refused := n.down[j] && !n.links[i][j].Partitioned && !n.links[j][i].Partitioned
+			switch l := n.slotListeners[i][j]; {
+			case i == j || n.closed:
 			case refused && l != nil:
 				_ = l.Close()
-				w.slotListeners[i][j] = nil
+				n.slotListeners[i][j] = nil
 			case !refused && l == nil:
-				l, err := net.Listen("tcp", w.slotAddr(i, j))
+				l, err := net.Listen("tcp", n.slotAddr(i, j))
 				if err != nil {
-					return fmt.Errorf("rig: %w", err)
+					return fmt.Errorf("test cluster: %w", err)
 				}
-				w.slotListeners[i][j] = l
-				w.goroutines.Add(1)
-				go w.serveSlot(l, i, j)
+				n.slotListeners[i][j] = l
+				n.goroutines.Add(1)
+				go n.serveSlot(l, i, j)
 			}
 		}
 	}
@@ -282,26 +282,26 @@
 
 // serveSlot accepts the connections of one gatherer to another's slot. They are forwarded to the other gatherer, unless
 // a partition separates the two: then they only stay open.
-func (w *network) serveSlot(l net.Listener, from, to int) {
-	defer w.goroutines.Done()
+func (n *network) serveSlot(l net.Listener, from, to int) {
+	defer n.goroutines.Done()
 	for {
 		c, err := l.Accept()
 		if err != nil {
 			return
 		}
-		w.goroutines.Add(1)
+		n.goroutines.Add(1)
 		go func() {
-			defer w.goroutines.Done()
+			defer n.goroutines.Done()
 			defer c.Close()
 			_ = c.SetDeadline(time.Now().Add(streamTimeout))
-			w.mu.Lock()
-			partitioned := w.links[from][to].Partitioned || w.links[to][from].Partitioned
-			w.mu.Unlock()
+			n.mu.Lock()
+			partitioned := n.links[from][to].Partitioned || n.links[to][from].Partitioned
+			n.mu.Unlock()
 			if partitioned {
 				_, _ = io.Copy(io.Discard, c)
 				return
 			}
-			upstream, err := net.DialTimeout("tcp", w.listenAddr(to), streamTimeout)
+			upstream, err := net.DialTimeout("tcp", n.listenAddr(to), streamTimeout)
 			if err != nil {
 				return
 			}
@@ -317,23 +317,23 @@
 }
 
 // close ends all relays and waits for their goroutines.
-func (w *network) close() {
-	w.mu.Lock()
-	w.closed = true
-	for _, row := range w.slotListeners {
+func (n *network) close() {
+	n.mu.Lock()
+	n.closed = true
+	for _, row := range n.slotListeners {
 		for _, l := range row {
 			if l != nil {
 				_ = l.Close()
 			}
 		}
 	}
-	w.mu.Unlock()
-	for _, r := range w.relays {
+	n.mu.Unlock()
+	for _, r := range n.relays {
 		_, _ = r.udp.Close(), r.tcp.Close()
 		for _, conn := range r.replies {
 			_ = conn.Close()
 		}
 	}
-	_ = w.octetLock.Close()
-	w.goroutines.Wait()
+	_ = n.octetLock.Close()
+	n.goroutines.Wait()
 }
--- a/internal/trial/testcluster/plan.go
+++ b/internal/trial/testcluster/plan.go
@@ -14,23 +14,23 @@
 
 // The kinds of faults among gatherers.
 const (
-	Kill    Kind = "kill"    // one is killed, and restarted after For
-	Most    Kind = "most"    // seven in ten are killed at once, and restarted after For
-	Restart Kind = "restart" // all are killed and restarted one by one, within For
-	Flap    Kind = "flap"    // one is killed and restarted repeatedly, for For
-	Join    Kind = "join"    // all but the three seeds are killed and restarted at once, while a seed is killed for For
-	Stop    Kind = "stop"    // one is stopped (SIGSTOP) for For and continues with an outdated view
-	Halves  Kind = "halves"  // a partition into two halves, for For
-	Oneway  Kind = "oneway"  // nothing passes from one gatherer to another, for For; the other direction works
-	Hermit  Kind = "hermit"  // a partition between the two gatherers of one pair, for For
-	Loss    Kind = "loss"    // a fifth of all messages is lost, for For
-	Unruly  Kind = "unruly"  // messages are delayed, reordered and duplicated, for For
-	Thin    Kind = "thin"    // each direction of each pair carries 8 KB a second, for For
+	Kill            Kind = "kill"    // one is killed, and restarted after For
+	KillMost        Kind = "most"    // seven in ten are killed at once, and restarted after For
+	Restart         Kind = "restart" // all are killed and restarted one by one, within For
+	Flap            Kind = "flap"    // one is killed and restarted repeatedly, for For
+	Join            Kind = "join"    // all but the three seeds are killed and restarted at once, while a seed is killed for For
+	Stop            Kind = "stop"    // one is stopped (SIGSTOP) for For and continues with an outdated view
+	PartitionHalves Kind = "halves"  // a partition into two halves, for For
+	PartitionOneWay Kind = "oneway"  // nothing passes from one gatherer to another, for For; the other direction works
+	PartitionPair   Kind = "hermit"  // a partition between the two gatherers of one pair, for For
+	Loss            Kind = "loss"    // a fifth of all messages is lost, for For
+	Disorder        Kind = "unruly"  // messages are delayed, reordered and duplicated, for For
+	Throttle        Kind = "thin"    // each direction of each pair carries 8 KB a second, for For
 )
 
 // kinds returns all kinds of faults.
 func kinds() []Kind {
-	return []Kind{Kill, Most, Restart, Flap, Join, Stop, Halves, Oneway, Hermit, Loss, Unruly, Thin}
+	return []Kind{Kill, KillMost, Restart, Flap, Join, Stop, PartitionHalves, PartitionOneWay, PartitionPair, Loss, Disorder, Throttle}
 }
 
 // Step is one fault of a plan. The next step begins once the fleet has converged again.
@@ -45,15 +45,15 @@
 func NewPlan(seed uint64, gatherers int, length, span time.Duration) (steps []Step) {
 	rng := rand.New(rand.NewPCG(seed, 0x706c616e))
 	kinds := kinds()
-	const settle = 2 * time.Second // approximate time that a step takes besides its fault
+	const stepOverhead = 2 * time.Second // approximate time that a step takes in addition to its fault
 	for at := time.Duration(0); ; {
 		rng.Shuffle(len(kinds), func(i, j int) { kinds[i], kinds[j] = kinds[j], kinds[i] })
 		for _, k := range kinds {
 			s := Step{k, rng.IntN(gatherers), span/2 + time.Duration(rng.Int64N(int64(span)))}
-			if k == Halves {
+			if k == PartitionHalves {
 				s.For *= 6
 			}
-			if at += s.For + settle; at > length {
+			if at += s.For + stepOverhead; at > length {
 				return steps
 			}
 			steps = append(steps, s)
@@ -66,12 +66,12 @@
 	d := json.NewDecoder(r)
 	d.DisallowUnknownFields()
 	if err := d.Decode(&steps); err != nil {
-		return nil, fmt.Errorf("rig: plan: %w", err)
+		return nil, fmt.Errorf("test cluster: plan: %w", err)
 	}
 	known := kinds()
 	for i, s := range steps {
 		if !slices.Contains(known, s.Kind) || s.First < 0 || s.First >= gatherers || s.For <= 0 || s.For > time.Hour {
-			return nil, fmt.Errorf("rig: plan: step %d: found %+v, want a kind of %v, a gatherer of %d and a time up to 1h", i, s, known, gatherers)
+			return nil, fmt.Errorf("test cluster: plan: step %d: found %+v, want a kind of %v, a gatherer of %d and a time up to 1h", i, s, known, gatherers)
 		}
 	}
 	return steps, nil
--- a/internal/trial/testcluster/testcluster.go
+++ b/internal/trial/testcluster/testcluster.go
@@ -54,8 +54,8 @@
 	// since most shares go unused, and twice that if the searcher answers as quickly as others.
 	coldGrantFactor = 4
 
-	seedCount     = 3                     // the first gatherers, which all have as seeds
-	seedKillDelay = 50 * time.Millisecond // after the others have begun to join by the seed
+	seedCount     = 3                     // the first gatherers, which are the seeds of all
+	seedKillDelay = 50 * time.Millisecond // after the others have begun to join through the seed
 
 	aim           = time.Second
 	deadline      = 2 * time.Second
@@ -95,76 +95,76 @@
 }
 
 // New starts a test cluster and its clients.
-func New(cfg Config) (r *Cluster, err error) {
-	r = &Cluster{cfg: cfg}
-	r.ctx, r.stop = context.WithCancel(context.Background())
+func New(cfg Config) (c *Cluster, err error) {
+	c = &Cluster{cfg: cfg}
+	c.ctx, c.stop = context.WithCancel(context.Background())
 	defer func() {
 		if err != nil {
-			err = errors.Join(err, r.Close())
+			err = errors.Join(err, c.Close())
 		}
 	}()
-	if r.file, err = os.Create(filepath.Join(cfg.Dir, "history.jsonl")); err != nil {
-		return r, err
+	if c.file, err = os.Create(filepath.Join(cfg.Dir, "history.jsonl")); err != nil {
+		return c, err
 	}
-	r.history = newHistory(r.file)
-	if r.network, err = newNetwork(cfg.Gatherers, cfg.Seed); err != nil {
-		return r, err
+	c.history = newHistory(c.file)
+	if c.network, err = newNetwork(cfg.Gatherers, cfg.Seed); err != nil {
+		return c, err
 	}
-	if r.discovery, err = fake.NewDiscovery(); err != nil {
-		return r, err
+	if c.discovery, err = fake.NewDiscovery(); err != nil {
+		return c, err
 	}
 	for i := range 3 { // the last is the cold searcher, alone in its cell
 		s, err := newSearcher(fmt.Sprint("s-0", i), i/2, partDuration)
 		if err != nil {
-			return r, err
+			return c, err
 		}
-		r.searchers = append(r.searchers, s)
-		r.discovery.Publish(s.member(i == 2))
+		c.searchers = append(c.searchers, s)
+		c.discovery.Publish(s.member(i == 2))
 	}
-	r.cold = r.searchers[2]
+	c.cold = c.searchers[2]
 	if err := os.WriteFile(filepath.Join(cfg.Dir, "keys.xml"), []byte(cfg.Keys), 0o600); err != nil {
-		return r, err
+		return c, err
 	}
 	for i := range cfg.Gatherers {
-		g := &gatherer{cluster: r, number: i}
+		g := &gatherer{cluster: c, number: i}
 		if err := g.writeFiles(); err != nil {
-			return r, err
+			return c, err
 		}
-		r.gatherers = append(r.gatherers, g)
+		c.gatherers = append(c.gatherers, g)
 	}
-	if err := r.forEach(r.gatherers, (*gatherer).start); err != nil {
-		return r, err
+	if err := c.forEach(c.gatherers, (*gatherer).start); err != nil {
+		return c, err
 	}
-	r.spawn(func() { r.repeat(coldRestartInterval, func() { r.discovery.Publish(r.cold.member(true)) }) })
-	for _, g := range r.gatherers {
-		r.spawn(func() { r.repeat(pollInterval, g.poll) })
+	c.spawn(func() { c.repeat(coldRestartInterval, func() { c.discovery.Publish(c.cold.member(true)) }) })
+	for _, g := range c.gatherers {
+		c.spawn(func() { c.repeat(pollInterval, g.poll) })
 		for k := range 4 {
-			r.spawn(func() { g.runClient(k) })
+			c.spawn(func() { g.runClient(k) })
 		}
 	}
-	return r, nil
+	return c, nil
 }
 
 // spawn runs a function in a goroutine that Close waits for.
-func (r *Cluster) spawn(f func()) {
-	r.goroutines.Add(1)
+func (c *Cluster) spawn(f func()) {
+	c.goroutines.Add(1)
 	go func() {
-		defer r.goroutines.Done()
+		defer c.goroutines.Done()
 		f()
 	}()
 }
 
 // repeat calls a function periodically until the test cluster stops.
-func (r *Cluster) repeat(d time.Duration, f func()) {
-	for r.sleep(d) {
+func (c *Cluster) repeat(d time.Duration, f func()) {
+	for c.sleep(d) {
 		f()
 	}
 }
 
 // sleep waits for d, and reports whether the test cluster still runs then.
-func (r *Cluster) sleep(d time.Duration) bool {
+func (c *Cluster) sleep(d time.Duration) bool {
 	select {
-	case <-r.ctx.Done():
+	case <-c.ctx.Done():
 		return false
 	case <-time.After(d):
 		return true
@@ -172,7 +172,7 @@
 }
 
 // forEach calls a function for all gatherers of a list at once, and waits for them.
-func (r *Cluster) forEach(list []*gatherer, f func(*gatherer) error) error {
+func (c *Cluster) forEach(list []*gatherer, f func(*gatherer) error) error {
 	errs := make([]error, len(list))
 	var done sync.WaitGroup
 	for i, g := range list {
@@ -269,9 +269,9 @@
 	case <-serving:
 		return nil
 	case <-exited:
-		return fmt.Errorf("rig: %v exited before it served, see its log", process)
+		return fmt.Errorf("test cluster: %v exited before it served, see its log", process)
 	case <-time.After(startTimeout):
-		return fmt.Errorf("rig: %v did not serve within %v", process, startTimeout)
+		return fmt.Errorf("test cluster: %v did not serve within %v", process, startTimeout)
 	}
 }
 
@@ -303,7 +303,7 @@
 	return g.cmd.Process.Signal(s)
 }
 
-// running returns the current process and the number of interruptions so far; ok reports whether the process runs and
+// running returns the current process, or the last one, and the number of interruptions so far; ok reports whether the process runs and
 // is not stopped.
 func (g *gatherer) running() (process processID, interruptions int, ok bool) {
 	g.mu.Lock()
@@ -386,12 +386,12 @@
 
 // waitConverged waits until the views of all running gatherers agree and contain exactly these gatherers, and returns how
 // long that took.
-func (r *Cluster) waitConverged() (time.Duration, error) {
+func (c *Cluster) waitConverged() (time.Duration, error) {
 	started := time.Now()
 	for {
 		want, same, digest := 0, true, ""
 		var states []admin.FleetState
-		for _, g := range r.gatherers {
+		for _, g := range c.gatherers {
 			if _, _, ok := g.running(); !ok {
 				continue
 			}
@@ -408,34 +408,34 @@
 		if same {
 			return took, nil
 		}
-		if took > r.cfg.ConvergeTimeout {
+		if took > c.cfg.ConvergeTimeout {
 			return took, fmt.Errorf("fleet not converged after %v: %d gatherers run", took, want)
 		}
-		if !r.sleep(20 * time.Millisecond) {
-			return took, r.ctx.Err()
+		if !c.sleep(20 * time.Millisecond) {
+			return took, c.ctx.Err()
 		}
 	}
 }
 
 // Close ends all processes and goroutines of the test cluster.
-func (r *Cluster) Close() error {
-	r.stop()
-	err := r.forEach(r.gatherers, (*gatherer).kill)
-	r.goroutines.Wait()
-	if r.network != nil {
-		r.network.close()
+func (c *Cluster) Close() error {
+	c.stop()
+	err := c.forEach(c.gatherers, (*gatherer).kill)
+	c.goroutines.Wait()
+	if c.network != nil {
+		c.network.close()
 	}
-	if r.discovery != nil {
-		err = errors.Join(err, r.discovery.Close())
+	if c.discovery != nil {
+		err = errors.Join(err, c.discovery.Close())
 	}
-	for _, s := range r.searchers {
+	for _, s := range c.searchers {
 		err = errors.Join(err, s.server.Close())
 	}
-	for _, g := range r.gatherers {
+	for _, g := range c.gatherers {
 		g.admin.Close()
 	}
-	if r.file != nil {
-		err = errors.Join(err, r.file.Close())
+	if c.file != nil {
+		err = errors.Join(err, c.file.Close())
 	}
 	return err
 }
@@ -453,9 +453,9 @@
 	Steps            int
 	Convergence      []Convergence
 	ViewChanges      int // observed changes of a gatherer's view
-	QuietViewChanges int // of ViewChanges: those without a fault, in a fleet that had converged
-	MaxHeldSlots     int // most slots of absent gatherers that others used at once
-	// ColdParts counts the parts that reached the cold searcher and MaxColdParts the most of them in one window;
+	QuietViewChanges int // those of ViewChanges that occurred without a fault, in a fleet that had converged
+	MaxHeldSlots     int // maximum number of slots of absent gatherers that others used at once
+	// ColdParts counts the parts that reached the cold searcher, MaxColdParts those of the window with the most;
 	// AllowedColdParts is how many the decision module's rule allows the whole fleet in that window.
 	ColdParts, MaxColdParts int
 	AllowedColdParts        float64
@@ -477,34 +477,34 @@
 
 // Play injects the faults of a plan, one after the other. Each begins after the fleet has converged, or failed to in
 // time, after the one before. The test cluster stops at the end.
-func (r *Cluster) Play(plan []Step) (*Report, error) {
+func (c *Cluster) Play(plan []Step) (*Report, error) {
 	report := &Report{}
 	waitConverged := func(k Kind, when string) {
-		took, err := r.waitConverged()
+		took, err := c.waitConverged()
 		report.addTime(k, when, took)
-		r.history.mu.Lock()
-		defer r.history.mu.Unlock()
-		r.history.recordEntryLocked(Entry{Who: "rig", What: "settled", Kind: k, When: when, TookMS: took.Milliseconds()})
+		c.history.mu.Lock()
+		defer c.history.mu.Unlock()
+		c.history.recordEntryLocked(Entry{Who: "rig", What: "settled", Kind: k, When: when, TookMS: took.Milliseconds()})
 		if err != nil {
-			r.history.recordViolationLocked("%s %s: %v", k, when, err)
+			c.history.recordViolationLocked("%s %s: %v", k, when, err)
 		}
 	}
 	waitConverged("start", "over")
 	for _, step := range plan {
-		before := r.history.viewChangeCount()
-		r.sleep(quietPeriod)
-		report.QuietViewChanges += r.history.viewChangeCount() - before
+		before := c.history.viewChangeCount()
+		c.sleep(quietPeriod)
+		report.QuietViewChanges += c.history.viewChangeCount() - before
 		report.Steps++
-		r.history.recordText("rig", "%s of %d for %v", step.Kind, step.First, step.For)
-		if err := r.inject(step, func() { waitConverged(step.Kind, "struck") }); err != nil {
+		c.history.recordText("rig", "%s of %d for %v", step.Kind, step.First, step.For)
+		if err := c.inject(step, func() { waitConverged(step.Kind, "struck") }); err != nil {
 			return report, err
 		}
-		r.history.recordText("rig", "%s is over", step.Kind)
+		c.history.recordText("rig", "%s is over", step.Kind)
 		waitConverged(step.Kind, "over")
 	}
-	r.stop()
-	r.goroutines.Wait()
-	r.summarize(report)
+	c.stop()
+	c.goroutines.Wait()
+	c.summarize(report)
 	return report, nil
 }
 
@@ -516,34 +516,34 @@
 }
 
 // inject injects a fault and ends it. It calls waitConverged during the fault if the fleet should converge meanwhile.
-func (r *Cluster) inject(step Step, waitConverged func()) error {
-	n := len(r.gatherers)
-	member := func(i int) *gatherer { return r.gatherers[(step.First+i)%n] }
+func (c *Cluster) inject(step Step, waitConverged func()) error {
+	n := len(c.gatherers)
+	member := func(i int) *gatherer { return c.gatherers[(step.First+i)%n] }
 	members := func(count int) (list []*gatherer) {
 		for i := range count {
 			list = append(list, member(i))
 		}
 		return list
 	}
-	wait := func(begun time.Time) { r.sleep(max(time.Until(begun.Add(step.For)), 0)) }
+	wait := func(begun time.Time) { c.sleep(max(time.Until(begun.Add(step.For)), 0)) }
 	begun := time.Now()
 	withLinks := func(link Link, affected func(i, j int) bool) error {
-		err := r.network.setLinks(func(i, j int) (Link, bool) { return link, affected(i, j) })
+		err := c.network.setLinks(func(i, j int) (Link, bool) { return link, affected(i, j) })
 		wait(begun)
-		return errors.Join(err, r.network.setLinks(func(int, int) (Link, bool) { return Link{}, true }))
+		return errors.Join(err, c.network.setLinks(func(int, int) (Link, bool) { return Link{}, true }))
 	}
 	all := func(int, int) bool { return true }
 	position := func(i int) int { return (i - step.First + n) % n }
 	switch step.Kind {
-	case Kill, Most:
+	case Kill, KillMost:
 		targets := members(1)
-		if step.Kind == Most {
+		if step.Kind == KillMost {
 			targets = members(n * 7 / 10)
 		}
-		err := r.forEach(targets, (*gatherer).kill)
+		err := c.forEach(targets, (*gatherer).kill)
 		waitConverged()
 		wait(begun)
-		return errors.Join(err, r.forEach(targets, (*gatherer).start))
+		return errors.Join(err, c.forEach(targets, (*gatherer).start))
 	case Restart, Flap:
 		times, target := n, member
 		if step.Kind == Flap {
@@ -552,15 +552,15 @@
 		var errs []error
 		for i := range times {
 			errs = append(errs, target(i).kill(), target(i).start())
-			r.sleep(max(time.Until(begun.Add(step.For/time.Duration(times)*time.Duration(i+1))), 0))
+			c.sleep(max(time.Until(begun.Add(step.For/time.Duration(times)*time.Duration(i+1))), 0))
 		}
 		return errors.Join(errs...)
 	case Join:
-		seed, others := r.gatherers[0], r.gatherers[min(seedCount, n-1):]
-		errs := []error{r.forEach(others, (*gatherer).kill)}
+		seed, others := c.gatherers[0], c.gatherers[min(seedCount, n-1):]
+		errs := []error{c.forEach(others, (*gatherer).kill)}
 		started := make(chan error, 1)
-		go func() { started <- r.forEach(others, (*gatherer).start) }()
-		r.sleep(seedKillDelay)
+		go func() { started <- c.forEach(others, (*gatherer).start) }()
+		c.sleep(seedKillDelay)
 		errs = append(errs, seed.kill(), <-started)
 		wait(begun)
 		return errors.Join(append(errs, seed.start())...)
@@ -569,32 +569,32 @@
 		waitConverged()
 		wait(begun)
 		return errors.Join(err, member(0).signal(syscall.SIGCONT))
-	case Halves:
+	case PartitionHalves:
 		return withLinks(Link{Partitioned: true}, func(i, j int) bool { return (position(i) < n/2) != (position(j) < n/2) })
-	case Oneway:
+	case PartitionOneWay:
 		return withLinks(Link{Partitioned: true}, func(i, j int) bool { return position(i) == 0 && position(j) == 1 })
-	case Hermit:
+	case PartitionPair:
 		return withLinks(Link{Partitioned: true}, func(i, j int) bool { return position(i)+position(j) == 1 })
 	case Loss:
 		return withLinks(Link{LossRate: 0.2}, all)
-	case Unruly:
+	case Disorder:
 		return withLinks(Link{Delay: 2 * time.Millisecond, Jitter: 15 * time.Millisecond, DuplicateRate: 0.1}, all)
-	case Thin:
+	case Throttle:
 		return withLinks(Link{BytesPerSecond: 8 << 10}, all)
 	}
-	return fmt.Errorf("rig: unknown fault %q", step.Kind)
+	return fmt.Errorf("test cluster: unknown fault %q", step.Kind)
 }
 
 // summarize audits the parts that reached the cold searcher, and fills in the report.
-func (r *Cluster) summarize(report *Report) {
-	h := r.history
+func (c *Cluster) summarize(report *Report) {
+	h := c.history
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	r.cold.mu.Lock()
-	parts := r.cold.parts
-	r.cold.mu.Unlock()
+	c.cold.mu.Lock()
+	parts := c.cold.parts
+	c.cold.mu.Unlock()
 	for i, p := range parts {
-		if p.sender.Gatherer < 0 || p.sender.Gatherer >= len(r.gatherers) {
+		if p.sender.Gatherer < 0 || p.sender.Gatherer >= len(c.gatherers) {
 			h.recordViolationLocked("the cold searcher got a part of a query that no client sent")
 			continue
 		}
--- a/internal/trial/testpeer/testpeer.go
+++ b/internal/trial/testpeer/testpeer.go
@@ -139,7 +139,7 @@
 			select {
 			case list = <-d.list:
 				d.list <- list
-			case <-ended: // Tell was never called; closing the listener waits for its connections
+			case <-ended: // SetList was never called; closing the listener waits for its connections
 				return
 			}
 			fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(list), list)
