--- a/cmd/eiderwinch/faults_test.go
+++ b/cmd/eiderwinch/faults_test.go
@@ -138,7 +138,7 @@
 	return &tracedProgram{program: p, deployment: deployment}
 }
 
-// Reading the configuration file fails for a while as SIGHUP comes, then the file is found half written. The
+// At a first SIGHUP reading the configuration file fails for a while; at a second one the file is half written. The
 // reload is retried and succeeds in both cases.
 func TestReloadSurvivesDiskFailures(t *testing.T) {
 	path := buildProgram(t)
--- a/cmd/eiderwinch/serve.go
+++ b/cmd/eiderwinch/serve.go
@@ -64,7 +64,7 @@
 // neither a shutdown nor a report, so each kind of signal has its own goroutine.
 func runNode(e environment, node *netio.Node, counters *stats.Counters, log *slog.Logger, reload func()) error {
 	handle := func(signals <-chan os.Signal, do func()) {
-		<-node.Started() // signals that came before the start wait for it
+		<-node.Started() // signals that arrived earlier are handled after the start
 		for range signals {
 			do()
 		}
--- a/cmd/eiderwinch/signals_test.go
+++ b/cmd/eiderwinch/signals_test.go
@@ -11,8 +11,8 @@
 	"eiderwinch/internal/trial/testpeer"
 )
 
-// A reload reads files, which may be slow. A shutdown must not wait for reloads, however many were requested before
-// it: were the channel full, SIGTERM would be lost, and the kill would come all the same.
+// A reload reads files, which may be slow. A shutdown must not wait for reloads, however many were requested before it.
+// If they filled the channel of SIGTERM, that signal would be lost, and the process would be killed without draining.
 func TestShutdownIsNotDelayedByReloads(t *testing.T) {
 	s, d := testpeer.NewSearcher(t), testpeer.NewDiscovery(t)
 	p := launch(t, buildProgram(t), fmt.Sprintf(configText, d.Addr, testpeer.Member("s", s.Addr, "Ready", 0), settingsText))
@@ -46,7 +46,7 @@
 	}
 }
 
-// Signals that come before the event loop runs are handled once it does.
+// Signals that arrive before the event loop runs are handled once it runs.
 func TestSignalsBeforeStartAreHandled(t *testing.T) {
 	d := testpeer.NewDiscovery(t)
 	file := filepath.Join(t.TempDir(), "config.json")
--- a/internal/trial/fake/sharded_catalogue.go
+++ b/internal/trial/fake/sharded_catalogue.go
@@ -21,7 +21,8 @@
 // A reservation is made at all replicas of its segment, as by searchers that replicate it.
 // A replica that was filled from other segments and the replicas of those exchange their
 // reservations until StopFollowing: a reservation made between copy and cut-over, or
-// at the old holders afterwards, reaches the successors, and the reverse.
+// at the old holders afterwards, reaches the successors, and one made at the successors
+// reaches the old holders.
 type ShardedCatalogue struct {
 	opts ShardedCatalogueOptions
 
--- a/internal/trial/testcluster/network.go
+++ b/internal/trial/testcluster/network.go
@@ -34,7 +34,7 @@
 //
 // A gatherer checks whether the host of another's slot refuses connections. For this each ordered pair of gatherers has
 // a slot listener. It is closed, so that connections are refused, only while the other gatherer's process is down and no
-// partition separates the pair: across a partition connections are accepted, but nothing comes back.
+// partition separates the pair: across a partition connections are accepted, but no data is returned.
 type network struct {
 	octet     int
 	size      int          // number of gatherers
