--- a/internal/configuration/signature/signature.go
+++ b/internal/configuration/signature/signature.go
@@ -39,13 +39,13 @@
 		Doc:   "Keys that sign configurations of eiderwinch. See docs/operate-config.md.",
 		Order: []string{"keys", "key"},
 		Elements: map[string]xmlform.Element{
-			"keys": {Doc: "the whole file", Children: []xmlform.Child{{Name: "key", Min: 1, Max: maxKeys}}},
-			"key": {Doc: "one key; several may hold at once, so that they can be changed one after the other", Attributes: []xmlform.Attribute{
-				{Name: "name", Kind: xmlform.Name, Required: true, Doc: "named by signatures made with it"},
-				{Name: "algorithm", Kind: xmlform.Choice, Values: []string{"ed25519", "blake3"}, Required: true, Doc: "ed25519: a public key, to sign the private one; blake3: a shared secret"},
-				{Name: "value", Kind: xmlform.Name, Required: true, Doc: "in base64: 32 bytes, of a private Ed25519 key 64"},
-				{Name: "from", Kind: xmlform.Name, Required: true, Doc: "it holds from then on, as in 2026-12-01T00:00:00Z (RFC 3339)"},
-				{Name: "until", Kind: xmlform.Name, Required: true, Doc: "and holds no more from then on"},
+			"keys": {Doc: "all keys of the file", Children: []xmlform.Child{{Name: "key", Min: 1, Max: maxKeys}}},
+			"key": {Doc: "one key; several may be valid at the same time, so that a key can be replaced without an interruption", Attributes: []xmlform.Attribute{
+				{Name: "name", Kind: xmlform.Name, Required: true, Doc: "name of the key, which its signatures contain"},
+				{Name: "algorithm", Kind: xmlform.Choice, Values: []string{"ed25519", "blake3"}, Required: true, Doc: "ed25519: the public key, or for signing the private key; blake3: a shared secret"},
+				{Name: "value", Kind: xmlform.Name, Required: true, Doc: "the key in base64: 32 bytes, or 64 bytes for a private Ed25519 key"},
+				{Name: "from", Kind: xmlform.Name, Required: true, Doc: "start of its validity (RFC 3339), for example 2026-12-01T00:00:00Z"},
+				{Name: "until", Kind: xmlform.Name, Required: true, Doc: "end of its validity (RFC 3339); from this time on it is not valid"},
 			}},
 		},
 	}
--- a/internal/layout/layoutfile/read.go
+++ b/internal/layout/layoutfile/read.go
@@ -23,33 +23,33 @@
 	segment := xmlform.Attribute{Name: "segment", Kind: xmlform.Number, Required: true, Doc: "the segment's number"}
 	return &xmlform.Form{
 		Namespace: Namespace, Root: "layout", Depth: 3,
-		Doc:   "A layout: which segments there are, the keys of each, and who holds them. See docs/layout.md.",
+		Doc:   "A layout: the segments of the catalogue, the keys of each, and the searchers that hold it. See docs/layout.md.",
 		Order: []string{"layout", "searcher", "segment", "holder", "next", "prev", "of", "was", "heir"},
 		Elements: map[string]xmlform.Element{
-			"layout": {Doc: "one epoch", Attributes: []xmlform.Attribute{
-				{Name: "epoch", Kind: xmlform.Count, Required: true, Doc: "the layout's number"},
-				{Name: "next", Kind: xmlform.Number, Required: true, Doc: "the number that the next new segment gets; numbers are never used again"},
-				{Name: "replicas", Kind: xmlform.Count, Required: true, Min: 1, Max: maxReplicas, Doc: "holders that each serving segment needs"},
+			"layout": {Doc: "one epoch of the layout", Attributes: []xmlform.Attribute{
+				{Name: "epoch", Kind: xmlform.Count, Required: true, Doc: "number of the epoch"},
+				{Name: "next", Kind: xmlform.Number, Required: true, Doc: "number of the next new segment; numbers are never reused"},
+				{Name: "replicas", Kind: xmlform.Count, Required: true, Min: 1, Max: maxReplicas, Doc: "number of holders that each serving segment needs"},
 			}, Children: []xmlform.Child{{Name: "searcher"}, {Name: "segment", Min: 1}, {Name: "was"}}},
 			"searcher": {Doc: "a searcher of the fleet", Attributes: []xmlform.Attribute{
 				{Name: "id", Kind: xmlform.Name, Required: true, Doc: "its id in discovery"},
 				{Name: "zone", Kind: xmlform.Name, Required: true, Doc: "its data centre"},
 			}},
-			"segment": {Doc: "the keys from 'from', included, to 'to', excluded", Attributes: []xmlform.Attribute{
+			"segment": {Doc: "a range of keys, from 'from' (inclusive) to 'to' (exclusive)", Attributes: []xmlform.Attribute{
 				{Name: "id", Kind: xmlform.Number, Required: true, Doc: "its number"},
-				{Name: "from", Kind: xmlform.Text, Doc: "its first key; absent means from the first of all"},
-				{Name: "to", Kind: xmlform.Text, Doc: "the first key that is no longer in it; absent means up to the last"},
-				{Name: "state", Kind: xmlform.Choice, Values: []string{"preparing", "serving", "retiring"}, Default: "serving", Doc: "what it is for"},
+				{Name: "from", Kind: xmlform.Text, Doc: "its first key; if absent, the range has no lower bound"},
+				{Name: "to", Kind: xmlform.Text, Doc: "the first key after it; if absent, the range has no upper bound"},
+				{Name: "state", Kind: xmlform.Choice, Values: []string{"preparing", "serving", "retiring"}, Default: "serving", Doc: "its stage of life: preparing is being filled, serving answers queries, retiring has been replaced and still answers queries of older epochs"},
 			}, Children: []xmlform.Child{{Name: "holder", Min: 1}, {Name: "next"}, {Name: "prev"}, {Name: "of"}}},
-			"holder": {Doc: "holds the segment", Attributes: searcher},
-			"next":   {Doc: "is being filled to take the holders' place", Attributes: searcher},
-			"prev":   {Doc: "held it before, and still answers queries of older epochs", Attributes: searcher},
-			"of":     {Doc: "of a preparing segment: one whose keys it takes over", Attributes: []xmlform.Attribute{segment}},
-			"was": {Doc: "what became of a segment that serves no more", Attributes: []xmlform.Attribute{
-				segment, {Name: "since", Kind: xmlform.Count, Required: true, Doc: "the epoch from which on it serves no more"},
+			"holder": {Doc: "a searcher that holds the segment", Attributes: searcher},
+			"next":   {Doc: "a searcher that is being filled to replace the holders", Attributes: searcher},
+			"prev":   {Doc: "a previous holder, which still answers queries of older epochs", Attributes: searcher},
+			"of":     {Doc: "a segment whose keys this preparing segment takes over", Attributes: []xmlform.Attribute{segment}},
+			"was": {Doc: "the lineage of a segment that no longer serves", Attributes: []xmlform.Attribute{
+				segment, {Name: "since", Kind: xmlform.Count, Required: true, Doc: "first epoch in which it does not serve"},
 			}, Children: []xmlform.Child{{Name: "heir", Min: 1}}},
-			"heir": {Doc: "took over keys of it", Attributes: []xmlform.Attribute{
-				segment, {Name: "share", Kind: xmlform.Share, Required: true, Doc: "the part of its weight that fell to the heir"},
+			"heir": {Doc: "a successor, which took over keys of it", Attributes: []xmlform.Attribute{
+				segment, {Name: "share", Kind: xmlform.Share, Required: true, Doc: "fraction of its weight that this successor took over"},
 			}},
 		},
 	}
