--- a/internal/configuration/manager/dryrun.go
+++ b/internal/configuration/manager/dryrun.go
@@ -103,7 +103,7 @@
 
 func (f *faultList) err() error {
 	if f.omitted > 0 {
-		f.errs = append(f.errs, fmt.Errorf("and %d faults more", f.omitted))
+		f.errs = append(f.errs, fmt.Errorf("and %d more faults", f.omitted))
 	}
 	return errors.Join(f.errs...)
 }
--- a/internal/format/xmlform/read.go
+++ b/internal/format/xmlform/read.go
@@ -48,7 +48,7 @@
 func (f *Faults) Err() error {
 	list := f.list
 	if f.more > 0 {
-		list = append(list[:len(list):len(list)], fmt.Errorf("%s: and %d faults more", f.File, f.more))
+		list = append(list[:len(list):len(list)], fmt.Errorf("%s: and %d more faults", f.File, f.more))
 	}
 	return errors.Join(list...)
 }
--- a/internal/layout/layoutfile/layoutfile_test.go
+++ b/internal/layout/layoutfile/layoutfile_test.go
@@ -97,7 +97,7 @@
 	}
 	many := strings.Replace(validFile, "</layout>", strings.Repeat("<odd/>\n", 200)+"</layout>", 1)
 	_, _, err = Read("l.xml", strings.NewReader(many))
-	if n := strings.Count(err.Error(), "\n"); n != xmlform.MaxFaults || !strings.Contains(err.Error(), "150 faults more") {
+	if n := strings.Count(err.Error(), "\n"); n != xmlform.MaxFaults || !strings.Contains(err.Error(), "150 more faults") {
 		t.Errorf("%d lines: %.200v", n, err)
 	}
 }
