--- a/internal/admin/coordinator.go
+++ b/internal/admin/coordinator.go
@@ -68,8 +68,8 @@
 	Change
 }
 
-// PeerState is a coordinator's view of a gatherer or searcher.
-type PeerState struct {
+// ProcessState is what a coordinator reports about a gatherer or searcher.
+type ProcessState struct {
 	Name  string       `json:"name"`
 	Epoch layout.Epoch `json:"epoch,omitempty"`
 	Up    bool         `json:"up"`
@@ -83,8 +83,8 @@
 	RowsPerSecond      float64           `json:"rows_per_second"`
 	P99WithoutCopiesMS float64           `json:"p99_without_copies_ms,omitempty"`
 	Jobs               []Job             `json:"jobs"`
-	Gatherers          []PeerState       `json:"gatherers"`
-	Searchers          []PeerState       `json:"searchers"`
+	Gatherers          []ProcessState    `json:"gatherers"`
+	Searchers          []ProcessState    `json:"searchers"`
 	Counts             reshard.Counts    `json:"counts"`
 	Custody            assignment.Counts `json:"custody"`
 }
--- a/internal/configuration/change/change.go
+++ b/internal/configuration/change/change.go
@@ -176,16 +176,16 @@
 
 // Swap puts a generation in force.
 type Swap struct {
-	Tx   Tx
-	Gen  Generation
-	Hash Hash
+	Tx         Tx
+	Generation Generation
+	Hash       Hash
 }
 
 // Revert puts the last confirmed generation in force again.
 type Revert struct {
-	Tx   Tx
-	Gen  Generation
-	Hash Hash
+	Tx         Tx
+	Generation Generation
+	Hash       Hash
 }
 
 // Ended reports that a transaction has reached a final state.
@@ -224,7 +224,7 @@
 	state       State
 	hash        Hash
 	against     Generation
-	gen         Generation
+	generation  Generation
 	probation   time.Duration
 	autoConfirm bool
 	deadline    time.Time // in Applying and Probation: when it is undone, or confirmed by autoConfirm
@@ -241,21 +241,21 @@
 
 // Machine is the state machine. Create it with New or Recover.
 type Machine struct {
-	limits        Limits
-	lastSeq       uint64
-	lastTx        Tx
-	lastGen       Generation
-	confirmed     Generation
-	confirmedHash Hash
-	txs           map[Tx]*transaction
-	order         []Tx // keys of txs in the order in which they were staged
-	active        Tx   // 0: none
-	counts        Counts
+	limits         Limits
+	lastSeq        uint64
+	lastTx         Tx
+	lastGeneration Generation
+	confirmed      Generation
+	confirmedHash  Hash
+	txs            map[Tx]*transaction
+	order          []Tx // keys of txs in the order in which they were staged
+	active         Tx   // 0: none
+	counts         Counts
 }
 
 // New returns a machine whose first generation is in force.
 func New(first Hash, l Limits) *Machine {
-	return &Machine{limits: l.withDefaults(), lastGen: 1, confirmed: 1, confirmedHash: first, txs: make(map[Tx]*transaction)}
+	return &Machine{limits: l.withDefaults(), lastGeneration: 1, confirmed: 1, confirmedHash: first, txs: make(map[Tx]*transaction)}
 }
 
 // Confirmed returns the last confirmed generation.
@@ -270,7 +270,7 @@
 	State       State
 	Hash        Hash
 	Against     Generation
-	Gen         Generation // 0 until it is applied
+	Generation  Generation // 0 until it is applied
 	AutoConfirm bool
 	Deadline    time.Time // end of its Probation
 	Reason      string
@@ -282,7 +282,7 @@
 func (m *Machine) Txs() (out []Status) {
 	for _, id := range m.order {
 		t := m.txs[id]
-		out = append(out, Status{t.id, t.state, t.hash, t.against, t.gen, t.autoConfirm, t.deadline, t.reason, t.changedAt})
+		out = append(out, Status{t.id, t.state, t.hash, t.against, t.generation, t.autoConfirm, t.deadline, t.reason, t.changedAt})
 	}
 	return out
 }
@@ -350,7 +350,7 @@
 	case Staged:
 		r.Hash, r.Against = t.hash, t.against
 	case Applying:
-		r.Gen = t.gen
+		r.Gen = t.generation
 	}
 	s.result.Records = append(s.result.Records, r)
 }
@@ -409,11 +409,11 @@
 	case e.Probation < s.limits.MinProbation || e.Probation > s.limits.MaxProbation:
 		s.result.Err = fmt.Errorf("%w: %v, want %v to %v", ErrProbation, e.Probation, s.limits.MinProbation, s.limits.MaxProbation)
 	default:
-		s.lastGen++
-		t.gen, t.probation, t.autoConfirm, t.deadline = s.lastGen, e.Probation, e.AutoConfirm, s.now.Add(s.limits.ApplyTimeout)
+		s.lastGeneration++
+		t.generation, t.probation, t.autoConfirm, t.deadline = s.lastGeneration, e.Probation, e.AutoConfirm, s.now.Add(s.limits.ApplyTimeout)
 		s.counts.Applied++
 		s.transition(t, Applying)
-		s.addEffect(Swap{t.id, t.gen, t.hash})
+		s.addEffect(Swap{t.id, t.generation, t.hash})
 	}
 }
 
@@ -430,7 +430,7 @@
 }
 
 func (s *step) confirm(t *transaction) {
-	s.confirmed, s.confirmedHash = t.gen, t.hash
+	s.confirmed, s.confirmedHash = t.generation, t.hash
 	s.counts.Confirmed++
 	s.transition(t, Confirmed)
 	s.addEffect(Ended{t.id, Confirmed, t.reason})
@@ -509,7 +509,7 @@
 			return Base{}, false
 		}
 	}
-	return Base{m.lastSeq, m.lastTx, m.lastGen, m.confirmed, m.confirmedHash}, true
+	return Base{m.lastSeq, m.lastTx, m.lastGeneration, m.confirmed, m.confirmedHash}, true
 }
 
 // Recover restores a machine from the records of an earlier process. A transaction
@@ -519,7 +519,7 @@
 // staged.
 func Recover(now time.Time, b Base, l Limits, records []Record) (*Machine, Result, error) {
 	m := &Machine{
-		limits: l.withDefaults(), lastSeq: b.Seq, lastTx: b.Tx, lastGen: b.Gen, confirmed: b.Confirmed, confirmedHash: b.Hash,
+		limits: l.withDefaults(), lastSeq: b.Seq, lastTx: b.Tx, lastGeneration: b.Gen, confirmed: b.Confirmed, confirmedHash: b.Hash,
 		txs: make(map[Tx]*transaction),
 	}
 	for i, r := range records {
@@ -571,12 +571,12 @@
 	}
 	switch r.State {
 	case Applying:
-		if r.Gen <= m.lastGen {
+		if r.Gen <= m.lastGeneration {
 			return fmt.Errorf("generation %d was assigned before", r.Gen)
 		}
-		t.gen, m.lastGen = r.Gen, r.Gen
+		t.generation, m.lastGeneration = r.Gen, r.Gen
 	case Confirmed:
-		m.confirmed, m.confirmedHash = t.gen, t.hash
+		m.confirmed, m.confirmedHash = t.generation, t.hash
 	}
 	return nil
 }
--- a/internal/configuration/change/change_test.go
+++ b/internal/configuration/change/change_test.go
@@ -89,7 +89,7 @@
 	h.checkState(id, Probation)
 	h.now = h.now.Add(1)
 	h.accept(Tick{})
-	if r, ok := h.effects[0].(Revert); !ok || r.Gen != 1 || r.Hash != (Hash{1}) {
+	if r, ok := h.effects[0].(Revert); !ok || r.Generation != 1 || r.Hash != (Hash{1}) {
 		t.Errorf("effects %v", h.effects)
 	}
 	h.checkRefused(Confirm{id}, ErrState) // too late: the undo has begun
--- a/internal/configuration/change/explore_test.go
+++ b/internal/configuration/change/explore_test.go
@@ -51,19 +51,19 @@
 		}
 		return 0
 	}
-	add(uint64(m.machine.confirmed), uint64(m.machine.lastGen), uint64(m.machine.active), uint64(m.machine.lastTx), uint64(m.inForce))
+	add(uint64(m.machine.confirmed), uint64(m.machine.lastGeneration), uint64(m.machine.active), uint64(m.machine.lastTx), uint64(m.inForce))
 	for id := Tx(1); id <= m.machine.lastTx; id++ {
 		add(uint64(m.ended[id]))
 		if t := m.machine.txs[id]; t != nil {
-			add(uint64(t.state), uint64(t.against), uint64(t.gen), flag(t.autoConfirm))
+			add(uint64(t.state), uint64(t.against), uint64(t.generation), flag(t.autoConfirm))
 		}
 	}
 	for _, e := range m.effects {
 		switch e := e.(type) {
 		case Swap:
-			add('s', uint64(e.Tx), uint64(e.Gen))
+			add('s', uint64(e.Tx), uint64(e.Generation))
 		case Revert:
-			add('r', uint64(e.Tx), uint64(e.Gen))
+			add('r', uint64(e.Tx), uint64(e.Generation))
 		}
 	}
 	acks := make([]string, 0, len(m.acks))
@@ -138,11 +138,11 @@
 	switch e := e.(type) {
 	case Swap:
 		if err == nil {
-			m.inForce = e.Gen
+			m.inForce = e.Generation
 		}
 		m.acks = append(m.acks, Applied{e.Tx, err})
 	case Revert:
-		m.inForce = e.Gen
+		m.inForce = e.Generation
 		m.acks = append(m.acks, Reverted{e.Tx})
 	}
 }
@@ -162,17 +162,17 @@
 // state alone, so it is checked only for new states.
 func (m *model) violation(before *model, isNew bool) string {
 	active := 0
-	gens := make(map[Generation]bool)
+	seen := make(map[Generation]bool)
 	allowed := []Generation{m.machine.confirmed}
 	for _, t := range m.machine.txs {
 		if t.state.Active() {
 			active++
-			allowed = append(allowed, t.gen)
+			allowed = append(allowed, t.generation)
 		}
-		if t.gen != 0 && gens[t.gen] {
-			return fmt.Sprintf("generation %d was assigned twice", t.gen)
+		if t.generation != 0 && seen[t.generation] {
+			return fmt.Sprintf("generation %d was assigned twice", t.generation)
 		}
-		gens[t.gen] = true
+		seen[t.generation] = true
 		if over := t.state.IsFinal(); over != (m.ended[t.id] == 1) || m.ended[t.id] > 1 {
 			return fmt.Sprintf("transaction %d is %v and ended %d times", t.id, t.state, m.ended[t.id])
 		}
--- a/internal/configuration/manager/manager.go
+++ b/internal/configuration/manager/manager.go
@@ -224,9 +224,9 @@
 		prepare := func() {
 			switch e := e.(type) {
 			case change.Swap:
-				to, gen = m.candidates[e.Hash], e.Gen
+				to, gen = m.candidates[e.Hash], e.Generation
 			case change.Revert:
-				to, gen = m.candidates[e.Hash], e.Gen
+				to, gen = m.candidates[e.Hash], e.Generation
 			}
 			live = m.liveSettings(to, gen)
 		}
--- a/internal/configuration/manager/requests.go
+++ b/internal/configuration/manager/requests.go
@@ -159,7 +159,7 @@
 		for _, t := range m.machine.Txs() {
 			x := Transaction{
 				Tx: t.Tx, State: t.State.String(), Over: t.State.IsFinal(), Hash: fmt.Sprintf("%x", t.Hash),
-				Against: t.Against, Generation: t.Gen, Reason: t.Reason, At: t.At,
+				Against: t.Against, Generation: t.Generation, Reason: t.Reason, At: t.At,
 			}
 			if t.State == change.Probation {
 				x.ProbationLeft = time.Until(t.Deadline).Round(time.Millisecond).String()
@@ -182,7 +182,7 @@
 			hash, found = h, nil
 		}
 		for _, t := range m.machine.Txs() {
-			if t.Gen == gen {
+			if t.Generation == gen {
 				hash, found = t.Hash, nil
 			}
 		}
--- a/internal/fleet/membership/bench_test.go
+++ b/internal/fleet/membership/bench_test.go
@@ -10,7 +10,7 @@
 // BenchmarkFleet simulates fleets in virtual time, with one seed per iteration. It measures what a member sends when
 // nothing happens, how soon a crash and a join are known to all members, and the effect of packet loss.
 //
-//	go test -run xxx -bench Fleet -benchtime 5x ./internal/fleet/view
+//	go test -run xxx -bench Fleet -benchtime 5x ./internal/fleet/membership
 func BenchmarkFleet(b *testing.B) {
 	for _, size := range []int{25, 100, 300, 1000} {
 		b.Run(fmt.Sprint(size, " members"), func(b *testing.B) {
--- a/internal/fleet/membership/core.go
+++ b/internal/fleet/membership/core.go
@@ -72,10 +72,10 @@
 // peer is another member.
 type peer struct {
 	Member
-	stateSince time.Time                // when any member found out the state; Suspect: when this member learned of it
-	lastHeard  time.Time                // when any member last heard from it directly; gives the age of updates about it
-	accusers   map[string]struct{}      // Suspect: the members that suspect it
-	timer      timerqueue.Timer[func()] // Suspect: when it is declared dead; Dead, Left: when it is forgotten
+	stateSince   time.Time                // when any member found out the state; Suspect: when this member learned of it
+	lastReceived time.Time                // when any member last heard from it directly; gives the age of updates about it
+	accusers     map[string]struct{}      // Suspect: the members that suspect it
+	timer        timerqueue.Timer[func()] // Suspect: when it is declared dead; Dead, Left: when it is forgotten
 }
 
 // Core is the state of one member. It belongs to one goroutine.
--- a/internal/fleet/membership/membership_test.go
+++ b/internal/fleet/membership/membership_test.go
@@ -26,7 +26,7 @@
 
 func splitInHalves(a, b string) bool { return (a < "addr-g0012") != (b < "addr-g0012") }
 
-// For a longer run: go test -run ConvergesAfterFaults ./internal/fleet/view -view.seeds 100 -timeout 1h
+// For a longer run: go test -run ConvergesAfterFaults ./internal/fleet/membership -view.seeds 100 -timeout 1h
 var (
 	viewSeeds = flag.Uint64("view.seeds", 5, "seeds of each fault")
 	viewFirst = flag.Uint64("view.first", 0, "the first seed")
--- a/internal/fleet/membership/probe.go
+++ b/internal/fleet/membership/probe.go
@@ -121,7 +121,7 @@
 	case c.probe != nil && c.probe.seq == m.Seq:
 		c.probe.answered = true
 		if p := c.peers[c.probe.target]; p != nil {
-			p.recordHeard(c.now.Add(-c.queueDelay()))
+			p.recordReceived(c.now.Add(-c.queueDelay()))
 		}
 	}
 }
@@ -140,7 +140,7 @@
 			c.adjustHealth(-1) // another member has found the same, so the cause was not local slowness
 		}
 		p.accusers[by] = struct{}{}
-		c.queueUpdate(update{Member: p.Member, By: by, Age: ageMillis(c.now, p.lastHeard)})
+		c.queueUpdate(update{Member: p.Member, By: by, Age: ageMillis(c.now, p.lastReceived)})
 		c.timers.Set(&p.timer, p.stateSince.Add(c.suspicionTimeout(len(p.accusers)-1)))
 		return
 	}
--- a/internal/fleet/membership/updates.go
+++ b/internal/fleet/membership/updates.go
@@ -26,7 +26,7 @@
 func (c *Core) updateAbout(p *peer) update {
 	since := p.stateSince
 	if p.Active() {
-		since = p.lastHeard
+		since = p.lastReceived
 	}
 	return update{Member: p.Member, Age: ageMillis(c.now, since)}
 }
@@ -113,7 +113,7 @@
 		return // its own message came back
 	}
 	if p := c.peers[m.From]; p != nil && p.Incarnation.Start == m.Start {
-		p.recordHeard(c.now.Add(-c.queueDelay()))
+		p.recordReceived(c.now.Add(-c.queueDelay()))
 	}
 	for _, u := range m.Updates {
 		u.Age += uint64(c.queueDelay() / time.Millisecond)
@@ -159,10 +159,10 @@
 	return 0
 }
 
-// recordHeard records that a member was heard from.
-func (p *peer) recordHeard(at time.Time) {
-	if at.After(p.lastHeard) {
-		p.lastHeard = at
+// recordReceived records that a member was heard from.
+func (p *peer) recordReceived(at time.Time) {
+	if at.After(p.lastReceived) {
+		p.lastReceived = at
 	}
 }
 
@@ -196,7 +196,7 @@
 		c.addMember(u)
 		return
 	}
-	heard := c.now.Add(-u.age())
+	received := c.now.Add(-u.age())
 	switch order := u.Incarnation.Compare(p.Incarnation); {
 	case order < 0:
 		return
@@ -206,7 +206,7 @@
 		}
 	case u.State < p.State:
 		if u.State == Alive && p.Active() {
-			p.recordHeard(heard) // another member has heard from it since
+			p.recordReceived(received) // another member has heard from it since
 		}
 		return
 	case u.State == p.State:
@@ -214,7 +214,7 @@
 			c.suspect(u.Name, u.By)
 		}
 		if u.State == Alive {
-			p.recordHeard(heard)
+			p.recordReceived(received)
 		}
 		if p.Generation == u.Generation && p.Epoch == u.Epoch && p.Addr == u.Addr {
 			return
@@ -229,14 +229,14 @@
 		previous.Generation != u.Generation || previous.Epoch != u.Epoch || previous.Addr != u.Addr
 	p.Member = u.Member
 	p.State = previous.State
-	p.lastHeard = heard
+	p.lastReceived = received
 	if u.State == Suspect {
 		c.setState(p, Alive)
 		c.suspect(u.Name, cmp.Or(u.By, u.Name))
 		return
 	}
 	c.setState(p, u.State)
-	p.stateSince = heard
+	p.stateSince = received
 	c.queueUpdate(u)
 }
 
@@ -250,7 +250,7 @@
 		c.counts.Full++
 		return
 	}
-	p := &peer{Member: u.Member, lastHeard: c.now.Add(-u.age()), stateSince: c.now.Add(-u.age())}
+	p := &peer{Member: u.Member, lastReceived: c.now.Add(-u.age()), stateSince: c.now.Add(-u.age())}
 	p.State = Alive
 	c.peers[u.Name] = p
 	if u.State == Suspect {
--- a/internal/format/http1/head.go
+++ b/internal/format/http1/head.go
@@ -141,7 +141,7 @@
 func newBodyDecoder(h Header, endsAtClose bool) (bodyDecoder, error) {
 	length, seen := int64(0), false
 	chunked := false
-	if h.hasField("content-length") && h.hasField("transfer-encoding") { // request smuggling: peers disagree on which one counts
+	if h.hasField("content-length") && h.hasField("transfer-encoding") { // request smuggling: implementations disagree on which one counts
 		return bodyDecoder{}, badMessage("both content-length and transfer-encoding")
 	}
 	for _, f := range h {
--- a/internal/format/http1/request.go
+++ b/internal/format/http1/request.go
@@ -96,7 +96,7 @@
 			return badMessage("transfer-encoding in HTTP/1.0")
 		}
 	}
-	if hosts > 1 { // peers disagree on which one counts (RFC 9112, 3.2)
+	if hosts > 1 { // implementations disagree on which one counts (RFC 9112, 3.2)
 		return badMessage("%d host fields", hosts)
 	}
 	r := &Request{Method: f[0], Target: f[1], Header: h, Close: h.listContains("connection", "close")}
--- a/internal/format/settings/settings.go
+++ b/internal/format/settings/settings.go
@@ -29,7 +29,7 @@
 	Coordinator *Coordinator
 	Fleet       *Fleet // membership of the gatherers' fleet; nil means none
 
-	Live    Live
+	Live    LiveOverrides
 	Guard   Guard
 	Signing string // path of the keys that configurations must be signed with; empty means no signatures
 	History string // path of the record of configuration changes; empty means in memory only
@@ -50,9 +50,9 @@
 	Line      int           // line of the element in the file
 }
 
-// Live holds the settings that can change while queries run. For a field that is zero
-// the platform's configuration applies.
-type Live struct {
+// LiveOverrides holds the settings that can change while queries run. For a field that is
+// zero the platform's configuration applies.
+type LiveOverrides struct {
 	Classes   []Class
 	Pools     Pools
 	Admission Admission
@@ -396,11 +396,11 @@
 			faults.Add(p.Line, p.Name, fmt.Sprintf("name %q, which is on line %d too", name, line), "a different name for each")
 		}
 		seen[name] = p.Line
-		peer := AdminEndpoint{name, p.Text("endpoint")}
+		endpoint := AdminEndpoint{name, p.Text("endpoint")}
 		if p.Name == "gatherer" {
-			c.Gatherers = append(c.Gatherers, peer)
+			c.Gatherers = append(c.Gatherers, endpoint)
 		} else {
-			c.Searchers = append(c.Searchers, peer)
+			c.Searchers = append(c.Searchers, endpoint)
 		}
 	}
 	return c
--- a/internal/layout/coordinator/coordinator.go
+++ b/internal/layout/coordinator/coordinator.go
@@ -1,7 +1,7 @@
 // Package coordinator runs changes of the layout at gatherers and searchers over
 // their admin sockets. It connects the coordinator's state machine (reshard), its
 // durable log (reshardlog, migrate) and the orders to searchers (assignment) to the
-// network. One goroutine polls each peer; those packages make all decisions.
+// network. One goroutine polls each of these processes; those packages make all decisions.
 package coordinator
 
 import (
@@ -38,11 +38,11 @@
 	Searchers     []Peer // must name each searcher of the fleet
 	MeasuredClass string // safe class whose p99 controls the copy rate; empty: none
 
-	PollInterval time.Duration // interval between polls of a peer; 0 means 200 ms
-	Timeout      time.Duration // of a request to a peer; 0 means 2 s
+	PollInterval time.Duration // interval between polls of a process; 0 means 200 ms
+	Timeout      time.Duration // of a request to a process; 0 means 2 s
 
 	Wrap      func(http.RoundTripper) http.RoundTripper // may be nil; for tests
-	OnPublish func(*layout.Layout)                      // called for each epoch before any peer is notified; may be nil
+	OnPublish func(*layout.Layout)                      // called for each epoch before any process is notified; may be nil
 	OnEnded   func(reshard.Ended)                       // called for each change that is over; may be nil
 	Logger    *slog.Logger
 }
@@ -57,7 +57,7 @@
 	startedAt time.Time
 	options   Options
 	driver    *migrate.Driver
-	peers     sync.WaitGroup
+	pollers   sync.WaitGroup
 	stop      context.CancelFunc
 
 	mu             sync.Mutex // guards the fields below
@@ -103,21 +103,21 @@
 	}
 	c.driver = d
 	for _, p := range o.Gatherers {
-		c.pollPeer(ctx, p, c.exchangeWithGatherer)
+		c.pollProcess(ctx, p, c.exchangeWithGatherer)
 	}
 	for _, p := range o.Searchers {
-		c.pollPeer(ctx, p, c.exchangeWithSearcher)
+		c.pollProcess(ctx, p, c.exchangeWithSearcher)
 	}
 	return c, nil
 }
 
-// validate checks that the peers match the fleet.
+// validate checks that the gatherers and searchers match the fleet.
 func (o Options) validate() error {
 	var errs []error
 	seen := make(map[string]bool)
 	for _, p := range slices.Concat(o.Gatherers, o.Searchers) {
 		if seen[p.Name] {
-			errs = append(errs, fmt.Errorf("coordinator: found peer %q twice, want unique names", p.Name))
+			errs = append(errs, fmt.Errorf("coordinator: found process %q twice, want unique names", p.Name))
 		}
 		seen[p.Name] = true
 	}
@@ -139,23 +139,23 @@
 func (c *Coordinator) Wait() error {
 	err := c.driver.Wait()
 	c.stop()
-	c.peers.Wait()
+	c.pollers.Wait()
 	if c.fenced {
 		err = errors.Join(ErrFenced, err)
 	}
 	return err
 }
 
-// pollPeer starts a goroutine that calls exchange at each poll interval, and at once
+// pollProcess starts a goroutine that calls exchange at each poll interval, and at once
 // after wake.
-func (c *Coordinator) pollPeer(ctx context.Context, p Peer, exchange func(context.Context, Peer, *admin.Client)) {
+func (c *Coordinator) pollProcess(ctx context.Context, p Peer, exchange func(context.Context, Peer, *admin.Client)) {
 	client := admin.NewClient(p.Endpoint, c.options.Timeout, c.options.Wrap)
 	c.mu.Lock()
 	wakeup := c.wakeups[p.Name]
 	c.mu.Unlock()
-	c.peers.Add(1)
+	c.pollers.Add(1)
 	go func() {
-		defer c.peers.Done()
+		defer c.pollers.Done()
 		defer client.Close()
 		t := time.NewTicker(c.options.PollInterval)
 		defer t.Stop()
@@ -171,7 +171,7 @@
 	}()
 }
 
-// wake requests an immediate poll of a peer. c.mu must be held.
+// wake requests an immediate poll of a process. c.mu must be held.
 func (c *Coordinator) wake(name string) {
 	select {
 	case c.wakeups[name] <- struct{}{}:
@@ -301,7 +301,7 @@
 	c.stop()
 }
 
-// StartTerm implements migrate.Peers.
+// StartTerm implements migrate.Executor.
 func (c *Coordinator) StartTerm(log string, term uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -309,7 +309,7 @@
 	c.tracker = assignment.New(log, term, slices.Sorted(maps.Keys(c.options.Fleet.Zones)), c.options.Limits.MaxRate, assignment.Limits{})
 }
 
-// Publish implements migrate.Peers.
+// Publish implements migrate.Executor.
 func (c *Coordinator) Publish(l *layout.Layout) {
 	if c.options.OnPublish != nil {
 		c.options.OnPublish(l)
@@ -330,7 +330,7 @@
 	}
 }
 
-// Fill implements migrate.Peers.
+// Fill implements migrate.Executor.
 func (c *Coordinator) Fill(f reshard.Fill) {
 	c.updateLedger(func(l *assignment.Tracker) {
 		l.SetRate(f.Rate)
@@ -348,17 +348,17 @@
 	c.wakeSearchersWithNewOrders()
 }
 
-// Stop implements migrate.Peers.
+// Stop implements migrate.Executor.
 func (c *Coordinator) Stop(job reshard.JobID) {
 	c.updateLedger(func(l *assignment.Tracker) { l.RemoveFills(job) })
 }
 
-// SetRate implements migrate.Peers.
+// SetRate implements migrate.Executor.
 func (c *Coordinator) SetRate(rows float64) {
 	c.updateLedger(func(l *assignment.Tracker) { l.SetRate(rows) })
 }
 
-// Drop implements migrate.Peers. The tracker derives from the layout in force which
+// Drop implements migrate.Executor. The tracker derives from the layout in force which
 // segments a searcher must drop; this call requests an event once it has.
 func (c *Coordinator) Drop(t reshard.Target) {
 	c.updateLedger(func(l *assignment.Tracker) { l.AwaitDrop(t) })
--- a/internal/layout/coordinator/serve.go
+++ b/internal/layout/coordinator/serve.go
@@ -50,7 +50,7 @@
 // Abort requests that a job be undone.
 func (c *Coordinator) Abort(id reshard.JobID, reason string) error { return c.driver.Abort(id, reason) }
 
-// Status returns the state of the layout, the jobs and the peers.
+// Status returns the state of the layout, the jobs, the gatherers and the searchers.
 func (c *Coordinator) Status() (s admin.Status, err error) {
 	err = c.driver.Inspect(func(m *reshard.Coordinator) {
 		s.Epoch, s.Segments, s.Counts = m.Layout().Epoch(), m.Layout().Len(), m.Counts()
@@ -71,11 +71,11 @@
 	s.P99WithoutCopiesMS = float64(c.meter.BaselineP99()) / float64(time.Millisecond)
 	for _, p := range c.options.Gatherers {
 		epoch, up := c.gathererEpochs[p.Name]
-		s.Gatherers = append(s.Gatherers, admin.PeerState{Name: p.Name, Epoch: epoch, Up: up})
+		s.Gatherers = append(s.Gatherers, admin.ProcessState{Name: p.Name, Epoch: epoch, Up: up})
 	}
 	down := c.tracker.DownSearchers()
 	for _, id := range c.tracker.Searchers() {
-		s.Searchers = append(s.Searchers, admin.PeerState{Name: id, Up: !slices.Contains(down, id)})
+		s.Searchers = append(s.Searchers, admin.ProcessState{Name: id, Up: !slices.Contains(down, id)})
 	}
 	return s, nil
 }
--- a/internal/layout/migrate/driver.go
+++ b/internal/layout/migrate/driver.go
@@ -1,5 +1,5 @@
 // Package migrate runs a reshard.Coordinator: it passes events to it, writes its
-// records to disk before anything else, and executes its effects through Peers.
+// records to disk before anything else, and executes its effects through an Executor.
 // The coordinator makes all decisions.
 package migrate
 
@@ -17,9 +17,9 @@
 	"eiderwinch/internal/layout/reshardlog"
 )
 
-// Peers executes effects at the gatherers and searchers. Its methods must not
+// Executor executes effects at the gatherers and searchers. Its methods must not
 // block; each may be called again with the same values.
-type Peers interface {
+type Executor interface {
 	// StartTerm is called before all other methods.
 	StartTerm(log string, term uint64)
 	Publish(*layout.Layout)
@@ -31,7 +31,7 @@
 
 // Driver runs one coordinator. Use Start to create one.
 type Driver struct {
-	peers       Peers
+	executor    Executor
 	log         *reshardlog.Log
 	coordinator *reshard.Coordinator
 	fleet       layout.Fleet
@@ -66,7 +66,7 @@
 
 // Start opens the log, restores the coordinator from it, and runs it until ctx ends
 // or a write to the log fails permanently. Wait returns the reason.
-func Start(ctx context.Context, o Options, p Peers) (*Driver, error) {
+func Start(ctx context.Context, o Options, executor Executor) (*Driver, error) {
 	logger := cmp.Or(o.Logger, slog.New(slog.DiscardHandler))
 	var log *reshardlog.Log
 	err := durable.RetryTransient(durable.StartTimeout, func() (err error) {
@@ -91,8 +91,8 @@
 	if err != nil {
 		return nil, errors.Join(fmt.Errorf("change log %s: %w", o.Path, err), log.Close())
 	}
-	d := &Driver{peers: p, log: log, coordinator: c, fleet: fleet, events: make(chan request, eventQueueSize), onEnded: o.OnEnded, ctx: ctx, logger: logger, done: make(chan struct{})}
-	p.StartTerm(log.ID(), log.Term())
+	d := &Driver{executor: executor, log: log, coordinator: c, fleet: fleet, events: make(chan request, eventQueueSize), onEnded: o.OnEnded, ctx: ctx, logger: logger, done: make(chan struct{})}
+	executor.StartTerm(log.ID(), log.Term())
 	for _, e := range effects {
 		d.execute(e)
 	}
@@ -158,15 +158,15 @@
 func (d *Driver) execute(e reshard.Effect) {
 	switch e := e.(type) {
 	case reshard.Publish:
-		d.peers.Publish(e.Layout)
+		d.executor.Publish(e.Layout)
 	case reshard.Fill:
-		d.peers.Fill(e)
+		d.executor.Fill(e)
 	case reshard.Stop:
-		d.peers.Stop(e.Job)
+		d.executor.Stop(e.Job)
 	case reshard.SetRate:
-		d.peers.SetRate(e.Rows)
+		d.executor.SetRate(e.Rows)
 	case reshard.Drop:
-		d.peers.Drop(e.Target)
+		d.executor.Drop(e.Target)
 	case reshard.Ended:
 		if d.onEnded != nil {
 			d.onEnded(e)
--- a/internal/layout/migrate/driver_test.go
+++ b/internal/layout/migrate/driver_test.go
@@ -15,8 +15,8 @@
 	"eiderwinch/internal/layout/reshardlog"
 )
 
-// fakePeers record the calls, and answer like a searcher that copies at once.
-type fakePeers struct {
+// fakeExecutor records the calls, and answers like a searcher that copies at once.
+type fakeExecutor struct {
 	driver *Driver // set before anything is submitted
 
 	mu      sync.Mutex
@@ -25,28 +25,28 @@
 	epoch   layout.Epoch
 }
 
-func (p *fakePeers) record(s string) {
+func (p *fakeExecutor) record(s string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.actions = append(p.actions, s)
 }
 
-func (p *fakePeers) StartTerm(_ string, term uint64) { p.terms = append(p.terms, term) }
-func (p *fakePeers) Publish(l *layout.Layout) {
+func (p *fakeExecutor) StartTerm(_ string, term uint64) { p.terms = append(p.terms, term) }
+func (p *fakeExecutor) Publish(l *layout.Layout) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.epoch = l.Epoch()
 }
-func (p *fakePeers) Fill(f reshard.Fill) {
+func (p *fakeExecutor) Fill(f reshard.Fill) {
 	p.record("fill " + f.Target.Searcher)
 	go func() {
 		p.driver.Notify(reshard.Copied{Job: f.Job, Target: f.Target})
 		p.driver.Notify(reshard.Lag{Job: f.Job, Target: f.Target})
 	}()
 }
-func (p *fakePeers) Stop(reshard.JobID) { p.record("stop") }
-func (p *fakePeers) SetRate(float64)    { p.record("rate") }
-func (p *fakePeers) Drop(t reshard.Target) {
+func (p *fakeExecutor) Stop(reshard.JobID) { p.record("stop") }
+func (p *fakeExecutor) SetRate(float64)    { p.record("rate") }
+func (p *fakeExecutor) Drop(t reshard.Target) {
 	p.record("drop " + t.Searcher)
 	go p.driver.Notify(reshard.Dropped{Target: t})
 }
@@ -60,7 +60,7 @@
 	return layout.Change{Kind: layout.Move, Segments: []layout.SegmentID{0}, Holders: [][]string{{to}}}
 }
 
-func startDriver(t *testing.T, path string) (*Driver, *fakePeers, func(), <-chan reshard.Ended) {
+func startDriver(t *testing.T, path string) (*Driver, *fakeExecutor, func(), <-chan reshard.Ended) {
 	t.Helper()
 	first, err := layout.First(layout.Segment{ID: 0, Keys: layout.All, Holders: []string{"a"}})
 	if err != nil {
@@ -68,7 +68,7 @@
 	}
 	ended := make(chan reshard.Ended, 10)
 	ctx, stop := context.WithCancel(context.Background())
-	p := &fakePeers{}
+	p := &fakeExecutor{}
 	p.driver, err = Start(ctx, Options{Path: path, First: first, Fleet: fleet, Limits: limits, OnEnded: func(e reshard.Ended) { ended <- e }}, p)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/layout/reshardlog/log_test.go
+++ b/internal/layout/reshardlog/log_test.go
@@ -92,7 +92,7 @@
 			if d := layout.Diff(before, c.Layout()); len(d) > 0 || c.Layout().Epoch() != before.Epoch() || len(effects) == 0 {
 				t.Errorf("killed after event %d: epoch %d was %d, %v", i, c.Layout().Epoch(), before.Epoch(), d)
 			}
-			// Peers report again what they reported before the kill.
+			// Gatherers and searchers report again what they reported before the kill.
 			for _, e := range splitEvents()[1 : i+1] {
 				if err := l.Append(c.Step(now, e).Records); err != nil {
 					t.Fatal(err)
--- a/internal/netio/dial.go
+++ b/internal/netio/dial.go
@@ -53,7 +53,7 @@
 		if err == nil {
 			err = n.loop.Enroll(c, h)
 		}
-		if err == nil || !eventloop.Transient(err) {
+		if err == nil || !eventloop.IsTransient(err) {
 			return err
 		}
 		n.exec(func() { n.stats.DialRetries++ })
--- a/internal/netio/eventloop/conn.go
+++ b/internal/netio/eventloop/conn.go
@@ -78,7 +78,7 @@
 		if err == nil {
 			return fd, nil
 		}
-		if !Transient(err) {
+		if !IsTransient(err) {
 			break
 		}
 		time.Sleep(minRetryWait << try)
--- a/internal/netio/eventloop/errors.go
+++ b/internal/netio/eventloop/errors.go
@@ -8,10 +8,10 @@
 	"golang.org/x/sys/unix"
 )
 
-// Transient reports whether a system call has failed for a temporary reason on this machine: a shortage of
+// IsTransient reports whether a system call has failed for a temporary reason on this machine: a shortage of
 // memory, buffers, descriptors or ports, an interruption, or a network that is unavailable for a moment. It
 // says nothing about the remote side. All other errors are final for the connection concerned.
-func Transient(err error) bool {
+func IsTransient(err error) bool {
 	var number syscall.Errno
 	if !errors.As(err, &number) {
 		return false
--- a/internal/netio/eventloop/loop_test.go
+++ b/internal/netio/eventloop/loop_test.go
@@ -159,7 +159,7 @@
 		unix.EADDRNOTAVAIL: true, unix.ENETUNREACH: true,
 		unix.ECONNREFUSED: false, unix.ECONNRESET: false, unix.ETIMEDOUT: false, unix.EHOSTUNREACH: false, unix.EINVAL: false,
 	} {
-		if Transient(&net.OpError{Op: "dial", Err: os.NewSyscallError("connect", err)}) != want {
+		if IsTransient(&net.OpError{Op: "dial", Err: os.NewSyscallError("connect", err)}) != want {
 			t.Errorf("%v: want %v", err, want)
 		}
 	}
@@ -168,7 +168,7 @@
 			t.Errorf("accept: %v is taken for an error that ends the loop", err)
 		}
 	}
-	if Transient(errors.New("malformed")) || !isListenerBroken(unix.EBADF) {
+	if IsTransient(errors.New("malformed")) || !isListenerBroken(unix.EBADF) {
 		t.Error("a permanent error is taken for a temporary one")
 	}
 }
--- a/internal/netio/node.go
+++ b/internal/netio/node.go
@@ -157,7 +157,7 @@
 	}
 	for wait, end := bootRetryWait, time.Now().Add(bootTimeout); ; wait = min(2*wait, bootMaxRetryWait) {
 		loop, err := eventloop.Open(n.cfg.Listen, options)
-		if err == nil || !eventloop.Transient(err) && !errors.Is(err, unix.EADDRINUSE) || time.Now().Add(wait).After(end) {
+		if err == nil || !eventloop.IsTransient(err) && !errors.Is(err, unix.EADDRINUSE) || time.Now().Add(wait).After(end) {
 			return loop, err
 		}
 		n.log.Warn("listener could not be opened; retrying", "listen", n.cfg.Listen, "err", err)
