--- a/internal/admin/gatherer.go
+++ b/internal/admin/gatherer.go
@@ -47,7 +47,7 @@
 	// on that when it has old holders drop a segment. If empty, the socket accepts
 	// no epochs.
 	LayoutPath string
-	// Fleet is the gatherer's view of its fleet; nil: it has no fleet.
+	// Fleet runs the gatherer's membership view; nil: it has no fleet.
 	Fleet *transport.Node
 	// Leave makes the gatherer leave the fleet.
 	Leave func(context.Context) error
@@ -68,11 +68,11 @@
 	return m
 }
 
-// FleetState is a gatherer's view of its fleet.
+// FleetState is a gatherer's membership view of its fleet.
 type FleetState struct {
 	Name     string           `json:"name"`
 	Addr     string           `json:"addr"`
-	View     uint64           `json:"view"`   // number of the view, counted by this gatherer alone
+	View     uint64           `json:"view"`   // number of the membership view, counted by this gatherer alone
 	Digest   string           `json:"digest"` // equal where the same processes are counted
 	Counted  int              `json:"counted"`
 	Replaced bool             `json:"over"`            // a newer process has the same name
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -1,5 +1,6 @@
 // Package daemon builds a gatherer from its configuration, for all commands and
-// tests that run one.
+// tests that run one. It connects the gatherer's parts and converts settings for them;
+// it neither reads files nor runs the gatherer.
 package daemon
 
 import (
--- a/internal/durable/durable.go
+++ b/internal/durable/durable.go
@@ -1,5 +1,5 @@
 // Package durable makes file access tolerate transient failures: a disk that is full or returns errors for a while,
-// and a process that was killed while it created a file.
+// and a process that was killed while it created a file. It does not know what the files contain.
 package durable
 
 import (
--- a/internal/fleet/membership/core.go
+++ b/internal/fleet/membership/core.go
@@ -48,7 +48,7 @@
 		Data   []byte
 		Stream bool
 	}
-	// ViewChanged reports a new view.
+	// ViewChanged reports a new membership view.
 	ViewChanged struct{ View View }
 	// MemberChanged reports a new member, or a member whose state has changed.
 	MemberChanged struct {
@@ -73,7 +73,7 @@
 type peer struct {
 	Member
 	stateSince   time.Time                // when any member found out the state; Suspect: when this member learned of it
-	lastReceived time.Time                // when any member last heard from it directly; gives the age of updates about it
+	lastReceived time.Time                // when any member last received a message from it directly; gives the age of updates about it
 	accusers     map[string]struct{}      // Suspect: the members that suspect it
 	timer        timerqueue.Timer[func()] // Suspect: when it is declared dead; Dead, Left: when it is forgotten
 }
--- a/internal/fleet/membership/membership.go
+++ b/internal/fleet/membership/membership.go
@@ -9,7 +9,7 @@
 // Failure Detection", 2018): a member that has reason to believe that it is slow itself waits longer, and a
 // suspicion lasts shorter the more members confirm it.
 //
-// Members do not agree on a common view. What a view may be used for, and what not, is in docs/fleet-view.md.
+// Members do not agree on a common view. What a membership view may be used for, and what not, is in docs/fleet-view.md.
 package membership
 
 import (
@@ -64,11 +64,11 @@
 	Epoch       uint64      `cbor:"7,keyasint,omitempty"` // of its layout
 }
 
-// Active reports whether the member belongs to the view. A suspect one does.
+// Active reports whether the member belongs to the membership view. A suspect one does.
 func (m Member) Active() bool { return m.State == Alive || m.State == Suspect }
 
-// View is the active members. Two gatherers with the same Digest have the same active processes. Number is local to
-// the gatherer and grows with each change of its view.
+// View is a membership view: the active members, as one gatherer knows them. Two gatherers with the same Digest have
+// the same active processes. Number is local to the gatherer and grows with each change of its view.
 type View struct {
 	Number  uint64
 	Digest  uint64
--- a/internal/fleet/membership/message.go
+++ b/internal/fleet/membership/message.go
@@ -36,7 +36,7 @@
 	Seq           uint64   `cbor:"5,keyasint,omitempty"`
 	TargetAddr    string   `cbor:"6,keyasint,omitempty"` // pingReq: the address to probe
 	TargetName    string   `cbor:"7,keyasint,omitempty"` // pingReq: the name of the member there
-	Digest        uint64   `cbor:"8,keyasint,omitempty"` // of the sender's view
+	Digest        uint64   `cbor:"8,keyasint,omitempty"` // of the sender's membership view
 	Updates       []update `cbor:"9,keyasint,omitempty"`
 	ContentDigest uint64   `cbor:"10,keyasint,omitempty"` // of what the members of that view serve, and where
 }
@@ -45,7 +45,7 @@
 type update struct {
 	Member
 	By  string `cbor:"16,keyasint,omitempty"` // Suspect: the member that suspects it
-	Age uint64 `cbor:"17,keyasint,omitempty"` // milliseconds since the state was found out, or since the member was last heard from
+	Age uint64 `cbor:"17,keyasint,omitempty"` // milliseconds since the state was found out, or since a message was last received from the member
 }
 
 var (
--- a/internal/fleet/membership/updates.go
+++ b/internal/fleet/membership/updates.go
@@ -159,7 +159,7 @@
 	return 0
 }
 
-// recordReceived records that a member was heard from.
+// recordReceived records the time at which a message was received from a member.
 func (p *peer) recordReceived(at time.Time) {
 	if at.After(p.lastReceived) {
 		p.lastReceived = at
@@ -206,7 +206,7 @@
 		}
 	case u.State < p.State:
 		if u.State == Alive && p.Active() {
-			p.recordReceived(received) // another member has heard from it since
+			p.recordReceived(received) // another member has received a message from it since
 		}
 		return
 	case u.State == p.State:
--- a/internal/fleet/seal/seal.go
+++ b/internal/fleet/seal/seal.go
@@ -6,9 +6,9 @@
 // under a shared secret of a key file (package signature). Each key is valid for a limited time, so that keys can
 // be replaced one after the other.
 //
-// A replayed envelope is recognized by its sender's sequence number, provided that the receiver has heard from
-// that process before. A receiver that has just started has not: what an old envelope can make it believe is
-// limited by how package membership treats old updates.
+// A replayed envelope is recognized by its sender's sequence number, provided that the receiver has opened an
+// envelope of that process before. A receiver that has just started has not: what an old envelope can make it
+// believe is limited by how package membership treats old updates.
 package seal
 
 import (
--- a/internal/fleet/share/share.go
+++ b/internal/fleet/share/share.go
@@ -4,9 +4,9 @@
 // The limits are divided into as many slots as gatherers are planned. Each slot belongs to one number below
 // Settings.Slots, so without any communication no gatherer uses more than its own slot. The slot of a gatherer
 // that is gone is used by the next running gatherer after it in the ring of numbers, and by no other: however much
-// views differ, two gatherers never use one slot at the same time.
+// membership views differ, two gatherers never use one slot at the same time.
 //
-// This relies only on evidence that can't be mistaken. A view can't distinguish a dead gatherer from a partitioned
+// This relies only on evidence that can't be mistaken. A membership view can't distinguish a dead gatherer from a partitioned
 // one, and both sides of a partition would take over the slots of the other. So a Holder believes only that the
 // host of a slot's address has refused a connection: nothing listened there, so no process of that slot ran.
 // Silence proves nothing. A gatherer that is stopped no longer answers, but its host still accepts connections; a
@@ -246,8 +246,8 @@
 	return h.settings.Window + h.settings.Window/driftDivisor
 }
 
-// NextDials returns the dials to make now. alive reports whether the view has an alive member for a slot: such slots are
-// not dialed. The caller must report the outcome of each dial with DialEnded.
+// NextDials returns the dials to make now. alive reports whether the membership view has an alive member for a slot: such
+// slots are not dialed. The caller must report the outcome of each dial with DialEnded.
 func (h *Holder) NextDials(now time.Time, alive func(slot int) bool) (dials []Dial) {
 	// Covers the slots that are known to be gone, and the next one. No slot is dialed before all nearer ones are
 	// known to be gone: a starting gatherer then needs to question only as far as the first running one.
--- a/internal/fleet/share/share_test.go
+++ b/internal/fleet/share/share_test.go
@@ -72,7 +72,7 @@
 	sim.expectSlotsAfter(t, 600*time.Millisecond, 6) // alone: all others refuse
 }
 
-// Guards against two gatherers using one slot: 0 had found 1 gone while 2, between them, was running. 2 told 1, which had
+// Guards against two gatherers using one slot: 0 had found 1 gone while 2, between them, was running. 2 replied to 1, which had
 // restarted, that its slot was free, and ended. Then 0 found 2 gone, and used both slots. Found by rapid with seed 3.
 func TestASlotIsNotDialedBeforeAllNearerOnesAreGone(t *testing.T) {
 	sim := newSimulation(testSettings(3), 1)
--- a/internal/fleet/share/simulation_test.go
+++ b/internal/fleet/share/simulation_test.go
@@ -84,7 +84,7 @@
 	return sim.partitioned[[2]int{a, b}] || sim.partitioned[[2]int{b, a}]
 }
 
-// noneAlive stands for the view. It does not notice partitions and reports that no member is alive, so that the
+// noneAlive stands for the membership view. It does not notice partitions and reports that no member is alive, so that the
 // simulation does not depend on the view.
 func noneAlive(int) bool { return false }
 
--- a/internal/fleet/transport/node.go
+++ b/internal/fleet/transport/node.go
@@ -1,7 +1,7 @@
-// Package transport runs a gatherer's view of its fleet (package membership) over sockets: datagrams over UDP, and
-// messages that may be longer than a datagram over TCP, at the same address. One goroutine owns the view. All
-// queues to and from it are bounded, and what does not fit is dropped and counted, because the view tolerates loss
-// and no peer or log may block it.
+// Package transport runs a gatherer's membership view (package membership) over sockets: datagrams over UDP, and
+// messages that may be longer than a datagram over TCP, at the same address. It decides nothing about members. One
+// goroutine owns the membership.Core. All queues to and from it are bounded, and what does not fit is dropped and
+// counted, because the protocol tolerates loss and no peer or log may block it.
 package transport
 
 import (
@@ -23,14 +23,14 @@
 )
 
 const (
-	inboxSize        = 1024                 // messages waiting for the view
+	inboxSize        = 1024                 // messages waiting for the membership core
 	maxStreams       = 32                   // streams being written, and as many being read
 	maxMessageBytes  = 4 << 20              // of a message over a stream; 4,096 members take a tenth of it
 	maxDatagramBytes = 1<<16 - 1            // of the longest datagram
 	streamTimeout    = 2 * time.Second      // for one message over a stream, including the connection
 	datagramTimeout  = 5 * time.Millisecond // for writing a datagram, which is of no use if it is delayed longer
 	bindAttempts     = 20                   // to find a port that is free for both TCP and UDP
-	idleInterval     = time.Hour            // if the view has no timer set
+	idleInterval     = time.Hour            // if the membership core has no timer set
 	leaveDelay       = 300 * time.Millisecond
 )
 
@@ -48,14 +48,14 @@
 	Log       *slog.Logger
 }
 
-// Counts are the counters of a Node, its view, its share of the limits and its envelopes.
+// Counts are the counters of a Node, its membership core, its share of the limits and its envelopes.
 type Counts struct {
 	View       membership.Counts
 	Share      share.Counts
 	Seal       seal.Counts
 	Datagrams  int // received
 	Streams    int // messages received over streams
-	QueueFull  int // messages dropped because the view was busy
+	QueueFull  int // messages dropped because the membership core was busy
 	StreamFull int // messages not sent because too many streams were in use
 	SendFails  int // datagrams and streams that could not be sent
 	Unsealed   int // messages that could not be sealed because the key is not valid
@@ -167,7 +167,7 @@
 // Addr returns the address at which other members reach this one: the advertised one, or else the listen address.
 func (n *Node) Addr() string { return n.addr }
 
-// View returns the latest view. It is safe for concurrent use.
+// View returns the latest membership view. It is safe for concurrent use.
 func (n *Node) View() membership.View {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -181,7 +181,7 @@
 	return n.steppedDown
 }
 
-// Watch returns a channel that receives the current view, then each new one. A slow reader misses intermediate
+// Watch returns a channel that receives the current membership view, then each new one. A slow reader misses intermediate
 // views, never the latest. The channel is closed when the node ends.
 func (n *Node) Watch() <-chan membership.View {
 	ch := make(chan membership.View, 1)
@@ -256,7 +256,7 @@
 	<-n.ended
 }
 
-// loop owns the view and feeds it all events.
+// loop owns the membership core and feeds it all events.
 func (n *Node) loop() {
 	defer n.done.Done()
 	timer := time.NewTimer(0)
@@ -287,7 +287,7 @@
 	}
 }
 
-// receive opens a message and passes it to the view.
+// receive opens a message and passes it to the membership core.
 func (n *Node) receive(message inbound) {
 	if message.stream {
 		n.counts.Streams++
@@ -317,7 +317,7 @@
 	n.step(membership.Received{From: message.from, Data: data})
 }
 
-// step passes an event to the view and carries out the effects.
+// step passes an event to the membership core and carries out the effects.
 func (n *Node) step(e membership.Event) {
 	for _, x := range n.core.Step(time.Now(), e) {
 		switch x := x.(type) {
--- a/internal/fleet/transport/shares.go
+++ b/internal/fleet/transport/shares.go
@@ -80,7 +80,7 @@
 	return s.current, s.holder.Counts()
 }
 
-// aliveSlots returns a function that reports whether the view has an alive member at a slot's address.
+// aliveSlots returns a function that reports whether the membership view has an alive member at a slot's address.
 func aliveSlots(v membership.View, slots []string) func(slot int) bool {
 	alive := make(map[string]bool)
 	for _, m := range v.Members {
--- a/internal/format/catalog/catalog.go
+++ b/internal/format/catalog/catalog.go
@@ -1,4 +1,5 @@
-// Package catalog parses the member lists that discovery sends. It does no I/O.
+// Package catalog parses the member lists that discovery sends. It does no I/O, and does not decide which entries of a
+// list are believed: package discovery does.
 package catalog
 
 import (
--- a/internal/layout/reshard/coordinator.go
+++ b/internal/layout/reshard/coordinator.go
@@ -39,7 +39,7 @@
 	Draining              // all gatherers have the epoch; queries of older epochs are completing
 	Done                  // the former holders have dropped the segment
 	Undone                // undone before the cut-over
-	Sealing               // the former holders are being told to drop the segment
+	Sealing               // the former holders are being ordered to drop the segment
 	phaseCount
 )
 
@@ -213,7 +213,7 @@
 // SetRate sets the rate of all copies, in rows per second to one target.
 type SetRate struct{ Rows float64 }
 
-// Drop tells a searcher to drop a segment that gatherers no longer send it parts for.
+// Drop orders a searcher to drop a segment that gatherers no longer send it parts for.
 type Drop struct{ Target Target }
 
 // Ended reports that a job is over.
--- a/internal/layout/reshard/step.go
+++ b/internal/layout/reshard/step.go
@@ -357,7 +357,7 @@
 	return true
 }
 
-// startSealing tells the former holders to drop the segments that were moved away:
+// startSealing orders the former holders to drop the segments that were moved away:
 // no reporting gatherer sends them parts any more. An isolated gatherer may still
 // do so with an older epoch. The successors therefore continue to apply changes
 // from the former holders until each has confirmed the drop, after which it rejects
--- a/internal/stats/stats.go
+++ b/internal/stats/stats.go
@@ -1,4 +1,5 @@
-// Package stats counts what a gatherer receives, sends and answers.
+// Package stats holds the counters of what a gatherer receives, sends and answers, and logs them under fixed keys. It
+// measures no durations: package querystats does.
 package stats
 
 import (
