--- a/internal/trial/emulator/experiment.go
+++ b/internal/trial/emulator/experiment.go
@@ -36,8 +36,8 @@
 			"scenario": {Doc: "one deployment and what happens to it", Attributes: []xmlform.Attribute{
 				{Name: "name", Kind: xmlform.Name, Required: true, Doc: "name of the scenario in results and plots"},
 				span("duration", "60s", 1, 3600, "time during which clients send queries"),
-				count("gatherers", "3", 1000, "number of gatherers"),
-				count("searchers", "12", 10000, "number of searchers"),
+				count("gatherers", "3", 1000, "gatherers"),
+				count("searchers", "12", 10000, "searchers"),
 				count("zones", "3", 64, "number of data centres"),
 				factor("load", "1", 0.001, 1000, "load as a multiple of the usual load for this number of searchers"),
 				count("slots", "4", 256, "number of parts that a searcher serves at the same time"),
