--- a/cmd/eiderwinch/coordinate.go
+++ b/cmd/eiderwinch/coordinate.go
@@ -41,9 +41,9 @@
 	if err != nil {
 		return err
 	}
-	toPeers := func(list []settings.AdminEndpoint) (out []coordinator.Peer) {
+	toProcesses := func(list []settings.AdminEndpoint) (out []coordinator.Process) {
 		for _, p := range list {
-			out = append(out, coordinator.Peer(p))
+			out = append(out, coordinator.Process(p))
 		}
 		return out
 	}
@@ -51,7 +51,7 @@
 	defer stop()
 	run, err := coordinator.Start(ctx, coordinator.Options{
 		LogPath: co.Log, InitialLayout: first, Fleet: fleet, Limits: co.Limits, MeasuredClass: co.MeasuredClass, PollInterval: co.Poll, Timeout: co.Timeout,
-		Gatherers: toPeers(co.Gatherers), Searchers: toPeers(co.Searchers), Logger: log,
+		Gatherers: toProcesses(co.Gatherers), Searchers: toProcesses(co.Searchers), Logger: log,
 	})
 	if err != nil {
 		return &exitError{exitConfig, err}
@@ -104,7 +104,7 @@
 		_, err := e.stdout.Write(text)
 		return err
 	}
-	var s admin.Status
+	var s admin.CoordinatorStatus
 	if err := client.Do(ctx, http.MethodGet, "/v1/status", nil, &s); err != nil {
 		return err
 	}
@@ -115,7 +115,7 @@
 }
 
 // printStatus prints a coordinator's state as text.
-func printStatus(w io.Writer, s admin.Status) error {
+func printStatus(w io.Writer, s admin.CoordinatorStatus) error {
 	fmt.Fprintf(w, "epoch %d, %d segments, term %d, copies at up to %.0f rows a second", s.Epoch, s.Segments, s.Term, s.RowsPerSecond)
 	if s.P99WithoutCopiesMS > 0 {
 		fmt.Fprintf(w, ", p99 without copies %.1f ms", s.P99WithoutCopiesMS)
@@ -226,7 +226,7 @@
 	tick := time.NewTicker(statusInterval)
 	defer tick.Stop()
 	for len(waiting) > 0 {
-		var s admin.Status
+		var s admin.CoordinatorStatus
 		// On an error the coordinator may be restarting, so the next tick asks again.
 		if err := client.Do(ctx, http.MethodGet, "/v1/status", nil, &s); err == nil {
 			for _, j := range s.Jobs {
--- a/cmd/eiderwinch/coordinate_test.go
+++ b/cmd/eiderwinch/coordinate_test.go
@@ -95,7 +95,7 @@
 }
 
 // waitForStatus waits until the status of the coordinator satisfies is.
-func (d *reshardDeployment) waitForStatus(t *testing.T, what string, is func(admin.Status) bool) admin.Status {
+func (d *reshardDeployment) waitForStatus(t *testing.T, what string, is func(admin.CoordinatorStatus) bool) admin.CoordinatorStatus {
 	t.Helper()
 	return waitForJSON(t, what, is, "layout", "status", "--json", "--file", d.ops)
 }
@@ -157,7 +157,7 @@
 	d := newReshardDeployment(t)
 	g, addr := d.startGatherer(t)
 	co := d.startCoordinator(t)
-	d.waitForStatus(t, "a gatherer that answers", func(s admin.Status) bool { return s.Epoch == 1 && s.Gatherers[0].Up })
+	d.waitForStatus(t, "a gatherer that answers", func(s admin.CoordinatorStatus) bool { return s.Epoch == 1 && s.Gatherers[0].Up })
 	if e := queryEpoch(t, addr, "t1"); e != "1" {
 		t.Errorf("epoch %s, want 1", e)
 	}
@@ -185,7 +185,7 @@
 		t.Errorf("status without a coordinator: code %d", code)
 	}
 	co = d.startCoordinator(t)
-	s := d.waitForStatus(t, "the cut-over", func(s admin.Status) bool {
+	s := d.waitForStatus(t, "the cut-over", func(s admin.CoordinatorStatus) bool {
 		return len(s.Jobs) == 1 && s.Jobs[0].Phase == reshard.Cutting.String() && s.Gatherers[0].Epoch == s.Epoch
 	})
 	if s.Term != 2 || s.Epoch < 3 {
--- a/cmd/eiderwinch/serve.go
+++ b/cmd/eiderwinch/serve.go
@@ -110,7 +110,7 @@
 		}()
 	}
 	counters := stats.New()
-	options := daemon.Options{Layout: b.candidate.Layout, Live: b.initialLive(), Record: true, ReportEvery: c.Report}
+	options := daemon.Options{Layout: b.candidate.Layout, LiveSettings: b.initialLive(), Record: true, ReportEvery: c.Report}
 	share, divided := fleet.Share()
 	options.NoShareUntil = share.Until
 	node := daemon.New(b.candidate.Config, options, counters, log)
--- a/cmd/eiderwinch/startup.go
+++ b/cmd/eiderwinch/startup.go
@@ -224,14 +224,14 @@
 
 // initialLive returns the live settings that the gatherer starts with.
 func (b *bootState) initialLive() *netio.LiveSettings {
-	l := daemon.Live(b.candidate, b.generation)
+	l := daemon.LiveSettings(b.candidate, b.generation)
 	return &l
 }
 
 // startManager starts the manager of a gatherer's configuration.
 func (b *bootState) startManager(ctx context.Context, f configFiles, node *netio.Node, level *slog.LevelVar, log *slog.Logger) *manager.Manager {
 	o := manager.Options{
-		Node: node, Initial: b.candidate, Machine: b.machine, Names: f.names(), ReadFiles: f.readSigned, LiveSettings: daemon.Live, Logger: log,
+		Node: node, Initial: b.candidate, Machine: b.machine, Names: f.names(), ReadFiles: f.readSigned, LiveSettings: daemon.LiveSettings, Logger: log,
 		Applied: func(c *bundle.Candidate) { level.Set(logLevel(c)) },
 	}
 	if b.history != nil {
@@ -247,7 +247,7 @@
 func logLevel(c *bundle.Candidate) slog.Level {
 	names := []string{"debug", "info", "warn", "error"}
 	levels := []slog.Level{slog.LevelDebug, slog.LevelInfo, slog.LevelWarn, slog.LevelError}
-	if i := slices.Index(names, c.File.Live.Log); i >= 0 {
+	if i := slices.Index(names, c.File.LiveOverrides.Log); i >= 0 {
 		return levels[i]
 	}
 	return slog.LevelInfo
--- a/internal/admin/coordinator.go
+++ b/internal/admin/coordinator.go
@@ -75,8 +75,8 @@
 	Up    bool         `json:"up"`
 }
 
-// Status is the state that a coordinator reports.
-type Status struct {
+// CoordinatorStatus is the state that a coordinator reports.
+type CoordinatorStatus struct {
 	Term               uint64            `json:"term"`
 	Epoch              layout.Epoch      `json:"epoch"`
 	Segments           int               `json:"segments"`
--- a/internal/configuration/manager/dryrun.go
+++ b/internal/configuration/manager/dryrun.go
@@ -28,7 +28,7 @@
 // a searcher may accept a connection and answer no query. The guard covers the rest.
 func (m *Manager) dryRun(ctx context.Context, c *bundle.Candidate) error {
 	faults := &faultList{}
-	if open := c.File.Live.Admission.Open; open > 0 && int64(open)*maxQueryBytes > c.Config.MemoryLimit {
+	if open := c.File.LiveOverrides.Admission.Open; open > 0 && int64(open)*maxQueryBytes > c.Config.MemoryLimit {
 		faults.add(fmt.Errorf("admission: found open=%d, want at most %d: each may take %d KiB, and limits.memory_mb is %d",
 			open, c.Config.MemoryLimit/maxQueryBytes, maxQueryBytes>>10, c.Config.MemoryLimit>>20))
 	}
--- a/internal/configuration/manager/manager_test.go
+++ b/internal/configuration/manager/manager_test.go
@@ -93,7 +93,7 @@
 	n := &fakeNode{}
 	ctx, stop := context.WithCancel(context.Background())
 	m := Start(ctx, Options{
-		Node: n, Initial: boot, Machine: change.New(boot.Hash, change.Limits{}), History: h, LiveSettings: daemon.Live, Logger: slog.New(slog.DiscardHandler),
+		Node: n, Initial: boot, Machine: change.New(boot.Hash, change.Limits{}), History: h, LiveSettings: daemon.LiveSettings, Logger: slog.New(slog.DiscardHandler),
 		Names: bundle.Names{Operators: "e.xml"}, ReadFiles: func() (bundle.Bundle, string, error) { return boot.Bundle, "", nil },
 	})
 	t.Cleanup(func() {
@@ -313,7 +313,7 @@
 		return c
 	}
 	first := candidate(1, "a")
-	m := &Manager{opts: Options{LiveSettings: daemon.Live}, layout: first.Layout, layoutText: first.Bundle.Layout}
+	m := &Manager{opts: Options{LiveSettings: daemon.LiveSettings}, layout: first.Layout, layoutText: first.Bundle.Layout}
 	for i, c := range []struct {
 		to     *bundle.Candidate
 		epoch  uint64
@@ -331,7 +331,7 @@
 	if l := m.liveSettings(candidate(9, "b"), 3).Layout; l != nil {
 		t.Errorf("the layout in force is given to the node again, as epoch %d", l.Epoch())
 	}
-	m = &Manager{opts: Options{LiveSettings: daemon.Live}}
+	m = &Manager{opts: Options{LiveSettings: daemon.LiveSettings}}
 	if l := m.liveSettings(first, 2).Layout; l != nil {
 		t.Error("a layout that takes effect at the next start only is put in force")
 	}
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -22,7 +22,7 @@
 // Options configure a gatherer beyond its configuration file.
 type Options struct {
 	Layout       *layout.Layout      // nil: the platform's cells determine which searchers hold which shards
-	Live         *netio.LiveSettings // the settings that can change while the gatherer runs; nil: those of the configuration
+	LiveSettings *netio.LiveSettings // the settings that can change while the gatherer runs; nil: those of the configuration
 	Record       bool                // record the results of queries, for the admin socket
 	NoShareUntil time.Time           // until when no slots of the fleet's limits may be used; zero: the gatherer's own share may be used from the start
 	ReportEvery  time.Duration       // interval at which the counters are logged; 0 means only on request
@@ -40,8 +40,8 @@
 		recorder = querystats.New(names)
 	}
 	live := netio.LiveSettings{Multiplex: limits.Multiplex, ConnectTimeout: limits.ConnectTimeout, ConnIdle: limits.ConnIdle}
-	if o.Live != nil {
-		live = *o.Live
+	if o.LiveSettings != nil {
+		live = *o.LiveSettings
 	}
 	return netio.New(netio.Config{
 		Listen: cfg.Listen, Discovery: cfg.Discovery, InitialMembers: cfg.KnownMembers, MemoryLimit: cfg.MemoryLimit, MaxDescriptors: cfg.SocketLimit,
@@ -54,11 +54,11 @@
 	}, eiderwinch.New(cfg.Settings.Module), counters, log)
 }
 
-// Live returns the settings that a running gatherer takes from a candidate, as the
-// given generation. Values in c.File.Live that are not zero override the limits in
+// LiveSettings returns the settings that a running gatherer takes from a candidate, as the
+// given generation. Values in c.File.LiveOverrides that are not zero override the limits in
 // c.Config.
-func Live(c *bundle.Candidate, gen change.Generation) netio.LiveSettings {
-	limits, overrides := c.Config.Settings.Limits, c.File.Live
+func LiveSettings(c *bundle.Candidate, gen change.Generation) netio.LiveSettings {
+	limits, overrides := c.Config.Settings.Limits, c.File.LiveOverrides
 	core := &gatherer.LiveSettings{Generation: uint64(gen), MaxOpen: cmp.Or(overrides.Admission.Open, limits.MaxOpen)}
 	core.Classes = make([]gatherer.ClassLimits, len(c.Config.Settings.Module.Classes))
 	for i, k := range c.Config.Settings.Module.Classes {
--- a/internal/format/settings/settings.go
+++ b/internal/format/settings/settings.go
@@ -29,10 +29,10 @@
 	Coordinator *Coordinator
 	Fleet       *Fleet // membership of the gatherers' fleet; nil means none
 
-	Live    LiveOverrides
-	Guard   Guard
-	Signing string // path of the keys that configurations must be signed with; empty means no signatures
-	History string // path of the record of configuration changes; empty means in memory only
+	LiveOverrides LiveOverrides
+	Guard         Guard
+	Signing       string // path of the keys that configurations must be signed with; empty means no signatures
+	History       string // path of the record of configuration changes; empty means in memory only
 }
 
 // Fleet configures how a gatherer keeps track of the other gatherers of its fleet.
@@ -291,7 +291,7 @@
 
 // readLive reads the settings that can change while queries run.
 func (f *File) readLive(root *xmlform.Node, faults *xmlform.Faults) {
-	l := &f.Live
+	l := &f.LiveOverrides
 	if n := root.Child("log"); n != nil {
 		l.Log = n.Text("level")
 	}
@@ -322,7 +322,7 @@
 // in which they contradict each other.
 func (f *File) CheckPlatform(file string, c config.Settings) error {
 	faults := &xmlform.Faults{File: file}
-	for _, own := range f.Live.Classes {
+	for _, own := range f.LiveOverrides.Classes {
 		i := slices.IndexFunc(c.Module.Classes, func(k eiderwinch.Class) bool { return k.Name == own.Name })
 		if i < 0 {
 			var names []string
@@ -346,15 +346,15 @@
 			faults.Add(fl.Line, "fleet", fmt.Sprintf("slot %d, which is this gatherer's, at %.80q", c.Module.GathererNumber, own), fmt.Sprintf("listen, %q", fl.Listen))
 		}
 	}
-	p, l := f.Live.Pools, c.Limits
+	p, l := f.LiveOverrides.Pools, c.Limits
 	if p.Multiplex > l.Multiplex {
 		faults.Add(p.Line, "pools", fmt.Sprintf("multiplex=%d", p.Multiplex), fmt.Sprintf("at most the platform's, %d", l.Multiplex))
 	}
 	if p.Idle > l.ConnIdle {
 		faults.Add(p.Line, "pools", fmt.Sprintf("idle=%v", p.Idle), fmt.Sprintf("at most conn_idle, %v, after which searchers close connections", l.ConnIdle))
 	}
-	if open := f.Live.Admission.Open; l.MaxOpen > 0 && open > l.MaxOpen {
-		faults.Add(f.Live.Admission.Line, "admission", fmt.Sprintf("open=%d", open), fmt.Sprintf("at most max_open, %d", l.MaxOpen))
+	if open := f.LiveOverrides.Admission.Open; l.MaxOpen > 0 && open > l.MaxOpen {
+		faults.Add(f.LiveOverrides.Admission.Line, "admission", fmt.Sprintf("open=%d", open), fmt.Sprintf("at most max_open, %d", l.MaxOpen))
 	}
 	return faults.Err()
 }
--- a/internal/format/settings/settings_test.go
+++ b/internal/format/settings/settings_test.go
@@ -121,12 +121,12 @@
 			t.Fatalf("cannot read the formatted file: %v\n%s", err, b.String())
 		}
 		for _, f := range []*File{file, again} { // line numbers may differ
-			f.Live.Pools.Line, f.Live.Admission.Line = 0, 0
+			f.LiveOverrides.Pools.Line, f.LiveOverrides.Admission.Line = 0, 0
 			if f.Fleet != nil {
 				f.Fleet.Line = 0
 			}
-			for i := range f.Live.Classes {
-				f.Live.Classes[i].Line = 0
+			for i := range f.LiveOverrides.Classes {
+				f.LiveOverrides.Classes[i].Line = 0
 			}
 		}
 		if !reflect.DeepEqual(file, again) {
--- a/internal/layout/coordinator/coordinator.go
+++ b/internal/layout/coordinator/coordinator.go
@@ -25,8 +25,8 @@
 	"eiderwinch/internal/querystats"
 )
 
-// Peer is a gatherer or searcher, with the endpoint of its admin socket.
-type Peer struct{ Name, Endpoint string }
+// Process is a gatherer or searcher, with the endpoint of its admin socket.
+type Process struct{ Name, Endpoint string }
 
 // Options configure a Coordinator.
 type Options struct {
@@ -34,9 +34,9 @@
 	InitialLayout *layout.Layout // base of a new log
 	Fleet         layout.Fleet
 	Limits        reshard.Limits
-	Gatherers     []Peer
-	Searchers     []Peer // must name each searcher of the fleet
-	MeasuredClass string // safe class whose p99 controls the copy rate; empty: none
+	Gatherers     []Process
+	Searchers     []Process // must name each searcher of the fleet
+	MeasuredClass string    // safe class whose p99 controls the copy rate; empty: none
 
 	PollInterval time.Duration // interval between polls of a process; 0 means 200 ms
 	Timeout      time.Duration // of a request to a process; 0 means 2 s
@@ -127,7 +127,7 @@
 		}
 	}
 	for id := range o.Fleet.Zones {
-		if !slices.ContainsFunc(o.Searchers, func(p Peer) bool { return p.Name == id }) {
+		if !slices.ContainsFunc(o.Searchers, func(p Process) bool { return p.Name == id }) {
 			errs = append(errs, fmt.Errorf("coordinator: searcher %q of the layout's fleet has no address", id))
 		}
 	}
@@ -148,7 +148,7 @@
 
 // pollProcess starts a goroutine that calls exchange at each poll interval, and at once
 // after wake.
-func (c *Coordinator) pollProcess(ctx context.Context, p Peer, exchange func(context.Context, Peer, *admin.Client)) {
+func (c *Coordinator) pollProcess(ctx context.Context, p Process, exchange func(context.Context, Process, *admin.Client)) {
 	client := admin.NewClient(p.Endpoint, c.options.Timeout, c.options.Wrap)
 	c.mu.Lock()
 	wakeup := c.wakeups[p.Name]
@@ -191,7 +191,7 @@
 
 // exchangeWithGatherer fetches a gatherer's state, and sends it the layout in force
 // if it has an older epoch.
-func (c *Coordinator) exchangeWithGatherer(ctx context.Context, p Peer, client *admin.Client) {
+func (c *Coordinator) exchangeWithGatherer(ctx context.Context, p Process, client *admin.Client) {
 	var s admin.GathererState
 	c.mu.Lock()
 	after := c.lastSecond[p.Name]
@@ -225,7 +225,7 @@
 }
 
 // exchangeWithSearcher sends a searcher its order and processes the report.
-func (c *Coordinator) exchangeWithSearcher(ctx context.Context, p Peer, client *admin.Client) {
+func (c *Coordinator) exchangeWithSearcher(ctx context.Context, p Process, client *admin.Client) {
 	c.mu.Lock()
 	order := c.tracker.Order(p.Name)
 	c.mu.Unlock()
--- a/internal/layout/coordinator/serve.go
+++ b/internal/layout/coordinator/serve.go
@@ -17,7 +17,7 @@
 // Handler returns the handler of the coordinator's admin socket. Where two types are
 // named, the first is the request's body and the second the answer's.
 //
-//	GET  /v1/status               admin.Status
+//	GET  /v1/status               admin.CoordinatorStatus
 //	GET  /v1/layout               the layout in force, as a layout file
 //	POST /v1/changes              admin.Submission; []admin.ChangeResult
 //	POST /v1/changes/{job}/abort  admin.AbortRequest
@@ -51,7 +51,7 @@
 func (c *Coordinator) Abort(id reshard.JobID, reason string) error { return c.driver.Abort(id, reason) }
 
 // Status returns the state of the layout, the jobs, the gatherers and the searchers.
-func (c *Coordinator) Status() (s admin.Status, err error) {
+func (c *Coordinator) Status() (s admin.CoordinatorStatus, err error) {
 	err = c.driver.Inspect(func(m *reshard.Coordinator) {
 		s.Epoch, s.Segments, s.Counts = m.Layout().Epoch(), m.Layout().Len(), m.Counts()
 		s.Jobs = []admin.Job{}
@@ -63,7 +63,7 @@
 		}
 	})
 	if err != nil {
-		return admin.Status{}, err
+		return admin.CoordinatorStatus{}, err
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/trial/soak/config.go
+++ b/internal/trial/soak/config.go
@@ -225,9 +225,9 @@
 		return end, err
 	}
 	log := slog.New(slog.DiscardHandler)
-	initialLive := daemon.Live(initial, 1)
+	initialLive := daemon.LiveSettings(initial, 1)
 	n := &node{counters: stats.New(), ended: make(chan error, 1)}
-	n.Node = daemon.New(initial.Config, daemon.Options{Layout: initial.Layout, Live: &initialLive, Record: true}, n.counters, log)
+	n.Node = daemon.New(initial.Config, daemon.Options{Layout: initial.Layout, LiveSettings: &initialLive, Record: true}, n.counters, log)
 	r.periods = []activePeriod{{generation: 1, from: time.Now()}}
 	if err := r.serve(n); err != nil {
 		return end, err
@@ -243,7 +243,7 @@
 		return end, err
 	}
 	ctx, stop := context.WithCancel(ctx)
-	r.manager = manager.Start(ctx, manager.Options{Node: &auditedNode{n.Node, r}, Initial: initial, Machine: machine, History: configHistory, LiveSettings: daemon.Live, Logger: log})
+	r.manager = manager.Start(ctx, manager.Options{Node: &auditedNode{n.Node, r}, Initial: initial, Machine: machine, History: configHistory, LiveSettings: daemon.LiveSettings, Logger: log})
 	closers = append(closers, func() error { stop(); return r.manager.Wait() })
 	gatherer := &admin.Gatherer{Name: "g0", Node: n.Node, RegisterConfigHandlers: r.manager.RegisterHandlers}
 	socket, err := admin.Serve("unix:"+filepath.Join(r.Dir, "admin.sock"), gatherer.Handler())
--- a/internal/trial/soak/soak.go
+++ b/internal/trial/soak/soak.go
@@ -297,12 +297,12 @@
 
 // startCoordinator starts the coordinator, for the first time or after a kill.
 func (r *run) startCoordinator() error {
-	var gatherers, searchers []coordinator.Peer
+	var gatherers, searchers []coordinator.Process
 	for i, n := range r.nodes {
-		gatherers = append(gatherers, coordinator.Peer{Name: "g" + strconv.Itoa(i), Endpoint: n.admin.Endpoint()})
+		gatherers = append(gatherers, coordinator.Process{Name: "g" + strconv.Itoa(i), Endpoint: n.admin.Endpoint()})
 	}
 	for _, id := range r.searcherIDs {
-		searchers = append(searchers, coordinator.Peer{Name: id, Endpoint: r.assignmentServers[id].Endpoint()})
+		searchers = append(searchers, coordinator.Process{Name: id, Endpoint: r.assignmentServers[id].Endpoint()})
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	c, err := coordinator.Start(ctx, coordinator.Options{
