--- a/cmd/eiderwinch/faults_test.go
+++ b/cmd/eiderwinch/faults_test.go
@@ -18,9 +18,9 @@
 
 	"golang.org/x/sys/unix"
 
-	"eiderwinch/internal/configuration/keeper"
+	"eiderwinch/internal/configuration/manager"
+	"eiderwinch/internal/trial/fake"
 	"eiderwinch/internal/trial/faults"
-	"eiderwinch/internal/trial/standin"
 )
 
 func TestMain(m *testing.M) {
@@ -42,7 +42,7 @@
 func faultCases() map[string][]faults.Fault {
 	const startDelay = 300 * time.Millisecond
 	once := func(call string, errno syscall.Errno) faults.Fault {
-		return faults.Fault{Call: call, Errno: errno, After: startDelay, Most: 1}
+		return faults.Fault{Call: call, Errno: errno, After: startDelay, MaxFailures: 1}
 	}
 	share := func(call string, errno syscall.Errno, to faults.Target, rate float64) faults.Fault {
 		return faults.Fault{Call: call, Errno: errno, Target: to, After: startDelay, Rate: rate}
@@ -106,7 +106,7 @@
 // tracedProgram is the program, possibly under faults, with a fake deployment around it.
 type tracedProgram struct {
 	*program
-	deployment *standin.Deployment
+	deployment *fake.Deployment
 }
 
 // launchTraced starts the program under a plan of faults.
@@ -122,7 +122,7 @@
 // launchDeployed starts a command that runs the program, with a fake deployment around it.
 func launchDeployed(t *testing.T, cmd *exec.Cmd, seed uint64) *tracedProgram {
 	t.Helper()
-	deployment, err := standin.NewDeployment(standin.DeploymentOptions{Seed: seed})
+	deployment, err := fake.NewDeployment(fake.DeploymentOptions{Seed: seed})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -138,7 +138,7 @@
 	return &tracedProgram{program: p, deployment: deployment}
 }
 
-// Reading the configuration file fails for a while as SIGHUP comes, then the file is found half written. The
+// At a first SIGHUP reading the configuration file fails for a while; at a second one the file is half written. The
 // reload is retried and succeeds in both cases.
 func TestReloadSurvivesDiskFailures(t *testing.T) {
 	path := buildProgram(t)
@@ -175,12 +175,12 @@
 	*exec.Cmd
 	log        *os.File
 	addr       string
-	deployment *standin.Deployment
+	deployment *fake.Deployment
 }
 
 func newLogHarness(t *testing.T, args ...string) *logHarness {
 	t.Helper()
-	deployment, err := standin.NewDeployment(standin.DeploymentOptions{Searchers: 4})
+	deployment, err := fake.NewDeployment(fake.DeploymentOptions{Searchers: 4})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -197,50 +197,50 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &logHarness{Cmd: exec.Command(buildProgram(t), append([]string{"serve"}, args...)...), log: reader, deployment: deployment}
-	r.Env = append(os.Environ(), "LB_CONFIG="+file, "LB_LISTEN=", "LB_DISCOVERY=", "LB_NAME=")
-	r.Stderr = writer
-	if err := r.Start(); err != nil {
+	h := &logHarness{Cmd: exec.Command(buildProgram(t), append([]string{"serve"}, args...)...), log: reader, deployment: deployment}
+	h.Env = append(os.Environ(), "LB_CONFIG="+file, "LB_LISTEN=", "LB_DISCOVERY=", "LB_NAME=")
+	h.Stderr = writer
+	if err := h.Start(); err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { _ = r.Process.Kill() })
+	t.Cleanup(func() { _ = h.Process.Kill() })
 	_ = writer.Close()
 	buffered := bufio.NewReader(reader)
-	for r.addr == "" {
+	for h.addr == "" {
 		line, err := buffered.ReadString('\n')
 		if err != nil {
 			t.Fatalf("%q, %v", line, err)
 		}
 		if _, after, ok := strings.Cut(line, "addr="); ok {
-			r.addr, _, _ = strings.Cut(after, " ")
+			h.addr, _, _ = strings.Cut(after, " ")
 		}
 	}
-	return r
+	return h
 }
 
 // The reader of the log closes the pipe, so that writes to it raise SIGPIPE or fail. The gatherer keeps running
 // and drains cleanly.
 func TestClosedLogReaderDoesNotEndProgram(t *testing.T) {
-	r := newLogHarness(t)
-	_ = r.log.Close()
+	h := newLogHarness(t)
+	_ = h.log.Close()
 	for range 5 {
-		_ = r.Process.Signal(syscall.SIGUSR1)
+		_ = h.Process.Signal(syscall.SIGUSR1)
 		time.Sleep(20 * time.Millisecond)
 	}
-	_ = r.Process.Signal(syscall.SIGTERM)
-	if err := r.Wait(); err != nil {
+	_ = h.Process.Signal(syscall.SIGTERM)
+	if err := h.Wait(); err != nil {
 		t.Errorf("the program ended with %v", err)
 	}
 }
 
 // The reader of the log keeps the pipe open but stops reading, so that the pipe fills. No query is delayed.
 func TestStalledLogReaderDelaysNoQuery(t *testing.T) {
-	r := newLogHarness(t, "--log", "debug")
-	defer r.log.Close()
-	c := dialGatherer(r.addr)
+	h := newLogHarness(t, "--log", "debug")
+	defer h.log.Close()
+	c := dialGatherer(h.addr)
 	defer c.close()
 	for i := range 500 { // about 200 KB of log; a pipe holds 64 KiB
-		if got := c.ask(fmt.Sprintf("t-%d", i), i%(r.deployment.Segments()-1)); got != "200" {
+		if got := c.ask(fmt.Sprintf("t-%d", i), i%(h.deployment.Segments()-1)); got != "200" {
 			t.Fatalf("query %d: %s", i, got)
 		}
 	}
@@ -250,9 +250,9 @@
 // kill after its confirmation.
 func TestConfigChangeSurvivesDiskFailures(t *testing.T) {
 	for name, list := range map[string][]faults.Fault{
-		"syncs":      {{Call: "fdatasync", Errno: syscall.EIO, Most: 5}},
-		"full":       {{Call: "pwrite64", Errno: syscall.ENOSPC, Target: faults.File, Path: ".db", Most: 5}},
-		"growing":    {{Call: "ftruncate", Errno: syscall.ENOSPC, Most: 3}, {Call: "fsync", Errno: syscall.EIO, Most: 3}},
+		"syncs":      {{Call: "fdatasync", Errno: syscall.EIO, MaxFailures: 5}},
+		"full":       {{Call: "pwrite64", Errno: syscall.ENOSPC, Target: faults.File, Path: ".db", MaxFailures: 5}},
+		"growing":    {{Call: "ftruncate", Errno: syscall.ENOSPC, MaxFailures: 3}, {Call: "fsync", Errno: syscall.EIO, MaxFailures: 3}},
 		"in between": {{Call: "fdatasync", Errno: syscall.EIO, Rate: 0.5}, {Call: "pwrite64", Errno: syscall.EIO, Rate: 0.2, Path: ".db", Target: faults.File}},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -277,7 +277,7 @@
 			}
 			p.kill(t)
 			p, _ = m.launch(t)
-			if s := m.waitForStatus(t, "a status", func(keeper.Status) bool { return true }); s.Confirmed != 2 {
+			if s := m.waitForStatus(t, "a status", func(manager.Status) bool { return true }); s.Confirmed != 2 {
 				t.Errorf("after the kill: %+v", s)
 			}
 			_ = p.Process.Kill()
--- a/cmd/eiderwinch/fleet.go
+++ b/cmd/eiderwinch/fleet.go
@@ -16,21 +16,21 @@
 	"eiderwinch/internal/admin"
 	"eiderwinch/internal/configuration/signature"
 	"eiderwinch/internal/durable"
-	fleetnet "eiderwinch/internal/fleet/net"
+	"eiderwinch/internal/fleet/membership"
 	"eiderwinch/internal/fleet/seal"
 	"eiderwinch/internal/fleet/share"
-	"eiderwinch/internal/fleet/view"
+	"eiderwinch/internal/fleet/transport"
 	"eiderwinch/internal/format/config"
 	"eiderwinch/internal/format/settings"
 	"eiderwinch/internal/netio"
 )
 
 // joinFleet starts a gatherer's fleet node as an operators' file configures it.
-func joinFleet(f *settings.Fleet, file string, cfg *config.Config, log *slog.Logger) (*fleetnet.Node, error) {
+func joinFleet(f *settings.Fleet, file string, cfg *config.Config, log *slog.Logger) (*transport.Node, error) {
 	if cfg.Name == "" {
 		return nil, errors.New("fleet: the gatherer has no name, want LB_NAME")
 	}
-	keys, err := readForm(resolveBeside(file, f.Keys), signature.Read)
+	keys, err := readForm(resolveRelative(file, f.Keys), signature.Read)
 	if err != nil {
 		return nil, fmt.Errorf("fleet: %w", err)
 	}
@@ -44,15 +44,15 @@
 	if _, err := sealer.Seal(now, nil); err != nil {
 		return nil, fmt.Errorf("fleet: %s: %w", f.Keys, err)
 	}
-	set := view.LAN()
-	if f.Wide {
-		set = view.WAN()
+	set := membership.LAN()
+	if f.WAN {
+		set = membership.WAN()
 	}
-	n, err := listenFleet(fleetnet.Config{
-		Self:     view.Member{Name: cfg.Name, Addr: f.Listen, Zone: cfg.Settings.Module.Zone, Incarnation: view.Incarnation{Start: uint64(now.UnixMicro())}},
+	n, err := listenFleet(transport.Config{
+		Self:     membership.Member{Name: cfg.Name, Addr: f.Listen, Zone: cfg.Settings.Module.Zone, Incarnation: membership.Incarnation{Start: uint64(now.UnixMicro())}},
 		Settings: set, Sealer: sealer, Seeds: f.Seeds, Seed: seed, Log: log, Advertise: f.Advertise, Slots: f.Slots,
 		Share: share.Settings{
-			Slots: len(f.Slots), Number: cfg.Settings.Module.Number, Lease: f.Lease, Window: cfg.Settings.Module.ColdOverloads, Seed: seed,
+			Slots: len(f.Slots), Number: cfg.Settings.Module.GathererNumber, Lease: f.Lease, Window: cfg.Settings.Module.ColdOverloadWindow, Seed: seed,
 		},
 	})
 	if err != nil {
@@ -63,17 +63,17 @@
 }
 
 // listenFleet opens the fleet node, and retries for a while if the system fails.
-func listenFleet(c fleetnet.Config) (n *fleetnet.Node, err error) {
-	err = durable.Within(durable.ReadTime, func() error {
-		n, err = fleetnet.Listen(c)
+func listenFleet(c transport.Config) (n *transport.Node, err error) {
+	err = durable.RetryTransient(durable.ReadTimeout, func() error {
+		n, err = transport.Listen(c)
 		return err
 	})
 	return n, err
 }
 
-// shareForwarder tells a gatherer its share of the fleet's limits until the gatherer leaves the fleet.
+// shareForwarder notifies a gatherer of its share of the fleet's limits until the gatherer leaves the fleet.
 type shareForwarder struct {
-	fleet *fleetnet.Node
+	fleet *transport.Node
 	node  *netio.Node
 	mu    sync.Mutex
 	left  bool
@@ -82,7 +82,7 @@
 // run forwards changes of the share until the fleet node closes.
 func (s *shareForwarder) run() {
 	<-s.node.Started()
-	for x := range s.fleet.Shares() {
+	for x := range s.fleet.WatchShare() {
 		s.mu.Lock()
 		if !s.left {
 			s.node.Share(x.Slots, x.Until)
@@ -116,7 +116,7 @@
 const publishInterval = time.Second
 
 // publishState publishes a gatherer's configuration generation and layout epoch to the fleet until ctx ends.
-func publishState(ctx context.Context, fleet *fleetnet.Node, node *netio.Node, seed uint64) {
+func publishState(ctx context.Context, fleet *transport.Node, node *netio.Node, seed uint64) {
 	rng := rand.New(rand.NewPCG(seed, 0x64657363))
 	for {
 		if s, ok := node.State(ctx, 1<<62); ok {
@@ -170,7 +170,7 @@
 	if s.Share != nil {
 		fmt.Fprintf(e.stdout, "holds %d slots of the fleet's limits\n", s.Share.Slots)
 	}
-	if s.Over {
+	if s.Replaced {
 		fmt.Fprintln(e.stdout, "it no longer takes part: a newer process bears its name")
 	}
 	return nil
@@ -203,7 +203,7 @@
 // Run prints each change of the view; a failure to answer counts as a change.
 func (c fleetWatch) Run(e environment) error {
 	if c.Every < 10*time.Millisecond {
-		return &exitError{exitConfig, fmt.Errorf("--every: found %v, want 10ms at least", c.Every)}
+		return &exitError{exitConfig, fmt.Errorf("--every: found %v, want at least 10ms", c.Every)}
 	}
 	ctx, stop := e.untilSignal()
 	defer stop()
@@ -228,7 +228,7 @@
 		return err.Error()
 	}
 	if c.JSON {
-		s.Counts = fleetnet.Counts{} // the counters change all the time
+		s.Counts = transport.Counts{} // the counters change all the time
 		b, err := json.Marshal(s)
 		if err != nil {
 			return err.Error()
@@ -240,7 +240,7 @@
 		text += fmt.Sprintf(", holds %d slots", s.Share.Slots)
 	}
 	for _, m := range s.Members {
-		if m.State != view.Alive.String() {
+		if m.State != membership.Alive.String() {
 			text += ", " + m.Name + " " + m.State
 		}
 	}
@@ -283,11 +283,11 @@
 		if s.Digest != digest {
 			fault("%s counts %d with digest %s, %s counts %d with digest %s", s.Name, s.Counted, s.Digest, first, f.Counted, digest)
 		}
-		if s.Over {
+		if s.Replaced {
 			fault("%s no longer takes part: a newer process bears its name", s.Name)
 		}
 		for _, m := range s.Members {
-			if m.State == view.Suspect.String() || m.State == view.Dead.String() {
+			if m.State == membership.Suspect.String() || m.State == membership.Dead.String() {
 				fault("%s considers %s at %s %s", s.Name, m.Name, m.Addr, m.State)
 			}
 		}
--- a/cmd/eiderwinch/signals_test.go
+++ b/cmd/eiderwinch/signals_test.go
@@ -11,8 +11,8 @@
 	"eiderwinch/internal/trial/testpeer"
 )
 
-// A reload reads files, which may be slow. A shutdown must not wait for reloads, however many were requested before
-// it: were the channel full, SIGTERM would be lost, and the kill would come all the same.
+// A reload reads files, which may be slow. A shutdown must not wait for reloads, however many were requested before it.
+// If they filled the channel of SIGTERM, that signal would be lost, and the process would be killed without draining.
 func TestShutdownIsNotDelayedByReloads(t *testing.T) {
 	s, d := testpeer.NewSearcher(t), testpeer.NewDiscovery(t)
 	p := launch(t, buildProgram(t), fmt.Sprintf(configText, d.Addr, testpeer.Member("s", s.Addr, "Ready", 0), settingsText))
@@ -25,7 +25,7 @@
 	}
 	_ = p.Process.Signal(syscall.SIGHUP)
 	var writer *os.File
-	testpeer.Until(t, "the file is being read", func() (ok bool) {
+	testpeer.WaitUntil(t, "the file is being read", func() (ok bool) {
 		var err error
 		writer, err = os.OpenFile(p.file, os.O_WRONLY|syscall.O_NONBLOCK, 0) // succeeds only while a reader has it open
 		return err == nil
@@ -46,7 +46,7 @@
 	}
 }
 
-// Signals that come before the event loop runs are handled once it does.
+// Signals that arrive before the event loop runs are handled once it runs.
 func TestSignalsBeforeStartAreHandled(t *testing.T) {
 	d := testpeer.NewDiscovery(t)
 	file := filepath.Join(t.TempDir(), "config.json")
@@ -68,7 +68,7 @@
 	e.signals, e.reloads, e.reports = signals(syscall.SIGTERM), signals(syscall.SIGHUP), signals(syscall.SIGUSR1)
 	done := make(chan int, 1)
 	go func() { done <- run(nil, e) }()
-	if code := testpeer.Get(t, done, "the end"); code != exitOK || !bytes.Contains(log.Bytes(), []byte("msg=draining")) {
+	if code := testpeer.Receive(t, done, "the end"); code != exitOK || !bytes.Contains(log.Bytes(), []byte("msg=draining")) {
 		t.Errorf("the program ended with %d: %s", code, log.String())
 	}
 }
--- a/cmd/eiderwinch/startup.go
+++ b/cmd/eiderwinch/startup.go
@@ -13,7 +13,7 @@
 	"eiderwinch/internal/configuration/bundle"
 	"eiderwinch/internal/configuration/change"
 	"eiderwinch/internal/configuration/history"
-	"eiderwinch/internal/configuration/keeper"
+	"eiderwinch/internal/configuration/manager"
 	"eiderwinch/internal/configuration/signature"
 	"eiderwinch/internal/daemon"
 	"eiderwinch/internal/durable"
@@ -104,7 +104,7 @@
 	// The operators' file may name another layout than at the start.
 	path := f.layout
 	if ops, err := settings.Read(f.operators, bytes.NewReader(b.Operators)); err == nil && ops.Layout != "" {
-		path = resolveBeside(f.operators, ops.Layout)
+		path = resolveRelative(f.operators, ops.Layout)
 	}
 	if path != "" {
 		b.Layout, err = durable.ReadFile(path)
@@ -147,7 +147,7 @@
 	defer func() {
 		// The environment takes precedence, as it does without an operators' file.
 		out.candidate.Config.Name, out.candidate.Config.Listen, out.candidate.Config.Discovery = cfg.Name, cfg.Listen, cfg.Discovery
-		out.candidate.Config.Sockets, out.candidate.Config.Memory = cfg.Sockets, cfg.Memory
+		out.candidate.Config.SocketLimit, out.candidate.Config.MemoryLimit = cfg.SocketLimit, cfg.MemoryLimit
 		out.candidate.Config.Settings.Module.Seed = cfg.Settings.Module.Seed
 	}()
 	path := c.File.History
@@ -157,8 +157,8 @@
 		return out, nil
 	}
 	var h *history.History
-	err = durable.Within(durable.StartTime, func() error {
-		h, err = history.Open(resolveBeside(f.operators, path))
+	err = durable.RetryTransient(durable.StartTimeout, func() error {
+		h, err = history.Open(resolveRelative(f.operators, path))
 		return err
 	})
 	if err != nil {
@@ -174,13 +174,13 @@
 // recoverHistory continues from a history: it undoes what was not confirmed and takes the last confirmed configuration.
 func (b *bootState) recoverHistory(h *history.History, f configFiles, log *slog.Logger) error {
 	write := func(records []change.Record) error {
-		return durable.AtStart(log, "records of configuration changes", func() error { return h.Append(records, nil) })
+		return durable.RetryAtStart(log, "records of configuration changes", func() error { return h.Append(records, nil) })
 	}
 	base, records, err := h.Load()
 	if errors.Is(err, history.ErrEmpty) {
 		b.machine = change.New(b.candidate.Hash, change.Limits{})
 		base, _ := b.machine.Base()
-		return durable.AtStart(log, "new history", func() error { return h.Begin(base, b.candidate.Bundle) })
+		return durable.RetryAtStart(log, "new history", func() error { return h.SetBase(base, b.candidate.Bundle) })
 	}
 	if err != nil {
 		return err
@@ -223,31 +223,31 @@
 }
 
 // initialLive returns the live settings that the gatherer starts with.
-func (b *bootState) initialLive() *netio.Live {
-	l := daemon.Live(b.candidate, b.generation)
+func (b *bootState) initialLive() *netio.LiveSettings {
+	l := daemon.LiveSettings(b.candidate, b.generation)
 	return &l
 }
 
 // startManager starts the manager of a gatherer's configuration.
-func (b *bootState) startManager(ctx context.Context, f configFiles, node *netio.Node, level *slog.LevelVar, log *slog.Logger) *keeper.Keeper {
-	o := keeper.Options{
-		Node: node, Boot: b.candidate, Machine: b.machine, Names: f.names(), Read: f.readSigned, Live: daemon.Live, Logger: log,
+func (b *bootState) startManager(ctx context.Context, f configFiles, node *netio.Node, level *slog.LevelVar, log *slog.Logger) *manager.Manager {
+	o := manager.Options{
+		Node: node, Initial: b.candidate, Machine: b.machine, Names: f.names(), ReadFiles: f.readSigned, LiveSettings: daemon.LiveSettings, Logger: log,
 		Applied: func(c *bundle.Candidate) { level.Set(logLevel(c)) },
 	}
 	if b.history != nil {
 		o.History = b.history
 	}
 	if path := b.candidate.File.Signing; path != "" {
-		o.Verify = signatureVerifier(resolveBeside(f.operators, path))
+		o.Verify = signatureVerifier(resolveRelative(f.operators, path))
 	}
-	return keeper.Start(ctx, o)
+	return manager.Start(ctx, o)
 }
 
 // logLevel returns the log level that a configuration names, or info.
 func logLevel(c *bundle.Candidate) slog.Level {
 	names := []string{"debug", "info", "warn", "error"}
 	levels := []slog.Level{slog.LevelDebug, slog.LevelInfo, slog.LevelWarn, slog.LevelError}
-	if i := slices.Index(names, c.File.Live.Log); i >= 0 {
+	if i := slices.Index(names, c.File.LiveOverrides.Log); i >= 0 {
 		return levels[i]
 	}
 	return slog.LevelInfo
--- a/internal/configuration/change/change.go
+++ b/internal/configuration/change/change.go
@@ -62,8 +62,8 @@
 	return fmt.Sprintf("State(%d)", uint8(s))
 }
 
-// Over reports whether s is a final state.
-func (s State) Over() bool { return s == Confirmed || s == Undone || s == Discarded }
+// IsFinal reports whether s is a final state.
+func (s State) IsFinal() bool { return s == Confirmed || s == Undone || s == Discarded }
 
 // Active reports whether a transaction in state s prevents others from being applied.
 func (s State) Active() bool { return s == Applying || s == Probation || s == Undoing }
@@ -114,7 +114,7 @@
 	At      time.Time  // wall clock time, for display
 }
 
-// Event is an input of Step: Stage, Apply, Applied, Confirm, Undo, Fell, Reverted or
+// Event is an input of Step: Stage, Apply, Applied, Confirm, Undo, Regressed, Reverted or
 // Tick.
 type Event interface{ event() }
 
@@ -127,9 +127,9 @@
 
 // Apply requests that a staged transaction is put in force.
 type Apply struct {
-	Tx     Tx
-	Within time.Duration // length of the probation
-	Auto   bool          // confirm at the end of the probation instead of undoing
+	Tx          Tx
+	Probation   time.Duration // length of the probation
+	AutoConfirm bool          // confirm at the end of the probation instead of undoing
 }
 
 // Applied reports that a Swap was carried out, or why it failed.
@@ -147,8 +147,8 @@
 	Reason string
 }
 
-// Fell reports that service has regressed since an apply.
-type Fell struct {
+// Regressed reports that service has regressed since an apply.
+type Regressed struct {
 	Tx     Tx
 	Reason string
 }
@@ -160,14 +160,14 @@
 // Tick reports that time has passed.
 type Tick struct{}
 
-func (Stage) event()    {}
-func (Apply) event()    {}
-func (Applied) event()  {}
-func (Confirm) event()  {}
-func (Undo) event()     {}
-func (Fell) event()     {}
-func (Reverted) event() {}
-func (Tick) event()     {}
+func (Stage) event()     {}
+func (Apply) event()     {}
+func (Applied) event()   {}
+func (Confirm) event()   {}
+func (Undo) event()      {}
+func (Regressed) event() {}
+func (Reverted) event()  {}
+func (Tick) event()      {}
 
 // Effect is an action that the caller carries out: Swap, Revert or Ended. Effects are
 // carried out in their order. The caller acknowledges Swap with an Applied event and
@@ -176,16 +176,16 @@
 
 // Swap puts a generation in force.
 type Swap struct {
-	Tx   Tx
-	Gen  Generation
-	Hash Hash
+	Tx         Tx
+	Generation Generation
+	Hash       Hash
 }
 
 // Revert puts the last confirmed generation in force again.
 type Revert struct {
-	Tx   Tx
-	Gen  Generation
-	Hash Hash
+	Tx         Tx
+	Generation Generation
+	Hash       Hash
 }
 
 // Ended reports that a transaction has reached a final state.
@@ -224,7 +224,7 @@
 	state       State
 	hash        Hash
 	against     Generation
-	gen         Generation
+	generation  Generation
 	probation   time.Duration
 	autoConfirm bool
 	deadline    time.Time // in Applying and Probation: when it is undone, or confirmed by autoConfirm
@@ -241,21 +241,21 @@
 
 // Machine is the state machine. Create it with New or Recover.
 type Machine struct {
-	limits        Limits
-	lastSeq       uint64
-	lastTx        Tx
-	lastGen       Generation
-	confirmed     Generation
-	confirmedHash Hash
-	txs           map[Tx]*transaction
-	order         []Tx // keys of txs in the order in which they were staged
-	active        Tx   // 0: none
-	counts        Counts
+	limits         Limits
+	lastSeq        uint64
+	lastTx         Tx
+	lastGeneration Generation
+	confirmed      Generation
+	confirmedHash  Hash
+	txs            map[Tx]*transaction
+	order          []Tx // keys of txs in the order in which they were staged
+	active         Tx   // 0: none
+	counts         Counts
 }
 
 // New returns a machine whose first generation is in force.
 func New(first Hash, l Limits) *Machine {
-	return &Machine{limits: l.withDefaults(), lastGen: 1, confirmed: 1, confirmedHash: first, txs: make(map[Tx]*transaction)}
+	return &Machine{limits: l.withDefaults(), lastGeneration: 1, confirmed: 1, confirmedHash: first, txs: make(map[Tx]*transaction)}
 }
 
 // Confirmed returns the last confirmed generation.
@@ -266,15 +266,15 @@
 
 // Status describes a transaction for display.
 type Status struct {
-	Tx      Tx
-	State   State
-	Hash    Hash
-	Against Generation
-	Gen     Generation // 0 until it is applied
-	Auto    bool
-	Due     time.Time // end of its Probation
-	Reason  string
-	At      time.Time // of the last transition
+	Tx          Tx
+	State       State
+	Hash        Hash
+	Against     Generation
+	Generation  Generation // 0 until it is applied
+	AutoConfirm bool
+	Deadline    time.Time // end of its Probation
+	Reason      string
+	At          time.Time // of the last transition
 }
 
 // Txs returns the unfinished transactions and the latest finished ones, in the order
@@ -282,7 +282,7 @@
 func (m *Machine) Txs() (out []Status) {
 	for _, id := range m.order {
 		t := m.txs[id]
-		out = append(out, Status{t.id, t.state, t.hash, t.against, t.gen, t.autoConfirm, t.deadline, t.reason, t.changedAt})
+		out = append(out, Status{t.id, t.state, t.hash, t.against, t.generation, t.autoConfirm, t.deadline, t.reason, t.changedAt})
 	}
 	return out
 }
@@ -315,7 +315,7 @@
 		} else if t != nil {
 			s.undo(t, e.Reason)
 		}
-	case Fell:
+	case Regressed:
 		// The guard may report a regression after the transaction has ended for another reason.
 		if t := m.txs[e.Tx]; t != nil && (t.state == Probation || t.state == Applying) {
 			s.counts.Fell++
@@ -350,7 +350,7 @@
 	case Staged:
 		r.Hash, r.Against = t.hash, t.against
 	case Applying:
-		r.Gen = t.gen
+		r.Gen = t.generation
 	}
 	s.result.Records = append(s.result.Records, r)
 }
@@ -406,14 +406,14 @@
 		s.result.Err = fmt.Errorf("%w: transaction %d is %v", ErrBusy, s.active, s.txs[s.active].state)
 	case t.against != s.confirmed:
 		s.result.Err = fmt.Errorf("%w: %d, in force is %d", ErrStale, t.against, s.confirmed)
-	case e.Within < s.limits.MinProbation || e.Within > s.limits.MaxProbation:
-		s.result.Err = fmt.Errorf("%w: %v, want %v to %v", ErrProbation, e.Within, s.limits.MinProbation, s.limits.MaxProbation)
+	case e.Probation < s.limits.MinProbation || e.Probation > s.limits.MaxProbation:
+		s.result.Err = fmt.Errorf("%w: %v, want %v to %v", ErrProbation, e.Probation, s.limits.MinProbation, s.limits.MaxProbation)
 	default:
-		s.lastGen++
-		t.gen, t.probation, t.autoConfirm, t.deadline = s.lastGen, e.Within, e.Auto, s.now.Add(s.limits.ApplyTimeout)
+		s.lastGeneration++
+		t.generation, t.probation, t.autoConfirm, t.deadline = s.lastGeneration, e.Probation, e.AutoConfirm, s.now.Add(s.limits.ApplyTimeout)
 		s.counts.Applied++
 		s.transition(t, Applying)
-		s.addEffect(Swap{t.id, t.gen, t.hash})
+		s.addEffect(Swap{t.id, t.generation, t.hash})
 	}
 }
 
@@ -430,7 +430,7 @@
 }
 
 func (s *step) confirm(t *transaction) {
-	s.confirmed, s.confirmedHash = t.gen, t.hash
+	s.confirmed, s.confirmedHash = t.generation, t.hash
 	s.counts.Confirmed++
 	s.transition(t, Confirmed)
 	s.addEffect(Ended{t.id, Confirmed, t.reason})
@@ -477,12 +477,12 @@
 func (m *Machine) dropFinished() {
 	finished := 0
 	for _, t := range m.txs {
-		if t.state.Over() {
+		if t.state.IsFinal() {
 			finished++
 		}
 	}
 	m.order = slices.DeleteFunc(m.order, func(id Tx) bool {
-		if finished <= m.limits.MaxFinished || !m.txs[id].state.Over() {
+		if finished <= m.limits.MaxFinished || !m.txs[id].state.IsFinal() {
 			return false
 		}
 		finished--
@@ -505,11 +505,11 @@
 // far need not be kept. It returns false while a transaction is unfinished.
 func (m *Machine) Base() (Base, bool) {
 	for _, t := range m.txs {
-		if !t.state.Over() {
+		if !t.state.IsFinal() {
 			return Base{}, false
 		}
 	}
-	return Base{m.lastSeq, m.lastTx, m.lastGen, m.confirmed, m.confirmedHash}, true
+	return Base{m.lastSeq, m.lastTx, m.lastGeneration, m.confirmed, m.confirmedHash}, true
 }
 
 // Recover restores a machine from the records of an earlier process. A transaction
@@ -519,7 +519,7 @@
 // staged.
 func Recover(now time.Time, b Base, l Limits, records []Record) (*Machine, Result, error) {
 	m := &Machine{
-		limits: l.withDefaults(), lastSeq: b.Seq, lastTx: b.Tx, lastGen: b.Gen, confirmed: b.Confirmed, confirmedHash: b.Hash,
+		limits: l.withDefaults(), lastSeq: b.Seq, lastTx: b.Tx, lastGeneration: b.Gen, confirmed: b.Confirmed, confirmedHash: b.Hash,
 		txs: make(map[Tx]*transaction),
 	}
 	for i, r := range records {
@@ -571,12 +571,12 @@
 	}
 	switch r.State {
 	case Applying:
-		if r.Gen <= m.lastGen {
+		if r.Gen <= m.lastGeneration {
 			return fmt.Errorf("generation %d was assigned before", r.Gen)
 		}
-		t.gen, m.lastGen = r.Gen, r.Gen
+		t.generation, m.lastGeneration = r.Gen, r.Gen
 	case Confirmed:
-		m.confirmed, m.confirmedHash = t.gen, t.hash
+		m.confirmed, m.confirmedHash = t.generation, t.hash
 	}
 	return nil
 }
--- /dev/null
+++ b/internal/configuration/manager/requests.go
@@ -0,0 +1,209 @@
+package manager
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"time"
+
+	"eiderwinch/internal/configuration/bundle"
+	"eiderwinch/internal/configuration/change"
+)
+
+// StageResult is the result of staging a configuration.
+type StageResult struct {
+	Tx      change.Tx `json:"transaction"`
+	Hash    string    `json:"hash"`
+	Restart []string  `json:"restart,omitempty"` // settings that take effect at the next start only
+}
+
+// Stage checks a configuration, does a dry run and stages it. Files that are empty
+// in the bundle are taken from the configuration in force. Against is the generation
+// that the configuration was made against; 0 means the one in force. The signature,
+// if one is required, is of the bundle as passed in.
+func (m *Manager) Stage(ctx context.Context, b bundle.Bundle, against change.Generation, note, signature string) (StageResult, error) {
+	if m.opts.Verify != nil {
+		if err := m.opts.Verify(b.Hash(), signature); err != nil {
+			return StageResult{}, err
+		}
+	}
+	var inForce *bundle.Candidate
+	if err := m.runInLoop(ctx, func() { inForce = m.inForce }); err != nil {
+		return StageResult{}, err
+	}
+	if len(b.Platform) == 0 {
+		b.Platform = inForce.Platform
+	}
+	if len(b.Operators) == 0 {
+		b.Operators = inForce.Operators
+	}
+	if len(b.Layout) == 0 {
+		b.Layout = inForce.Bundle.Layout
+	}
+	c, err := bundle.Check(b, m.opts.Names)
+	if err != nil {
+		return StageResult{}, err
+	}
+	if err := m.dryRun(ctx, c); err != nil {
+		return StageResult{}, err
+	}
+	out := StageResult{Hash: fmt.Sprintf("%x", c.Hash), Restart: bundle.RestartKeys(m.opts.Initial, c)}
+	err = m.runInLoop(ctx, func() {
+		r := m.step(change.Stage{Hash: c.Hash, Against: against, Note: note}, c)
+		if out.Tx, err = r.Tx, r.Err; err == nil {
+			m.addCandidate(c)
+		}
+	})
+	if err != nil {
+		return StageResult{}, err
+	}
+	return out, nil
+}
+
+// Apply puts a staged configuration in force and on probation for the time within.
+// If within is 0 or auto is nil, the configuration's own setting applies.
+func (m *Manager) Apply(ctx context.Context, tx change.Tx, within time.Duration, auto *bool) error {
+	return m.submit(ctx, func() change.Event {
+		e := change.Apply{Tx: tx, Probation: within}
+		for _, t := range m.machine.Txs() {
+			if c := m.candidates[t.Hash]; t.Tx == tx && c != nil {
+				if e.AutoConfirm = c.File.Guard.Auto; e.Probation == 0 {
+					e.Probation = c.File.Guard.Probation
+				}
+			}
+		}
+		if auto != nil {
+			e.AutoConfirm = *auto
+		}
+		return e
+	})
+}
+
+// Confirm ends the probation of a transaction and keeps its configuration in force.
+func (m *Manager) Confirm(ctx context.Context, tx change.Tx) error {
+	return m.submit(ctx, func() change.Event { return change.Confirm{Tx: tx} })
+}
+
+// Undo takes back a transaction that is not confirmed yet.
+func (m *Manager) Undo(ctx context.Context, tx change.Tx, reason string) error {
+	return m.submit(ctx, func() change.Event { return change.Undo{Tx: tx, Reason: reason} })
+}
+
+// submit passes an event, made on the goroutine that owns the transactions, to the
+// state machine.
+func (m *Manager) submit(ctx context.Context, event func() change.Event) error {
+	var err error
+	if loopErr := m.runInLoop(ctx, func() { err = m.step(event(), nil).Err }); loopErr != nil {
+		return loopErr
+	}
+	return err
+}
+
+// Reload reads the configuration files again and applies them; SIGHUP triggers it.
+func (m *Manager) Reload(ctx context.Context) error {
+	b, signature, err := m.opts.ReadFiles()
+	if err != nil {
+		return err
+	}
+	s, err := m.Stage(ctx, b, 0, "reload", signature)
+	if errors.Is(err, change.ErrNothing) {
+		m.opts.Logger.Info("configuration not changed")
+		return nil
+	}
+	if err != nil {
+		return err
+	}
+	if len(s.Restart) > 0 {
+		m.opts.Logger.Warn("some changed settings take effect only at the next start", "keys", s.Restart)
+	}
+	if err := m.Apply(ctx, s.Tx, 0, nil); err != nil {
+		// Without this, the transaction would stay staged for ever, because nobody knows its number.
+		return errors.Join(err, m.Undo(ctx, s.Tx, err.Error()))
+	}
+	return nil
+}
+
+// Transaction is a transaction as Status shows it.
+type Transaction struct {
+	Tx            change.Tx         `json:"transaction"`
+	State         string            `json:"state"`
+	Over          bool              `json:"over"`
+	Hash          string            `json:"hash"`
+	Against       change.Generation `json:"against"`
+	Generation    change.Generation `json:"generation,omitempty"`
+	Reason        string            `json:"reason,omitempty"`
+	At            time.Time         `json:"at"`
+	ProbationLeft string            `json:"left,omitempty"` // remaining time of its probation
+}
+
+// Status is the state of a gatherer's configuration.
+type Status struct {
+	Confirmed       change.Generation `json:"confirmed"`
+	InForce         change.Generation `json:"in_force"`
+	Hash            string            `json:"hash"`
+	OpenGenerations []uint64          `json:"open"`    // the generation in force, and those under which open queries were accepted
+	Durable         bool              `json:"durable"` // whether the history is on disk
+	Regressions     []string          `json:"falls,omitempty"`
+	Transactions    []Transaction     `json:"transactions"`
+	Counts          change.Counts     `json:"counts"`
+}
+
+// Status returns the state of the configuration and its transactions.
+func (m *Manager) Status(ctx context.Context) (s Status, err error) {
+	s.OpenGenerations, _ = m.opts.Node.Generations(ctx)
+	err = m.runInLoop(ctx, func() {
+		s.Confirmed, _ = m.machine.Confirmed()
+		s.InForce, s.Hash = m.generation, fmt.Sprintf("%x", m.inForce.Hash)
+		s.Durable, s.Regressions, s.Counts = m.opts.History != nil, m.regressions, m.machine.Counts()
+		s.Transactions = []Transaction{}
+		for _, t := range m.machine.Txs() {
+			x := Transaction{
+				Tx: t.Tx, State: t.State.String(), Over: t.State.IsFinal(), Hash: fmt.Sprintf("%x", t.Hash),
+				Against: t.Against, Generation: t.Generation, Reason: t.Reason, At: t.At,
+			}
+			if t.State == change.Probation {
+				x.ProbationLeft = time.Until(t.Deadline).Round(time.Millisecond).String()
+			}
+			s.Transactions = append(s.Transactions, x)
+		}
+	})
+	return s, err
+}
+
+// ErrNoText is returned for a generation whose text is no longer kept.
+var ErrNoText = errors.New("its text is no longer kept")
+
+// Show returns the files of a generation that is or was in force.
+func (m *Manager) Show(ctx context.Context, gen change.Generation) (b bundle.Bundle, err error) {
+	found := errors.New("no such generation")
+	loopErr := m.runInLoop(ctx, func() {
+		hash := change.Hash{}
+		if confirmed, h := m.machine.Confirmed(); confirmed == gen {
+			hash, found = h, nil
+		}
+		for _, t := range m.machine.Txs() {
+			if t.Generation == gen {
+				hash, found = t.Hash, nil
+			}
+		}
+		if found != nil {
+			return
+		}
+		if c := m.candidates[hash]; c != nil {
+			b = c.Bundle
+			return
+		}
+		disk, ok := m.opts.History.(interface {
+			Text(change.Hash) (bundle.Bundle, error)
+		})
+		if !ok {
+			found = ErrNoText
+			return
+		}
+		b, found = disk.Text(hash)
+	})
+	if err := errors.Join(loopErr, found); err != nil {
+		return bundle.Bundle{}, fmt.Errorf("generation %d: %w", gen, err)
+	}
+	return b, nil
+}
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -1,5 +1,6 @@
 // Package daemon builds a gatherer from its configuration, for all commands and
-// tests that run one.
+// tests that run one. It connects the gatherer's parts and converts settings for them;
+// it neither reads files nor runs the gatherer.
 package daemon
 
 import (
@@ -14,60 +15,60 @@
 	"eiderwinch/internal/gatherer"
 	"eiderwinch/internal/layout"
 	"eiderwinch/internal/netio"
-	"eiderwinch/internal/service"
+	"eiderwinch/internal/querystats"
 	"eiderwinch/internal/stats"
 )
 
 // Options configure a gatherer beyond its configuration file.
 type Options struct {
-	Layout *layout.Layout // nil: the platform's cells determine which searchers hold which shards
-	Live   *netio.Live    // the settings that can change while the gatherer runs; nil: those of the configuration
-	Record bool           // record the results of queries, for the admin socket
-	Share  time.Time      // until when no slots of the fleet's limits may be used; zero: the gatherer's own share may be used from the start
-	Report time.Duration  // interval at which the counters are logged; 0 means only on request
+	Layout       *layout.Layout      // nil: the platform's cells determine which searchers hold which shards
+	LiveSettings *netio.LiveSettings // the settings that can change while the gatherer runs; nil: those of the configuration
+	Record       bool                // record the results of queries, for the admin socket
+	NoShareUntil time.Time           // until when no slots of the fleet's limits may be used; zero: the gatherer's own share may be used from the start
+	ReportEvery  time.Duration       // interval at which the counters are logged; 0 means only on request
 }
 
 // New returns a gatherer, which is started with its Run method.
 func New(cfg *config.Config, o Options, counters *stats.Counters, log *slog.Logger) *netio.Node {
 	limits := cfg.Settings.Limits
-	var recorder *service.Recorder
+	var recorder *querystats.Recorder
 	if o.Record {
 		var names []string
 		for _, c := range cfg.Settings.Module.Classes {
 			names = append(names, c.Name)
 		}
-		recorder = service.New(names)
+		recorder = querystats.New(names)
 	}
-	live := netio.Live{Multiplex: limits.Multiplex, ConnectTimeout: limits.ConnectTimeout, ConnIdle: limits.ConnIdle}
-	if o.Live != nil {
-		live = *o.Live
+	live := netio.LiveSettings{Multiplex: limits.Multiplex, ConnectTimeout: limits.ConnectTimeout, ConnIdle: limits.ConnIdle}
+	if o.LiveSettings != nil {
+		live = *o.LiveSettings
 	}
 	return netio.New(netio.Config{
-		Listen: cfg.Listen, Discovery: cfg.Discovery, Known: cfg.Known, Memory: cfg.Memory, Sockets: cfg.Sockets,
-		ReportEvery: o.Report, Multiplex: live.Multiplex, ConnectTimeout: live.ConnectTimeout, ConnIdle: live.ConnIdle,
-		DrainGrace: limits.DrainGrace, AnswerSlack: limits.AnswerSlack, NoShareUntil: o.Share,
+		Listen: cfg.Listen, Discovery: cfg.Discovery, InitialMembers: cfg.KnownMembers, MemoryLimit: cfg.MemoryLimit, MaxDescriptors: cfg.SocketLimit,
+		ReportEvery: o.ReportEvery, Multiplex: live.Multiplex, ConnectTimeout: live.ConnectTimeout, ConnIdle: live.ConnIdle,
+		DrainGrace: limits.DrainGrace, AnswerSlack: limits.AnswerSlack, NoShareUntil: o.NoShareUntil,
 		Gatherer: gatherer.Settings{
 			Module: cfg.Settings.Module, Tick: limits.Tick, MaxOpen: limits.MaxOpen,
-			Layout: o.Layout, Live: live.Core, Service: recorder,
+			Layout: o.Layout, LiveSettings: live.Core, Service: recorder,
 		},
 	}, eiderwinch.New(cfg.Settings.Module), counters, log)
 }
 
-// Live returns the settings that a running gatherer takes from a candidate, as the
-// given generation. Values in c.File.Live that are not zero override the limits in
+// LiveSettings returns the settings that a running gatherer takes from a candidate, as the
+// given generation. Values in c.File.LiveOverrides that are not zero override the limits in
 // c.Config.
-func Live(c *bundle.Candidate, gen change.Generation) netio.Live {
-	limits, overrides := c.Config.Settings.Limits, c.File.Live
-	core := &gatherer.Live{Generation: uint64(gen), MaxOpen: cmp.Or(overrides.Admission.Open, limits.MaxOpen)}
+func LiveSettings(c *bundle.Candidate, gen change.Generation) netio.LiveSettings {
+	limits, overrides := c.Config.Settings.Limits, c.File.LiveOverrides
+	core := &gatherer.LiveSettings{Generation: uint64(gen), MaxOpen: cmp.Or(overrides.Admission.Open, limits.MaxOpen)}
 	core.Classes = make([]gatherer.ClassLimits, len(c.Config.Settings.Module.Classes))
 	for i, k := range c.Config.Settings.Module.Classes {
 		for _, o := range overrides.Classes {
 			if o.Name == k.Name {
-				core.Classes[i] = gatherer.ClassLimits{Within: o.Within, Attempts: o.Attempts, Open: o.Open}
+				core.Classes[i] = gatherer.ClassLimits{MaxDuration: o.Timeout, Attempts: o.Attempts, MaxOpen: o.Open}
 			}
 		}
 	}
-	return netio.Live{
+	return netio.LiveSettings{
 		Core: core, Multiplex: cmp.Or(overrides.Pools.Multiplex, limits.Multiplex),
 		ConnectTimeout: cmp.Or(overrides.Pools.ConnectTimeout, limits.ConnectTimeout), ConnIdle: cmp.Or(overrides.Pools.Idle, limits.ConnIdle),
 		Discovery: c.Config.Discovery, Layout: c.Layout,
--- a/internal/fleet/view/view.go
+++ b/internal/fleet/membership/membership.go
@@ -1,4 +1,4 @@
-// Package view maintains what one gatherer believes about the other gatherers of its fleet: which of them are
+// Package membership maintains what one gatherer believes about the other gatherers of its fleet: which of them are
 // there, which are not, and what each serves. It does no I/O, reads no clock and starts no goroutine: Step takes an
 // event and returns effects, which are byte-identical for the same seed and events.
 //
@@ -9,8 +9,8 @@
 // Failure Detection", 2018): a member that has reason to believe that it is slow itself waits longer, and a
 // suspicion lasts shorter the more members confirm it.
 //
-// Members do not agree on a common view. What a view may be used for, and what not, is in docs/fleet-view.md.
-package view
+// Members do not agree on a common view. What a membership view may be used for, and what not, is in docs/fleet-view.md.
+package membership
 
 import (
 	"cmp"
@@ -64,11 +64,11 @@
 	Epoch       uint64      `cbor:"7,keyasint,omitempty"` // of its layout
 }
 
-// Active reports whether the member belongs to the view. A suspect one does.
+// Active reports whether the member belongs to the membership view. A suspect one does.
 func (m Member) Active() bool { return m.State == Alive || m.State == Suspect }
 
-// View is the active members. Two gatherers with the same Digest have the same active processes. Number is local to
-// the gatherer and grows with each change of its view.
+// View is a membership view: the active members, as one gatherer knows them. Two gatherers with the same Digest have
+// the same active processes. Number is local to the gatherer and grows with each change of its view.
 type View struct {
 	Number  uint64
 	Digest  uint64
--- a/internal/fleet/seal/seal.go
+++ b/internal/fleet/seal/seal.go
@@ -6,9 +6,9 @@
 // under a shared secret of a key file (package signature). Each key is valid for a limited time, so that keys can
 // be replaced one after the other.
 //
-// A replayed envelope is recognized by its sender's sequence number, provided that the receiver has heard from
-// that process before. A receiver that has just started has not: what an old envelope can make it believe is
-// limited by how package view treats old updates.
+// A replayed envelope is recognized by its sender's sequence number, provided that the receiver has opened an
+// envelope of that process before. A receiver that has just started has not: what an old envelope can make it
+// believe is limited by how package membership treats old updates.
 package seal
 
 import (
@@ -115,7 +115,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return s.keys.Mac(now, e.Key, macDomain, b)
+	return s.keys.MAC(now, e.Key, macDomain, b)
 }
 
 // Open returns the message in an envelope, or the reason for which the envelope is rejected.
--- a/internal/fleet/share/share_test.go
+++ b/internal/fleet/share/share_test.go
@@ -72,7 +72,7 @@
 	sim.expectSlotsAfter(t, 600*time.Millisecond, 6) // alone: all others refuse
 }
 
-// Guards against two gatherers using one slot: 0 had found 1 gone while 2, between them, was running. 2 told 1, which had
+// Guards against two gatherers using one slot: 0 had found 1 gone while 2, between them, was running. 2 replied to 1, which had
 // restarted, that its slot was free, and ended. Then 0 found 2 gone, and used both slots. Found by rapid with seed 3.
 func TestASlotIsNotDialedBeforeAllNearerOnesAreGone(t *testing.T) {
 	sim := newSimulation(testSettings(3), 1)
@@ -253,7 +253,7 @@
 		}
 		now := startTime.Add(state.elapsed)
 		if i == 1 {
-			for _, a := range process.holder.Run(now, noneAlive) {
+			for _, a := range process.holder.NextDials(now, noneAlive) {
 				process.dialing, process.arrived, process.dialBegun = true, false, a.Begun
 			}
 		}
@@ -304,7 +304,7 @@
 			})
 		case process.dialing && !process.paused:
 			do(func(next *modelState) {
-				next.processes[i].holder.Ended(startTime.Add(next.elapsed), Dial{1 - i, next.processes[i].dialBegun}, process.refused)
+				next.processes[i].holder.DialEnded(startTime.Add(next.elapsed), Dial{1 - i, next.processes[i].dialBegun}, process.refused)
 				next.processes[i].dialing, next.processes[i].arrived, next.processes[i].refused = false, false, false
 			})
 		}
--- a/internal/format/http1/head.go
+++ b/internal/format/http1/head.go
@@ -47,10 +47,10 @@
 	return ""
 }
 
-// Sole returns the value of the field with the given name (in lower case). It returns ""
+// Unambiguous returns the value of the field with the given name (in lower case). It returns ""
 // if the field occurs more than once with different values, because it is undecidable
 // which one is meant.
-func (h Header) Sole(name string) string {
+func (h Header) Unambiguous(name string) string {
 	value, seen := "", false
 	for _, f := range h {
 		if f.Name != name {
@@ -141,7 +141,7 @@
 func newBodyDecoder(h Header, endsAtClose bool) (bodyDecoder, error) {
 	length, seen := int64(0), false
 	chunked := false
-	if h.hasField("content-length") && h.hasField("transfer-encoding") { // request smuggling: peers disagree on which one counts
+	if h.hasField("content-length") && h.hasField("transfer-encoding") { // request smuggling: implementations disagree on which one counts
 		return bodyDecoder{}, badMessage("both content-length and transfer-encoding")
 	}
 	for _, f := range h {
--- a/internal/format/http1/request.go
+++ b/internal/format/http1/request.go
@@ -58,9 +58,9 @@
 	return r, nil
 }
 
-// Continue reports whether the client waits for "100 Continue" before it sends the body.
+// TakeContinue reports whether the client waits for "100 Continue" before it sends the body.
 // It returns true at most once for each request.
-func (p *RequestParser) Continue() bool {
+func (p *RequestParser) TakeContinue() bool {
 	awaitsContinue := p.awaitsContinue
 	p.awaitsContinue = false
 	return awaitsContinue
@@ -96,7 +96,7 @@
 			return badMessage("transfer-encoding in HTTP/1.0")
 		}
 	}
-	if hosts > 1 { // peers disagree on which one counts (RFC 9112, 3.2)
+	if hosts > 1 { // implementations disagree on which one counts (RFC 9112, 3.2)
 		return badMessage("%d host fields", hosts)
 	}
 	r := &Request{Method: f[0], Target: f[1], Header: h, Close: h.listContains("connection", "close")}
--- a/internal/layout/coordinator/coordinator.go
+++ b/internal/layout/coordinator/coordinator.go
@@ -1,7 +1,7 @@
 // Package coordinator runs changes of the layout at gatherers and searchers over
 // their admin sockets. It connects the coordinator's state machine (reshard), its
-// durable log (reshardlog, migrate) and the orders to searchers (custody) to the
-// network. One goroutine polls each peer; those packages make all decisions.
+// durable log (reshardlog, migrate) and the orders to searchers (assignment) to the
+// network. One goroutine polls each of these processes; those packages make all decisions.
 package coordinator
 
 import (
@@ -18,32 +18,32 @@
 
 	"eiderwinch/internal/admin"
 	"eiderwinch/internal/layout"
-	"eiderwinch/internal/layout/custody"
+	"eiderwinch/internal/layout/assignment"
 	"eiderwinch/internal/layout/layoutfile"
 	"eiderwinch/internal/layout/migrate"
 	"eiderwinch/internal/layout/reshard"
-	"eiderwinch/internal/service"
+	"eiderwinch/internal/querystats"
 )
 
-// Peer is a gatherer or searcher, with the endpoint of its admin socket.
-type Peer struct{ Name, Endpoint string }
+// Process is a gatherer or searcher, with the endpoint of its admin socket.
+type Process struct{ Name, Endpoint string }
 
 // Options configure a Coordinator.
 type Options struct {
-	Log       string         // file of the change log
-	First     *layout.Layout // base of a new log
-	Fleet     layout.Fleet
-	Limits    reshard.Limits
-	Gatherers []Peer
-	Searchers []Peer // must name each searcher of the fleet
-	Measure   string // safe class whose p99 controls the copy rate; empty: none
+	LogPath       string         // file of the change log
+	InitialLayout *layout.Layout // base of a new log
+	Fleet         layout.Fleet
+	Limits        reshard.Limits
+	Gatherers     []Process
+	Searchers     []Process // must name each searcher of the fleet
+	MeasuredClass string    // safe class whose p99 controls the copy rate; empty: none
 
-	Poll    time.Duration // interval between polls of a peer; 0 means 200 ms
-	Timeout time.Duration // of a request to a peer; 0 means 2 s
+	PollInterval time.Duration // interval between polls of a process; 0 means 200 ms
+	Timeout      time.Duration // of a request to a process; 0 means 2 s
 
 	Wrap      func(http.RoundTripper) http.RoundTripper // may be nil; for tests
-	Published func(*layout.Layout)                      // called for each epoch before any peer is notified; may be nil
-	Ended     func(reshard.Ended)                       // called for each change that is over; may be nil
+	OnPublish func(*layout.Layout)                      // called for each epoch before any process is notified; may be nil
+	OnEnded   func(reshard.Ended)                       // called for each change that is over; may be nil
 	Logger    *slog.Logger
 }
 
@@ -57,7 +57,7 @@
 	startedAt time.Time
 	options   Options
 	driver    *migrate.Driver
-	peers     sync.WaitGroup
+	pollers   sync.WaitGroup
 	stop      context.CancelFunc
 
 	mu             sync.Mutex // guards the fields below
@@ -65,7 +65,7 @@
 	term           uint64
 	layout         *layout.Layout
 	layoutXML      []byte // layout, as sent to gatherers
-	ledger         *custody.Ledger
+	tracker        *assignment.Tracker
 	meter          *reshard.Meter
 	gathererEpochs map[string]layout.Epoch // epochs of the gatherers that answered their last poll
 	lastSecond     map[string]int64        // by gatherer: last second whose service record was processed
@@ -76,8 +76,8 @@
 // Start starts a coordinator, which runs until ctx ends, its log cannot be written,
 // or searchers no longer obey it (ErrFenced).
 func Start(ctx context.Context, o Options) (*Coordinator, error) {
-	if o.Poll <= 0 {
-		o.Poll = defaultPoll
+	if o.PollInterval <= 0 {
+		o.PollInterval = defaultPoll
 	}
 	if o.Timeout <= 0 {
 		o.Timeout = defaultTimeout
@@ -95,7 +95,7 @@
 	}
 	ctx, c.stop = context.WithCancel(ctx)
 	d, err := migrate.Start(ctx, migrate.Options{
-		Path: o.Log, First: o.First, Fleet: o.Fleet, Limits: o.Limits, OnEnded: c.jobEnded, Logger: o.Logger,
+		Path: o.LogPath, First: o.InitialLayout, Fleet: o.Fleet, Limits: o.Limits, OnEnded: c.jobEnded, Logger: o.Logger,
 	}, c)
 	if err != nil {
 		c.stop()
@@ -103,21 +103,21 @@
 	}
 	c.driver = d
 	for _, p := range o.Gatherers {
-		c.pollPeer(ctx, p, c.exchangeWithGatherer)
+		c.pollProcess(ctx, p, c.exchangeWithGatherer)
 	}
 	for _, p := range o.Searchers {
-		c.pollPeer(ctx, p, c.exchangeWithSearcher)
+		c.pollProcess(ctx, p, c.exchangeWithSearcher)
 	}
 	return c, nil
 }
 
-// validate checks that the peers match the fleet.
+// validate checks that the gatherers and searchers match the fleet.
 func (o Options) validate() error {
 	var errs []error
 	seen := make(map[string]bool)
 	for _, p := range slices.Concat(o.Gatherers, o.Searchers) {
 		if seen[p.Name] {
-			errs = append(errs, fmt.Errorf("coordinator: found peer %q twice, want unique names", p.Name))
+			errs = append(errs, fmt.Errorf("coordinator: found process %q twice, want unique names", p.Name))
 		}
 		seen[p.Name] = true
 	}
@@ -127,7 +127,7 @@
 		}
 	}
 	for id := range o.Fleet.Zones {
-		if !slices.ContainsFunc(o.Searchers, func(p Peer) bool { return p.Name == id }) {
+		if !slices.ContainsFunc(o.Searchers, func(p Process) bool { return p.Name == id }) {
 			errs = append(errs, fmt.Errorf("coordinator: searcher %q of the layout's fleet has no address", id))
 		}
 	}
@@ -139,25 +139,25 @@
 func (c *Coordinator) Wait() error {
 	err := c.driver.Wait()
 	c.stop()
-	c.peers.Wait()
+	c.pollers.Wait()
 	if c.fenced {
 		err = errors.Join(ErrFenced, err)
 	}
 	return err
 }
 
-// pollPeer starts a goroutine that calls exchange at each poll interval, and at once
+// pollProcess starts a goroutine that calls exchange at each poll interval, and at once
 // after wake.
-func (c *Coordinator) pollPeer(ctx context.Context, p Peer, exchange func(context.Context, Peer, *admin.Client)) {
+func (c *Coordinator) pollProcess(ctx context.Context, p Process, exchange func(context.Context, Process, *admin.Client)) {
 	client := admin.NewClient(p.Endpoint, c.options.Timeout, c.options.Wrap)
 	c.mu.Lock()
 	wakeup := c.wakeups[p.Name]
 	c.mu.Unlock()
-	c.peers.Add(1)
+	c.pollers.Add(1)
 	go func() {
-		defer c.peers.Done()
+		defer c.pollers.Done()
 		defer client.Close()
-		t := time.NewTicker(c.options.Poll)
+		t := time.NewTicker(c.options.PollInterval)
 		defer t.Stop()
 		for {
 			exchange(ctx, p, client)
@@ -171,7 +171,7 @@
 	}()
 }
 
-// wake requests an immediate poll of a peer. c.mu must be held.
+// wake requests an immediate poll of a process. c.mu must be held.
 func (c *Coordinator) wake(name string) {
 	select {
 	case c.wakeups[name] <- struct{}{}:
@@ -182,8 +182,8 @@
 // wakeSearchersWithNewOrders requests an immediate poll of each searcher whose order
 // has changed. c.mu must be held.
 func (c *Coordinator) wakeSearchersWithNewOrders() {
-	for _, id := range c.ledger.Searchers() {
-		if c.ledger.OrderDue(id) {
+	for _, id := range c.tracker.Searchers() {
+		if c.tracker.OrderDue(id) {
 			c.wake(id)
 		}
 	}
@@ -191,7 +191,7 @@
 
 // exchangeWithGatherer fetches a gatherer's state, and sends it the layout in force
 // if it has an older epoch.
-func (c *Coordinator) exchangeWithGatherer(ctx context.Context, p Peer, client *admin.Client) {
+func (c *Coordinator) exchangeWithGatherer(ctx context.Context, p Process, client *admin.Client) {
 	var s admin.GathererState
 	c.mu.Lock()
 	after := c.lastSecond[p.Name]
@@ -225,11 +225,11 @@
 }
 
 // exchangeWithSearcher sends a searcher its order and processes the report.
-func (c *Coordinator) exchangeWithSearcher(ctx context.Context, p Peer, client *admin.Client) {
+func (c *Coordinator) exchangeWithSearcher(ctx context.Context, p Process, client *admin.Client) {
 	c.mu.Lock()
-	order := c.ledger.Order(p.Name)
+	order := c.tracker.Order(p.Name)
 	c.mu.Unlock()
-	var r custody.Report
+	var r assignment.Report
 	err := client.Do(ctx, http.MethodPut, "/v1/custody", order, &r)
 	if ctx.Err() != nil {
 		return
@@ -237,12 +237,12 @@
 	c.mu.Lock()
 	var events []reshard.Event
 	if err != nil {
-		events = c.ledger.HandleMiss(p.Name)
+		events = c.tracker.HandleMiss(p.Name)
 	} else {
-		events = c.ledger.HandleReport(p.Name, r)
+		events = c.tracker.HandleReport(p.Name, r)
 	}
 	c.recordCopying()
-	fenced := c.ledger.Fenced()
+	fenced := c.tracker.Fenced()
 	c.mu.Unlock()
 	if fenced {
 		c.fence(p.Name)
@@ -262,21 +262,21 @@
 // recordCopying adds the current second to copySeconds if rows are being copied.
 // c.mu must be held.
 func (c *Coordinator) recordCopying() {
-	if !c.ledger.Copying() {
+	if !c.tracker.IsCopying() {
 		return
 	}
-	now := c.startedAt.Unix() + int64(time.Since(c.startedAt)/time.Second) // numbered as in service.Recorder, which clock steps do not affect
+	now := c.startedAt.Unix() + int64(time.Since(c.startedAt)/time.Second) // numbered as in querystats.Recorder, which clock steps do not affect
 	c.copySeconds[now] = true
-	maps.DeleteFunc(c.copySeconds, func(second int64, _ bool) bool { return second < now-service.Kept })
+	maps.DeleteFunc(c.copySeconds, func(second int64, _ bool) bool { return second < now-querystats.MaxWindows })
 }
 
 // addServiceWindows passes a gatherer's service records to the meter, and returns
 // the resulting events. c.mu must be held.
-func (c *Coordinator) addServiceWindows(gatherer string, windows []service.Window) (events []reshard.Event) {
+func (c *Coordinator) addServiceWindows(gatherer string, windows []querystats.Window) (events []reshard.Event) {
 	for _, w := range windows {
 		c.lastSecond[gatherer] = max(c.lastSecond[gatherer], w.Second)
 		for _, class := range w.Classes {
-			if class.Name != c.options.Measure {
+			if class.Name != c.options.MeasuredClass {
 				continue
 			}
 			if p, ok := c.meter.Add(c.copySeconds[w.Second], class); ok {
@@ -301,18 +301,18 @@
 	c.stop()
 }
 
-// StartTerm implements migrate.Peers.
+// StartTerm implements migrate.Executor.
 func (c *Coordinator) StartTerm(log string, term uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.term = term
-	c.ledger = custody.New(log, term, slices.Sorted(maps.Keys(c.options.Fleet.Zones)), c.options.Limits.MaxRate, custody.Limits{})
+	c.tracker = assignment.New(log, term, slices.Sorted(maps.Keys(c.options.Fleet.Zones)), c.options.Limits.MaxRate, assignment.Limits{})
 }
 
-// Publish implements migrate.Peers.
+// Publish implements migrate.Executor.
 func (c *Coordinator) Publish(l *layout.Layout) {
-	if c.options.Published != nil {
-		c.options.Published(l)
+	if c.options.OnPublish != nil {
+		c.options.OnPublish(l)
 	}
 	var text bytes.Buffer
 	err := layoutfile.Write(&text, l, c.options.Fleet)
@@ -323,50 +323,50 @@
 		return
 	}
 	c.layout, c.layoutXML = l, text.Bytes()
-	c.ledger.Publish(l)
+	c.tracker.SetLayout(l)
 	c.wakeSearchersWithNewOrders()
 	for _, p := range c.options.Gatherers {
 		c.wake(p.Name)
 	}
 }
 
-// Fill implements migrate.Peers.
+// Fill implements migrate.Executor.
 func (c *Coordinator) Fill(f reshard.Fill) {
-	c.updateLedger(func(l *custody.Ledger) {
+	c.updateLedger(func(l *assignment.Tracker) {
 		l.SetRate(f.Rate)
-		l.Fill(f)
+		l.AddFill(f)
 		c.recordCopying()
 	})
 }
 
 // updateLedger changes the orders to searchers, and requests an immediate poll of
 // those whose order has changed.
-func (c *Coordinator) updateLedger(change func(*custody.Ledger)) {
+func (c *Coordinator) updateLedger(change func(*assignment.Tracker)) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	change(c.ledger)
+	change(c.tracker)
 	c.wakeSearchersWithNewOrders()
 }
 
-// Stop implements migrate.Peers.
+// Stop implements migrate.Executor.
 func (c *Coordinator) Stop(job reshard.JobID) {
-	c.updateLedger(func(l *custody.Ledger) { l.Stop(job) })
+	c.updateLedger(func(l *assignment.Tracker) { l.RemoveFills(job) })
 }
 
-// SetRate implements migrate.Peers.
+// SetRate implements migrate.Executor.
 func (c *Coordinator) SetRate(rows float64) {
-	c.updateLedger(func(l *custody.Ledger) { l.SetRate(rows) })
+	c.updateLedger(func(l *assignment.Tracker) { l.SetRate(rows) })
 }
 
-// Drop implements migrate.Peers. The ledger derives from the layout in force which
+// Drop implements migrate.Executor. The tracker derives from the layout in force which
 // segments a searcher must drop; this call requests an event once it has.
 func (c *Coordinator) Drop(t reshard.Target) {
-	c.updateLedger(func(l *custody.Ledger) { l.Drop(t) })
+	c.updateLedger(func(l *assignment.Tracker) { l.AwaitDrop(t) })
 }
 
 func (c *Coordinator) jobEnded(e reshard.Ended) {
 	c.options.Logger.Info("layout change is over", "change", e.Job, "phase", e.Phase.String(), "reason", e.Reason)
-	if c.options.Ended != nil {
-		c.options.Ended(e)
+	if c.options.OnEnded != nil {
+		c.options.OnEnded(e)
 	}
 }
--- a/internal/layout/layoutfile/layoutfile_test.go
+++ b/internal/layout/layoutfile/layoutfile_test.go
@@ -13,10 +13,10 @@
 
 	"eiderwinch/internal/format/xmlform"
 	"eiderwinch/internal/layout"
-	"eiderwinch/internal/trial/steady"
+	"eiderwinch/internal/trial/fixedseed"
 )
 
-func TestMain(m *testing.M) { steady.Main(m) }
+func TestMain(m *testing.M) { fixedseed.Main(m) }
 
 const validFile = `<?xml version="1.0"?>
 <layout xmlns="urn:eiderwinch:layout:1" epoch="7" next="6" replicas="2">
@@ -97,7 +97,7 @@
 	}
 	many := strings.Replace(validFile, "</layout>", strings.Repeat("<odd/>\n", 200)+"</layout>", 1)
 	_, _, err = Read("l.xml", strings.NewReader(many))
-	if n := strings.Count(err.Error(), "\n"); n != xmlform.MaxFaults || !strings.Contains(err.Error(), "150 faults more") {
+	if n := strings.Count(err.Error(), "\n"); n != xmlform.MaxFaults || !strings.Contains(err.Error(), "150 more faults") {
 		t.Errorf("%d lines: %.200v", n, err)
 	}
 }
--- a/internal/netio/clientconn_test.go
+++ b/internal/netio/clientconn_test.go
@@ -17,7 +17,7 @@
 // startBounded starts a node with the given bounds on client connections.
 func startBounded(t *testing.T, soft, firm, hard int) *harness {
 	return startHarness(t, func(h *harness) {
-		b := limit.Defaults(h.cfg.Sockets)
+		b := limit.Defaults(h.cfg.MaxDescriptors)
 		b.Soft, b.Firm, b.Hard = soft, firm, hard
 		h.clientTable = limit.New[*clientConn](b)
 		h.decide = nil
@@ -29,13 +29,13 @@
 	h.t.Helper()
 	done := make(chan struct{})
 	h.exec(func() { f(); close(done) })
-	testpeer.Get(h.t, done, "the loop")
+	testpeer.Receive(h.t, done, "the loop")
 }
 
 // waitUntil waits until f, which runs on the event loop, returns true.
 func (h *harness) waitUntil(what string, f func() bool) {
 	h.t.Helper()
-	for end := time.Now().Add(testpeer.Patience); ; {
+	for end := time.Now().Add(testpeer.Timeout); ; {
 		done := false
 		h.onLoop(func() { done = f() })
 		if done {
@@ -50,12 +50,12 @@
 // exchange sends a request, and reports whether its answer closes the connection.
 func exchange(t *testing.T, c *testpeer.Client, request string) (closes bool) {
 	t.Helper()
-	resp, _ := c.Say(request).Hear()
+	resp, _ := c.Send(request).ReadResponse()
 	if resp.StatusCode != 200 {
 		t.Errorf("have %s", resp.Status)
 	}
 	if resp.Close {
-		c.Closed()
+		c.ExpectClosed()
 	}
 	return resp.Close
 }
@@ -80,8 +80,8 @@
 		t.Error("the returning client was told to close")
 	}
 	h.onLoop(func() {
-		if h.stats.Noticed != 47 || h.stats.Crossed+len(h.stats.Evicted) > 0 {
-			t.Errorf("noticed %d, crossed %d, evicted %v", h.stats.Noticed, h.stats.Crossed, h.stats.Evicted)
+		if h.stats.ClosedWithAnswer != 47 || h.stats.EvictedInUse+len(h.stats.Evicted) > 0 {
+			t.Errorf("noticed %d, crossed %d, evicted %v", h.stats.ClosedWithAnswer, h.stats.EvictedInUse, h.stats.Evicted)
 		}
 	})
 }
@@ -90,12 +90,12 @@
 func TestFromTheFirmBoundAllClientsAreToldToClose(t *testing.T) {
 	h := startBounded(t, 2, 2, 100)
 	a, b, c := testpeer.NewClient(t, h.Addr()), testpeer.NewClient(t, h.Addr()), testpeer.NewClient(t, h.Addr())
-	c.Say(testpeer.Query("search", "t", time.Minute, 1)) // waits for its answer, so two others may be idle
+	c.Send(testpeer.Query("search", "t", time.Minute, 1)) // waits for its answer, so two others may be idle
 	p := h.nextPart()
 	exchange(t, a, healthRequest)
 	exchange(t, b, healthRequest)
 	p.Answer("served", 1, "v")
-	if resp, body := c.Hear(); !resp.Close || !strings.Contains(body, `"v"`) {
+	if resp, body := c.ReadResponse(); !resp.Close || !strings.Contains(body, `"v"`) {
 		t.Errorf("have %s %s, close %v", resp.Status, body, resp.Close)
 	}
 }
@@ -108,23 +108,23 @@
 		h.clientTable = limit.New[*clientConn](h.cfg.Clients)
 	})
 	a, b := testpeer.NewClient(t, h.Addr()), testpeer.NewClient(t, h.Addr())
-	b.Say(testpeer.Query("search", "t", time.Minute, 1))
+	b.Send(testpeer.Query("search", "t", time.Minute, 1))
 	p := h.nextPart()
 	exchange(t, a, healthRequest)
 	h.Drain()
 	h.onLoop(func() {})
 	p.Answer("served", 1, "v")
-	if resp, _ := b.Hear(); resp.StatusCode != 200 || resp.Close {
+	if resp, _ := b.ReadResponse(); resp.StatusCode != 200 || resp.Close {
 		t.Errorf("have %s, close %v", resp.Status, resp.Close)
 	}
 	// But a client that only asks for health gives up its place.
-	resp, _ := testpeer.NewClient(t, h.Addr()).Say(healthRequest).Hear()
+	resp, _ := testpeer.NewClient(t, h.Addr()).Send(healthRequest).ReadResponse()
 	if resp.StatusCode != 503 || !resp.Close {
 		t.Errorf("health: %s, close %v", resp.Status, resp.Close)
 	}
 	h.onLoop(func() { h.serveUntil = time.Now() })
-	a.Closed()
-	b.Closed()
+	a.ExpectClosed()
+	b.ExpectClosed()
 }
 
 // Long idle connections are closed only if there are many of them, the longest idle first.
@@ -134,23 +134,23 @@
 	clients := make([]*testpeer.Client, 3)
 	for i := range clients {
 		clients[i] = testpeer.NewClient(t, h.Addr())
-		clients[i].Say(testpeer.Query("search", string(rune('a'+i)), time.Minute, 1))
+		clients[i].Send(testpeer.Query("search", string(rune('a'+i)), time.Minute, 1))
 	}
 	for range clients {
 		h.nextPart().Answer("served", 1, "v")
 	}
 	for _, c := range clients {
-		c.Hear()
+		c.ReadResponse()
 	}
 	exchange(t, clients[0], healthRequest) // this client sends a second request
 	h.onLoop(func() {
-		h.checkClients(before.Add(h.clientTable.Bounds().KeptFor))
-		if h.stats.Trimmed != 0 {
+		h.checkClients(before.Add(h.clientTable.Bounds().IdleGrace))
+		if h.stats.ClosedIdle != 0 {
 			t.Error("a connection was closed that had not been idle for long")
 		}
-		h.checkClients(time.Now().Add(h.clientTable.Bounds().KeptFor))
-		if h.stats.Trimmed != 1 || h.clientTable.Count(limit.Idle) != 2 {
-			t.Errorf("%d were closed, %d are idle", h.stats.Trimmed, h.clientTable.Count(limit.Idle))
+		h.checkClients(time.Now().Add(h.clientTable.Bounds().IdleGrace))
+		if h.stats.ClosedIdle != 1 || h.clientTable.Count(limit.Idle) != 2 {
+			t.Errorf("%d were closed, %d are idle", h.stats.ClosedIdle, h.clientTable.Count(limit.Idle))
 		}
 	})
 	if exchange(t, clients[0], healthRequest) {
@@ -162,9 +162,9 @@
 // received is never cut off, in whichever way connections between requests are closed.
 func TestARequestThatCrossesACloseIsNotRead(t *testing.T) {
 	for name, shut := range map[string]func(*harness){
-		"trimmed": func(h *harness) { h.checkClients(time.Now().Add(h.clientTable.Bounds().KeptFor)) },
+		"trimmed": func(h *harness) { h.checkClients(time.Now().Add(h.clientTable.Bounds().IdleGrace)) },
 		"drained": func(h *harness) { h.closeIdleClients() },
-		"silent":  func(h *harness) { h.checkClients(time.Now().Add(h.clientTable.Bounds().Request)) },
+		"silent":  func(h *harness) { h.checkClients(time.Now().Add(h.clientTable.Bounds().RequestTimeout)) },
 	} {
 		h := startBounded(t, 1, 100, 100)
 		a := testpeer.NewClient(t, h.Addr())
@@ -176,15 +176,15 @@
 		h.waitUntil("the connection is accepted", func() bool { return h.clientTable.Count(stage) == 1 })
 		h.onLoop(func() {
 			c := h.clientTable.Oldest(stage).Owner
-			a.Say(healthRequest)
-			for end := time.Now().Add(testpeer.Patience); pendingBytes(c.conn.Fd()) == 0 && time.Now().Before(end); {
+			a.Send(healthRequest)
+			for end := time.Now().Add(testpeer.Timeout); pendingBytes(c.conn.FD()) == 0 && time.Now().Before(end); {
 			}
 			shut(h)
-			if h.stats.Spared != 1 || c.ending {
-				t.Errorf("%s: spared %d, ending %v", name, h.stats.Spared, c.ending)
+			if h.stats.NotClosed != 1 || c.ending {
+				t.Errorf("%s: spared %d, ending %v", name, h.stats.NotClosed, c.ending)
 			}
 		})
-		if resp, _ := a.Hear(); resp.StatusCode != 200 {
+		if resp, _ := a.ReadResponse(); resp.StatusCode != 200 {
 			t.Errorf("%s: have %s", name, resp.Status)
 		}
 		b := testpeer.NewClient(t, h.Addr())
@@ -199,7 +199,7 @@
 				t.Errorf("%s: a request was taken after the close", name)
 			}
 		})
-		b.Closed()
+		b.ExpectClosed()
 	}
 }
 
@@ -211,26 +211,26 @@
 	exchange(t, b, healthRequest)
 	h.onLoop(func() {
 		oldest := h.clientTable.Oldest(limit.Idle).Owner
-		a.Say(healthRequest)
-		for end := time.Now().Add(testpeer.Patience); pendingBytes(oldest.conn.Fd()) == 0 && time.Now().Before(end); {
+		a.Send(healthRequest)
+		for end := time.Now().Add(testpeer.Timeout); pendingBytes(oldest.conn.FD()) == 0 && time.Now().Before(end); {
 		}
-		var more [2]limit.Seat[*clientConn]
+		var more [2]limit.Entry[*clientConn]
 		for i := range more {
-			h.clientTable.Enter(time.Now(), &more[i])
-			h.clientTable.Move(time.Now(), &more[i], limit.Busy)
+			h.clientTable.Add(time.Now(), &more[i])
+			h.clientTable.SetStage(time.Now(), &more[i], limit.Busy)
 		}
 		h.evictOthers(newClientConn(h.Node))
 		for i := range more {
-			h.clientTable.Leave(&more[i])
+			h.clientTable.Remove(&more[i])
 		}
-		if h.stats.Spared != 1 || h.stats.Evicted["once_new"] != 1 || h.stats.Crossed != 0 {
-			t.Errorf("spared %d, evicted %v, crossed %d", h.stats.Spared, h.stats.Evicted, h.stats.Crossed)
+		if h.stats.NotClosed != 1 || h.stats.Evicted["once_new"] != 1 || h.stats.EvictedInUse != 0 {
+			t.Errorf("spared %d, evicted %v, crossed %d", h.stats.NotClosed, h.stats.Evicted, h.stats.EvictedInUse)
 		}
 	})
-	if resp, _ := a.Hear(); resp.StatusCode != 200 {
+	if resp, _ := a.ReadResponse(); resp.StatusCode != 200 {
 		t.Errorf("have %s", resp.Status)
 	}
-	b.Closed()
+	b.ExpectClosed()
 }
 
 // A request may be read after its connection was chosen for eviction and before it is closed. It is served, and
@@ -244,36 +244,36 @@
 	newest := newClientConn(h.Node)
 	h.onLoop(func() {
 		chosen := h.clientTable.Oldest(limit.Idle).Owner
-		h.clientTable.Enter(time.Now(), &newest.seat)
-		h.clientTable.Move(time.Now(), &newest.seat, limit.Busy)
+		h.clientTable.Add(time.Now(), &newest.entry)
+		h.clientTable.SetStage(time.Now(), &newest.entry, limit.Busy)
 		h.evict(newest)
 		chosen.Traffic([]byte(testpeer.Query("search", "t", time.Minute, 1)))
 	})
 	h.nextPart().Answer("served", 1, "v")
-	if resp, _ := a.Hear(); resp.StatusCode != 200 {
+	if resp, _ := a.ReadResponse(); resp.StatusCode != 200 {
 		t.Errorf("have %s", resp.Status)
 	}
-	b.Closed()
-	h.onLoop(func() { h.clientTable.Leave(&newest.seat) })
+	b.ExpectClosed()
+	h.onLoop(func() { h.clientTable.Remove(&newest.entry) })
 }
 
 // If all other connections are in use, the new one is closed at once, so that nothing on it is read.
 func TestANewConnectionWithoutRoomIsNotRead(t *testing.T) {
 	h := startBounded(t, 100, 100, 1)
-	a := testpeer.NewClient(t, h.Addr()).Say(testpeer.Query("search", "t", time.Minute, 1))
+	a := testpeer.NewClient(t, h.Addr()).Send(testpeer.Query("search", "t", time.Minute, 1))
 	p := h.nextPart()
 	var b *testpeer.Client
-	h.onLoop(func() { b = testpeer.NewClient(t, h.Addr()).Say(healthRequest) })
+	h.onLoop(func() { b = testpeer.NewClient(t, h.Addr()).Send(healthRequest) })
 	if b, err := io.ReadAll(b); len(b) > 0 || !errors.Is(err, syscall.ECONNRESET) {
 		t.Errorf("have %q, %v: it was read", b, err)
 	}
 	p.Answer("served", 1, "v")
-	if resp, _ := a.Hear(); resp.StatusCode != 200 {
+	if resp, _ := a.ReadResponse(); resp.StatusCode != 200 {
 		t.Errorf("have %s", resp.Status)
 	}
 	h.onLoop(func() {
-		if h.stats.Evicted["newest"] != 1 || h.clientTable.Held() != 1 {
-			t.Errorf("evicted %v, %d held", h.stats.Evicted, h.clientTable.Held())
+		if h.stats.Evicted["newest"] != 1 || h.clientTable.Len() != 1 {
+			t.Errorf("evicted %v, %d held", h.stats.Evicted, h.clientTable.Len())
 		}
 	})
 }
@@ -291,7 +291,7 @@
 			if !c.drain {
 				exchange(t, testpeer.NewClient(t, h.Addr()), healthRequest)
 			}
-			client := testpeer.NewClient(t, h.Addr()).Say(testpeer.Query("search", "t", time.Minute, 1))
+			client := testpeer.NewClient(t, h.Addr()).Send(testpeer.Query("search", "t", time.Minute, 1))
 			first := h.nextPart()
 			next := testpeer.Query("search", "u", time.Minute, 1)
 			h.onLoop(func() {
@@ -301,20 +301,20 @@
 					h.draining, h.drainUntil, h.serveUntil, h.killAt = true, now, now, now.Add(time.Minute)
 				}
 				if c.unread {
-					client.Say(next)
-					h.spinUntil("the request is received", func() bool { return pendingBytes(owner.conn.Fd()) == len(next) })
+					client.Send(next)
+					h.spinUntil("the request is received", func() bool { return pendingBytes(owner.conn.FD()) == len(next) })
 				} else {
 					owner.Traffic([]byte(next))
 				}
 				h.pool.searchers["s"].conns[0].Traffic(encodeFrame("at.0 served 1 -\nv"))
 				h.runTurn()
 			})
-			if resp, _ := client.Hear(); resp.Close {
+			if resp, _ := client.ReadResponse(); resp.Close {
 				t.Error("the connection ends in spite of it")
 			}
 			first.Conn.Close()
 			h.nextPart().Answer("served", 1, "w")
-			if resp, body := client.Hear(); resp.StatusCode != 200 || !strings.Contains(body, `"w"`) || !resp.Close {
+			if resp, body := client.ReadResponse(); resp.StatusCode != 200 || !strings.Contains(body, `"w"`) || !resp.Close {
 				t.Errorf("have %s %s, close %v", resp.Status, body, resp.Close)
 			}
 		})
@@ -328,13 +328,13 @@
 	value := strings.Repeat("v", 60_000)
 	slow := func(trace string) *testpeer.Client {
 		c := testpeer.NewClient(t, h.Addr())
-		c.ReadAhead(16 << 10)
-		c.Say(testpeer.Query("search", trace, time.Minute, 4))
+		c.SetReadBuffer(16 << 10)
+		c.Send(testpeer.Query("search", trace, time.Minute, 4))
 		parts := []testpeer.Part{h.nextPart(), h.nextPart(), h.nextPart(), h.nextPart()}
 		h.onLoop(func() {
 			owner := h.clientTable.Oldest(limit.Busy).Owner
 			owner.lastRequest = true
-			_ = setSendBuffer(owner.conn.Fd(), 16<<10)
+			_ = setSendBuffer(owner.conn.FD(), 16<<10)
 		})
 		for _, p := range parts {
 			p.Answer("served", 1, value)
@@ -349,16 +349,16 @@
 			t.Error("its place was given away before the answer was sent")
 		}
 	})
-	resp, body := c.Hear()
+	resp, body := c.ReadResponse()
 	if resp.StatusCode != 200 || strings.Count(body, value) != 4 {
 		t.Errorf("have %s and %d bytes", resp.Status, len(body))
 	}
-	c.Closed()
+	c.ExpectClosed()
 	slow("u")
 	h.onLoop(func() {
 		h.checkClients(time.Now().Add(flushTimeout))
-		if len(h.flushing) != 0 || h.clientTable.Held() != 0 || h.stats.Unread != 1 {
-			t.Errorf("%d are flushing, %d held, %d unread", len(h.flushing), h.clientTable.Held(), h.stats.Unread)
+		if len(h.flushing) != 0 || h.clientTable.Len() != 0 || h.stats.ClosedUnread != 1 {
+			t.Errorf("%d are flushing, %d held, %d unread", len(h.flushing), h.clientTable.Len(), h.stats.ClosedUnread)
 		}
 	})
 }
--- a/internal/netio/pool_test.go
+++ b/internal/netio/pool_test.go
@@ -22,7 +22,7 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			h := startHarness(t, retryOnce)
-			w := testpeer.Get(t, h.discovery.Watches, "a watch")
+			w := testpeer.Receive(t, h.discovery.Watches, "a watch")
 			h.sendQuery("search", "t1", time.Minute, 1)
 			old := h.nextPart()
 			if !inFlight {
@@ -30,7 +30,7 @@
 				h.nextOutcome()
 			}
 			h.waitUntil("the clock is past the opening of the connection", func() bool { return time.Now().UnixMilli() > h.pool.searchers["s"].conns[0].openedAt.UnixMilli() })
-			w.Send(testpeer.List(42, false, testpeer.Member("s", h.searcher.Addr, "Ready", time.Now().UnixMilli())))
+			w.Send(testpeer.MemberList(42, false, testpeer.Member("s", h.searcher.Addr, "Ready", time.Now().UnixMilli())))
 			h.nextListChange()
 			if inFlight {
 				if got := h.nextOutcome(); got.Status != eiderwinch.Reset {
@@ -46,7 +46,7 @@
 			p.Answer("served", 1, "v")
 			h.nextOutcome()
 			// A start that was already reported closes nothing.
-			w.Send(testpeer.List(43, false, testpeer.Member("s", h.searcher.Addr, "Ready", time.Now().UnixMilli()-60_000)))
+			w.Send(testpeer.MemberList(43, false, testpeer.Member("s", h.searcher.Addr, "Ready", time.Now().UnixMilli()-60_000)))
 			h.nextListChange()
 			h.sendQuery("search", "t3", time.Minute, 1)
 			if h.nextPart().Conn != p.Conn {
@@ -69,9 +69,9 @@
 		})
 	})
 	h.sendQuery("search", "t", time.Minute, 1)
-	testpeer.Get(t, dialed, "a dial")
-	testpeer.Get(t, h.discovery.Watches, "a watch").Send(testpeer.List(42, false, testpeer.Member("s", moved.Addr, "Ready", 0)))
-	if p := testpeer.Get(t, moved.Parts, "the part"); p.ID != "t.0" {
+	testpeer.Receive(t, dialed, "a dial")
+	testpeer.Receive(t, h.discovery.Watches, "a watch").Send(testpeer.MemberList(42, false, testpeer.Member("s", moved.Addr, "Ready", 0)))
+	if p := testpeer.Receive(t, moved.Parts, "the part"); p.ID != "t.0" {
 		t.Errorf("have %s", p.ID)
 	}
 }
@@ -83,12 +83,12 @@
 	client := h.sendQuery("search", "t1", time.Minute, 1)
 	old := h.nextPart()
 	old.Answer("served", 1, "v")
-	client.Hear()
+	client.ReadResponse()
 	h.nextOutcome()
 	h.onLoop(func() {
 		old.Conn.Close()
 		c := h.pool.searchers["s"].conns[0]
-		h.spinUntil("the end is received", func() bool { return remoteClosed(c.conn.Fd()) })
+		h.spinUntil("the end is received", func() bool { return remoteClosed(c.conn.FD()) })
 		h.clientTable.Oldest(limit.Idle).Owner.Traffic([]byte(testpeer.Query("search", "t2", time.Minute, 1)))
 		h.runTurn()
 	})
@@ -144,7 +144,7 @@
 			now := make(chan bool, 1)
 			h := startHarness(t, func(h *harness) {
 				h.cfg.Multiplex = c.multiplex
-				h.cfg.Known.Members = append(h.cfg.Known.Members, catalog.Member{ID: "o", HostPort: other.Addr, Phase: catalog.Ready})
+				h.cfg.InitialMembers.Members = append(h.cfg.InitialMembers.Members, catalog.Member{ID: "o", HostPort: other.Addr, Phase: catalog.Ready})
 				var first uint64
 				h.decide = func(e eiderwinch.Event) []eiderwinch.Action {
 					switch e := e.(type) {
@@ -177,16 +177,16 @@
 				}
 			}
 			now <- true
-			if testpeer.Get(t, other.Parts, "the part elsewhere").ID != p.ID {
+			if testpeer.Receive(t, other.Parts, "the part elsewhere").ID != p.ID {
 				t.Error("another part was sent")
 			}
 			if !c.closes {
-				if id := testpeer.Get(t, h.searcher.Cancels, "a cancel"); id != p.ID || len(h.searcher.Ends) > 0 {
-					t.Errorf("cancelled %s, %d ends", id, len(h.searcher.Ends))
+				if id := testpeer.Receive(t, h.searcher.Cancels, "a cancel"); id != p.ID || len(h.searcher.ClosedConns) > 0 {
+					t.Errorf("cancelled %s, %d ends", id, len(h.searcher.ClosedConns))
 				}
 				return
 			}
-			testpeer.Get(t, h.searcher.Ends, "the end of the connection")
+			testpeer.Receive(t, h.searcher.ClosedConns, "the end of the connection")
 			if len(h.searcher.Cancels) > 0 {
 				t.Error("a cancel frame was sent as well")
 			}
@@ -206,7 +206,7 @@
 	client := h.sendQuery("search", "t", time.Minute, 1)
 	p := h.nextPart()
 	client.Close()
-	if id := testpeer.Get(t, h.searcher.Cancels, "a cancel"); id != p.ID {
+	if id := testpeer.Receive(t, h.searcher.Cancels, "a cancel"); id != p.ID {
 		t.Errorf("cancelled %s", id)
 	}
 	h.sendQuery("search", "u", time.Minute, 1)
@@ -230,7 +230,7 @@
 	const searchers, queries, descriptors = 40, 12, 40 // 12 clients and 20 for searchers are within seven eighths
 	up := make(chan bool)
 	h := startHarness(t, func(h *harness) {
-		h.cfg.Sockets = reservedDescriptors + descriptors
+		h.cfg.MaxDescriptors = reservedDescriptors + descriptors
 		real := h.dialContext
 		h.dialContext = func(ctx context.Context, network, addr string) (net.Conn, error) {
 			if addr == h.discovery.Addr {
@@ -240,7 +240,7 @@
 			return real(ctx, network, addr)
 		}
 		for i := range searchers {
-			h.cfg.Known.Members = append(h.cfg.Known.Members, catalog.Member{ID: fmt.Sprint("s", i), HostPort: h.searcher.Addr, Phase: catalog.Ready})
+			h.cfg.InitialMembers.Members = append(h.cfg.InitialMembers.Members, catalog.Member{ID: fmt.Sprint("s", i), HostPort: h.searcher.Addr, Phase: catalog.Ready})
 		}
 		n := 0
 		h.decide = func(e eiderwinch.Event) []eiderwinch.Action {
@@ -258,7 +258,7 @@
 	}
 	h.waitUntil("all parts are sent to the pool", func() bool { return h.stats.Sent == queries })
 	h.onLoop(func() {
-		if n, held := h.pool.connCount, h.clientTable.Held(); n < 5 || 2*n > descriptors/2 || 2*n+held > descriptors*7/8 {
+		if n, held := h.pool.connCount, h.clientTable.Len(); n < 5 || 2*n > descriptors/2 || 2*n+held > descriptors*7/8 {
 			t.Errorf("%d connections are being opened, which may hold %d descriptors of %d, with %d clients", n, 2*n, descriptors, held)
 		}
 	})
@@ -271,9 +271,9 @@
 func TestACallThatWaitsForDescriptorsIsSent(t *testing.T) {
 	const searchers, descriptors = 24, 40 // 20 for searchers
 	h := startHarness(t, func(h *harness) {
-		h.cfg.Sockets = reservedDescriptors + descriptors
+		h.cfg.MaxDescriptors = reservedDescriptors + descriptors
 		for i := range searchers {
-			h.cfg.Known.Members = append(h.cfg.Known.Members, catalog.Member{ID: fmt.Sprint("s", i), HostPort: h.searcher.Addr, Phase: catalog.Ready})
+			h.cfg.InitialMembers.Members = append(h.cfg.InitialMembers.Members, catalog.Member{ID: fmt.Sprint("s", i), HostPort: h.searcher.Addr, Phase: catalog.Ready})
 		}
 		n := 0
 		h.decide = func(e eiderwinch.Event) (out []eiderwinch.Action) {
@@ -305,17 +305,17 @@
 // clients leave that; what they hold is not available to clients.
 func TestClientsAndSearchersShareTheDescriptors(t *testing.T) {
 	h := startHarness(t, func(h *harness) {
-		h.cfg.Sockets = reservedDescriptors + 400
+		h.cfg.MaxDescriptors = reservedDescriptors + 400
 		h.clientTable = limit.New[*clientConn](limit.Defaults(400))
 	})
-	h.waitUntil("no client is connected", func() bool { return h.clientTable.Held() == 0 })
+	h.waitUntil("no client is connected", func() bool { return h.clientTable.Len() == 0 })
 	for _, c := range []struct{ held, links, most, excess int }{
 		{0, 0, 200, -250}, {100, 0, 200, -150}, {200, 100, 150, -50}, {250, 100, 100, 0}, {251, 100, 100, 1}, {150, 200, 200, 0}, {151, 200, 199, 1},
 	} {
 		h.onLoop(func() {
-			held := make([]limit.Seat[*clientConn], c.held)
+			held := make([]limit.Entry[*clientConn], c.held)
 			for i := range held {
-				h.clientTable.Enter(time.Now(), &held[i])
+				h.clientTable.Add(time.Now(), &held[i])
 			}
 			h.pool.connCount = c.links
 			if most, excess := h.pool.descriptorLimit(), h.excessClients(); most != c.most || excess != c.excess {
@@ -324,7 +324,7 @@
 			}
 			h.pool.connCount = 0
 			for i := range held {
-				h.clientTable.Leave(&held[i])
+				h.clientTable.Remove(&held[i])
 			}
 		})
 	}
@@ -373,16 +373,16 @@
 			client := h.sendQuery("search", "t", time.Minute, 1)
 			p := h.nextPart()
 			h.onLoop(func() {
-				fd := h.pool.searchers["s"].conns[0].conn.Fd()
+				fd := h.pool.searchers["s"].conns[0].conn.FD()
 				p.Answer("served", 1, "v")
 				h.spinUntil("the answer is received", func() bool { return pendingBytes(fd) > 0 })
 				end(p.Conn)
 				h.spinUntil("the end is received", func() bool { return remoteClosed(fd) })
 			})
-			if resp, body := client.Hear(); resp.StatusCode != 200 || h.nextOutcome().Status != eiderwinch.OK {
+			if resp, body := client.ReadResponse(); resp.StatusCode != 200 || h.nextOutcome().Status != eiderwinch.OK {
 				t.Errorf("have %s %s", resp.Status, body)
 			}
-			client.Say(testpeer.Query("search", "u", time.Minute, 1))
+			client.Send(testpeer.Query("search", "u", time.Minute, 1))
 			if h.nextPart().Conn == p.Conn {
 				t.Error("the connection that has ended is used")
 			}
@@ -396,10 +396,10 @@
 	client := h.sendQuery("search", "t", time.Minute, 1)
 	p := h.nextPart()
 	for _, b := range encodeFrame("at.0 served 1 -\nvalue") {
-		p.Raw(string(rune(b)))
+		p.WriteRaw(string(rune(b)))
 		h.onLoop(func() {})
 	}
-	if resp, body := client.Hear(); resp.StatusCode != 200 || !strings.Contains(body, `"value"`) {
+	if resp, body := client.ReadResponse(); resp.StatusCode != 200 || !strings.Contains(body, `"value"`) {
 		t.Errorf("have %s %s", resp.Status, body)
 	}
 }
--- a/internal/netio/watch.go
+++ b/internal/netio/watch.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"eiderwinch"
-	"eiderwinch/internal/follow"
+	"eiderwinch/internal/discovery"
 	"eiderwinch/internal/format/catalog"
 	"eiderwinch/internal/format/http1"
 	"eiderwinch/internal/netio/eventloop"
@@ -35,8 +35,8 @@
 type watch struct {
 	node           *Node
 	addr           string
-	follower       *follow.Follower
-	subscriptions  map[follow.RequestID]*subscription
+	follower       *discovery.Follower
+	subscriptions  map[discovery.RequestID]*subscription
 	needsWholeList bool      // nothing was received from this address yet: the whole list is requested first
 	revision       int64     // of the last list or change received
 	failures       int       // failed requests since the last update
@@ -47,13 +47,13 @@
 // subscription is one request of a watch to discovery.
 type subscription struct {
 	watch          *watch
-	id             follow.RequestID
+	id             discovery.RequestID
 	conn           *eventloop.Conn // nil while it is being dialed
 	ended          bool            // whatever it still receives is ignored
 	needsWholeList bool            // the whole list has not been received in full yet
 	wholeList      *catalog.Update // set once parsed, while needsWholeList
 	parser         http1.ResponseParser
-	objects        catalog.Objects
+	objects        catalog.ObjectSplitter
 	headReceived   bool // the head of the answer was received
 	bodyReceived   bool // data of changes was received since the last call of recordUpdate
 	updateReceived bool // an update was received since then
@@ -64,9 +64,9 @@
 func newWatch(n *Node, addr string, revision int64) *watch {
 	m, now := n.cfg.Gatherer.Module, time.Now()
 	return &watch{
-		node: n, addr: addr, revision: revision, subscriptions: make(map[follow.RequestID]*subscription), lastUpdate: now,
-		follower: follow.New(follow.Settings{
-			Pushed: !m.AskForList, Grace: n.cfg.DrainGrace, Within: m.AskWithin, Clients: m.Brokers, Seed: m.Seed,
+		node: n, addr: addr, revision: revision, subscriptions: make(map[discovery.RequestID]*subscription), lastUpdate: now,
+		follower: discovery.New(discovery.Settings{
+			Pushed: !m.SubscribeToList, DrainGrace: n.cfg.DrainGrace, MaxTimeWithoutWatch: m.SubscribeWithin, Gatherers: m.Gatherers, Seed: m.Seed,
 		}, now),
 	}
 }
@@ -86,11 +86,11 @@
 
 // objectLimit returns how many bytes one member list may take.
 func (n *Node) objectLimit() int {
-	return int(min(max(n.cfg.Memory/objectMemoryShare, minObjectLimit), maxObjectLimit))
+	return int(min(max(n.cfg.MemoryLimit/objectMemoryShare, minObjectLimit), maxObjectLimit))
 }
 
 // drop gives up requests.
-func (w *watch) drop(ids []follow.RequestID) {
+func (w *watch) drop(ids []discovery.RequestID) {
 	for _, id := range ids {
 		if s := w.subscriptions[id]; s != nil {
 			s.end()
@@ -131,7 +131,7 @@
 
 // request asks for the whole list if nothing was received from this address yet, otherwise for changes.
 func (s *subscription) request() {
-	s.parser, s.objects = http1.ResponseParser{}, catalog.Objects{Most: s.watch.node.objectLimit()}
+	s.parser, s.objects = http1.ResponseParser{}, catalog.ObjectSplitter{MaxSize: s.watch.node.objectLimit()}
 	target := listPath
 	if !s.needsWholeList {
 		target = watchPath + strconv.FormatInt(s.watch.revision, 10)
@@ -151,7 +151,7 @@
 		return
 	case err == nil && r != nil && r.Status != 200:
 		err = fmt.Errorf("%w: status %d, want 200", errWatchEnded, r.Status)
-	case err == nil && s.needsWholeList && (s.parser.Done() || s.parser.Endless() && s.wholeList != nil): // complete, whether or not the body ends
+	case err == nil && s.needsWholeList && (s.parser.Done() || s.parser.EndsAtClose() && s.wholeList != nil): // complete, whether or not the body ends
 		err = s.acceptWholeList(now)
 	case err == nil && s.parser.Done():
 		err = errWatchEnded
@@ -159,7 +159,7 @@
 	switch {
 	case err != nil:
 		s.fail(err)
-	case s.updateReceived, s.bodyReceived && !s.objects.Inside(): // an incomplete object is no sign of life
+	case s.updateReceived, s.bodyReceived && !s.objects.InObject(): // an incomplete object is no sign of life
 		s.updateReceived, s.bodyReceived = false, false
 		s.watch.recordUpdate(now, s)
 		if s.endsAfterList {
@@ -207,7 +207,7 @@
 	w.needsWholeList, w.revision = false, u.Revision
 	w.node.promoteWatch(w)
 	w.node.applyUpdate(now, eiderwinch.Whole, w.addr, u)
-	s.needsWholeList, s.headReceived, s.updateReceived, s.endsAfterList = false, false, true, s.parser.Endless()
+	s.needsWholeList, s.headReceived, s.updateReceived, s.endsAfterList = false, false, true, s.parser.EndsAtClose()
 	if !s.endsAfterList {
 		s.request()
 	}
--- a/internal/due/due.go
+++ b/internal/timerqueue/timerqueue.go
@@ -1,7 +1,7 @@
-// Package due implements a queue of timers. The next timer is found in constant time;
+// Package timerqueue implements a queue of timers. The next timer is found in constant time;
 // setting, moving and stopping one takes logarithmic time. The package reads no clock.
 // A Queue must be used from one goroutine only.
-package due
+package timerqueue
 
 import (
 	"container/heap"
@@ -17,8 +17,8 @@
 	index    int    // position in the queue plus 1; 0 if the timer is not set
 }
 
-// Set reports whether the timer is in a queue.
-func (t *Timer[T]) Set() bool { return t.index > 0 }
+// IsSet reports whether the timer is in a queue.
+func (t *Timer[T]) IsSet() bool { return t.index > 0 }
 
 // At returns the time for which the timer was last set.
 func (t *Timer[T]) At() time.Time { return t.at }
--- a/internal/trial/soak/config.go
+++ b/internal/trial/soak/config.go
@@ -22,25 +22,25 @@
 	"eiderwinch/internal/configuration/bundle"
 	"eiderwinch/internal/configuration/change"
 	"eiderwinch/internal/configuration/history"
-	"eiderwinch/internal/configuration/keeper"
+	"eiderwinch/internal/configuration/manager"
 	"eiderwinch/internal/daemon"
 	"eiderwinch/internal/layout"
 	"eiderwinch/internal/layout/layoutfile"
 	"eiderwinch/internal/netio"
 	"eiderwinch/internal/stats"
-	"eiderwinch/internal/trial/standin"
+	"eiderwinch/internal/trial/fake"
 )
 
 // ConfigOptions configures RunConfig.
 type ConfigOptions struct {
-	Warm    time.Duration // load without changes at first, from which the regression guard learns what is typical
-	Changes time.Duration
-	Every   time.Duration // interval between changes; each fourth change is bad
-	Rate    float64       // queries per second
-	Row     int           // number of changes in sequence at the end, without load
-	Seed    uint64
-	Dir     string    // for the configuration history and sockets
-	Out     io.Writer // for progress messages
+	WarmUp         time.Duration // load without changes at first, from which the regression guard learns what is typical
+	ChangeDuration time.Duration
+	Interval       time.Duration // interval between changes; each fourth change is bad
+	Rate           float64       // queries per second
+	SequenceLength int           // number of changes in sequence at the end, without load
+	Seed           uint64
+	Dir            string    // for the configuration history and sockets
+	Out            io.Writer // for progress messages
 }
 
 // ConfigReport is the result of RunConfig.
@@ -102,7 +102,7 @@
 
 // Apply applies a configuration. Before that it records that the generation may be in force, and afterwards that the
 // earlier ones no longer are.
-func (n *auditedNode) Apply(ctx context.Context, l netio.Live) error {
+func (n *auditedNode) Apply(ctx context.Context, l netio.LiveSettings) error {
 	r := n.run
 	if l.Layout != nil {
 		r.audit.addLayout(l.Layout)
@@ -135,7 +135,7 @@
 type configRun struct {
 	run
 	options           ConfigOptions
-	keeper            *keeper.Keeper
+	manager           *manager.Manager
 	client            *admin.Client
 	operatorsFormat   string // the operators' file, with a verb in place of the settings that change
 	hungSearcher      string // a searcher that accepts connections and never answers
@@ -153,7 +153,7 @@
 	r.run = run{
 		Options: Options{Rate: o.Rate, Seed: o.Seed, Dir: o.Dir, Out: o.Out},
 		rng:     &lockedRand{source: rand.New(rand.NewPCG(o.Seed, 4))}, report: &report.Report,
-		custodians: make(map[string]*standin.Custodian),
+		assignmentServers: make(map[string]*fake.AssignmentServer),
 	}
 	r.searchLatencies.Store(newLatencyWindow())
 	ctx, stop := context.WithCancel(ctx)
@@ -167,9 +167,9 @@
 	var loadDone sync.WaitGroup
 	loadDone.Add(1)
 	go func() { defer loadDone.Done(); r.generateLoad(loadCtx) }()
-	sleep(ctx, o.Warm)
-	for started := time.Now(); time.Since(started) < o.Changes && ctx.Err() == nil; r.changes++ {
-		next := time.Now().Add(o.Every)
+	sleep(ctx, o.WarmUp)
+	for started := time.Now(); time.Since(started) < o.ChangeDuration && ctx.Err() == nil; r.changes++ {
+		next := time.Now().Add(o.Interval)
 		r.submitChange(ctx)
 		sleep(ctx, time.Until(next))
 	}
@@ -183,11 +183,11 @@
 	err = errors.Join(sequenceErr, statusErr, end())
 	c := r.nodes[0].counters
 	report.Taken = c.Taken
-	report.Ended = c.Whole + c.Partial + c.Refused + c.Failed + c.Gone
+	report.Ended = c.Whole + c.Partial + c.Refused + c.Failed + c.ClientsDisconnected
 	report.Translated = c.Translated
 	report.Held = int(r.heldQueries.Load())
-	report.Doubled = len(r.store.Doubled())
-	report.Reserved, report.Repeated = r.store.Ran()
+	report.Doubled = len(r.store.DuplicateReservations())
+	report.Reserved, report.Repeated = r.store.ReservationCounts()
 	report.Linearizable = string(r.audit.checkReservations(initialStock, time.Now()))
 	return report, err
 }
@@ -217,7 +217,7 @@
 	}
 	r.operatorsFormat = `<eiderwinch xmlns="urn:eiderwinch:operators:1">%s<guard probation="60s"/></eiderwinch>`
 	var text bytes.Buffer
-	if err := layoutfile.Write(&text, r.deployment.First(), r.fleet); err != nil {
+	if err := layoutfile.Write(&text, r.deployment.InitialLayout(), r.fleet); err != nil {
 		return end, err
 	}
 	initial, err := bundle.Check(bundle.Bundle{Platform: platform, Operators: fmt.Appendf(nil, r.operatorsFormat, ""), Layout: text.Bytes()}, bundle.Names{})
@@ -225,9 +225,9 @@
 		return end, err
 	}
 	log := slog.New(slog.DiscardHandler)
-	initialLive := daemon.Live(initial, 1)
+	initialLive := daemon.LiveSettings(initial, 1)
 	n := &node{counters: stats.New(), ended: make(chan error, 1)}
-	n.Node = daemon.New(initial.Config, daemon.Options{Layout: initial.Layout, Live: &initialLive, Record: true}, n.counters, log)
+	n.Node = daemon.New(initial.Config, daemon.Options{Layout: initial.Layout, LiveSettings: &initialLive, Record: true}, n.counters, log)
 	r.periods = []activePeriod{{generation: 1, from: time.Now()}}
 	if err := r.serve(n); err != nil {
 		return end, err
@@ -239,13 +239,13 @@
 	closers = append(closers, configHistory.Close)
 	machine := change.New(initial.Hash, change.Limits{})
 	baseGeneration, _ := machine.Base()
-	if err := configHistory.Begin(baseGeneration, initial.Bundle); err != nil {
+	if err := configHistory.SetBase(baseGeneration, initial.Bundle); err != nil {
 		return end, err
 	}
 	ctx, stop := context.WithCancel(ctx)
-	r.keeper = keeper.Start(ctx, keeper.Options{Node: &auditedNode{n.Node, r}, Boot: initial, Machine: machine, History: configHistory, Live: daemon.Live, Logger: log})
-	closers = append(closers, func() error { stop(); return r.keeper.Wait() })
-	gatherer := &admin.Gatherer{Name: "g0", Node: n.Node, Keeper: r.keeper.Handle}
+	r.manager = manager.Start(ctx, manager.Options{Node: &auditedNode{n.Node, r}, Initial: initial, Machine: machine, History: configHistory, LiveSettings: daemon.LiveSettings, Logger: log})
+	closers = append(closers, func() error { stop(); return r.manager.Wait() })
+	gatherer := &admin.Gatherer{Name: "g0", Node: n.Node, RegisterConfigHandlers: r.manager.RegisterHandlers}
 	socket, err := admin.Serve("unix:"+filepath.Join(r.Dir, "admin.sock"), gatherer.Handler())
 	if err != nil {
 		return end, err
@@ -276,7 +276,7 @@
 	}()
 	r.hungSearcher = "s-hung"
 	r.fleet.Zones[r.hungSearcher] = "verona"
-	r.deployment.Discovery.Tell(standin.Member{ID: r.hungSearcher, Addr: l.Addr().String(), Zone: "verona", Kind: "std", Phase: standin.Ready, Size: 1})
+	r.deployment.Discovery.Publish(fake.Member{ID: r.hungSearcher, Addr: l.Addr().String(), Zone: "verona", Kind: "std", Phase: fake.Ready, Size: 1})
 	return l, nil
 }
 
@@ -301,13 +301,13 @@
 }
 
 // status returns the status of the configuration manager.
-func (r *configRun) status(ctx context.Context) (s keeper.Status, err error) {
+func (r *configRun) status(ctx context.Context) (s manager.Status, err error) {
 	return s, r.call(ctx, http.MethodGet, "", nil, &s)
 }
 
-// proposal returns the next change. Each fourth is bad. The bad ones are, in turn: a segment whose only holder never
-// answers, searches within 10 ms, one open search at most, and three admitted queries at most.
-func (r *configRun) proposal() (p keeper.Proposal, bad bool) {
+// proposal returns the next change. Each fourth is bad. The bad ones are, in rotation: a segment whose only holder never
+// answers, searches within 10 ms, at most one open search, and at most three admitted queries.
+func (r *configRun) proposal() (p manager.StageRequest, bad bool) {
 	i := r.changes
 	inner := ""
 	switch {
@@ -358,25 +358,25 @@
 // guard to undo.
 func (r *configRun) submitChange(ctx context.Context) {
 	p, bad := r.proposal()
-	var s keeper.Staged
+	var s manager.StageResult
 	if err := r.call(ctx, http.MethodPost, "", p, &s); err != nil {
 		fmt.Fprintln(r.Out, "change was not staged:", err)
 		return
 	}
 	path := fmt.Sprintf("/%d/", s.Tx)
 	applied := time.Now()
-	if err := r.call(ctx, http.MethodPost, path+"apply", keeper.Application{}, nil); err != nil {
+	if err := r.call(ctx, http.MethodPost, path+"apply", manager.ApplyRequest{}, nil); err != nil {
 		if strings.Contains(err.Error(), "under way") {
 			r.report.Busy++
 		} else {
 			r.report.Late++
 		}
-		_ = r.call(ctx, http.MethodPost, path+"undo", keeper.Withdrawal{Reason: "refused"}, nil)
+		_ = r.call(ctx, http.MethodPost, path+"undo", manager.UndoRequest{Reason: "refused"}, nil)
 		return
 	}
 	r.report.Applied++
 	if !bad {
-		sleep(ctx, min(time.Second, r.options.Every/2))
+		sleep(ctx, min(time.Second, r.options.Interval/2))
 		if err := r.call(ctx, http.MethodPost, path+"confirm", nil, nil); err != nil {
 			r.report.GoodUndone++
 			r.recordReason(ctx, s.Tx)
@@ -415,7 +415,7 @@
 // runSequence applies and confirms changes in sequence, and measures the heap, descriptors and goroutines they leave
 // behind.
 func (r *configRun) runSequence(ctx context.Context) error {
-	if r.options.Row == 0 {
+	if r.options.SequenceLength == 0 {
 		return nil
 	}
 	wait := func(what string, done func() bool) error {
@@ -435,20 +435,20 @@
 		return m.HeapAlloc, len(list), runtime.NumGoroutine()
 	}
 	applyOne := func(i int) error {
-		var s keeper.Staged
-		p := keeper.Proposal{Bundle: bundle.Bundle{Operators: fmt.Appendf(nil, r.operatorsFormat, fmt.Sprintf(`<class name="search" open="%d"/>`, 1000+i))}}
+		var s manager.StageResult
+		p := manager.StageRequest{Bundle: bundle.Bundle{Operators: fmt.Appendf(nil, r.operatorsFormat, fmt.Sprintf(`<class name="search" open="%d"/>`, 1000+i))}}
 		if err := r.call(ctx, http.MethodPost, "", p, &s); err != nil {
 			return err
 		}
 		path := fmt.Sprintf("/%d/", s.Tx)
-		if err := r.call(ctx, http.MethodPost, path+"apply", keeper.Application{}, nil); err != nil {
+		if err := r.call(ctx, http.MethodPost, path+"apply", manager.ApplyRequest{}, nil); err != nil {
 			return err
 		}
 		return wait("a confirmation", func() bool { return r.call(ctx, http.MethodPost, path+"confirm", nil, nil) == nil })
 	}
 	use := &r.report.Row
-	for i := range r.options.Row {
-		if i == r.options.Row*3/10 { // bounded histories are full from here on
+	for i := range r.options.SequenceLength {
+		if i == r.options.SequenceLength*3/10 { // bounded histories are full from here on
 			use.HeapBefore, use.FilesBefore, use.RoutinesBefore = measure()
 		}
 		if err := applyOne(i); err != nil {
--- a/internal/trial/rig/rig.go
+++ b/internal/trial/testcluster/testcluster.go
@@ -1,4 +1,4 @@
-// Package rig runs a test cluster on loopback: several processes of the built program, as a fleet of gatherers, with
+// Package testcluster runs a test cluster on loopback: several processes of the built program, as a fleet of gatherers, with
 // fake searchers and a fake discovery. It injects faults between the gatherers: relays partition, drop, delay, duplicate and
 // throttle what they send each other, and processes are stopped, killed and restarted. It ends only processes that it
 // has started. One history of the run is recorded from the outside, by the clients, the searchers and the polls of the
@@ -6,7 +6,7 @@
 //
 // A plan of faults comes from a seed or a file. Runs take place in real time, so the same plan doesn't give exactly the
 // same run; what is audited must hold in every run.
-package rig
+package testcluster
 
 import (
 	"bufio"
@@ -27,18 +27,18 @@
 	"eiderwinch/internal/admin"
 	"eiderwinch/internal/fleet/share"
 	"eiderwinch/internal/trial/ask"
-	"eiderwinch/internal/trial/standin"
+	"eiderwinch/internal/trial/fake"
 )
 
-// Config configures a Rig.
+// Config configures a Cluster.
 type Config struct {
-	Program   string // path of the built program
-	Dir       string // for files, logs and history.jsonl
-	Gatherers int
-	Seed      uint64
-	Keys      string        // text of a key file with a key named k
-	Lease     time.Duration // lease of a slot, see package share; 0: limits are not divided
-	Settle    time.Duration // a fleet that has not converged this long after a fault counts as a violation
+	Program         string // path of the built program
+	Dir             string // for files, logs and history.jsonl
+	Gatherers       int
+	Seed            uint64
+	Keys            string        // text of a key file with a key named k
+	Lease           time.Duration // lease of a slot, see package share; 0: limits are not divided
+	ConvergeTimeout time.Duration // a fleet that has not converged this long after a fault counts as a violation
 }
 
 // Parameters of the searchers, the gatherers and the clients. One searcher, alone in its cell, restarts so often that it
@@ -54,8 +54,8 @@
 	// since most shares go unused, and twice that if the searcher answers as quickly as others.
 	coldGrantFactor = 4
 
-	seedCount     = 3                     // the first gatherers, which all have as seeds
-	seedKillDelay = 50 * time.Millisecond // after the others have begun to join by the seed
+	seedCount     = 3                     // the first gatherers, which are the seeds of all
+	seedKillDelay = 50 * time.Millisecond // after the others have begun to join through the seed
 
 	aim           = time.Second
 	deadline      = 2 * time.Second
@@ -64,11 +64,11 @@
 	answerTimeout = 20 * time.Second // a query without an answer by then is lost
 )
 
-// Rig is a running test cluster.
-type Rig struct {
+// Cluster is a running test cluster.
+type Cluster struct {
 	cfg        Config
 	network    *network
-	discovery  *standin.Discovery
+	discovery  *fake.Discovery
 	searchers  []*searcher
 	cold       *searcher
 	gatherers  []*gatherer
@@ -81,7 +81,7 @@
 
 // gatherer is one member of the fleet. Its process changes with each restart.
 type gatherer struct {
-	rig           *Rig
+	cluster       *Cluster
 	number        int
 	operatorsFile string // path of the operators' file
 	admin         *admin.Client
@@ -95,76 +95,76 @@
 }
 
 // New starts a test cluster and its clients.
-func New(cfg Config) (r *Rig, err error) {
-	r = &Rig{cfg: cfg}
-	r.ctx, r.stop = context.WithCancel(context.Background())
+func New(cfg Config) (c *Cluster, err error) {
+	c = &Cluster{cfg: cfg}
+	c.ctx, c.stop = context.WithCancel(context.Background())
 	defer func() {
 		if err != nil {
-			err = errors.Join(err, r.Close())
+			err = errors.Join(err, c.Close())
 		}
 	}()
-	if r.file, err = os.Create(filepath.Join(cfg.Dir, "history.jsonl")); err != nil {
-		return r, err
+	if c.file, err = os.Create(filepath.Join(cfg.Dir, "history.jsonl")); err != nil {
+		return c, err
 	}
-	r.history = newHistory(r.file)
-	if r.network, err = newNetwork(cfg.Gatherers, cfg.Seed); err != nil {
-		return r, err
+	c.history = newHistory(c.file)
+	if c.network, err = newNetwork(cfg.Gatherers, cfg.Seed); err != nil {
+		return c, err
 	}
-	if r.discovery, err = standin.NewDiscovery(); err != nil {
-		return r, err
+	if c.discovery, err = fake.NewDiscovery(); err != nil {
+		return c, err
 	}
 	for i := range 3 { // the last is the cold searcher, alone in its cell
 		s, err := newSearcher(fmt.Sprint("s-0", i), i/2, partDuration)
 		if err != nil {
-			return r, err
+			return c, err
 		}
-		r.searchers = append(r.searchers, s)
-		r.discovery.Tell(s.member(i == 2))
+		c.searchers = append(c.searchers, s)
+		c.discovery.Publish(s.member(i == 2))
 	}
-	r.cold = r.searchers[2]
+	c.cold = c.searchers[2]
 	if err := os.WriteFile(filepath.Join(cfg.Dir, "keys.xml"), []byte(cfg.Keys), 0o600); err != nil {
-		return r, err
+		return c, err
 	}
 	for i := range cfg.Gatherers {
-		g := &gatherer{rig: r, number: i}
+		g := &gatherer{cluster: c, number: i}
 		if err := g.writeFiles(); err != nil {
-			return r, err
+			return c, err
 		}
-		r.gatherers = append(r.gatherers, g)
+		c.gatherers = append(c.gatherers, g)
 	}
-	if err := r.forEach(r.gatherers, (*gatherer).start); err != nil {
-		return r, err
+	if err := c.forEach(c.gatherers, (*gatherer).start); err != nil {
+		return c, err
 	}
-	r.spawn(func() { r.repeat(coldRestartInterval, func() { r.discovery.Tell(r.cold.member(true)) }) })
-	for _, g := range r.gatherers {
-		r.spawn(func() { r.repeat(pollInterval, g.poll) })
+	c.spawn(func() { c.repeat(coldRestartInterval, func() { c.discovery.Publish(c.cold.member(true)) }) })
+	for _, g := range c.gatherers {
+		c.spawn(func() { c.repeat(pollInterval, g.poll) })
 		for k := range 4 {
-			r.spawn(func() { g.runClient(k) })
+			c.spawn(func() { g.runClient(k) })
 		}
 	}
-	return r, nil
+	return c, nil
 }
 
 // spawn runs a function in a goroutine that Close waits for.
-func (r *Rig) spawn(f func()) {
-	r.goroutines.Add(1)
+func (c *Cluster) spawn(f func()) {
+	c.goroutines.Add(1)
 	go func() {
-		defer r.goroutines.Done()
+		defer c.goroutines.Done()
 		f()
 	}()
 }
 
 // repeat calls a function periodically until the test cluster stops.
-func (r *Rig) repeat(d time.Duration, f func()) {
-	for r.sleep(d) {
+func (c *Cluster) repeat(d time.Duration, f func()) {
+	for c.sleep(d) {
 		f()
 	}
 }
 
 // sleep waits for d, and reports whether the test cluster still runs then.
-func (r *Rig) sleep(d time.Duration) bool {
+func (c *Cluster) sleep(d time.Duration) bool {
 	select {
-	case <-r.ctx.Done():
+	case <-c.ctx.Done():
 		return false
 	case <-time.After(d):
 		return true
@@ -172,7 +172,7 @@
 }
 
 // forEach calls a function for all gatherers of a list at once, and waits for them.
-func (r *Rig) forEach(list []*gatherer, f func(*gatherer) error) error {
+func (c *Cluster) forEach(list []*gatherer, f func(*gatherer) error) error {
 	errs := make([]error, len(list))
 	var done sync.WaitGroup
 	for i, g := range list {
@@ -188,13 +188,13 @@
 
 // writeFiles writes the gatherer's configuration files.
 func (g *gatherer) writeFiles() error {
-	network, dir := g.rig.network, g.rig.cfg.Dir
+	network, dir := g.cluster.network, g.cluster.cfg.Dir
 	g.operatorsFile = filepath.Join(dir, fmt.Sprintf("g%d.xml", g.number))
 	endpoint := fmt.Sprintf("unix:%s/g%d", dir, g.number)
 	g.admin = admin.NewClient(endpoint, time.Second, nil)
 	var text strings.Builder
 	fmt.Fprintf(&text, `<eiderwinch xmlns="urn:eiderwinch:operators:1"><admin endpoint=%q/><fleet name="rig" listen=%q advertise=%q keys="keys.xml" key="k" lease=%q>`,
-		endpoint, network.listenAddr(g.number), network.relays[g.number].tcp.Addr(), cmp.Or(g.rig.cfg.Lease, share.DefaultLease))
+		endpoint, network.listenAddr(g.number), network.relays[g.number].tcp.Addr(), cmp.Or(g.cluster.cfg.Lease, share.DefaultLease))
 	for i := range min(seedCount, network.size) {
 		fmt.Fprintf(&text, "<seed addr=%q/>", network.relays[i].tcp.Addr())
 	}
@@ -203,23 +203,23 @@
 		if j == g.number {
 			addr = network.listenAddr(j)
 		}
-		if g.rig.cfg.Lease > 0 {
+		if g.cluster.cfg.Lease > 0 {
 			fmt.Fprintf(&text, "<slot number=\"%d\" addr=%q/>", j, addr)
 		}
 	}
 	text.WriteString("</fleet></eiderwinch>")
-	known := g.rig.discovery.List()
+	known := g.cluster.discovery.List()
 	config := fmt.Sprintf(`{"name":"g%d","listen":%q,"discovery":%q,"limits":{"memory_mb":128,"sockets":256},"known":%s,"settings":{`+
 		`"membership_mode":"pushed","tick":5000000,"balancers":%d,"my_number":%d,"domain":{"places":2,"in_a_row":1,"shards":2,"per_call":4,"call_cost":1000000},`+
 		`"classes":[{"name":"search","aim":%d,"deadline":%d,"effect":"safe","worth":1}],"policy_limits":{"cancel":true,"attempts_cap":4},`+
 		`"rules":{"cold":%d,"start_capacity":%v,"fall_multiple":%v,"overload_for":%d}}}`,
-		g.number, network.queryAddr(g.number), g.rig.discovery.Addr(), known, network.size, g.number, aim, deadline, coldDuration, startCapacity, fallMultiple, limitWindow)
+		g.number, network.queryAddr(g.number), g.cluster.discovery.Addr(), known, network.size, g.number, aim, deadline, coldDuration, startCapacity, fallMultiple, limitWindow)
 	return errors.Join(os.WriteFile(g.operatorsFile, []byte(text.String()), 0o600), os.WriteFile(g.configFile(), []byte(config), 0o600))
 }
 
 // configFile returns the path of the gatherer's configuration file.
 func (g *gatherer) configFile() string {
-	return filepath.Join(g.rig.cfg.Dir, fmt.Sprintf("g%d.json", g.number))
+	return filepath.Join(g.cluster.cfg.Dir, fmt.Sprintf("g%d.json", g.number))
 }
 
 // start starts a process unless one runs, and waits until it serves.
@@ -229,12 +229,12 @@
 		g.mu.Unlock()
 		return nil
 	}
-	if err := g.rig.network.setRunning(g.number, true); err != nil {
+	if err := g.cluster.network.setRunning(g.number, true); err != nil {
 		g.mu.Unlock()
 		return err
 	}
 	g.process = processID{g.number, g.process.Start + 1}
-	g.cmd = exec.Command(g.rig.cfg.Program, "serve", "--file", g.operatorsFile)
+	g.cmd = exec.Command(g.cluster.cfg.Program, "serve", "--file", g.operatorsFile)
 	g.cmd.Env = append(os.Environ(), "LB_CONFIG="+g.configFile(), "LB_LISTEN=", "LB_DISCOVERY=", "LB_NAME=")
 	out, err := g.cmd.StderrPipe()
 	if err == nil {
@@ -248,10 +248,10 @@
 	serving, exited, cmd, process := make(chan struct{}), make(chan struct{}), g.cmd, g.process
 	g.exited, g.stopped = exited, false
 	g.mu.Unlock()
-	g.rig.history.recordText(process.String(), "starts")
+	g.cluster.history.recordText(process.String(), "starts")
 	go func() {
 		defer close(exited)
-		log, err := os.Create(filepath.Join(g.rig.cfg.Dir, process.String()+".log"))
+		log, err := os.Create(filepath.Join(g.cluster.cfg.Dir, process.String()+".log"))
 		if err != nil {
 			log = nil
 		}
@@ -269,9 +269,9 @@
 	case <-serving:
 		return nil
 	case <-exited:
-		return fmt.Errorf("rig: %v exited before it served, see its log", process)
+		return fmt.Errorf("test cluster: %v exited before it served, see its log", process)
 	case <-time.After(startTimeout):
-		return fmt.Errorf("rig: %v did not serve within %v", process, startTimeout)
+		return fmt.Errorf("test cluster: %v did not serve within %v", process, startTimeout)
 	}
 }
 
@@ -286,8 +286,8 @@
 	_ = g.cmd.Process.Kill()
 	<-g.exited
 	g.cmd, g.stopped = nil, false
-	g.rig.history.recordEnd(g.process)
-	return g.rig.network.setRunning(g.number, false)
+	g.cluster.history.recordEnd(g.process)
+	return g.cluster.network.setRunning(g.number, false)
 }
 
 // signal sends a signal to the process, if one runs.
@@ -299,11 +299,11 @@
 	}
 	g.interruptions++
 	g.stopped = s == syscall.SIGSTOP
-	g.rig.history.recordText(g.process.String(), "%v", s)
+	g.cluster.history.recordText(g.process.String(), "%v", s)
 	return g.cmd.Process.Signal(s)
 }
 
-// running returns the current process and the number of interruptions so far; ok reports whether the process runs and
+// running returns the current process, or the last one, and the number of interruptions so far; ok reports whether the process runs and
 // is not stopped.
 func (g *gatherer) running() (process processID, interruptions int, ok bool) {
 	g.mu.Lock()
@@ -315,14 +315,14 @@
 func (g *gatherer) fetchState() (state admin.FleetState, ok bool) {
 	process, _, ok := g.running()
 	asked := time.Now()
-	if !ok || g.admin.Do(g.rig.ctx, http.MethodGet, "/v1/fleet", nil, &state) != nil {
+	if !ok || g.admin.Do(g.cluster.ctx, http.MethodGet, "/v1/fleet", nil, &state) != nil {
 		return state, false
 	}
 	now := time.Now()
 	if again, _, ok := g.running(); !ok || again != process {
 		return state, false
 	}
-	g.rig.history.recordState(process, g.rig.network.size, state, asked, now)
+	g.cluster.history.recordState(process, g.cluster.network.size, state, asked, now)
 	return state, true
 }
 
@@ -336,8 +336,8 @@
 	defer client.CloseIdleConnections()
 	var connected processID // the process to which its connection leads
 	// A fleet of more than five gets no more queries than one of five: the number of searchers is the same.
-	interval := time.Duration(10+5*number) * time.Millisecond * time.Duration(max(g.rig.network.size, 5)) / 5
-	for i := 0; g.rig.sleep(interval); i++ {
+	interval := time.Duration(10+5*number) * time.Millisecond * time.Duration(max(g.cluster.network.size, 5)) / 5
+	for i := 0; g.cluster.sleep(interval); i++ {
 		process, interruptions, ok := g.running()
 		if !ok {
 			continue
@@ -347,17 +347,17 @@
 			connected = process
 		}
 		shard := number % 2
-		answer, err := ask.Do(g.rig.ctx, client, g.rig.network.queryAddr(g.number), ask.Query{
+		answer, err := ask.Do(g.cluster.ctx, client, g.cluster.network.queryAddr(g.number), ask.Query{
 			Class: "search", Trace: fmt.Sprintf("%v-%d-%d", process, number, i), Expires: deadline, Segments: []int{shard}, Statement: "q",
 		})
 		switch {
-		case g.rig.ctx.Err() != nil:
+		case g.cluster.ctx.Err() != nil:
 			return
 		case errors.Is(err, syscall.ECONNREFUSED): // the gatherer doesn't listen yet, so it got no query
 			continue
 		}
 		again, interruptionsNow, _ := g.running()
-		g.rig.history.recordAnswer(answer.Status, shard == 1, again != process || interruptions != interruptionsNow, err)
+		g.cluster.history.recordAnswer(answer.Status, shard == 1, again != process || interruptions != interruptionsNow, err)
 	}
 }
 
@@ -368,14 +368,14 @@
 	h.Asked++
 	switch {
 	case err != nil && interrupted:
-		h.Died++
+		h.Interrupted++
 	case err != nil:
 		h.Lost++
 		h.recordViolationLocked("query without an answer: %v", err)
 	case status == http.StatusOK:
 		h.Answered++
 		if cold {
-			h.Cold++
+			h.AnsweredCold++
 		}
 	case status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests:
 		h.Refused++
@@ -386,12 +386,12 @@
 
 // waitConverged waits until the views of all running gatherers agree and contain exactly these gatherers, and returns how
 // long that took.
-func (r *Rig) waitConverged() (time.Duration, error) {
+func (c *Cluster) waitConverged() (time.Duration, error) {
 	started := time.Now()
 	for {
 		want, same, digest := 0, true, ""
 		var states []admin.FleetState
-		for _, g := range r.gatherers {
+		for _, g := range c.gatherers {
 			if _, _, ok := g.running(); !ok {
 				continue
 			}
@@ -408,40 +408,40 @@
 		if same {
 			return took, nil
 		}
-		if took > r.cfg.Settle {
+		if took > c.cfg.ConvergeTimeout {
 			return took, fmt.Errorf("fleet not converged after %v: %d gatherers run", took, want)
 		}
-		if !r.sleep(20 * time.Millisecond) {
-			return took, r.ctx.Err()
+		if !c.sleep(20 * time.Millisecond) {
+			return took, c.ctx.Err()
 		}
 	}
 }
 
 // Close ends all processes and goroutines of the test cluster.
-func (r *Rig) Close() error {
-	r.stop()
-	err := r.forEach(r.gatherers, (*gatherer).kill)
-	r.goroutines.Wait()
-	if r.network != nil {
-		r.network.close()
+func (c *Cluster) Close() error {
+	c.stop()
+	err := c.forEach(c.gatherers, (*gatherer).kill)
+	c.goroutines.Wait()
+	if c.network != nil {
+		c.network.close()
 	}
-	if r.discovery != nil {
-		err = errors.Join(err, r.discovery.Close())
+	if c.discovery != nil {
+		err = errors.Join(err, c.discovery.Close())
 	}
-	for _, s := range r.searchers {
+	for _, s := range c.searchers {
 		err = errors.Join(err, s.server.Close())
 	}
-	for _, g := range r.gatherers {
+	for _, g := range c.gatherers {
 		g.admin.Close()
 	}
-	if r.file != nil {
-		err = errors.Join(err, r.file.Close())
+	if c.file != nil {
+		err = errors.Join(err, c.file.Close())
 	}
 	return err
 }
 
-// Settled holds how long the fleet took to converge after faults of one kind.
-type Settled struct {
+// Convergence holds how long the fleet took to converge after faults of one kind.
+type Convergence struct {
 	Kind  Kind
 	When  string // "struck": after the fault began; "over": after it ended
 	Times []time.Duration
@@ -450,26 +450,26 @@
 // Report is the result of a run.
 type Report struct {
 	Queries
-	Steps   int
-	Settled []Settled
-	Views   int // observed changes of a gatherer's view
-	Quiet   int // of Views: those without a fault, in a fleet that had converged
-	Held    int // most slots of absent gatherers that others used at once
-	// Parts that reached the cold searcher, the most of them in one window, and how many the decision module's rule
-	// allows the whole fleet in that window.
-	Parts, Most int
-	Allowed     float64
-	Faults      []string
+	Steps            int
+	Convergence      []Convergence
+	ViewChanges      int // observed changes of a gatherer's view
+	QuietViewChanges int // those of ViewChanges that occurred without a fault, in a fleet that had converged
+	MaxHeldSlots     int // maximum number of slots of absent gatherers that others used at once
+	// ColdParts counts the parts that reached the cold searcher, MaxColdParts those of the window with the most;
+	// AllowedColdParts is how many the decision module's rule allows the whole fleet in that window.
+	ColdParts, MaxColdParts int
+	AllowedColdParts        float64
+	Violations              []string
 }
 
 // addTime adds a time that the fleet took to converge.
 func (r *Report) addTime(kind Kind, when string, took time.Duration) {
-	i := slices.IndexFunc(r.Settled, func(s Settled) bool { return s.Kind == kind && s.When == when })
+	i := slices.IndexFunc(r.Convergence, func(s Convergence) bool { return s.Kind == kind && s.When == when })
 	if i < 0 {
-		i = len(r.Settled)
-		r.Settled = append(r.Settled, Settled{Kind: kind, When: when})
+		i = len(r.Convergence)
+		r.Convergence = append(r.Convergence, Convergence{Kind: kind, When: when})
 	}
-	r.Settled[i].Times = append(r.Settled[i].Times, took)
+	r.Convergence[i].Times = append(r.Convergence[i].Times, took)
 }
 
 // quietPeriod is how long the fleet is observed without a fault before each step.
@@ -477,34 +477,34 @@
 
 // Play injects the faults of a plan, one after the other. Each begins after the fleet has converged, or failed to in
 // time, after the one before. The test cluster stops at the end.
-func (r *Rig) Play(plan []Step) (*Report, error) {
+func (c *Cluster) Play(plan []Step) (*Report, error) {
 	report := &Report{}
 	waitConverged := func(k Kind, when string) {
-		took, err := r.waitConverged()
+		took, err := c.waitConverged()
 		report.addTime(k, when, took)
-		r.history.mu.Lock()
-		defer r.history.mu.Unlock()
-		r.history.recordEntryLocked(Entry{Who: "rig", What: "settled", Kind: k, When: when, TookMS: took.Milliseconds()})
+		c.history.mu.Lock()
+		defer c.history.mu.Unlock()
+		c.history.recordEntryLocked(Entry{Who: "rig", What: "settled", Kind: k, When: when, TookMS: took.Milliseconds()})
 		if err != nil {
-			r.history.recordViolationLocked("%s %s: %v", k, when, err)
+			c.history.recordViolationLocked("%s %s: %v", k, when, err)
 		}
 	}
 	waitConverged("start", "over")
 	for _, step := range plan {
-		before := r.history.viewChangeCount()
-		r.sleep(quietPeriod)
-		report.Quiet += r.history.viewChangeCount() - before
+		before := c.history.viewChangeCount()
+		c.sleep(quietPeriod)
+		report.QuietViewChanges += c.history.viewChangeCount() - before
 		report.Steps++
-		r.history.recordText("rig", "%s of %d for %v", step.Kind, step.First, step.For)
-		if err := r.inject(step, func() { waitConverged(step.Kind, "struck") }); err != nil {
+		c.history.recordText("rig", "%s of %d for %v", step.Kind, step.First, step.For)
+		if err := c.inject(step, func() { waitConverged(step.Kind, "struck") }); err != nil {
 			return report, err
 		}
-		r.history.recordText("rig", "%s is over", step.Kind)
+		c.history.recordText("rig", "%s is over", step.Kind)
 		waitConverged(step.Kind, "over")
 	}
-	r.stop()
-	r.goroutines.Wait()
-	r.summarize(report)
+	c.stop()
+	c.goroutines.Wait()
+	c.summarize(report)
 	return report, nil
 }
 
@@ -516,34 +516,34 @@
 }
 
 // inject injects a fault and ends it. It calls waitConverged during the fault if the fleet should converge meanwhile.
-func (r *Rig) inject(step Step, waitConverged func()) error {
-	n := len(r.gatherers)
-	member := func(i int) *gatherer { return r.gatherers[(step.First+i)%n] }
+func (c *Cluster) inject(step Step, waitConverged func()) error {
+	n := len(c.gatherers)
+	member := func(i int) *gatherer { return c.gatherers[(step.First+i)%n] }
 	members := func(count int) (list []*gatherer) {
 		for i := range count {
 			list = append(list, member(i))
 		}
 		return list
 	}
-	wait := func(begun time.Time) { r.sleep(max(time.Until(begun.Add(step.For)), 0)) }
+	wait := func(begun time.Time) { c.sleep(max(time.Until(begun.Add(step.For)), 0)) }
 	begun := time.Now()
 	withLinks := func(link Link, affected func(i, j int) bool) error {
-		err := r.network.setLinks(func(i, j int) (Link, bool) { return link, affected(i, j) })
+		err := c.network.setLinks(func(i, j int) (Link, bool) { return link, affected(i, j) })
 		wait(begun)
-		return errors.Join(err, r.network.setLinks(func(int, int) (Link, bool) { return Link{}, true }))
+		return errors.Join(err, c.network.setLinks(func(int, int) (Link, bool) { return Link{}, true }))
 	}
 	all := func(int, int) bool { return true }
 	position := func(i int) int { return (i - step.First + n) % n }
 	switch step.Kind {
-	case Kill, Most:
+	case Kill, KillMost:
 		targets := members(1)
-		if step.Kind == Most {
+		if step.Kind == KillMost {
 			targets = members(n * 7 / 10)
 		}
-		err := r.forEach(targets, (*gatherer).kill)
+		err := c.forEach(targets, (*gatherer).kill)
 		waitConverged()
 		wait(begun)
-		return errors.Join(err, r.forEach(targets, (*gatherer).start))
+		return errors.Join(err, c.forEach(targets, (*gatherer).start))
 	case Restart, Flap:
 		times, target := n, member
 		if step.Kind == Flap {
@@ -552,15 +552,15 @@
 		var errs []error
 		for i := range times {
 			errs = append(errs, target(i).kill(), target(i).start())
-			r.sleep(max(time.Until(begun.Add(step.For/time.Duration(times)*time.Duration(i+1))), 0))
+			c.sleep(max(time.Until(begun.Add(step.For/time.Duration(times)*time.Duration(i+1))), 0))
 		}
 		return errors.Join(errs...)
 	case Join:
-		seed, others := r.gatherers[0], r.gatherers[min(seedCount, n-1):]
-		errs := []error{r.forEach(others, (*gatherer).kill)}
+		seed, others := c.gatherers[0], c.gatherers[min(seedCount, n-1):]
+		errs := []error{c.forEach(others, (*gatherer).kill)}
 		started := make(chan error, 1)
-		go func() { started <- r.forEach(others, (*gatherer).start) }()
-		r.sleep(seedKillDelay)
+		go func() { started <- c.forEach(others, (*gatherer).start) }()
+		c.sleep(seedKillDelay)
 		errs = append(errs, seed.kill(), <-started)
 		wait(begun)
 		return errors.Join(append(errs, seed.start())...)
@@ -569,32 +569,32 @@
 		waitConverged()
 		wait(begun)
 		return errors.Join(err, member(0).signal(syscall.SIGCONT))
-	case Halves:
+	case PartitionHalves:
 		return withLinks(Link{Partitioned: true}, func(i, j int) bool { return (position(i) < n/2) != (position(j) < n/2) })
-	case Oneway:
+	case PartitionOneWay:
 		return withLinks(Link{Partitioned: true}, func(i, j int) bool { return position(i) == 0 && position(j) == 1 })
-	case Hermit:
+	case PartitionPair:
 		return withLinks(Link{Partitioned: true}, func(i, j int) bool { return position(i)+position(j) == 1 })
 	case Loss:
 		return withLinks(Link{LossRate: 0.2}, all)
-	case Unruly:
+	case Disorder:
 		return withLinks(Link{Delay: 2 * time.Millisecond, Jitter: 15 * time.Millisecond, DuplicateRate: 0.1}, all)
-	case Thin:
+	case Throttle:
 		return withLinks(Link{BytesPerSecond: 8 << 10}, all)
 	}
-	return fmt.Errorf("rig: unknown fault %q", step.Kind)
+	return fmt.Errorf("test cluster: unknown fault %q", step.Kind)
 }
 
 // summarize audits the parts that reached the cold searcher, and fills in the report.
-func (r *Rig) summarize(report *Report) {
-	h := r.history
+func (c *Cluster) summarize(report *Report) {
+	h := c.history
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	r.cold.mu.Lock()
-	parts := r.cold.parts
-	r.cold.mu.Unlock()
+	c.cold.mu.Lock()
+	parts := c.cold.parts
+	c.cold.mu.Unlock()
 	for i, p := range parts {
-		if p.sender.Gatherer < 0 || p.sender.Gatherer >= len(r.gatherers) {
+		if p.sender.Gatherer < 0 || p.sender.Gatherer >= len(c.gatherers) {
 			h.recordViolationLocked("the cold searcher got a part of a query that no client sent")
 			continue
 		}
@@ -607,12 +607,12 @@
 		}
 		age := float64(lastArrival.Sub(p.searcherStart)) / float64(coldDuration)
 		allowed := (startCapacity + (1-startCapacity)*min(age, 1)) * fallMultiple * coldGrantFactor * float64(limitWindow) / float64(partDuration)
-		if n > report.Most {
-			report.Most, report.Allowed = n, allowed
+		if n > report.MaxColdParts {
+			report.MaxColdParts, report.AllowedColdParts = n, allowed
 		}
 		if float64(n) > 2*allowed { // a window may overlap two turns
 			h.recordViolationLocked("the cold searcher got %d parts in %v, want %.0f at most in a turn", n, limitWindow, allowed)
 		}
 	}
-	report.Parts, report.Queries, report.Views, report.Held, report.Faults = len(parts), h.Queries, h.viewChanges, h.maxHeldSlots, h.violations
+	report.ColdParts, report.Queries, report.ViewChanges, report.MaxHeldSlots, report.Violations = len(parts), h.Queries, h.viewChanges, h.maxHeldSlots, h.violations
 }
