--- a/cmd/eiderwinch/startup.go
+++ b/cmd/eiderwinch/startup.go
@@ -104,7 +104,7 @@
 	// The operators' file may name another layout than at the start.
 	path := f.layout
 	if ops, err := settings.Read(f.operators, bytes.NewReader(b.Operators)); err == nil && ops.Layout != "" {
-		path = resolveBeside(f.operators, ops.Layout)
+		path = resolveRelative(f.operators, ops.Layout)
 	}
 	if path != "" {
 		b.Layout, err = durable.ReadFile(path)
@@ -158,7 +158,7 @@
 	}
 	var h *history.History
 	err = durable.RetryTransient(durable.StartTimeout, func() error {
-		h, err = history.Open(resolveBeside(f.operators, path))
+		h, err = history.Open(resolveRelative(f.operators, path))
 		return err
 	})
 	if err != nil {
@@ -224,21 +224,21 @@
 
 // initialLive returns the live settings that the gatherer starts with.
 func (b *bootState) initialLive() *netio.LiveSettings {
-	l := daemon.Live(b.candidate, b.generation)
+	l := daemon.LiveSettings(b.candidate, b.generation)
 	return &l
 }
 
 // startManager starts the manager of a gatherer's configuration.
 func (b *bootState) startManager(ctx context.Context, f configFiles, node *netio.Node, level *slog.LevelVar, log *slog.Logger) *manager.Manager {
 	o := manager.Options{
-		Node: node, Initial: b.candidate, Machine: b.machine, Names: f.names(), ReadFiles: f.readSigned, LiveSettings: daemon.Live, Logger: log,
+		Node: node, Initial: b.candidate, Machine: b.machine, Names: f.names(), ReadFiles: f.readSigned, LiveSettings: daemon.LiveSettings, Logger: log,
 		Applied: func(c *bundle.Candidate) { level.Set(logLevel(c)) },
 	}
 	if b.history != nil {
 		o.History = b.history
 	}
 	if path := b.candidate.File.Signing; path != "" {
-		o.Verify = signatureVerifier(resolveBeside(f.operators, path))
+		o.Verify = signatureVerifier(resolveRelative(f.operators, path))
 	}
 	return manager.Start(ctx, o)
 }
@@ -247,7 +247,7 @@
 func logLevel(c *bundle.Candidate) slog.Level {
 	names := []string{"debug", "info", "warn", "error"}
 	levels := []slog.Level{slog.LevelDebug, slog.LevelInfo, slog.LevelWarn, slog.LevelError}
-	if i := slices.Index(names, c.File.Live.Log); i >= 0 {
+	if i := slices.Index(names, c.File.LiveOverrides.Log); i >= 0 {
 		return levels[i]
 	}
 	return slog.LevelInfo
--- a/internal/admin/coordinator.go
+++ b/internal/admin/coordinator.go
@@ -68,23 +68,23 @@
 	Change
 }
 
-// PeerState is a coordinator's view of a gatherer or searcher.
-type PeerState struct {
+// ProcessState is what a coordinator reports about a gatherer or searcher.
+type ProcessState struct {
 	Name  string       `json:"name"`
 	Epoch layout.Epoch `json:"epoch,omitempty"`
 	Up    bool         `json:"up"`
 }
 
-// Status is the state that a coordinator reports.
-type Status struct {
+// CoordinatorStatus is the state that a coordinator reports.
+type CoordinatorStatus struct {
 	Term               uint64            `json:"term"`
 	Epoch              layout.Epoch      `json:"epoch"`
 	Segments           int               `json:"segments"`
 	RowsPerSecond      float64           `json:"rows_per_second"`
 	P99WithoutCopiesMS float64           `json:"p99_without_copies_ms,omitempty"`
 	Jobs               []Job             `json:"jobs"`
-	Gatherers          []PeerState       `json:"gatherers"`
-	Searchers          []PeerState       `json:"searchers"`
+	Gatherers          []ProcessState    `json:"gatherers"`
+	Searchers          []ProcessState    `json:"searchers"`
 	Counts             reshard.Counts    `json:"counts"`
 	Custody            assignment.Counts `json:"custody"`
 }
--- a/internal/configuration/manager/dryrun.go
+++ b/internal/configuration/manager/dryrun.go
@@ -28,7 +28,7 @@
 // a searcher may accept a connection and answer no query. The guard covers the rest.
 func (m *Manager) dryRun(ctx context.Context, c *bundle.Candidate) error {
 	faults := &faultList{}
-	if open := c.File.Live.Admission.Open; open > 0 && int64(open)*maxQueryBytes > c.Config.MemoryLimit {
+	if open := c.File.LiveOverrides.Admission.Open; open > 0 && int64(open)*maxQueryBytes > c.Config.MemoryLimit {
 		faults.add(fmt.Errorf("admission: found open=%d, want at most %d: each may take %d KiB, and limits.memory_mb is %d",
 			open, c.Config.MemoryLimit/maxQueryBytes, maxQueryBytes>>10, c.Config.MemoryLimit>>20))
 	}
@@ -103,7 +103,7 @@
 
 func (f *faultList) err() error {
 	if f.omitted > 0 {
-		f.errs = append(f.errs, fmt.Errorf("and %d faults more", f.omitted))
+		f.errs = append(f.errs, fmt.Errorf("and %d more faults", f.omitted))
 	}
 	return errors.Join(f.errs...)
 }
--- a/internal/trial/emulator/experiment.go
+++ b/internal/trial/emulator/experiment.go
@@ -12,62 +12,62 @@
 
 // Form returns the form of scenario files. deploy/scenario.xsd is generated from it.
 func Form() *xmlform.Form {
-	span := func(name, def string, least, most float64, doc string) xmlform.Attribute {
-		return xmlform.Attribute{Name: name, Kind: xmlform.Duration, Default: def, Min: least, Max: most, Doc: doc}
+	span := func(name, def string, minValue, maxValue float64, doc string) xmlform.Attribute {
+		return xmlform.Attribute{Name: name, Kind: xmlform.Duration, Default: def, Min: minValue, Max: maxValue, Doc: doc}
 	}
-	count := func(name, def string, most float64, doc string) xmlform.Attribute {
-		return xmlform.Attribute{Name: name, Kind: xmlform.Count, Default: def, Min: 1, Max: most, Doc: doc}
+	count := func(name, def string, maxValue float64, doc string) xmlform.Attribute {
+		return xmlform.Attribute{Name: name, Kind: xmlform.Count, Default: def, Min: 1, Max: maxValue, Doc: doc}
 	}
-	factor := func(name, def string, least, most float64, doc string) xmlform.Attribute {
-		return xmlform.Attribute{Name: name, Kind: xmlform.Factor, Default: def, Min: least, Max: most, Doc: doc}
+	factor := func(name, def string, minValue, maxValue float64, doc string) xmlform.Attribute {
+		return xmlform.Attribute{Name: name, Kind: xmlform.Factor, Default: def, Min: minValue, Max: maxValue, Doc: doc}
 	}
 	choice := func(name, doc string, values ...string) xmlform.Attribute { // the first is the default
 		return xmlform.Attribute{Name: name, Kind: xmlform.Choice, Default: values[0], Values: values, Doc: doc}
 	}
 	return &xmlform.Form{
 		Namespace: Namespace, Root: "experiment", Depth: 3,
-		Doc:   "An experiment on the emulator of eiderwinch: scenarios, seeds and what is swept. See docs/emulator.md.",
+		Doc:   "An experiment on the emulator of eiderwinch: scenarios, seeds and a swept attribute. See docs/emulator.md.",
 		Order: []string{"experiment", "scenario", "fault", "sweep", "value"},
 		Elements: map[string]xmlform.Element{
-			"experiment": {Doc: "scenarios that are each played from some seeds, for each value of each sweep", Attributes: []xmlform.Attribute{
+			"experiment": {Doc: "scenarios, each of which is run with each seed and each value of the sweep", Attributes: []xmlform.Attribute{
 				count("seeds", "5", 1000, "runs of each scenario and value"),
 				count("first", "1", 1e9, "the first seed"),
 			}, Children: []xmlform.Child{{Name: "scenario", Min: 1, Max: 64}, {Name: "sweep", Max: 1}}},
 			"scenario": {Doc: "one deployment and what happens to it", Attributes: []xmlform.Attribute{
-				{Name: "name", Kind: xmlform.Name, Required: true, Doc: "in results and plots"},
-				span("duration", "60s", 1, 3600, "clients ask for so long"),
+				{Name: "name", Kind: xmlform.Name, Required: true, Doc: "name of the scenario in results and plots"},
+				span("duration", "60s", 1, 3600, "time during which clients send queries"),
 				count("gatherers", "3", 1000, "gatherers"),
 				count("searchers", "12", 10000, "searchers"),
-				count("zones", "3", 64, "data centres"),
-				factor("load", "1", 0.001, 1000, "times the usual load for so many searchers"),
-				count("slots", "4", 256, "parts that a searcher serves at once"),
-				count("queue", "64", 65536, "parts that wait at a searcher; more are turned away"),
-				count("tries", "2", 16, "of a client, the first included"),
-				count("attempts", "4", 16, "of a part"),
-				span("lag", "200ms", 0.001, 6, "of discovery, on average"),
-				choice("layout", "of the segments: sets of three searchers hold the same three, or in a ring two begin at each searcher and the next holds them as well", layoutSets, layoutRing),
-				choice("answers", "whole: classes of a stock service, which need all parts, one of them with a second step; partial: batches, and wide reports that may be answered from half", answersWhole, answersPartial),
-				choice("copies", "whether a part may have a second copy out", choiceNo, choiceYes),
-				choice("cancelled", "whether waiting work that is cancelled is dropped or served all the same", "dropped", cancelledServed),
-				span("reports", "0s", 0, 60, "the age up to which answers carry their searcher's queue; 0s: none do"),
-				span("lease", "0s", 0, 60, "gatherers use the slots of the fleet's limits of those that are gone, known by refusals that hold for so long; 0s: each its own"),
-				{Name: "tenants", Kind: xmlform.Number, Default: "0", Max: 64, Doc: "with shares that fall as 1, 1/2, 1/3; 0: none"},
-				{Name: "keys", Kind: xmlform.Number, Default: "0", Max: 1e9, Doc: "that queries are about, each with segments of its own; 0: none"},
+				count("zones", "3", 64, "number of data centres"),
+				factor("load", "1", 0.001, 1000, "load as a multiple of the usual load for this number of searchers"),
+				count("slots", "4", 256, "number of parts that a searcher serves at the same time"),
+				count("queue", "64", 65536, "number of parts that can wait at a searcher; further parts are refused"),
+				count("tries", "2", 16, "tries of a client for each query, including the first"),
+				count("attempts", "4", 16, "attempts of each part, including the first"),
+				span("lag", "200ms", 0.001, 6, "average time until a gatherer receives an update of discovery"),
+				choice("layout", "how segments are placed; sets: each set of three searchers holds the same three segments; ring: two segments begin at each searcher, and the next searcher holds them too", layoutSets, layoutRing),
+				choice("answers", "whole: the classes of a stock service, which need all parts, one of them with a second step; partial: batches, and wide reports that may be answered from half of their parts", answersWhole, answersPartial),
+				choice("copies", "whether a part may have a second copy in flight", choiceNo, choiceYes),
+				choice("cancelled", "whether a searcher drops waiting parts that are cancelled or serves them anyway", "dropped", cancelledServed),
+				span("reports", "0s", 0, 60, "maximum age of the queue length that answers report for their searcher; 0s: answers carry no reports"),
+				span("lease", "0s", 0, 60, "time for which a refused connection proves that a gatherer is gone, so that others use its slots of the fleet's limits; 0s: each uses its own slots only"),
+				{Name: "tenants", Kind: xmlform.Number, Default: "0", Max: 64, Doc: "number of tenants, whose shares of the queries are in the ratio 1, 1/2, 1/3 ...; 0: no tenants"},
+				{Name: "keys", Kind: xmlform.Number, Default: "0", Max: 1e9, Doc: "number of keys that queries are about, each with segments of its own; 0: queries are not about keys"},
 			}, Children: []xmlform.Child{{Name: "fault", Max: 64}}},
-			"fault": {Doc: "something that goes wrong", Attributes: []xmlform.Attribute{
-				{Name: "kind", Kind: xmlform.Choice, Required: true, Values: []string{"crash", "pause", "slow", "drain", "cut", "flood", "restart", "kill", "focus", "swell", "stale", "lose"}, Doc: "crash, pause, slow and drain are of searchers, restart and kill of gatherers, cut of a zone, flood of a class, focus of one key, swell of a tenant, stale of load reports, lose of answers"},
-				{Name: "at", Kind: xmlform.Duration, Required: true, Doc: "from the beginning of the run on"},
-				{Name: "for", Kind: xmlform.Duration, Required: true, Doc: "it lasts; of drain and restart, within which one after the other is hit"},
-				{Name: "first", Kind: xmlform.Number, Default: "0", Doc: "the number of the first that is hit; of swell, the tenant"},
-				count("many", "1", 10000, "are hit"),
-				{Name: "zone", Kind: xmlform.Number, Default: "0", Doc: "that is cut off"},
-				{Name: "class", Kind: xmlform.Text, Doc: "that is flooded"},
-				factor("factor", "1", 0.001, 1000, "of slow, flood and swell; of focus the share of queries, of lose that of answers, of stale the seconds"),
+			"fault": {Doc: "an injected fault", Attributes: []xmlform.Attribute{
+				{Name: "kind", Kind: xmlform.Choice, Required: true, Values: []string{"crash", "pause", "slow", "drain", "cut", "flood", "restart", "kill", "focus", "swell", "stale", "lose"}, Doc: "what is affected: searchers by crash, pause, slow and drain; gatherers by restart and kill; a zone by cut; a class by flood; one key by focus; a tenant by swell; load reports by stale; answers by lose"},
+				{Name: "at", Kind: xmlform.Duration, Required: true, Doc: "time from the start of the run"},
+				{Name: "for", Kind: xmlform.Duration, Required: true, Doc: "duration; for drain and restart, the time within which they are affected one after the other"},
+				{Name: "first", Kind: xmlform.Number, Default: "0", Doc: "number of the first that is affected; for swell, of the tenant"},
+				count("many", "1", 10000, "how many are affected"),
+				{Name: "zone", Kind: xmlform.Number, Default: "0", Doc: "the zone that cut separates from the others"},
+				{Name: "class", Kind: xmlform.Text, Doc: "the class that flood affects"},
+				factor("factor", "1", 0.001, 1000, "strength of slow, flood and swell; for focus the share of queries, for lose the share of answers, for stale the seconds"),
 			}},
-			"sweep": {Doc: "an attribute of the scenarios that takes several values", Attributes: []xmlform.Attribute{
-				{Name: "of", Kind: xmlform.Choice, Required: true, Values: []string{"load", "slots", "queue", "tries", "attempts"}, Doc: "which attribute"},
+			"sweep": {Doc: "an attribute of the scenarios that is varied; each scenario is run with each value", Attributes: []xmlform.Attribute{
+				{Name: "of", Kind: xmlform.Choice, Required: true, Values: []string{"load", "slots", "queue", "tries", "attempts"}, Doc: "name of the attribute"},
 			}, Children: []xmlform.Child{{Name: "value", Min: 1, Max: 64}}},
-			"value": {Doc: "one value of it", Attributes: []xmlform.Attribute{factor("is", "1", 0.001, 65536, "the value")}},
+			"value": {Doc: "one value of the swept attribute", Attributes: []xmlform.Attribute{factor("is", "1", 0.001, 65536, "the value")}},
 		},
 	}
 }
--- a/internal/trial/soak/config.go
+++ b/internal/trial/soak/config.go
@@ -225,9 +225,9 @@
 		return end, err
 	}
 	log := slog.New(slog.DiscardHandler)
-	initialLive := daemon.Live(initial, 1)
+	initialLive := daemon.LiveSettings(initial, 1)
 	n := &node{counters: stats.New(), ended: make(chan error, 1)}
-	n.Node = daemon.New(initial.Config, daemon.Options{Layout: initial.Layout, Live: &initialLive, Record: true}, n.counters, log)
+	n.Node = daemon.New(initial.Config, daemon.Options{Layout: initial.Layout, LiveSettings: &initialLive, Record: true}, n.counters, log)
 	r.periods = []activePeriod{{generation: 1, from: time.Now()}}
 	if err := r.serve(n); err != nil {
 		return end, err
@@ -243,7 +243,7 @@
 		return end, err
 	}
 	ctx, stop := context.WithCancel(ctx)
-	r.manager = manager.Start(ctx, manager.Options{Node: &auditedNode{n.Node, r}, Initial: initial, Machine: machine, History: configHistory, LiveSettings: daemon.Live, Logger: log})
+	r.manager = manager.Start(ctx, manager.Options{Node: &auditedNode{n.Node, r}, Initial: initial, Machine: machine, History: configHistory, LiveSettings: daemon.LiveSettings, Logger: log})
 	closers = append(closers, func() error { stop(); return r.manager.Wait() })
 	gatherer := &admin.Gatherer{Name: "g0", Node: n.Node, RegisterConfigHandlers: r.manager.RegisterHandlers}
 	socket, err := admin.Serve("unix:"+filepath.Join(r.Dir, "admin.sock"), gatherer.Handler())
@@ -305,8 +305,8 @@
 	return s, r.call(ctx, http.MethodGet, "", nil, &s)
 }
 
-// proposal returns the next change. Each fourth is bad. The bad ones are, in turn: a segment whose only holder never
-// answers, searches within 10 ms, one open search at most, and three admitted queries at most.
+// proposal returns the next change. Each fourth is bad. The bad ones are, in rotation: a segment whose only holder never
+// answers, searches within 10 ms, at most one open search, and at most three admitted queries.
 func (r *configRun) proposal() (p manager.StageRequest, bad bool) {
 	i := r.changes
 	inner := ""
--- a/internal/trial/soak/soak.go
+++ b/internal/trial/soak/soak.go
@@ -285,9 +285,9 @@
 	r.known.Store(first)
 	r.audit = &audit{epochs: map[layout.Epoch]*layout.Layout{1: first}, keys: r.store.Keys(), report: r.report, start: time.Now()}
 	for _, id := range r.searcherIDs {
-		c := fake.NewAssignmentServer(id, r.store, filepath.Join(r.Dir, id+".sock"))
-		r.assignmentServers[id] = c
-		if err := c.Open(); err != nil {
+		server := fake.NewAssignmentServer(id, r.store, filepath.Join(r.Dir, id+".sock"))
+		r.assignmentServers[id] = server
+		if err := server.Open(); err != nil {
 			return err
 		}
 	}
@@ -297,12 +297,12 @@
 
 // startCoordinator starts the coordinator, for the first time or after a kill.
 func (r *run) startCoordinator() error {
-	var gatherers, searchers []coordinator.Peer
+	var gatherers, searchers []coordinator.Process
 	for i, n := range r.nodes {
-		gatherers = append(gatherers, coordinator.Peer{Name: "g" + strconv.Itoa(i), Endpoint: n.admin.Endpoint()})
+		gatherers = append(gatherers, coordinator.Process{Name: "g" + strconv.Itoa(i), Endpoint: n.admin.Endpoint()})
 	}
 	for _, id := range r.searcherIDs {
-		searchers = append(searchers, coordinator.Peer{Name: id, Endpoint: r.assignmentServers[id].Endpoint()})
+		searchers = append(searchers, coordinator.Process{Name: id, Endpoint: r.assignmentServers[id].Endpoint()})
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	c, err := coordinator.Start(ctx, coordinator.Options{
@@ -611,9 +611,9 @@
 // close stops the whole deployment.
 func (r *run) close() error {
 	errs := []error{r.stopCoordinator()}
-	for _, c := range r.assignmentServers {
-		errs = append(errs, c.Close())
-		r.report.LateOrders += c.StaleOrders()
+	for _, server := range r.assignmentServers {
+		errs = append(errs, server.Close())
+		r.report.LateOrders += server.StaleOrders()
 	}
 	if r.client != nil {
 		r.client.CloseIdleConnections()
