--- a/admission.go
+++ b/admission.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Arriving queries and admission control: while the searchers are overloaded only a share of the queries
+// Arriving queries and admission control: while searchers are overloaded, only a share of the queries
 // starts.
 
 // handleQuery adds a query. First tries of a class all have the same time left. A try with another time
@@ -39,18 +39,18 @@
 }
 
 // trimParts sets the weight that a query asks for and returns how many of its parts, the heaviest first,
-// make up that weight. Under load a query that may be answered in part goes without the parts that earn
-// less than the queries that are shed.
+// make up that weight. Under load, a query that may be answered partially omits the parts that earn less
+// than the queries that are shed.
 func (a *Aggregator) trimParts(query *query) int {
 	query.wantedWeight = query.neededWeight
 	share := a.admissionShare(query)
 	if share >= 1 || query.floorWeight >= query.neededWeight {
 		return len(query.Parts)
 	}
-	weight, earns := 0.0, a.worthPerPart(query)*float64(len(query.Parts))*
+	weight, partialWorth := 0.0, a.worthPerPart(query)*float64(len(query.Parts))*
 		query.class.PartialWorth/query.class.WholeShare
 	for i, p := range query.Parts {
-		if weight >= query.floorWeight && earns*p.Weight < (1-share)*a.typicalWorth {
+		if weight >= query.floorWeight && partialWorth*p.Weight < (1-share)*a.typicalWorth {
 			query.wantedWeight = min(weight, query.neededWeight)
 			return i
 		}
@@ -74,12 +74,12 @@
 }
 
 // admit reports whether a query may start, given the admission shares of its replica groups.
-// adjustAdmission sets those shares by how the queries that started have ended: they grow with early
-// answers, by the square of how early, since barely early answers show that searchers are full, and
-// shrink with a late end at the replica groups of the late parts. They are shares of the typical rate of
-// queries, not of the requested one, so bursts and clients' repeats do not start more.
+// adjustAdmission sets those shares by how the started queries have ended. An answer before the aim raises
+// them by the square of how early it is, since barely early answers show that searchers are full. Any other
+// end reduces those of the replica groups of the unanswered parts. They are shares of the typical rate of
+// queries, not of the current one, so that bursts and clients' repeats do not start more queries.
 //
-// Admission control prevents all aggregators together from starting more than the searchers can complete
+// Without admission control, all aggregators together could start more than the searchers can complete
 // while each searcher looks idle to each aggregator. It also prevents congestion after a burst or an
 // outage. The shares are kept by replica group because in a large fleet a few overloaded searchers would
 // otherwise cause queries to be shed that do not need them.
@@ -94,7 +94,7 @@
 	worth *= float64(max(len(query.Parts), 1)) / wantedParts / max(a.typicalWorth, weightSlack)
 	groups, admitted := a.partsByGroup(query), true
 	cost := func(g *replicaGroup) float64 { return groups[g] / max(worth, g.admissionShare) }
-	for g, n := range groups {
+	for g, parts := range groups {
 		gaps := 1.0 // time since the last query, in typical gaps; 1 until the typical gap is known
 		if g.typicalGap > 0 {
 			gaps = float64(a.now-g.lastQueryAt) / g.typicalGap
@@ -102,7 +102,7 @@
 		if g.admissionShare >= 1 && g.lastQueryAt > 0 {
 			g.typicalGap = smooth(g.typicalGap, float64(a.now-g.lastQueryAt), slowSmoothing)
 		}
-		g.lastQueryAt, g.typicalParts = a.now, smooth(g.typicalParts, n, slowSmoothing)
+		g.lastQueryAt, g.typicalParts = a.now, smooth(g.typicalParts, parts, slowSmoothing)
 		g.credit = min(g.credit+g.admissionShare*g.typicalParts*gaps, 2*max(cost(g), g.typicalParts))
 		admitted = admitted && (g.admissionShare >= 1 || g.credit >= cost(g))
 	}
@@ -114,9 +114,9 @@
 	return admitted
 }
 
-// worthPerPart returns what a query earns for each unit of its work if all of it is answered in time.
-// Where worth grows with work, that is the worth of its class: divided by the number of parts, wide
-// queries would seem to be worth least although they earn most.
+// worthPerPart returns what a query earns for each part if it is answered whole and in time. Where worth
+// grows with work, that is the worth of its class: if it were divided by the number of parts, queries with
+// many parts would seem to be worth the least although they earn the most.
 func (a *Aggregator) worthPerPart(q *query) float64 {
 	if a.settings.WorthByWork {
 		return q.class.Worth
@@ -125,8 +125,9 @@
 }
 
 // tenantWorthFactor returns the factor by which the worth of a tenant's query is reduced if the tenant
-// exceeds its share. It assumes that the other tenants send what they typically do and this tenant the
-// rest. An unknown tenant has no share; otherwise it would be served on the shares of others.
+// exceeds its share; tenant is an index into Settings.Tenants. The other tenants are assumed to send what
+// they typically do, and this tenant the rest. An unknown tenant has no share; otherwise it would be served
+// on the shares of others.
 func (a *Aggregator) tenantWorthFactor(tenant int) float64 {
 	if len(a.tenantMix) == 0 {
 		return 1
@@ -138,13 +139,13 @@
 	}
 	a.tenantMix[tenant] += slowSmoothing
 	share, mix := a.settings.Tenants[tenant].Share, a.tenantMix[tenant]
-	within := min(share*(1-mix)/max((1-share)*mix, weightSlack), 1)
-	return within + (1-within)*a.settings.OverShareWorth
+	withinShare := min(share*(1-mix)/max((1-share)*mix, weightSlack), 1)
+	return withinShare + (1-withinShare)*a.settings.OverShareWorth
 }
 
-// adjustAdmission raises the admission shares of a query's replica groups after an early answer and
-// reduces those of the groups with unanswered parts after a late end. Queries that arrived before the end
-// of this aggregator's last stall do not count.
+// adjustAdmission raises the admission shares of a query's replica groups after an answer before the aim,
+// and reduces those of the groups with unanswered parts otherwise. Queries that arrived before the end of
+// this aggregator's last stall do not count.
 func (a *Aggregator) adjustAdmission(query *query) {
 	if query.arrivedAt <= a.stallEndedAt {
 		return
@@ -169,9 +170,9 @@
 // isRepeat reports whether a try that does not look like a first one is a client's repeat rather than a
 // try of a client with a shorter timeout. It decides by the mark where clients mark repeats, else by
 // whether queries given up here account for a repeat.
-func (a *Aggregator) isRepeat(e Query) bool {
+func (a *Aggregator) isRepeat(event Query) bool {
 	if a.settings.MarksRepeats {
-		return e.Repeat
+		return event.Repeat
 	}
 	if a.expectedRepeats < 1 {
 		return false
--- a/aggregator.go
+++ b/aggregator.go
@@ -1,5 +1,5 @@
-// Package eiderwinch makes the decisions of an aggregator: which replica gets which part of a query, for how
-// long, and when and how each query ends. Its settings, events and actions are in api.go.
+// Package eiderwinch is the decision module of a gatherer. It decides which replica gets which part of a
+// query, for how long, and when and how each query ends. Its settings, events and actions are in api.go.
 //
 // A gatherer creates one Aggregator with New and calls Turn with all events since the last call, in order.
 // Each turn
@@ -7,7 +7,7 @@
 //  1. handles the events: queries, of which only a share is admitted while the searchers are overloaded,
 //     outcomes, updates of the member list;
 //  2. updates the health of the searchers from their attempts in flight and from how calls ended;
-//  3. completes the queries that are whole, too late, can no longer succeed or crash searchers;
+//  3. completes the queries that are whole, are too late, can no longer succeed or crash searchers;
 //  4. selects the parts to send: first attempts, retries, second copies;
 //  5. assigns them to the fewest searchers that can take them, one call each;
 //  6. requests a wake-up for the next time at which something is due.
@@ -21,7 +21,7 @@
 	"time"
 )
 
-// Ratios of the decisions. Times are derived from the settings and from observed latencies.
+// Parameters of the decisions. Times are derived from the settings and from observed latencies.
 const (
 	// weightSlack is how far weights may fall short of a share: they are rounded before they arrive.
 	weightSlack = 1e-6
@@ -66,8 +66,8 @@
 	// parts wait.
 	reportLifetimeFactor = 2
 
-	// slowRelativeLatency is the relative latency from which a searcher counts as slow. It also bounds by how
-	// much deadConnFactor is extended for a slow searcher, whose calls do end.
+	// slowRelativeLatency is the relative latency from which a searcher counts as slow. It also bounds the
+	// factor by which deadConnFactor grows for a slow searcher, whose calls take longer but do end.
 	slowRelativeLatency = 1.5
 	// deadConnFactor is the number of typical latencies without any answer after which a connection is
 	// assumed to be dead.
@@ -90,13 +90,13 @@
 	idleWakeTicks = 20
 	// busyWakeTicks is the most ticks between turns while a query is open.
 	busyWakeTicks = 4
-	// coldOvercommit is how many times the capacity of a cold searcher is given out: most turns at it pass
-	// unused.
+	// coldOvercommit is how many times the capacity of a cold searcher is given out to the slots that may
+	// send to it: most of them leave their part unused.
 	coldOvercommit = 2
 	// quickColdFactor multiplies the capacity of a cold searcher that answers as quickly as others: it has
 	// cores to spare.
 	quickColdFactor = 2
-	// windowDecrease is what a window is multiplied by at each slow call: three of them halve it.
+	// windowDecrease is the factor by which each slow call shrinks a window: three of them halve it.
 	windowDecrease = 0.8
 	// secondCopyRatio is the number of second copies for each first attempt: more would feed an overload.
 	secondCopyRatio = 0.03
@@ -119,7 +119,7 @@
 	minTimeLeftRatio = 0.5
 )
 
-// New returns an Aggregator with no state but its settings.
+// New returns an Aggregator with the given settings. It knows no searchers until the first ListChange.
 func New(s Settings) *Aggregator {
 	a := &Aggregator{
 		settings:      s,
@@ -179,7 +179,7 @@
 	return a.actions
 }
 
-// requestWake asks for a turn at the time when the next query ends, and every few ticks while any is
+// requestWake requests a turn at the next aim or end of a query, and every few ticks while any query is
 // open.
 func (a *Aggregator) requestWake() {
 	next := a.now + idleWakeTicks*a.settings.Tick
--- a/api.go
+++ b/api.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Effect is the effect of repeating a part at its shard.
+// Effect is what a repeat of a part does at its shard.
 type Effect int
 
 // The effects of a class.
@@ -15,7 +15,7 @@
 // Class describes a class of queries.
 type Class struct {
 	Name            string
-	Aim             time.Duration // an answer within it earns Worth
+	Aim             time.Duration // latency target: an answer within it earns Worth
 	Deadline        time.Duration // how long the client waits in total, over all its tries
 	Worth           float64       // what a whole answer in time earns
 	LateWorth       float64       // the share of Worth that an answer earns after Aim
@@ -24,7 +24,7 @@
 	WholeShare      float64       // share of the parts' weight that makes an answer whole
 	MinShare        float64       // least share that a query may be answered from
 	PartialWorth    float64       // an answer under WholeShare earns PartialWorth x share / WholeShare
-	SecondStepParts int           // parts of a second step that the first Answer brings; 0 for one step only
+	SecondStepParts int           // parts of the second step; 0 if there is only one step
 }
 
 // Tenant is one of the parties that share a service.
@@ -47,15 +47,15 @@
 	ReplicasPerShard int
 	MaxBatch         int           // most parts in one call
 	CallCost         time.Duration // work of a call in addition to that of its parts
-	WarmKeys         bool          // a replica does less work for a key that it has met recently
-	CrossZoneCosts   bool          // attempts that cross zones have a price
-	SubscribeToList  bool          // the member list comes only after Subscribe
-	Tenants          []Tenant      // who share the service; Query.Tenant counts from 1 here
+	WarmKeys         bool          // a replica does less work for a key that it has had recently
+	CrossZoneCosts   bool          // attempts that cross zones have a cost
+	SubscribeToList  bool          // the member list arrives only after a Subscribe
+	Tenants          []Tenant      // that share the service; Query.Tenant is an index into it plus 1
 	OverShareWorth   float64       // share of its worth that a query beyond its tenant's share keeps
 	WorthByWork      bool          // a query's worth grows with its work; else all of a class have the same
 
-	MaxAttempts    int // of one part; 0 means no limit
-	MayCancel      bool
+	MaxAttempts    int  // of one part; 0 means no limit
+	MayCancel      bool // attempts may be cancelled
 	MarksRepeats   bool // clients mark their repeats, see Query.Repeat
 	SecondCopies   bool // a part may have two attempts in flight
 	RetryAdvice    bool // clients are told when to retry
@@ -64,11 +64,11 @@
 	SubscribeWithin    time.Duration // SubscribeToList: the longest time to go without a subscription
 	RetryBudgetRatio   float64       // retries allowed for each query and part that arrives
 	RetryBudgetFree    float64       // retries allowed in addition
-	RetryBudgetWindow  time.Duration // the time over which both are counted; 0 means no budget
+	RetryBudgetWindow  time.Duration // the time over which arrivals and retries count; 0 means no budget
 	ColdShare          float64       // least share of its capacity that a replica has just after its start
 	ColdDuration       time.Duration // how long after its start a replica is cold
 	ColdMultiple       float64       // a cold replica fails if sent more than this multiple of its capacity
-	ColdOverloadWindow time.Duration // for this long
+	ColdOverloadWindow time.Duration // the time over which that load is measured
 }
 
 // Event is something that has happened: Query, SecondStep, Outcome, Gone, ListChange, Share or Woken.
@@ -95,16 +95,17 @@
 	Shard  int
 	Weight float64 // the weights of a query's parts sum to 1
 
-	// Holders are the replicas that hold the shard for this query. They need not be listed. Nil means those
-	// given by Settings.Cells. The slice is not changed. Each query keeps its own holders: those that other
-	// queries give for the same shard do not matter.
+	// Holders are the IDs of the replicas that hold the shard for this query. They need not be in the member
+	// list. Nil means the replicas given by Settings.Cells. The slice is not modified. Each query keeps its
+	// own holders, whichever other queries give for the same shard.
 	Holders []string
 }
 
-// SecondStep brings the parts of a query's second step, which its first Answer requests where
-// Class.SecondStepParts is above 0. The query's time continues, and one more final answer is due. It is
-// whole only if the first was and all of these parts are answered. Where MinShare is under WholeShare,
-// MinShare is the least share of them.
+// SecondStep contains the parts of a query's second step, which follows the first Answer if
+// Class.SecondStepParts is above 0. The query's aim and deadline stay the same, and one more final answer
+// is due. It is whole only if the first answer was whole and all of these parts are answered. If MinShare
+// is below WholeShare, MinShare is also the least share of these parts that the query may be answered
+// from; otherwise all of them are needed.
 type SecondStep struct {
 	Query uint64
 	Parts []Part
@@ -122,7 +123,7 @@
 	NoConnection        // no connection was established in time
 	Reset               // the connection broke
 	Cancelled           // by Cancel
-	NotSent             // the part had ended or was out of attempts
+	NotSent             // the gatherer did not send it, for example because the part had ended
 )
 
 // Outcome ends one attempt. Each Send is followed by exactly one.
@@ -131,8 +132,8 @@
 	Attempt int // counted from 0 in the order of the part's Sends
 	Replica string
 	Status  Status
-	Took    time.Duration
-	Load    *Load // as the replica reported it with its answer; nil if it did not
+	Took    time.Duration // from the Send until the end
+	Load    *Load         // as the replica reported it with its answer; nil if it did not
 }
 
 // Load is what a replica reports of itself. It may be seconds old and is somewhat noisy.
@@ -179,16 +180,17 @@
 	Replicas []Replica
 }
 
-// Share gives how much of the fleet's limits this aggregator may use until clock time Until: the shares of
-// Slots gatherers out of Settings.Gatherers, which are those of its own number and of the numbers right
-// before it. After Until, and before the first Share, it has its own share only; 0 means none. Whoever
-// sends it ensures that no two aggregators use the share of the same number.
+// Share sets how many slots of the fleet's limits this aggregator may use until clock time Until. The
+// limits are divided into Settings.Gatherers slots, which are numbered like the gatherers. Slots is the
+// number of slots: that of this gatherer's own number and those of the numbers right before it; 0 means
+// none. Before the first Share and after Until, the aggregator uses its own slot only. The sender ensures
+// that no two aggregators use the same slot.
 type Share struct {
 	Slots int
 	Until time.Duration
 }
 
-// Woken reports that the time of a Wake has come. One that is no longer needed does no harm.
+// Woken reports that the time of a Wake has come. A Woken that is no longer needed does no harm.
 type Woken struct{}
 
 func (Query) event()      {}
@@ -211,14 +213,15 @@
 	TimeOut time.Duration
 }
 
-// Cancel gives up one attempt. Its Outcome still follows.
+// Cancel abandons one attempt. Its Outcome still follows.
 type Cancel struct {
 	Part    uint64
 	Attempt int
 }
 
-// Answer is a final answer from the answered parts, except for the first one where Class.SecondStepParts
-// is above 0: that one brings a SecondStep in the next turn.
+// Answer is a final answer from the answered parts, except for a query's first one if
+// Class.SecondStepParts is above 0: that one starts the second step, and a SecondStep follows in the next
+// turn.
 type Answer struct {
 	Query uint64
 	Whole bool
--- a/assignment.go
+++ b/assignment.go
@@ -36,10 +36,10 @@
 }
 
 // isPreferred reports whether a searcher is preferred to another that covers as many parts. The criteria
-// are, in order: fewer calls in flight; a clearly shorter queue by a current report; the own zone, where
-// crossing zones costs; a clearly lower relative latency, so that crowded and slow searchers are avoided
-// before they are late; the order of searchers for the query's key that all aggregators share, since keys
-// warm searchers.
+// are, in order: fewer calls in flight; a clearly shorter queue by current reports; the own zone, where
+// crossing zones has a cost; a clearly lower relative latency, so that crowded and slow searchers are
+// avoided before they are late; the order of searchers for the query's key that all aggregators share,
+// since a searcher does less work for a key that it has had recently.
 func (a *Aggregator) isPreferred(searcher, other *searcher, part *part) bool {
 	if searcher.callsInFlight != other.callsInFlight {
 		return searcher.callsInFlight < other.callsInFlight
@@ -59,7 +59,7 @@
 
 // coveredParts returns the pending parts that a searcher would get: as many as its window and the batch
 // limit allow, and of each query no more than make it whole. An idle searcher may get a full call, which
-// costs little more than a small one. A busy one gets no call that its window would cut, and second
+// costs little more than a small one. A busy one gets no call that its window would cut short, and second
 // copies only if it has no more than one part in flight.
 func (a *Aggregator) coveredParts(searcher *searcher) []*part {
 	room := min(int(searcher.window)-len(searcher.inFlight), a.settings.MaxBatch)
@@ -105,7 +105,7 @@
 		}
 		work += cost
 		if len(covered) >= room {
-			return nil // the call would be cut: waiting for the rest costs less than two calls
+			return nil // the call would be cut short: waiting costs less than a second call for the rest
 		}
 		expected[p.query] = weight + p.Weight
 		covered = append(covered, p)
@@ -129,18 +129,18 @@
 	return n * max(s.relativeLatency-1, 1)
 }
 
-// hasCurrentReport reports whether a searcher's last report is still meaningful: not all that waited then
-// has been served since.
+// hasCurrentReport reports whether a searcher's last report is so recent that some of the parts that waited
+// then are probably still waiting.
 func (a *Aggregator) hasCurrentReport(s *searcher) bool {
 	return s.reportedAt > 0 && float64(a.now-s.reportedAt) < reportLifetimeFactor*a.typicalLatency
 }
 
 // isEligible reports whether a searcher may get a part. No attempt of the part may be in flight there. If
 // one has ended there, no healthy searcher that has not had the part may be left; returning to a searcher
-// helps against failures that affect calls rather than searchers. And it may have at most one more of
-// this aggregator's parts in flight than the least busy healthy searcher of the shard, where those of a
-// slow searcher count by its relative latency: so wide queries need not wait for slow searchers. This can
-// do harm if the latency of a single call is misleading.
+// helps against failures that affect calls rather than searchers. And its load may exceed that of the
+// least loaded healthy searcher of the shard by at most one part. Load grows with the relative latency, so
+// that queries with many parts need not wait for slow searchers. This can do harm if the latency of a
+// single call is misleading.
 //
 // A searcher that is not healthy gets a part only as a probe attempt or if the shard has no healthy
 // searcher.
@@ -171,12 +171,12 @@
 }
 
 // hasColdCapacity reports whether a searcher is warm, or whether this aggregator's share of the capacity
-// that a cold searcher certainly has, with at least one core, has room for more work. Among many
-// aggregators an equal share is less than one call. They then take turns, by their numbers and those that
-// Share gives, and the capacity allows one call for each aggregator that has its turn. This protects a
-// searcher that has just started from the sum of all aggregators. If all turns were used, a searcher with
-// one core could be overloaded, see coldOvercommit.
-func (a *Aggregator) hasColdCapacity(searcher *searcher, more time.Duration) bool {
+// that a cold searcher certainly has, with at least one core, has room for more work of the given demand.
+// This protects a searcher that has just started from the sum of what all aggregators send. Among many
+// aggregators an equal share would be less than one call. Therefore only some slots may send during a
+// ColdOverloadWindow, as many as the capacity allows with one call each, and other slots during the next
+// one. If all of them did send, a searcher with one core could be overloaded, see coldOvercommit.
+func (a *Aggregator) hasColdCapacity(searcher *searcher, demand time.Duration) bool {
 	age := a.now - searcher.Started
 	if searcher.Started <= 0 || a.settings.ColdDuration <= 0 || age >= a.settings.ColdDuration {
 		searcher.coldWork = nil
@@ -186,7 +186,7 @@
 		searcher.coldWork = searcher.coldWork[1:]
 	}
 	for _, sent := range searcher.coldWork {
-		more += sent.work
+		demand += sent.work
 	}
 	share := a.settings.ColdShare +
 		(1-a.settings.ColdShare)*max(float64(age), 0)/float64(a.settings.ColdDuration)
@@ -196,18 +196,18 @@
 		searcher.relativeLatency < 1+latencyMargin {
 		capacity *= quickColdFactor
 	}
-	// The number of gatherers that may send at the same time: the capacity allows one call for each.
+	// The number of slots that may send at the same time: the capacity allows one call for each.
 	senders := min(
 		max(int(capacity/float64(a.settings.CallCost+a.estimatedWork(nil))), 1), a.settings.Gatherers)
 	position := a.settings.GathererNumber + int(stableHash("", searcher.ID)%uint64(a.settings.Gatherers))
 	position += senders * int(max(age, 0)/max(a.settings.ColdOverloadWindow, 1))
-	ownTurns := 0.0
+	sendingSlots := 0.0
 	for n := range a.ownSlots() {
 		if (position+a.settings.Gatherers-n)%a.settings.Gatherers < senders {
-			ownTurns++
+			sendingSlots++
 		}
 	}
-	return ownTurns > 0 && float64(more) <= capacity/float64(senders)*ownTurns
+	return sendingSlots > 0 && float64(demand) <= capacity/float64(senders)*sendingSlots
 }
 
 // sendPart starts one attempt of a part. aloneInCall reports whether its call has no other part,
--- a/completion.go
+++ b/completion.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Completion of the queries that are whole, too late, can no longer succeed or crash searchers.
+// Completion of the queries that are whole, are too late, can no longer succeed or crash searchers.
 
 // closeQuery removes a query and cancels its attempts in flight.
 func (a *Aggregator) closeQuery(q *query) {
@@ -90,32 +90,34 @@
 	return reachable
 }
 
-// querySignature identifies the queries that are likely to affect searchers as this one does: by its key,
-// or by its class if it has none.
+// querySignature returns what the queries have in common that are likely to affect searchers as this one
+// does: its key, or its class if it has no key.
 func (a *Aggregator) querySignature(q *query) string { return cmp.Or(q.Key, q.class.Name) }
 
-// isSuspect reports whether a query may crash the searchers that begin it: a query with its signature did
-// so recently.
-func (a *Aggregator) isSuspect(q *query) bool { return a.crashesBySignature[a.querySignature(q)] > 0 }
+// mayCrashSearchers reports whether a query may crash the searchers that execute it: a query with the same
+// signature did so recently.
+func (a *Aggregator) mayCrashSearchers(q *query) bool {
+	return a.crashesBySignature[a.querySignature(q)] > 0
+}
 
-// crashesSearchers reports whether a query has crashed the searchers that began it: each of its calls
-// that has ended was reset, on two searchers, or on one if the query was suspect. Queries of others that
-// were in the same crash have answers elsewhere.
+// crashesSearchers reports whether a query has crashed the searchers that began to execute it: it has no
+// answer and no call in flight, and its calls to two searchers were reset, or to one if mayCrashSearchers.
+// Other queries that such a crash interrupts are told apart by their answers from other searchers.
 func (a *Aggregator) crashesSearchers(q *query) bool {
 	inFlight, crashes := q.connResets()
-	return q.answeredWeight == 0 && inFlight == 0 && (crashes > 1 || crashes > 0 && a.isSuspect(q))
+	return q.answeredWeight == 0 && inFlight == 0 && (crashes > 1 || crashes > 0 && a.mayCrashSearchers(q))
 }
 
 // probesFirst reports whether a query may send only one part, as a probe, and whether it may send that
-// now. This applies to a query that is suspect or was reset and has no answer yet. It spares the
-// searchers that the query would crash; where connections break for other reasons it costs the time of a
-// call.
+// now. This applies to a query that has no answer yet and may crash searchers or had a call reset. It
+// spares the searchers that the query would crash; where connections break for other reasons it costs the
+// time of a call.
 func (a *Aggregator) probesFirst(q *query) (probing, maySend bool) {
 	if q.answeredWeight > 0 {
 		return false, true
 	}
 	inFlight, crashes := q.connResets()
-	return crashes > 0 || a.isSuspect(q), inFlight == 0
+	return crashes > 0 || a.mayCrashSearchers(q), inFlight == 0
 }
 
 // giveUp ends a query: with an answer from the parts that are in if that is allowed, else with a refusal
--- a/health.go
+++ b/health.go
@@ -8,11 +8,11 @@
 
 // Health of the searchers, from their attempts in flight and from how calls ended.
 
-// recordFailure and recordSuccess update a searcher's failure score, once for each call, since the parts
-// of a call have the same outcome. A searcher with a bad score is ejected: it gets only probe attempts,
-// at growing intervals, until one succeeds. This protects against searchers that fail, fail fast (and so
-// look idle), are very slow or do not respond. It could do harm when all searchers are in trouble at
-// once, so the last replica of a shard is not ejected unless it is unreachable.
+// recordFailure raises a searcher's failure score by a failed or late call. It counts each call once, since
+// the parts of a call have the same outcome. A searcher with a high score is ejected: it gets only probe
+// attempts, at growing intervals, until one succeeds. This protects against searchers that fail, fail fast
+// (and so look idle), are very slow or do not respond. It could do harm when all searchers fail at once, so
+// the last replica of a shard is not ejected unless it is unreachable.
 func (a *Aggregator) recordFailure(searcher *searcher, attempt *attempt, weight float64) {
 	if attempt.sentAt < searcher.failureRecordedAt {
 		return
@@ -31,8 +31,7 @@
 	}
 }
 
-// recordSuccess improves the failure score of a searcher and reinstates it after a successful probe
-// attempt.
+// recordSuccess lowers the failure score of a searcher and reinstates it after a successful probe attempt.
 func (a *Aggregator) recordSuccess(searcher *searcher, attempt *attempt) {
 	searcher.failureScore *= 1 - fastSmoothing/2
 	if searcher.ejected && attempt.sentAt >= searcher.probeAt {
@@ -43,7 +42,7 @@
 	}
 }
 
-// overdueAfter returns how long a part of a class may be in flight before something is taken to be wrong.
+// overdueAfter returns how long a part of a class may be in flight before it is overdue.
 func (a *Aggregator) overdueAfter(c *class) time.Duration { return a.waitLimit(c, overdueFactor) }
 
 // waitLimit returns a multiple of the typical latency of a class's calls, bounded by fractions of its
@@ -54,8 +53,8 @@
 }
 
 // capWait bounds a wait that is derived from an aim by a multiple of the typical latency. Without the
-// bound a searcher would go without fifty short calls because of one, and the other searchers would be
-// congested.
+// bound, one bad call could keep a searcher unused for as long as fifty short calls take, and the other
+// searchers would be congested.
 func (a *Aggregator) capWait(wait time.Duration, factor float64) time.Duration {
 	return min(wait, max(time.Duration(factor*cmp.Or(a.typicalLatency, float64(wait))), 2*a.settings.Tick))
 }
@@ -65,18 +64,19 @@
 	return a.now-attempt.sentAt >= a.overdueAfter(attempt.part.query.class)
 }
 
-// isSilent reports whether an attempt is unlikely to be answered. A searcher that answers what it was
-// sent earlier is slow or crowded and will reach the attempt. A second copy would be additional work,
-// which a cancel need not stop, just when there is too much work already. In that case an attempt counts
-// as silent far later.
+// isSilent reports whether an attempt is unlikely to be answered, so that its part should get a second
+// copy. A searcher that has answered since the attempt was sent is slow or crowded and will reach the
+// attempt. A second copy would then only add work, which a cancel does not always stop, while there is too
+// much work already. So at such a searcher an attempt counts as silent only much later, see isLongSilent.
 func (a *Aggregator) isSilent(attempt *attempt) bool {
 	return a.silentFor(attempt) >= a.waitLimit(attempt.part.query.class, secondCopyFactor) &&
 		(attempt.noResponseSince() || a.isLongSilent(attempt))
 }
 
-// silentFor returns for how long there has been no sign that an attempt will be answered: since its
-// searcher's last answer, or since it was sent if that was later or if an attempt sent later has been
-// answered, which has overtaken it.
+// silentFor returns for how long there has been no sign that an attempt will be answered. That is the time
+// since its searcher's last answer or since the attempt was sent, whichever is shorter. If the searcher has
+// answered an attempt that was sent later, and so has overtaken this one, it is the time since this attempt
+// was sent.
 func (a *Aggregator) silentFor(attempt *attempt) time.Duration {
 	if attempt.sentAt < attempt.searcher.newestAnsweredSentAt {
 		return a.now - attempt.sentAt
@@ -84,14 +84,14 @@
 	return a.now - max(attempt.sentAt, attempt.searcher.lastAnswerAt)
 }
 
-// isLongSilent reports whether that time is so long that few calls take half as long. Heavy parts are
-// overtaken, too, so being overtaken alone proves nothing.
+// isLongSilent reports whether silentFor is so long that few calls take half as long. Being overtaken alone
+// is no proof of a lost answer, because parts with much work are overtaken too.
 func (a *Aggregator) isLongSilent(attempt *attempt) bool {
 	return float64(a.silentFor(attempt)) >= overdueCapFactor*attempt.part.query.class.typicalLatency
 }
 
-// updateHealth marks the searchers that have had a part for too long. They get nothing new until its
-// outcome has arrived.
+// updateHealth marks the searchers that have an overdue part: they get nothing new until its outcome has
+// arrived. It also cancels attempts that are unlikely to be answered.
 func (a *Aggregator) updateHealth() {
 	for _, s := range a.busySearchers {
 		s.hasOverduePart = slices.ContainsFunc(s.inFlight, a.isOverdue)
@@ -103,22 +103,23 @@
 // cancelUnanswered cancels the attempts of safe queries that a searcher is unlikely to answer while calls
 // are typically far faster. The conditions are: the part may be retried, another quick searcher can take
 // it, its replica group is not overloaded, and either some calls were lost on idle connections or calls
-// are quick. This recovers from dead connections, hung searchers and lost answers. It does harm to work
-// that would have ended and adds to congestion, and in a large fleet all aggregators do it at once;
-// therefore it is done late, and only where there is capacity. Keyed work is not cancelled: a searcher
-// that is stalled may do it when the retry elsewhere is past its repeat window.
-func (a *Aggregator) cancelUnanswered(overdue *searcher) {
-	if !overdue.hasOverduePart || !a.settings.MayCancel {
+// are quick. This recovers from dead connections, hung searchers and lost answers. It wastes work that
+// would have been completed and adds to congestion, and in a large fleet all aggregators do it at once;
+// therefore it is done late, and only where there is capacity. Keyed work is not cancelled: a stalled
+// searcher may execute it after all, once the repeat window is over and it no longer counts as a repeat of
+// the retry elsewhere.
+func (a *Aggregator) cancelUnanswered(s *searcher) {
+	if !s.hasOverduePart || !a.settings.MayCancel {
 		return
 	}
 	isQuickAlternative := func(other *searcher) bool {
-		return other != overdue && a.isHealthy(other) && other.relativeLatency < slowRelativeLatency
+		return other != s && a.isHealthy(other) && other.relativeLatency < slowRelativeLatency
 	}
 	// A slow searcher takes longer for each call.
-	factor := deadConnFactor * min(max(overdue.relativeLatency, 1), slowRelativeLatency)
+	factor := deadConnFactor * min(max(s.relativeLatency, 1), slowRelativeLatency)
 	// Where second copies are allowed they are sent instead, and a cancel may stop nothing.
 	withoutCopies := !a.settings.SecondCopies
-	for _, attempt := range overdue.inFlight {
+	for _, attempt := range s.inFlight {
 		class := attempt.part.query.class
 		if class.Effect == Safe && !attempt.cancelled && class.typicalLatency > 0 &&
 			float64(a.silentFor(attempt)) >= factor*class.typicalLatency &&
--- a/outcomes.go
+++ b/outcomes.go
@@ -1,6 +1,6 @@
 package eiderwinch
 
-// Outcomes of attempts, what they show of the searchers, and updates of the member list.
+// Outcomes of attempts, what they show about the searchers, and updates of the member list.
 
 // handleOutcome records how an attempt ended.
 func (a *Aggregator) handleOutcome(outcome Outcome) {
@@ -17,7 +17,7 @@
 	attempt.neverRan = outcome.Status == Full || outcome.Status == NoConnection || outcome.Status == NotSent
 	if outcome.Status == OK && !part.answered && !part.ended {
 		if part.inFlight > 0 && attempt.number > 0 {
-			// The copy was useful: another may follow.
+			// The copy was useful, so its credit is returned.
 			a.secondCopyCredit = min(a.secondCopyCredit+1, maxSecondCopyCredit)
 		}
 		part.answered = true
@@ -48,17 +48,17 @@
 		searcher.lastAnswerAt, searcher.newestAnsweredSentAt, searcher.unreachable =
 			a.now, max(searcher.newestAnsweredSentAt, attempt.sentAt), false
 		if attempt.onNewConn {
-			// The evidence decays, so that it is gone after some time.
+			// The evidence decays with each such answer, so that it expires after some time.
 			a.deadConnEvidence = max(a.deadConnEvidence-slowSmoothing*slowSmoothing, 0)
 		} else if float64(attempt.searcherIdle) >= a.deadAfterIdle {
 			a.deadConnEvidence = max(a.deadConnEvidence-fastSmoothing, 0)
 		}
 		if attempt.aloneInCall {
-			step := uncontendedQuantile // moves partWork towards this quantile of the latencies
+			adjustment := uncontendedQuantile // moves partWork towards this quantile of the latencies
 			if took < class.partWork {
-				step -= 1
+				adjustment -= 1
 			}
-			class.partWork *= 1 + slowSmoothing*step
+			class.partWork *= 1 + slowSmoothing*adjustment
 		}
 		searcher.relativeLatency = relativeLatency
 		a.typicalLatency = smooth(a.typicalLatency, took, slowSmoothing)
@@ -158,7 +158,7 @@
 		if s == nil {
 			s = a.addSearcher(r.ID)
 			s.window = float64(a.settings.MaxBatch)
-		} else if r.Started > s.Started { // a new process: what was known of the old one is void
+		} else if r.Started > s.Started { // a new process: the observations of the old one no longer apply
 			s.failureScore, s.ejected, s.unreachable, s.window, s.relativeLatency, s.reportedAt =
 				0, false, false, 1, 0, 0
 		}
--- a/selection.go
+++ b/selection.go
@@ -9,8 +9,9 @@
 
 // mayAttempt reports whether a part may get a first attempt or a retry now.
 func (a *Aggregator) mayAttempt(p *part) bool {
-	free := p.inFlight == 0 || a.settings.SecondCopies
-	return !p.answered && !a.isTooLateForCall(p.query) && (len(p.attempts) == 0 || free && a.mayRetry(p))
+	anotherAllowed := p.inFlight == 0 || a.settings.SecondCopies
+	return !p.answered && !a.isTooLateForCall(p.query) &&
+		(len(p.attempts) == 0 || anotherAllowed && a.mayRetry(p))
 }
 
 // mayRetry reports whether the rules allow a retry of a part once no attempt of it is in flight.
@@ -33,7 +34,7 @@
 }
 
 // needsAttempt reports whether a part should get an attempt: it has none in flight, or those in flight
-// are at searchers that are silent or ejected.
+// are silent or at ejected searchers.
 func (a *Aggregator) needsAttempt(p *part) bool {
 	for _, attempt := range p.attempts {
 		if !attempt.ended && !attempt.searcher.ejected && !a.isSilent(attempt) {
@@ -43,8 +44,8 @@
 	return true
 }
 
-// selectParts returns the parts to send, those first that are worth most for their work and the time they
-// have: parts with a longer aim can wait.
+// selectParts returns the parts to send, by worthDensity: the parts that are worth the most for their work
+// come first, and those with a longer aim can wait.
 func (a *Aggregator) selectParts() []*part {
 	var pending []*part
 	for _, q := range a.queries {
@@ -56,7 +57,7 @@
 		expected := a.expectedWeight(q)
 		for _, p := range q.parts {
 			if q.wantedWeight < q.neededWeight && expected >= q.wantedWeight-weightSlack {
-				break // the rest was trimmed
+				break // the remaining parts were trimmed
 			}
 			if (q.mayStart || a.lacksHealthyReplica(p)) && a.mayAttempt(p) && a.needsAttempt(p) &&
 				(!probing || maySend) {
@@ -72,9 +73,9 @@
 	return pending
 }
 
-// isStartable reports whether enough of a query's parts for an answer, if need be a partial one where
-// that is allowed, have a healthy searcher with capacity. Otherwise the query waits, which avoids useless
-// work while whole shards are out of service.
+// isStartable reports whether enough of a query's parts for an answer (a partial one, where that is
+// allowed) have a healthy searcher with capacity. Otherwise the query waits, which avoids useless work
+// while whole shards are out of service.
 func (a *Aggregator) isStartable(q *query) bool {
 	startable := 0.0
 	for _, p := range q.parts {
@@ -94,8 +95,8 @@
 	return !slices.ContainsFunc(a.replicasOf(p), a.isHealthy)
 }
 
-// expectedWeight returns the weight of a query's parts that are answered or in flight with no reason for
-// doubt.
+// expectedWeight returns the weight of a query's parts that are answered, or in flight and likely to be
+// answered.
 func (a *Aggregator) expectedWeight(q *query) float64 {
 	weight := 0.0
 	for _, p := range q.parts {
@@ -107,7 +108,7 @@
 }
 
 // withinRetryBudget reports whether this many more retries are within the retry budget now.
-func (a *Aggregator) withinRetryBudget(more int) bool {
+func (a *Aggregator) withinRetryBudget(retries int) bool {
 	if a.settings.RetryBudgetWindow <= 0 {
 		return true
 	}
@@ -118,6 +119,6 @@
 	for len(a.retryTimes) > 0 && a.retryTimes[0] < windowStart-a.settings.Tick {
 		a.retryTimes = a.retryTimes[1:]
 	}
-	return float64(len(a.retryTimes)+more) <=
+	return float64(len(a.retryTimes)+retries) <=
 		a.settings.RetryBudgetFree+a.settings.RetryBudgetRatio*float64(len(a.arrivalTimes))
 }
--- a/state.go
+++ b/state.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// The state of an Aggregator and how it is updated. Nothing here decides anything.
+// The state of an Aggregator and its updates. No decisions are made here.
 
 // Aggregator makes the decisions for one gatherer. It is created with New.
 type Aggregator struct {
@@ -24,23 +24,24 @@
 	// after a change.
 	replicasByShard    [][]*searcher
 	searcherSetVersion int // number of changes of the set of searchers; see part.replicasVersion
-	// busySearchers are those with attempts in flight, by ID, and some that had until the last turn.
+	// busySearchers are the searchers with attempts in flight, by ID, and possibly some that had attempts in
+	// flight until the last turn.
 	busySearchers []*searcher
-	candidates    []*searcher // those with pending parts in the last assignment, by ID
-	someUnlisted  bool        // some searchers are not listed
+	candidates    []*searcher // searchers with pending parts in the last assignment, by ID
+	someUnlisted  bool        // some searchers may not be listed
 
 	queries     []*query // in order of arrival
 	openQueries map[uint64]*query
 	parts       map[uint64]*part // of open queries or with attempts in flight
 
 	typicalLatency float64         // of a call of any class, in ns; 0 until one has ended
-	wakeAt         time.Duration   // the earliest wake requested; 0 if none
+	wakeAt         time.Duration   // the earliest Wake requested; 0 if none
 	arrivalTimes   []time.Duration // of queries and parts, for the retry budget
 	retryTimes     []time.Duration // of attempts after the first, for the retry budget
 
 	expectedRepeats     float64       // repeats still to expect from clients
 	deadAfterIdle       float64       // time in ns without an answer after which connections may be dead
-	deadConnEvidence    float64       // how certain that is, see deadConnThreshold
+	deadConnEvidence    float64       // the evidence for deadAfterIdle, see deadConnThreshold
 	disconnectAllowedAt time.Duration // when connections may be closed again
 	secondCopyCredit    float64       // second copies that may be sent now
 
@@ -51,21 +52,21 @@
 	stallDuration time.Duration // how long this aggregator itself stalled before this turn
 	stallEndedAt  time.Duration // when it last recovered from a stall
 
-	typicalWorth       float64                  // of a query for each of its parts
+	typicalWorth       float64                  // typical worth of a query for each of its parts
 	tenantMix          []float64                // each tenant's share of the queries
 	crashesBySignature map[string]time.Duration // when queries last crashed searchers, by query signature
 
-	subscribed       bool // a subscription is active or has been requested
-	subscribeAt      time.Duration
+	subscribed       bool          // a subscription is active or has been requested
+	subscribeAt      time.Duration // when to subscribe again
 	subscribeBackoff time.Duration
 	slotShare        Share
 }
 
-func (a *Aggregator) emit(x Action) { a.actions = append(a.actions, x) }
+func (a *Aggregator) emit(action Action) { a.actions = append(a.actions, action) }
 
 func (a *Aggregator) logf(format string, args ...any) { a.emit(Log{fmt.Sprintf(format, args...)}) }
 
-// ownSlots returns how many gatherers' shares of the fleet's limits this aggregator may use now.
+// ownSlots returns how many slots of the fleet's limits this aggregator may use now.
 func (a *Aggregator) ownSlots() int {
 	if a.now < a.slotShare.Until {
 		return min(a.slotShare.Slots, a.settings.Gatherers)
@@ -82,7 +83,7 @@
 	return s
 }
 
-// markBusy records that a searcher is sent an attempt.
+// markBusy adds a searcher that is sent an attempt to busySearchers.
 func (a *Aggregator) markBusy(s *searcher) {
 	if !s.busy {
 		s.busy = true
@@ -128,15 +129,15 @@
 // addParts adds the parts of a query's current step.
 func (a *Aggregator) addParts(q *query) {
 	for _, p := range q.Parts {
-		pt := &part{Part: p, query: q}
-		q.parts = append(q.parts, pt)
-		a.parts[p.ID] = pt
+		added := &part{Part: p, query: q}
+		q.parts = append(q.parts, added)
+		a.parts[p.ID] = added
 		a.recordForBudget(&a.arrivalTimes)
 	}
 }
 
-// recordForBudget records an event for the retry budget. Without a budget nothing would ever remove it
-// again.
+// recordForBudget records the current time for the retry budget. Without a budget it records nothing,
+// since withinRetryBudget would never remove it.
 func (a *Aggregator) recordForBudget(times *[]time.Duration) {
 	if a.settings.RetryBudgetWindow > 0 {
 		*times = append(*times, a.now)
@@ -157,12 +158,12 @@
 // ejected. Where holders come with the parts, the shards of open queries are checked.
 func (a *Aggregator) isLastReplica(replica *searcher) bool {
 	isLast := func(replicas []*searcher) bool {
-		holds, other := false, false
-		for _, o := range replicas {
-			holds = holds || o == replica
-			other = other || o != replica && o.listed && !o.ejected
+		isHolder, hasOther := false, false
+		for _, s := range replicas {
+			isHolder = isHolder || s == replica
+			hasOther = hasOther || s != replica && s.listed && !s.ejected
 		}
-		return holds && !other
+		return isHolder && !hasOther
 	}
 	for shard := range a.settings.Shards {
 		if isLast(a.shardReplicas(shard)) {
@@ -189,8 +190,8 @@
 	reportedAt           time.Duration // when that report came; 0 if none did
 	relativeLatency      float64       // latency of its calls relative to the typical one
 	callsInFlight        int
-	window               float64 // most of this aggregator's parts to have in flight there
-	failureScore         float64 // 0 good to 1 bad, by its last calls
+	window               float64 // most parts that this aggregator keeps in flight there
+	failureScore         float64 // how badly its last calls went, from 0 to 1
 	failureRecordedAt    time.Duration
 	lastAnswerAt         time.Duration
 	newestAnsweredSentAt time.Duration // when the most recently sent attempt that it has answered was sent
@@ -204,8 +205,8 @@
 	coldWork []sentWork // work sent while it is cold
 
 	busy         bool    // it is in Aggregator.busySearchers
-	pendingParts []*part // this turn's parts that it holds
-	hasCall      bool    // it has a call in this turn
+	pendingParts []*part // pending parts of this turn that it holds
+	hasCall      bool    // it is sent a call in this turn
 }
 
 // replicaGroup is the set of searchers that hold the same shards, or one shard where holders come with the
@@ -213,17 +214,18 @@
 type replicaGroup struct {
 	admissionShare float64       // share of the parts that may start there
 	credit         float64       // parts that may start
-	typicalParts   float64       // typical number of a query's parts
+	typicalParts   float64       // typical number of a query's parts there
 	lastQueryAt    time.Duration // when a query with parts there last arrived
-	typicalGap     float64       // typical time between those in ns, while all may start
+	typicalGap     float64       // typical time in ns between such queries, measured while all may start
 }
 
 // reduceAdmission reduces the admission share by a fraction, down to minAdmissionShare.
-func (g *replicaGroup) reduceAdmission(by float64) {
-	g.admissionShare = max(g.admissionShare*(1-by), minAdmissionShare)
+func (g *replicaGroup) reduceAdmission(fraction float64) {
+	g.admissionShare = max(g.admissionShare*(1-fraction), minAdmissionShare)
 }
 
-// replicaGroup returns the replica group of a part.
+// replicaGroup returns the replica group of a part. Without Holders, shards whose numbers differ by a
+// multiple of Settings.Cells have the same searchers.
 func (a *Aggregator) replicaGroup(p Part) *replicaGroup {
 	key := p.Shard
 	if p.Holders == nil {
@@ -267,12 +269,12 @@
 	sentAt       time.Duration
 	ended        bool
 	neverRan     bool          // it is certain that it never ran
-	aloneInCall  bool          // the only one in its call
-	onNewConn    bool          // idle connections were closed before it
+	aloneInCall  bool          // it is the only one in its call
+	onNewConn    bool          // the searcher's idle connections were closed before it was sent
 	searcherIdle time.Duration // time from the searcher's last answer until it was sent
 	connReset    bool          // its connection broke
 
-	cancelled bool // a Cancel was issued, though its part may still be wanted
+	cancelled bool // a Cancel was issued; its part may still be needed
 }
 
 // noResponseSince reports whether the searcher has answered nothing since the attempt was sent.
@@ -287,7 +289,7 @@
 	inFlight int  // number of attempts in flight
 	ended    bool // its query, or the step of the query that it belongs to, has ended
 
-	replicas        []*searcher // those named by Holders, by ID
+	replicas        []*searcher // the known searchers among Holders, by ID
 	replicasVersion int         // 1 + Aggregator.searcherSetVersion when replicas was built; 0 if it was not
 }
 
@@ -319,8 +321,8 @@
 	arrivedAt      time.Duration
 	aimAt          time.Duration // an answer of the current step until then earns the full worth
 	endAt          time.Duration // an answer until then earns something
-	finalAimAt     time.Duration // as aimAt, for the last step
-	wantedWeight   float64       // weight that is asked for: less than neededWeight if the query was trimmed
+	finalAimAt     time.Duration // aimAt of the last step
+	wantedWeight   float64       // weight that is requested: less than neededWeight if the query was trimmed
 	neededWeight   float64       // weight that makes the current step whole
 	floorWeight    float64       // least weight that the query may be answered from
 	parts          []*part       // of the current step
@@ -330,7 +332,7 @@
 	firstStepWhole bool // the answer of the first step was whole
 
 	startedAt    time.Duration // when its first part was sent; 0 if none was
-	worthDensity float64       // worth for each part and second of the aim
+	worthDensity float64       // worth per part and second of the aim
 	ended        bool
 	mayStart     bool // all its parts may be sent
 	shed         bool // not admitted
@@ -355,9 +357,9 @@
 type class struct {
 	Class
 	firstTryTimeLeft time.Duration // time left that first tries have
-	firstTryVotes    int           // how certain that is
+	firstTryVotes    int           // votes for firstTryTimeLeft, see isFirstTry
 	typicalLatency   float64       // of calls with this class's parts, in ns
-	partWork         float64       // a part's work in ns, estimated from above
+	partWork         float64       // upper estimate of the work of a part, in ns
 	typicalQueryTime float64       // typical time of a query in ns, from its first call on
 }
 
@@ -367,23 +369,24 @@
 	return c.typicalLatency > 0 && c.typicalLatency < float64(c.Aim)/quickCallAimDivisor
 }
 
-// removeFromSearcher removes an attempt from the searcher's attempts in flight.
+// removeFromSearcher removes an attempt from its searcher's attempts in flight. The call ends with its last
+// attempt.
 func (a *Aggregator) removeFromSearcher(attempt *attempt) {
 	s := attempt.searcher
-	last := true
+	lastOfCall := true
 	for i := len(s.inFlight) - 1; i >= 0; i-- {
 		if s.inFlight[i] == attempt {
 			s.inFlight = append(s.inFlight[:i], s.inFlight[i+1:]...)
 		} else if s.inFlight[i].sentAt == attempt.sentAt {
-			last = false
+			lastOfCall = false
 		}
 	}
-	if last {
+	if lastOfCall {
 		s.callsInFlight--
 	}
 }
 
-// smooth moves an exponentially weighted average towards a sample; an average of 0 is unset.
+// smooth moves an exponentially weighted average towards a sample. An average of 0 has no samples yet.
 func smooth(average, sample, weight float64) float64 {
 	if average == 0 {
 		return sample
@@ -446,7 +449,7 @@
 	return a.replicasByShard[shard]
 }
 
-// removeEnded removes ended queries and departed searchers.
+// removeEnded removes ended queries, departed searchers and expired records of the retry budget.
 func (a *Aggregator) removeEnded() {
 	kept := a.queries[:0]
 	for _, q := range a.queries {
