--- a/internal/gatherer/attempts.go
+++ b/internal/gatherer/attempts.go
@@ -49,11 +49,11 @@
 	return id
 }
 
-// startAttempt starts one attempt. Whatever the aggregator decided, it rejects a send
-// that would break a rule: for a removed part, while another attempt is in flight unless
-// maySendSecondCopy allows it, beyond the limit on attempts, to a searcher that does not
-// hold the part's segment in the query's epoch, or to one that is not ready. It sends
-// nothing for a client that has disconnected either.
+// startAttempt starts one attempt, or returns nil if it must not be sent. Whatever the
+// aggregator decided, a send is rejected if it would break a rule: for a removed part, while
+// another attempt is in flight unless maySendSecondCopy allows it, beyond the limit on
+// attempts, to a searcher that does not hold the part's segment in the query's epoch, or to
+// one that is not ready. Nothing is sent for a client that has disconnected either.
 func (c *Core) startAttempt(send eiderwinch.Send) *Attempt {
 	p := c.parts[send.Part]
 	if p == nil {
@@ -144,7 +144,7 @@
 }
 
 // clientDisconnected reports whether a query's client has disconnected, even if the end of its
-// connection has not been read yet: an event loop that is late runs the turn before it reads.
+// connection has not been read yet: a delayed event loop runs the turn before it reads.
 // Attempts for such a client would be wasted. It asks the client at most once in a turn.
 func (c *Core) clientDisconnected(q *query) bool {
 	if !q.disconnected && !q.clientCheckedAt.Equal(c.now) {
@@ -170,8 +170,8 @@
 
 // repeatWindowOver reports whether an attempt of a keyed part, of which another attempt may have
 // been executed, would arrive too late for its searcher to recognize it as a repeat. The aggregator
-// has checked this when it decided, but the attempt may since have waited for a connection for
-// longer than was left.
+// checked this when it decided, but the attempt may since have waited for a connection for too
+// long.
 func (c *Core) repeatWindowOver(now time.Time, a *Attempt) bool {
 	class, p := c.settings.Module.Classes[a.part.query.class], a.part
 	otherMayHaveRun := p.mayHaveRun || len(p.inFlight) > 1
--- a/internal/gatherer/completion.go
+++ b/internal/gatherer/completion.go
@@ -12,11 +12,11 @@
 	"eiderwinch/internal/querystats"
 )
 
-// weightTolerance is how far a sum of weights may fall short of a limit, because weights are rounded.
+// weightTolerance is how far a sum of weights may be from its target, because weights are rounded.
 const weightTolerance = 1e-4
 
-// Result takes in a searcher's answer to an attempt: OK with a value, or Failed or
-// Full. Results of attempts that have ended are ignored.
+// Result records a searcher's answer to an attempt: OK with a score and a value, or
+// Failed or Full. Results of attempts that have ended are ignored.
 func (c *Core) Result(now time.Time, a *Attempt, status eiderwinch.Status, score int64, value string) {
 	if c.endAttempt(now, a, status) && status == eiderwinch.OK && !a.part.removed && !a.part.answered {
 		a.part.answered, a.part.score, a.part.value = true, score, value
@@ -112,9 +112,9 @@
 	}
 }
 
-// endOverdueQueries ends the queries that the aggregator has not ended in time, so
-// every query gets a final answer whatever goes wrong with the decisions. It also
-// ends those that EndBy cuts short.
+// endOverdueQueries ends the queries that the aggregator has not ended in time, so that
+// every query gets a final answer even if the decisions are wrong. It also ends those
+// that EndBy cuts short.
 func (c *Core) endOverdueQueries() {
 	for t := c.backstops.Pop(c.now); t != nil; t = c.backstops.Pop(c.now) {
 		q := t.Value
@@ -147,7 +147,7 @@
 	c.addEvent(c.now, eiderwinch.Gone{Query: q.id})
 	class := c.settings.Module.Classes[q.class]
 	switch _, _, ok := c.answerable(q); {
-	case ok && (q.secondStep || class.SecondStepParts == 0): // else the second step is still missing
+	case ok && (q.secondStep || class.SecondStepParts == 0): // not before the second step where there is one
 		c.answer(eiderwinch.Answer{Query: q.id})
 	case !q.sent || class.Effect == eiderwinch.Safe:
 		c.complete(q, Reply{Kind: Refused, RetryAfter: c.retryAdvice()})
--- a/internal/gatherer/core.go
+++ b/internal/gatherer/core.go
@@ -8,11 +8,11 @@
 //
 //	live_settings  settings that can change at run time; each query keeps those it started with
 //	epoch          binds a query to one epoch of the layout
-//	intake         validates queries and takes in updates of the member list
+//	intake         validates queries and accepts updates of the member list
 //	admission      refuses queries over the limits on open queries
 //	turn           runs a turn of the aggregator and carries out its actions
 //	attempts       starts, cancels and times out attempts
-//	completion     takes in results and gives clients their final answers
+//	completion     records results and gives clients their final answers
 //	records        the records of queries, parts and members
 //	start_times    converts reported start times of searchers to the monotonic clock
 package gatherer
@@ -126,7 +126,7 @@
 	openCount      int                        // number of open queries plus their parts
 	members        map[string]member
 	startTimes     startTimes
-	unconfirmed    []eiderwinch.Replica // ready entries of a stale member list with the start times listed there, see ConfirmMembers
+	unconfirmed    []eiderwinch.Replica // ready entries of a stale member list, with their listed start times, see ConfirmMembers
 	liveSettings   *LiveSettings
 	openByClass    []int // number of open queries by class
 	layout         *layout.Layout
--- a/internal/gatherer/core_test.go
+++ b/internal/gatherer/core_test.go
@@ -29,7 +29,7 @@
 	abandoned  []*Attempt
 	closed     []string
 	replies    []Reply
-	clientLeft bool // the client has disconnected, which has not been read yet
+	clientLeft bool // the client has disconnected, and the end of its connection has not been read yet
 }
 
 func (h *harness) Turn(now time.Duration, events []eiderwinch.Event) []eiderwinch.Action {
@@ -47,7 +47,7 @@
 func (h *harness) Disconnected() bool                    { return h.clientLeft }
 
 func newHarness(t *testing.T) *harness {
-	set := Settings{Tick: 5 * ms, MaxOpen: 20, Module: eiderwinch.Settings{
+	settings := Settings{Tick: 5 * ms, MaxOpen: 20, Module: eiderwinch.Settings{
 		Shards: 12, MaxBatch: 2, MaxAttempts: 2, RetryAdvice: true, MaxRetryAdvice: time.Second,
 		Classes: []eiderwinch.Class{
 			{Name: "search", Deadline: time.Second, WholeShare: 1, MinShare: 1},
@@ -57,7 +57,7 @@
 		},
 	}}
 	h := &harness{t: t, at: time.Unix(1_000_000, 0)}
-	h.Core = New(set, h, h, stats.New(), slog.New(slog.DiscardHandler), h.at)
+	h.Core = New(settings, h, h, stats.New(), slog.New(slog.DiscardHandler), h.at)
 	h.UpdateMembers(h.at, eiderwinch.Whole, []Member{{ID: "a", State: eiderwinch.Ready}, {ID: "b", State: eiderwinch.Ready}})
 	h.advance(0)
 	return h
@@ -145,34 +145,34 @@
 func TestTakeValidatesQueries(t *testing.T) {
 	h := newHarness(t)
 	h.submit("search", "open", 0)
-	good := QueryRequest{Trace: "t", Class: "reserve", Key: "k", Parts: []PartRequest{{0, 1}}}
+	valid := QueryRequest{Trace: "t", Class: "reserve", Key: "k", Parts: []PartRequest{{0, 1}}}
 	for name, c := range map[string]struct {
 		modify func(*QueryRequest)
 		want   error
 	}{
-		"class":     {func(a *QueryRequest) { a.Class = "odd" }, ErrUnknownClass},
-		"duplicate": {func(a *QueryRequest) { a.Trace = "open" }, ErrDuplicate},
-		"trace":     {func(a *QueryRequest) { a.Trace = "" }, ErrInvalid},
-		"key":       {func(a *QueryRequest) { a.Key = "" }, ErrInvalid},
-		"time":      {func(a *QueryRequest) { a.Timeout = -1 }, ErrInvalid},
-		"no parts":  {func(a *QueryRequest) { a.Parts = nil }, ErrInvalid},
-		"shard":     {func(a *QueryRequest) { a.Parts = []PartRequest{{12, 1}} }, ErrInvalid},
-		"negative":  {func(a *QueryRequest) { a.Parts = []PartRequest{{-1, 1}} }, ErrInvalid},
-		"twice":     {func(a *QueryRequest) { a.Parts = []PartRequest{{1, 1}, {1, 1}} }, ErrInvalid},
-		"no weight": {func(a *QueryRequest) { a.Parts = []PartRequest{{1, 0}} }, ErrInvalid},
-		"weight":    {func(a *QueryRequest) { a.Parts = []PartRequest{{1, math.NaN()}} }, ErrInvalid},
-		"below 0":   {func(a *QueryRequest) { a.Parts = []PartRequest{{1, 1}, {2, -0.5}, {3, 0.5}} }, ErrInvalid},
-		"above 1":   {func(a *QueryRequest) { a.Parts = []PartRequest{{1, 1.5}} }, ErrInvalid},
-		"too light": {func(a *QueryRequest) { a.Parts = []PartRequest{{1, 0.4}, {2, 0.5}} }, ErrInvalid},
-		"too heavy": {func(a *QueryRequest) { a.Parts = []PartRequest{{1, 0.5}, {2, 0.51}} }, ErrInvalid},
+		"unknown class":     {func(a *QueryRequest) { a.Class = "unknown" }, ErrUnknownClass},
+		"open trace":        {func(a *QueryRequest) { a.Trace = "open" }, ErrDuplicate},
+		"no trace":          {func(a *QueryRequest) { a.Trace = "" }, ErrInvalid},
+		"no key":            {func(a *QueryRequest) { a.Key = "" }, ErrInvalid},
+		"negative timeout":  {func(a *QueryRequest) { a.Timeout = -1 }, ErrInvalid},
+		"no parts":          {func(a *QueryRequest) { a.Parts = nil }, ErrInvalid},
+		"unknown shard":     {func(a *QueryRequest) { a.Parts = []PartRequest{{12, 1}} }, ErrInvalid},
+		"negative shard":    {func(a *QueryRequest) { a.Parts = []PartRequest{{-1, 1}} }, ErrInvalid},
+		"shard named twice": {func(a *QueryRequest) { a.Parts = []PartRequest{{1, 1}, {1, 1}} }, ErrInvalid},
+		"zero weight":       {func(a *QueryRequest) { a.Parts = []PartRequest{{1, 0}} }, ErrInvalid},
+		"NaN weight":        {func(a *QueryRequest) { a.Parts = []PartRequest{{1, math.NaN()}} }, ErrInvalid},
+		"weight below 0":    {func(a *QueryRequest) { a.Parts = []PartRequest{{1, 1}, {2, -0.5}, {3, 0.5}} }, ErrInvalid},
+		"weight above 1":    {func(a *QueryRequest) { a.Parts = []PartRequest{{1, 1.5}} }, ErrInvalid},
+		"sum below 1":       {func(a *QueryRequest) { a.Parts = []PartRequest{{1, 0.4}, {2, 0.5}} }, ErrInvalid},
+		"sum above 1":       {func(a *QueryRequest) { a.Parts = []PartRequest{{1, 0.5}, {2, 0.51}} }, ErrInvalid},
 	} {
-		a := good
-		c.modify(&a)
-		if _, err := h.Take(h.at, a, h); !errors.Is(err, c.want) {
-			t.Errorf("%s: got %v", name, err)
+		request := valid
+		c.modify(&request)
+		if _, err := h.Take(h.at, request, h); !errors.Is(err, c.want) {
+			t.Errorf("%s: got %v, want %v", name, err, c.want)
 		}
 	}
-	if _, err := h.Take(h.at, good, h); err != nil {
+	if _, err := h.Take(h.at, valid, h); err != nil {
 		t.Errorf("valid query: %v", err)
 	}
 }
@@ -223,7 +223,7 @@
 		h.submit("search", "t", 0)
 		h.advance(5*ms, eiderwinch.Send{Part: 2, Replica: "a", TimeOut: 50 * ms})
 		a := h.calls[0][0]
-		h.submit("search", "u", 0) // causes a turn in which to cancel
+		h.submit("search", "u", 0) // causes a turn, which can then cancel the attempt
 		c.end(h, a)
 		h.Result(h.at, a, eiderwinch.OK, 1, "late") // later results are dropped
 		h.ConnectionBroken(h.at, a)
@@ -318,7 +318,7 @@
 	h.checkEqual("ready again", h.notReady("a"), false)
 }
 
-// Searchers are replaced all day by new ones with new IDs, so entries that stay would pile up.
+// Searchers keep being replaced by new ones with new IDs, so entries that are never deleted would accumulate.
 func TestRemovedSearchersAreForgotten(t *testing.T) {
 	h := newHarness(t)
 	for i := range 100 {
@@ -338,7 +338,7 @@
 	h.advance(309 * ms)
 	h.checkEqual("replies before two ticks after the deadline", len(h.replies), 0)
 	h.advance(1 * ms)
-	h.checkEqual("then", h.replies, []Reply{{Kind: Failed, Overdue: true}})
+	h.checkEqual("replies two ticks after the deadline", h.replies, []Reply{{Kind: Failed, Overdue: true}})
 	h.advance(time.Second, eiderwinch.Answer{Query: 1})
 	h.checkEqual("replies in total", len(h.replies), 1)
 	h.checkEqual("records left", []int{h.openCount, len(h.parts), len(h.queries), len(h.queriesByTrace)}, []int{0, 0, 0, 0})
@@ -376,15 +376,15 @@
 func TestAnswersMatchReceivedParts(t *testing.T) {
 	for name, c := range map[string]struct {
 		class string
-		in    int // of two parts
+		in    int // number of answered parts, of two
 		whole bool
 		want  Reply
 	}{
 		"whole":              {"search", 2, true, Reply{Whole: true, Values: []ShardValue{{0, "v0"}, {1, "v1"}}}},
 		"one missing":        {"search", 1, true, Reply{Kind: Failed}},
-		"none in":            {"half", 0, false, Reply{Kind: Failed}},
+		"none answered":      {"half", 0, false, Reply{Kind: Failed}},
 		"half":               {"half", 1, false, Reply{Values: []ShardValue{{0, "v0"}}}},
-		"half, called whole": {"half", 1, true, Reply{Values: []ShardValue{{0, "v0"}}}},
+		"half, marked whole": {"half", 1, true, Reply{Values: []ShardValue{{0, "v0"}}}},
 	} {
 		h := newHarness(t)
 		h.submit(c.class, "t", 0, 1)
--- a/internal/gatherer/epoch_test.go
+++ b/internal/gatherer/epoch_test.go
@@ -70,8 +70,8 @@
 	h.checkEqual("the old query's holders", []any{h.queryParts()[1].Shard, h.queryParts()[1].Holders}, []any{1, []string{"a", "b"}})
 	h.checkEqual("the new query's parts", []any{h.queryParts()[3].Shard, h.queryParts()[3].Holders, h.queryParts()[4].Shard, h.queryParts()[4].Holders, h.queryParts()[4].Weight},
 		[]any{int(successors[0]), []string{"c"}, int(successors[1]), []string{"d"}, 0.375})
-	// An attempt of the old query breaks. A further one may go only to a holder in the query's
-	// epoch, though newer epochs are in force.
+	// The connection of an attempt of the old query breaks. A retry may go only to a holder in
+	// the query's epoch, although newer epochs are in force.
 	h.ConnectionBroken(h.at, h.calls[0][1])
 	h.checkEqual("oldest epoch in use", h.OldestEpoch(), first.Epoch())
 	h.Adopt(retired)
@@ -86,7 +86,7 @@
 	h.checkEqual("epochs with open queries", len(h.openByEpoch), 0)
 }
 
-// A second step asks the segments answered in the first, at the searchers that hold them in the query's epoch.
+// A second step queries segments that were answered in the first, at the searchers that hold them in the query's epoch.
 func TestSecondStepStaysInItsEpoch(t *testing.T) {
 	first, _, cutOver, _, _ := splitLayouts(t)
 	h := newHarnessWithLayout(t, first)
@@ -138,10 +138,10 @@
 	if _, err := h.Take(h.at, request, h); err != nil {
 		t.Errorf("the same query with a known epoch: %v", err)
 	}
-	for _, bad := range []int{-1, 99, 1 << 40} {
-		_, err := h.Take(h.at, QueryRequest{Trace: "u", Class: "search", Parts: []PartRequest{{bad, 1}}}, h)
+	for _, unknown := range []int{-1, 99, 1 << 40} {
+		_, err := h.Take(h.at, QueryRequest{Trace: "u", Class: "search", Parts: []PartRequest{{unknown, 1}}}, h)
 		if !errors.Is(err, ErrInvalid) || !errors.Is(err, layout.ErrNoSegment) {
-			t.Errorf("segment %d: %v", bad, err)
+			t.Errorf("segment %d: %v", unknown, err)
 		}
 	}
 	h.checkEqual("counted", []int{h.stats.UnknownEpochs, h.stats.EpochsIgnored, h.stats.Epochs}, []int{1, 4, 2})
--- a/internal/gatherer/intake.go
+++ b/internal/gatherer/intake.go
@@ -19,7 +19,7 @@
 	Key     string        // idempotency key; required in keyed classes
 	About   string        // what the query is about; may be empty
 	Timeout time.Duration // how long the client waits; 0 means the deadline of the class
-	Waited  time.Duration // time since its last byte arrived, spent behind another request of its connection
+	Waited  time.Duration // time since its last byte arrived, in which it waited for another request on its connection
 	Repeat  bool          // marked as a repeat by the client
 	Tenant  string
 	Text    string       // query text, sent with every part
@@ -33,7 +33,7 @@
 	Weight float64
 }
 
-// Errors that Core.Take returns for a query that it does not take; see also ErrUnknownEpoch.
+// Errors that Core.Take returns for a query that it does not accept; see also ErrUnknownEpoch.
 var (
 	ErrInvalid      = errors.New("malformed query")
 	ErrUnknownClass = errors.New("unknown class")
@@ -43,9 +43,9 @@
 // maxWeightError is how far the sum of the weights may be from 1, however many parts there are.
 const maxWeightError = 0.01
 
-// Take takes in a query whose last byte arrived request.Waited before now, and returns its ID.
-// If the query is over a limit on open queries, Take refuses it by client.Reply and returns 0.
-// If it returns an error, the query was not taken and the caller must answer the client.
+// Take accepts a query whose last byte arrived request.Waited before now, and returns its ID.
+// If the query exceeds a limit on open queries, Take refuses it by client.Reply and returns 0.
+// If it returns an error, the query was not accepted and the caller must answer the client.
 func (c *Core) Take(now time.Time, request QueryRequest, client Client) (uint64, error) {
 	class, err := c.validate(request)
 	if err != nil {
@@ -114,11 +114,11 @@
 		case seen[p.Shard]:
 			return 0, fmt.Errorf("%w: shard %d appears twice", ErrInvalid, p.Shard)
 		case !(p.Weight >= 0 && p.Weight <= 1):
-			return 0, fmt.Errorf("%w: shard %d has weight %v", ErrInvalid, p.Shard, p.Weight)
+			return 0, fmt.Errorf("%w: shard %d has weight %v, want 0 to 1", ErrInvalid, p.Shard, p.Weight)
 		}
 		seen[p.Shard] = true
 	}
-	// Clients round weights to three decimal places at worst. A larger error is a mistake of the client.
+	// Clients round weights to at least three decimal places. A larger error is a mistake of the client.
 	if rounding := 0.0005 * float64(len(request.Parts)); math.Abs(sum-1) > min(rounding, maxWeightError)+weightTolerance {
 		return 0, fmt.Errorf("%w: weights add up to %v, want 1", ErrInvalid, sum)
 	}
@@ -156,10 +156,10 @@
 	Started time.Time // zero means long ago
 }
 
-// UpdateMembers takes in the member list, or changes to it, received at now. A complete list
+// UpdateMembers applies the member list, or changes to it, received at now. A complete list
 // without any searcher is ignored if some are known: a discovery service that has lost
-// its state sends one to all gatherers at once, and none could serve. Any other list
-// counts: a searcher that it leaves out is removed.
+// its state sends one to all gatherers at once, and none could serve. Any other complete
+// list is applied: a searcher that it omits is removed.
 func (c *Core) UpdateMembers(now time.Time, kind eiderwinch.ListKind, list []Member) {
 	c.stats.Updates++
 	if len(list) == 0 && len(c.members) > 0 && (kind == eiderwinch.Whole || kind == eiderwinch.Stale) {
@@ -200,9 +200,9 @@
 }
 
 // ConfirmMembers confirms the member list that the gatherer started with, because discovery has reported
-// no changes to it or stays silent. Until then each ready searcher in it counts as started at this
-// gatherer's own start: the list does not show starts since it was made, and this gatherer counts as
-// notified of those from its first moment on.
+// no changes to it or does not answer. Until then each ready searcher in it counts as started when the list
+// was received: the list does not show starts since it was made, and this gatherer counts as notified of
+// those from its own start on.
 func (c *Core) ConfirmMembers(now time.Time) {
 	if len(c.unconfirmed) > 0 {
 		c.addEvent(now, eiderwinch.ListChange{Kind: eiderwinch.Changes, Replicas: c.unconfirmed})
--- a/internal/gatherer/live_settings_test.go
+++ b/internal/gatherer/live_settings_test.go
@@ -19,8 +19,8 @@
 	return &LiveSettings{Generation: generation, MaxOpen: 20, Classes: []ClassLimits{limits, {}, {}, {}}}
 }
 
-// A query keeps the settings in force when it was taken, whichever are put in force
-// while it is open.
+// A query keeps the settings that were in force when it was taken, whichever settings are
+// put in force while it is open.
 func TestEachQueryKeepsItsGeneration(t *testing.T) {
 	h := newHarness(t)
 	h.Apply(searchLimits(1, ClassLimits{MaxDuration: 200 * ms, Attempts: 1}))
@@ -46,7 +46,7 @@
 	for _, x := range h.replies {
 		generations = append(generations, x.Generation)
 	}
-	h.checkEqual("answers", generations, []uint64{2, 1})
+	h.checkEqual("generations of the answers", generations, []uint64{2, 1})
 	h.checkEqual("generations", h.Generations(), []uint64{2})
 }
 
@@ -125,16 +125,16 @@
 // BenchmarkQuery measures a query's path through the core, first with plain settings, then with
 // settings that can change at run time and recorded outcomes.
 func BenchmarkQuery(b *testing.B) {
-	set := Settings{Tick: 5 * ms, MaxOpen: 1000, Module: eiderwinch.Settings{
+	plain := Settings{Tick: 5 * ms, MaxOpen: 1000, Module: eiderwinch.Settings{
 		Shards: 12, MaxBatch: 4, Classes: []eiderwinch.Class{{Name: "search", Deadline: time.Second, WholeShare: 1, MinShare: 1}},
 	}}
-	with := set
-	with.LiveSettings = &LiveSettings{Generation: 7, MaxOpen: 1000, Classes: []ClassLimits{{MaxDuration: 900 * ms, Attempts: 3, MaxOpen: 500}}}
-	with.Service = querystats.New([]string{"search"})
+	live := plain
+	live.LiveSettings = &LiveSettings{Generation: 7, MaxOpen: 1000, Classes: []ClassLimits{{MaxDuration: 900 * ms, Attempts: 3, MaxOpen: 500}}}
+	live.Service = querystats.New([]string{"search"})
 	for _, c := range []struct {
 		name string
 		set  Settings
-	}{{"plain", set}, {"live", with}} {
+	}{{"plain", plain}, {"live", live}} {
 		b.Run(c.name, func(b *testing.B) {
 			e := &echo{parts: make(map[uint64][]eiderwinch.Part)}
 			at := time.Unix(1_000_000, 0)
--- a/internal/gatherer/records.go
+++ b/internal/gatherer/records.go
@@ -24,7 +24,7 @@
 	parts         []*part        // of the current step
 
 	sent            bool      // an attempt of a part was started
-	disconnected    bool      // the client was found disconnected
+	disconnected    bool      // the client was found to have disconnected
 	clientCheckedAt time.Time // time of the turn in which the client was last checked
 	secondStep      bool      // the second step has begun
 	firstStepShards []int
@@ -55,7 +55,7 @@
 	weight         float64
 	secondStep     bool
 	attempts       int        // number of attempts so far, including sends that were rejected
-	inFlight       []*Attempt // at most one, or two where second copies are allowed
+	inFlight       []*Attempt // at most one, or maxInFlight where second copies are allowed
 	removed        bool       // the step or query has ended; results are ignored
 	firstDecidedAt time.Time  // time of the turn that started the first attempt
 	mayHaveRun     bool       // an attempt that has ended may have been executed
@@ -87,7 +87,7 @@
 		backstop = c.endBy
 	}
 	if turn := now.Add(2 * c.settings.Tick); backstop.Before(turn) {
-		backstop = turn // the deadline is this close or past: still leave the aggregator a turn to end the query
+		backstop = turn // even with little or no time left, the aggregator gets a turn to end the query
 	}
 	c.backstops.Set(&q.backstopTimer, backstop)
 	c.openByEpoch[q.epoch()]++
@@ -162,9 +162,9 @@
 	startedAt     time.Time // the same on the monotonic clock, see startTimes; zero means long ago
 }
 
-// setMember records a searcher's state. A removed searcher is deleted: notReady holds
-// for unknown searchers too, and since new searchers with new IDs keep coming, entries
-// that stay would pile up.
+// setMember records a searcher's state. A removed searcher is deleted: an unknown searcher
+// counts as not ready anyway, and because new searchers have new IDs, entries that are never
+// deleted would accumulate.
 func (c *Core) setMember(id string, state eiderwinch.State, reported, started time.Time) {
 	if state == eiderwinch.Removed {
 		delete(c.members, id)
@@ -175,8 +175,8 @@
 
 // notReady reports whether nothing may be sent to a searcher, because it is not in the
 // member list or is draining. The drain grace may have begun long before the update
-// arrived here, so nothing more is sent once the update is read; the grace is left to
-// what is late.
+// arrived here, so nothing more is sent once the update is read; the grace only covers
+// what was sent before that.
 func (c *Core) notReady(id string) bool { return !c.Ready(id) }
 
 // Ready reports whether a searcher is in the member list and takes new work.
--- a/internal/gatherer/start_times.go
+++ b/internal/gatherer/start_times.go
@@ -4,24 +4,24 @@
 
 const (
 	// minClockStep is the least change of the wall clock relative to the monotonic clock that counts as a step.
-	// Slewing changes it by far less between two updates of the member list.
+	// Slewing shifts it by far less between two updates of the member list.
 	minClockStep = 200 * time.Millisecond
 	// maxListDelay bounds the time from a searcher's start until discovery reports it.
 	maxListDelay = 10 * time.Second
 )
 
 // startTimes converts the start times of searchers, which are reported as Unix times, to the monotonic clock.
-// The wall clock may be stepped while the process runs; how long ago a start was can then not be derived from its Unix time.
+// If the wall clock is stepped while the process runs, the Unix time of a start no longer shows how long ago it was.
 type startTimes struct {
-	wallClock func(now time.Time) time.Time // returns the wall clock's reading at now
-	origin    time.Time
-	drift     time.Duration // of the wall clock relative to the monotonic clock since origin
-	steppedAt time.Time     // when the last step was detected; zero if none was
-	coldFor   time.Duration
+	wallClock    func(now time.Time) time.Time // returns the wall clock's reading at now
+	origin       time.Time
+	drift        time.Duration // of the wall clock relative to the monotonic clock since origin
+	steppedAt    time.Time     // when the last step was detected; zero if none was
+	coldDuration time.Duration
 }
 
-func newStartTimes(origin time.Time, coldFor time.Duration) startTimes {
-	return startTimes{wallClock: func(now time.Time) time.Time { return now.Round(0) }, origin: origin, coldFor: coldFor}
+func newStartTimes(origin time.Time, coldDuration time.Duration) startTimes {
+	return startTimes{wallClock: func(now time.Time) time.Time { return now.Round(0) }, origin: origin, coldDuration: coldDuration}
 }
 
 // detectClockStep records whether the wall clock was stepped since the last call.
@@ -43,7 +43,7 @@
 		return time.Time{}
 	case reported.Equal(known.reportedStart):
 		return known.startedAt
-	case !s.steppedAt.IsZero() && now.Sub(s.steppedAt) < s.coldFor+maxListDelay:
+	case !s.steppedAt.IsZero() && now.Sub(s.steppedAt) < s.coldDuration+maxListDelay:
 		return now
 	}
 	since := reported.Sub(s.wallClock(s.origin))
