--- a/internal/limit/list.go
+++ b/internal/limit/list.go
@@ -4,7 +4,7 @@
 
 // list is a doubly linked list of entries, in the order in which they were added.
 // All its operations take constant time and none allocates: an entry carries its
-// own links, one pair for each of the two lists it may be on.
+// own links, one pair for each kind of list.
 type list[T any] struct {
 	kind        int // stageList or timeoutList: index into Entry.links
 	first, last *Entry[T]
@@ -17,21 +17,22 @@
 	prev, next *Entry[T]
 }
 
-func (l *list[T]) add(s *Entry[T]) {
-	k := &s.links[l.kind]
+// add appends an entry to the list.
+func (l *list[T]) add(e *Entry[T]) {
+	k := &e.links[l.kind]
 	*k = links[T]{list: l, prev: l.last}
 	if l.last == nil {
-		l.first = s
+		l.first = e
 	} else {
-		l.last.links[l.kind].next = s
+		l.last.links[l.kind].next = e
 	}
-	l.last = s
+	l.last = e
 	l.size++
 }
 
 // unlink removes an entry from the list of the given kind that it is on, if any.
-func (s *Entry[T]) unlink(kind int) {
-	k := s.links[kind]
+func (e *Entry[T]) unlink(kind int) {
+	k := e.links[kind]
 	l := k.list
 	if l == nil {
 		return
@@ -47,7 +48,7 @@
 		k.next.links[kind].prev = k.prev
 	}
 	l.size--
-	s.links[kind] = links[T]{}
+	e.links[kind] = links[T]{}
 }
 
 // due returns the time at which the first entry has been on the list for d; zero
--- a/internal/limit/table.go
+++ b/internal/limit/table.go
@@ -5,20 +5,20 @@
 // the number of connections.
 //
 // Closing a connection between requests races with a request that the client
-// may already have sent. So the table works in three steps, and only the last
-// can affect a client that did nothing wrong:
+// may already have sent. So the table frees connections in three ways, of which
+// only the last can affect a client that behaves normally:
 //
 //  1. ShouldClose. Before each answer the caller asks ShouldClose whether the connection
-//     should end with it. If Bounds.Soft or more connections are idle, each one
-//     ends that has carried one request only; if Bounds.Firm or more are idle,
-//     each one ends. The client reads "Connection: close" together with its
+//     should end with it. If Bounds.Soft or more connections are idle, a connection
+//     ends if this is its first answer; if Bounds.Firm or more are idle, every
+//     connection ends. The client reads "Connection: close" together with its
 //     answer (RFC 9112, section 9.6), so there is no race.
 //  2. SurplusIdle. While Bounds.Soft or more connections are idle, those idle for
 //     Bounds.IdleGrace or longer are closed, the longest idle first. Otherwise
 //     clients that send one request and keep the connection open would take
 //     the room of those that send more.
-//  3. Evict. When Bounds.Hard connections are open, each new one makes another
-//     one close, see Rank.
+//  3. Victim. While Bounds.Hard connections are open, each new one causes one
+//     connection to be closed, see Rank.
 package limit
 
 import "time"
@@ -58,7 +58,7 @@
 // evicted only after all idle ones, whose clients can resend a request that
 // was lost when the connection closed.
 const (
-	RankClosing          Rank = iota // being closed already
+	RankClosing          Rank = iota // in stage Closing
 	RankSilent                       // silent for Bounds.SilentGrace or longer
 	RankIdleOnce                     // idle for Bounds.IdleGrace or longer, one request answered
 	RankIdleReused                   // idle for Bounds.IdleGrace or longer, several answered
@@ -82,9 +82,9 @@
 
 // Bounds are the limits that a Table enforces.
 type Bounds struct {
-	Soft int // idle connections at which those on their first request end with its answer; at least 1
-	Firm int // idle connections at which all end with their next answer; at least Soft
-	Hard int // connections in total; at least 1
+	Soft int // number of idle connections from which connections end with their first answer; at least 1
+	Firm int // number of idle connections from which all connections end with their next answer; at least Soft
+	Hard int // most connections in total; at least 1
 
 	SilentGrace    time.Duration // see RankSilent
 	IdleGrace      time.Duration // idle time that clients may rely on, see RankIdleOnce
@@ -102,7 +102,7 @@
 	hardShare = 5. / 8 // the pool of searcher connections may always take a quarter, and up to half if clients leave it free
 
 	silentGrace    = 500 * time.Millisecond // normal clients send a request right after connecting
-	keptFor        = 2 * time.Second        // the platform allows an idle connection to be closed after this time
+	idleGrace      = 2 * time.Second        // the platform allows an idle connection to be closed after this time
 	requestTimeout = 2 * time.Second        // a malformed request must be answered within 3 s
 	closeTimeout   = 2 * time.Second        // a longer one, such as a minute, would let clients hold descriptors unused
 )
@@ -113,7 +113,7 @@
 	return Bounds{
 		Soft: max(descriptors/softShare, 1), Firm: max(descriptors/firmShare, 1),
 		Hard:        max(int(float64(descriptors)*hardShare), 1),
-		SilentGrace: silentGrace, IdleGrace: keptFor, RequestTimeout: requestTimeout, CloseTimeout: closeTimeout,
+		SilentGrace: silentGrace, IdleGrace: idleGrace, RequestTimeout: requestTimeout, CloseTimeout: closeTimeout,
 	}
 }
 
@@ -128,18 +128,18 @@
 }
 
 // Stage returns the connection's stage.
-func (s *Entry[T]) Stage() Stage { return s.stage }
+func (e *Entry[T]) Stage() Stage { return e.stage }
 
 // Answered returns the number of requests answered on the connection.
-func (s *Entry[T]) Answered() int { return s.answered }
+func (e *Entry[T]) Answered() int { return e.answered }
 
 // Since returns the time at which the connection entered its stage.
-func (s *Entry[T]) Since() time.Time { return s.joined[stageList] }
+func (e *Entry[T]) Since() time.Time { return e.joined[stageList] }
 
 // InTable reports whether the entry is in a table.
-func (s *Entry[T]) InTable() bool { return s.links[stageList].list != nil }
+func (e *Entry[T]) InTable() bool { return e.links[stageList].list != nil }
 
-// The kinds of lists that an entry can be on, at most one of each.
+// The kinds of lists. An entry can be on one list of each kind.
 const (
 	stageList   = iota // of a stage, in the order in which it was entered
 	timeoutList        // of a timeout, in the order in which it expires
@@ -149,14 +149,14 @@
 type Table[T any] struct {
 	bounds   Bounds
 	held     int
-	lists    [numStages]list[T] // by stage; that of Idle has only those with several requests answered
-	idleOnce list[T]            // Idle ones with one request answered
-
-	// A timeout is the same for all entries on its list, so the entry that was added
-	// first expires first and no heap is needed.
-	firstRequests   list[T] // to receive a first request, since connecting
-	furtherRequests list[T] // to receive another request, since its first byte
-	ending          list[T] // for the client to close, since the connection became Closing
+	lists    [numStages]list[T] // by stage; that of Idle has only connections with several requests answered
+	idleOnce list[T]            // connections in stage Idle with one request answered
+
+	// All entries on one of these lists have the same timeout, so the entry that was
+	// added first expires first and no heap is needed.
+	firstRequests list[T] // to receive a first request, since connecting
+	nextRequests  list[T] // to receive another request, since its first byte
+	closing       list[T] // for the client to close, since the connection became Closing
 }
 
 // New returns an empty Table with the given bounds.
@@ -166,7 +166,7 @@
 		t.lists[i].kind = stageList
 	}
 	t.idleOnce.kind = stageList
-	t.firstRequests.kind, t.furtherRequests.kind, t.ending.kind = timeoutList, timeoutList, timeoutList
+	t.firstRequests.kind, t.nextRequests.kind, t.closing.kind = timeoutList, timeoutList, timeoutList
 	return t
 }
 
@@ -197,50 +197,50 @@
 }
 
 // Add adds a connection that has just been accepted.
-func (t *Table[T]) Add(now time.Time, s *Entry[T]) {
+func (t *Table[T]) Add(now time.Time, e *Entry[T]) {
 	t.held++
-	s.answered = 0
-	t.move(now, s, Silent)
+	e.answered = 0
+	t.move(now, e, Silent)
 }
 
 // Remove removes a connection that is closed. Further calls do nothing.
-func (t *Table[T]) Remove(s *Entry[T]) {
-	if !s.InTable() {
+func (t *Table[T]) Remove(e *Entry[T]) {
+	if !e.InTable() {
 		return
 	}
 	t.held--
-	s.unlink(stageList)
-	s.unlink(timeoutList)
+	e.unlink(stageList)
+	e.unlink(timeoutList)
 }
 
 // SetStage sets the stage of a connection. A move to the stage it is already in does
 // nothing: the time in the stage counts from the first move.
-func (t *Table[T]) SetStage(now time.Time, s *Entry[T], to Stage) {
-	if s.InTable() && s.stage != to {
-		t.move(now, s, to)
+func (t *Table[T]) SetStage(now time.Time, e *Entry[T], to Stage) {
+	if e.InTable() && e.stage != to {
+		t.move(now, e, to)
 	}
 }
 
-func (t *Table[T]) move(now time.Time, s *Entry[T], to Stage) {
-	from := s.stage
-	s.unlink(stageList)
+func (t *Table[T]) move(now time.Time, e *Entry[T], to Stage) {
+	from := e.stage
+	e.unlink(stageList)
 	if to == Idle && from == Busy {
-		s.answered++
+		e.answered++
 	}
-	s.stage, s.joined[stageList] = to, now
-	if to == Idle && s.answered <= 1 {
-		t.idleOnce.add(s)
+	e.stage, e.joined[stageList] = to, now
+	if to == Idle && e.answered <= 1 {
+		t.idleOnce.add(e)
 	} else {
-		t.lists[to].add(s)
+		t.lists[to].add(e)
 	}
 	timeouts := t.timeoutsOf(to)
-	if timeouts != nil && s.links[timeoutList].list == timeouts {
+	if timeouts != nil && e.links[timeoutList].list == timeouts {
 		return // the timeout of a first request runs from connecting
 	}
-	s.unlink(timeoutList)
+	e.unlink(timeoutList)
 	if timeouts != nil {
-		s.joined[timeoutList] = now
-		timeouts.add(s)
+		e.joined[timeoutList] = now
+		timeouts.add(e)
 	}
 }
 
@@ -251,18 +251,18 @@
 	case Silent, FirstRequest:
 		return &t.firstRequests
 	case NextRequest:
-		return &t.furtherRequests
+		return &t.nextRequests
 	case Closing:
-		return &t.ending
+		return &t.closing
 	}
 	return nil
 }
 
 // ShouldClose reports whether a connection should end with the answer that is about
 // to be sent on it.
-func (t *Table[T]) ShouldClose(s *Entry[T]) bool {
+func (t *Table[T]) ShouldClose(e *Entry[T]) bool {
 	idle := t.idle()
-	return idle >= t.bounds.Firm || idle >= t.bounds.Soft && s.answered == 0
+	return idle >= t.bounds.Firm || idle >= t.bounds.Soft && e.answered == 0
 }
 
 // Overdue returns a connection whose timeout has expired, or nil. The caller
@@ -277,7 +277,7 @@
 }
 
 // Due returns the time from which Overdue or SurplusIdle returns a connection; zero if
-// no connection has a timeout or is to be trimmed.
+// no connection has a timeout or may have to be closed as surplus.
 func (t *Table[T]) Due() time.Time {
 	var due time.Time
 	consider := func(at time.Time) {
@@ -304,8 +304,8 @@
 func (t *Table[T]) timeouts() [3]timedList[T] {
 	return [3]timedList[T]{
 		{&t.firstRequests, t.bounds.RequestTimeout},
-		{&t.furtherRequests, t.bounds.RequestTimeout},
-		{&t.ending, t.bounds.CloseTimeout},
+		{&t.nextRequests, t.bounds.RequestTimeout},
+		{&t.closing, t.bounds.CloseTimeout},
 	}
 }
 
@@ -327,8 +327,8 @@
 // OverLimit reports whether the table holds more connections than Bounds.Hard.
 func (t *Table[T]) OverLimit() bool { return t.held > t.bounds.Hard }
 
-// maxCandidates is the number of connections of one rank that Victim considers:
-// each call of skip costs a system call.
+// maxCandidates is the most connections of one rank that Victim considers: each
+// call of skip costs a system call.
 const maxCandidates = 4
 
 // Victim chooses the connection to evict for newest, and returns its rank. skip
@@ -339,18 +339,18 @@
 func (t *Table[T]) Victim(now time.Time, newest *Entry[T], skip func(*Entry[T]) bool) (*Entry[T], Rank) {
 	for r := RankClosing; r < RankNewest; r++ {
 		l, minAge := t.candidates(r)
-		s := l.first
+		e := l.first
 		for range maxCandidates {
-			if s == nil {
+			if e == nil {
 				break
 			}
-			if now.Sub(s.joined[stageList]) < minAge {
+			if now.Sub(e.joined[stageList]) < minAge {
 				break // those after it are younger still
 			}
-			if s != newest && (r == RankClosing || !skip(s)) {
-				return s, r
+			if e != newest && (r == RankClosing || !skip(e)) {
+				return e, r
 			}
-			s = s.links[stageList].next
+			e = e.links[stageList].next
 		}
 	}
 	return newest, RankNewest
--- a/internal/limit/table_test.go
+++ b/internal/limit/table_test.go
@@ -17,11 +17,11 @@
 
 // modelConn is a connection as the reference model knows it.
 type modelConn struct {
-	entry          *Entry[int]
-	stage          Stage
-	answered       int
-	opened, since  time.Time
-	begun, endedAt time.Time // when the further request began; when the stage became Closing
+	entry                        *Entry[int]
+	stage                        Stage
+	answered                     int
+	opened, since                time.Time
+	requestBegunAt, closingSince time.Time // when the further request began; when the stage became Closing
 }
 
 // model drives a table and is its reference: it applies the same rules by a linear
@@ -101,9 +101,9 @@
 	p.stage, p.since = to, m.now
 	switch to {
 	case NextRequest:
-		p.begun = m.now
+		p.requestBegunAt = m.now
 	case Closing:
-		p.endedAt = m.now
+		p.closingSince = m.now
 	}
 	m.conns = append(slices.DeleteFunc(m.conns, func(x *modelConn) bool { return x == p }), p)
 }
@@ -113,9 +113,9 @@
 	case Silent, FirstRequest:
 		return m.now.Sub(p.opened) >= m.bounds.RequestTimeout
 	case NextRequest:
-		return m.now.Sub(p.begun) >= m.bounds.RequestTimeout
+		return m.now.Sub(p.requestBegunAt) >= m.bounds.RequestTimeout
 	case Closing:
-		return m.now.Sub(p.endedAt) >= m.bounds.CloseTimeout
+		return m.now.Sub(p.closingSince) >= m.bounds.CloseTimeout
 	}
 	return false
 }
@@ -134,7 +134,8 @@
 	Closing:      {Closing},
 }
 
-// Random connections and moves: the table decides as the linear search of the model does.
+// TestTableMatchesReferenceModel makes random moves of random connections and checks that the table decides as the
+// linear search of the model does.
 func TestTableMatchesReferenceModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b := Bounds{
@@ -164,7 +165,7 @@
 				want, rank := m.victim(newest)
 				have, got := m.table.Victim(m.now, newest.entry, func(*Entry[int]) bool { return false })
 				if have != want.entry || got != rank {
-					t.Fatalf("Victim returned %d (%v), want %d (%v)", have.Owner, got, want.entry.Owner, rank)
+					t.Fatalf("Victim returned connection %d (%v), want %d (%v)", have.Owner, got, want.entry.Owner, rank)
 				}
 				m.leave(want)
 			},
@@ -177,22 +178,22 @@
 				for s := m.table.Overdue(m.now); s != nil; s = m.table.Overdue(m.now) {
 					i := slices.IndexFunc(m.conns, func(p *modelConn) bool { return p.entry == s })
 					if !m.overdue(m.conns[i]) {
-						t.Fatalf("%d is not overdue", s.Owner)
+						t.Fatalf("Overdue returned connection %d, which is not overdue", s.Owner)
 					}
 					m.leave(m.conns[i])
 				}
 				if i := slices.IndexFunc(m.conns, m.overdue); i >= 0 {
-					t.Fatalf("%d is overdue and Overdue did not return it", m.conns[i].entry.Owner)
+					t.Fatalf("Overdue did not return connection %d, which is overdue", m.conns[i].entry.Owner)
 				}
 				for s := m.table.SurplusIdle(m.now); s != nil; s = m.table.SurplusIdle(m.now) {
 					i := slices.IndexFunc(m.conns, func(p *modelConn) bool { return p.entry == s })
 					if !m.surplus(m.conns[i]) {
-						t.Fatalf("SurplusIdle returned %d, which need not be closed", s.Owner)
+						t.Fatalf("SurplusIdle returned connection %d, which need not be closed", s.Owner)
 					}
 					m.move(m.conns[i], Closing)
 				}
 				if i := slices.IndexFunc(m.conns, m.surplus); i >= 0 {
-					t.Fatalf("SurplusIdle did not return %d, which is to be closed", m.conns[i].entry.Owner)
+					t.Fatalf("SurplusIdle did not return connection %d, which is to be closed", m.conns[i].entry.Owner)
 				}
 				if due := m.table.Due(); !due.IsZero() && !due.After(m.now) {
 					t.Fatalf("Due is %v, which is in the past", due)
@@ -203,12 +204,13 @@
 				for _, p := range m.conns {
 					counts[p.stage]++
 					if p.entry.Stage() != p.stage || p.entry.Answered() != p.answered || !p.entry.InTable() {
-						t.Fatalf("entry %d has stage %v, %d requests answered", p.entry.Owner, p.entry.Stage(), p.entry.Answered())
+						t.Fatalf("connection %d is %v with %d requests answered, in the table: %v; want %v with %d, in the table",
+							p.entry.Owner, p.entry.Stage(), p.entry.Answered(), p.entry.InTable(), p.stage, p.answered)
 					}
 					idle := m.idle()
 					shouldClose := idle >= b.Firm || idle >= b.Soft && p.answered == 0
 					if m.table.ShouldClose(p.entry) != shouldClose {
-						t.Fatalf("ShouldClose of %d is %v with %d idle", p.entry.Owner, !shouldClose, idle)
+						t.Fatalf("ShouldClose of connection %d is %v with %d idle, want %v", p.entry.Owner, !shouldClose, idle, shouldClose)
 					}
 				}
 				for s := range numStages {
@@ -224,8 +226,8 @@
 	})
 }
 
-// newModelOfRanks returns a model with one connection of each rank but
-// RankNewest, the oldest first, and one that is Busy.
+// newModelOfRanks returns a model with one connection of each rank except
+// RankNewest, and a Busy one, and the connections by rank.
 func newModelOfRanks(t *testing.T) (*model, map[Rank]*modelConn) {
 	t.Helper()
 	m := &model{bounds: Defaults(1024), now: start}
@@ -296,7 +298,7 @@
 	calls := 0
 	m.table.Victim(m.now, newest.entry, func(*Entry[int]) bool { calls++; return true })
 	if calls > int(NumRanks)*maxCandidates {
-		t.Errorf("%d connections were considered", calls)
+		t.Errorf("%d connections were considered, want at most %d", calls, int(NumRanks)*maxCandidates)
 	}
 }
 
@@ -305,7 +307,7 @@
 		b := Defaults(descriptors)
 		third := max(descriptors/3, 1)
 		if b.Soft < 1 || b.Firm < b.Soft || b.Hard < 1 || b.Firm > third || b.Hard > max(descriptors*3/4, 1) {
-			t.Errorf("%d descriptors: %+v", descriptors, b)
+			t.Errorf("%d descriptors: %+v, want 1 <= Soft <= Firm <= a third and 1 <= Hard <= three quarters", descriptors, b)
 		}
 	}
 }
