--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -1,5 +1,5 @@
-// Command simhost runs aggregators for the simulator: one for each instance that is
-// named on its standard input. The instances share no state.
+// Command simhost runs aggregators for the simulator: one for each instance that its
+// standard input names. The instances share no state.
 package main
 
 import (
@@ -18,7 +18,7 @@
 	}
 }
 
-// run reads batches and writes the reply to each until the input ends.
+// run reads batches of inputs and writes the reply to each batch until the input ends.
 func run(input io.Reader, output io.Writer) error {
 	r, w := wire.NewReader(input), wire.NewWriter(output)
 	aggregators := make(map[string]*eiderwinch.Aggregator)
--- a/internal/backoff/backoff.go
+++ b/internal/backoff/backoff.go
@@ -1,9 +1,9 @@
-// Package backoff determines how long to wait before calling a service again that
-// has refused a call or failed. It does no I/O and reads no clock.
+// Package backoff determines how long to wait before a service that has refused a
+// call or failed is called again. It does no I/O and reads no clock.
 //
 // If many clients lose a service at the same time and each waits a fixed time, all
-// of them come back together, again and again: the service's queue fills, every call
-// in it has timed out when its turn comes, and none is served. So waits are drawn at
+// of them retry at the same times: the service's queue fills, every call in it has
+// timed out before it is served, and no client succeeds. So waits are drawn at
 // random from a window that grows with each failure, and the windows grow with the
 // number of clients, because they share the capacity of the service.
 package backoff
@@ -43,9 +43,9 @@
 // eighth of the window and the whole window.
 func (b *Backoff) Next() time.Duration { return b.NextWithin(0) }
 
-// NextWithin is like Next, but returns at most maxWait if that is above 0. The caller
-// has such a bound when the data it asks for counts as known after that time, whether
-// it was received or not.
+// NextWithin is like Next, but returns at most maxWait if that is above 0. It is for
+// callers that count as notified of the requested data after that time, whether they
+// have received it or not.
 func (b *Backoff) NextWithin(maxWait time.Duration) time.Duration {
 	n := time.Duration(b.clients)
 	maxWindow := min(max(n*finalWindowPerClient, minFinalWindow), maxFinalWindow)
--- a/internal/backoff/backoff_test.go
+++ b/internal/backoff/backoff_test.go
@@ -20,7 +20,7 @@
 		for range rapid.IntRange(1, 60).Draw(t, "failures") {
 			wait := a.Next()
 			if wait < minInitialWindow/8 || wait > maxFinalWindow {
-				t.Fatalf("wait of %v is out of bounds", wait)
+				t.Fatalf("wait of %v, want %v to %v", wait, minInitialWindow/8, maxFinalWindow)
 			}
 			if again := b.Next(); again != wait {
 				t.Fatalf("the same seed gives %v and %v", wait, again)
@@ -34,7 +34,7 @@
 }
 
 // A service handles five calls a second, in order, and fails a call that has waited in its
-// queue for 2 s. It loses all its clients at once. Clients with equal waits come back in
+// queue for 2 s. All its clients lose it at once. Clients that wait equal times retry in
 // waves that each fill the queue, so most calls time out; with random waits all clients are
 // served with few calls.
 func TestManyClientsLosingAServiceAtOnceAreServed(t *testing.T) {
@@ -50,10 +50,10 @@
 		last, lastEqual := slices.Max(served), slices.Max(servedEqual)
 		t.Logf("seed %d: all served after %v with %d calls, after %v with %d calls with equal waits", seed, last, calls, lastEqual, callsEqual)
 		if last > 60*time.Second || calls > 4*clients {
-			t.Errorf("seed %d: all served after %v with %d calls", seed, last, calls)
+			t.Errorf("seed %d: all served after %v with %d calls, want at most 60s and %d calls", seed, last, calls, 4*clients)
 		}
 		if callsEqual < calls*3/2 {
-			t.Errorf("seed %d: %d calls with equal waits, %d with random ones: the test proves nothing", seed, callsEqual, calls)
+			t.Errorf("seed %d: %d calls with equal waits, %d with random ones: too few to show that random waits help", seed, callsEqual, calls)
 		}
 	}
 }
@@ -67,15 +67,15 @@
 		next[i] = waits(i)
 		pending.Set(&timerqueue.Timer[int]{Value: i}, start)
 	}
-	free := time.Duration(0) // when the service's queue is empty
+	freeAt := time.Duration(0) // when the service's queue is empty
 	for pending.Len() > 0 {
 		c := pending.Pop(pending.Next())
 		at := c.At().Sub(start)
 		calls++
-		begin := max(free, at)
+		begin := max(freeAt, at)
 		if begin-at <= queueTimeout {
-			free = begin + callTime
-			served = append(served, free)
+			freeAt = begin + callTime
+			served = append(served, freeAt)
 		} else if at < 90*time.Second {
 			pending.Set(c, c.At().Add(queueTimeout+next[c.Value]()))
 		} else {
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -24,7 +24,7 @@
 	Layout       *layout.Layout      // nil: the platform's cells determine which searchers hold which shards
 	LiveSettings *netio.LiveSettings // the settings that can change while the gatherer runs; nil: those of the configuration
 	Record       bool                // record the results of queries, for the admin socket
-	NoShareUntil time.Time           // until when no slots of the fleet's limits may be used; zero: the gatherer's own share may be used from the start
+	NoShareUntil time.Time           // until when no slot of the fleet's limits may be used; zero: the gatherer's own slot may be used from the start
 	ReportEvery  time.Duration       // interval at which the counters are logged; 0 means only on request
 }
 
@@ -54,9 +54,8 @@
 	}, eiderwinch.New(cfg.Settings.Module), counters, log)
 }
 
-// LiveSettings returns the settings that a running gatherer takes from a candidate, as the
-// given generation. Values in c.File.LiveOverrides that are not zero override the limits in
-// c.Config.
+// LiveSettings returns the live settings of a candidate, for the given generation. Values in
+// c.File.LiveOverrides that are not zero override the limits in c.Config.
 func LiveSettings(c *bundle.Candidate, gen change.Generation) netio.LiveSettings {
 	limits, overrides := c.Config.Settings.Limits, c.File.LiveOverrides
 	core := &gatherer.LiveSettings{Generation: uint64(gen), MaxOpen: cmp.Or(overrides.Admission.Open, limits.MaxOpen)}
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -58,7 +58,7 @@
 	}{
 		"the base settings":              {base, "two", time.Minute, 2, served(2), 200, `"full":true`},
 		"an unknown class":               {base, "three", time.Minute, 1, nothing, 404, `"three"`},
-		"other names":                    {replace(`"name":"two"`, `"name":"Größe/2"`), "two", time.Minute, 1, nothing, 404, ""},
+		"a class that was renamed":       {replace(`"name":"two"`, `"name":"Größe/2"`), "two", time.Minute, 1, nothing, 404, ""},
 		"no class at all":                {`{"membership_mode":"pushed","domain":{"places":1,"in_a_row":1,"shards":4}}`, "one", time.Minute, 1, nothing, 404, ""},
 		"no limits named":                {`{"membership_mode":"pushed","domain":{"places":1,"in_a_row":1,"shards":4},"classes":[{"name":"one","aim":1000000000,"deadline":60000000000,"effect":"safe"}]}`, "one", time.Minute, 1, served(1), 200, `"full":true`},
 		"a member list on request":       {replace(`"pushed"`, `"on_request"`), "two", time.Minute, 1, served(1), 200, `"full":true`},
--- a/internal/querystats/querystats.go
+++ b/internal/querystats/querystats.go
@@ -27,10 +27,10 @@
 )
 
 // Bounds of the recorded times. Two significant digits resolve a p99 to 1 part in
-// 100, which is finer than a few thousand queries determine it.
+// 100, which is less than its sampling error with a few thousand queries.
 const (
-	minMicros         = 1 // microseconds
-	maxMicros         = 60_000_000
+	minMicros         = 1          // microseconds
+	maxMicros         = 60_000_000 // microseconds
 	significantDigits = 2
 	// MaxWindows is the number of windows that a Recorder keeps. The regression guard
 	// compares tens of seconds before and after a change.
@@ -101,7 +101,7 @@
 }
 
 // bucketUpperBound returns the upper bound of the bucket of a time in microseconds. It
-// is within 1 part in 128 of the time, like in a histogram of two significant digits.
+// is within 1 part in 128 of the time, as in a histogram of two significant digits.
 func bucketUpperBound(us int64) int64 {
 	shift := max(bits.Len64(uint64(us))-8, 0)
 	return (us>>shift+1)<<shift - 1
@@ -112,7 +112,7 @@
 	if r.start.IsZero() {
 		r.start = now
 	}
-	// A step of the wall clock must neither stop the seconds nor skip any.
+	// The seconds are counted on the monotonic clock: a step of the wall clock must neither stop them nor skip any.
 	second := r.start.Unix() + int64((now.Sub(r.start)+time.Duration(r.start.Nanosecond()))/time.Second)
 	if second <= r.second {
 		return
@@ -168,7 +168,7 @@
 	s.Refused += c.Refused
 	s.Failed += c.Failed
 	for _, t := range c.Times {
-		_ = s.times.RecordValues(min(max(t.Micros, minMicros), maxMicros), max(t.N, 0)) // can't fail: within the histogram's bounds
+		_ = s.times.RecordValues(min(max(t.Micros, minMicros), maxMicros), max(t.N, 0)) // can't fail: the value is within the histogram's bounds
 	}
 }
 
--- a/internal/stats/stats.go
+++ b/internal/stats/stats.go
@@ -1,5 +1,5 @@
-// Package stats holds the counters of what a gatherer receives, sends and answers, and logs them under fixed keys. It
-// measures no durations: package querystats does.
+// Package stats holds the counters of what a gatherer receives, sends and answers, and logs them under fixed keys. Times
+// are measured by package querystats.
 package stats
 
 import (
@@ -12,7 +12,7 @@
 // owns the gatherer; there are no locks.
 type Counters struct {
 	Taken     int // queries accepted from clients
-	Malformed int // requests rejected with a 4xx or 5xx because they were no valid query
+	Malformed int // requests rejected with a 4xx or 5xx status because they were not valid queries
 
 	Whole               int // answers marked whole
 	Partial             int // other answers
@@ -25,7 +25,7 @@
 	CutShort            int // queries that the core ended before their deadline because the process was ending
 	ClientsDisconnected int // queries whose client disconnected
 
-	DisconnectedUnread int // of ClientsDisconnected: noticed when parts were to be sent, before the end of the client's connection was read
+	DisconnectedUnread int // of ClientsDisconnected: found disconnected when parts were about to be sent, before the end of the connection was read
 
 	Turns            int
 	Calls            int // calls given to the searcher connections
@@ -51,7 +51,7 @@
 	ClosedIdle       int            // client connections closed between requests because many were idle
 	ClosedSilent     int            // client connections closed because no request arrived
 	Evicted          map[string]int // client connections closed to make room for others, by rank
-	NotClosed        int            // times that a client connection was not closed because it had unread bytes or an unsent answer
+	NotClosed        int            // times that a client connection was left open because it had unread bytes or an unsent answer
 	EvictedInUse     int            // of Evicted: connections that had unread bytes or an unsent answer
 	ClosedUnread     int            // client connections closed because the client did not read its answers
 
@@ -63,17 +63,17 @@
 	ParallelDials            int // of Dialed and DialFails: dialed while another connection to the same searcher was open
 	HalfOpen                 int // connections to searchers considered half-open because nothing was received while an attempt was in flight
 	MalformedConns           int // connections to searchers closed because of a malformed response
-	ClosedWithUnsentParts    int // connections closed because a part was still in their buffer when their searcher was reported as leaving
+	ClosedWithUnsentParts    int // connections closed because a part was still in their buffer when their searcher was reported as draining or removed
 	ConnsToRestartedSearcher int // connections closed because their searcher has restarted since they were opened
-	ClosedToAbandon          int // connections closed to give up an attempt, because they carried the maximum number of attempts
-	SkippedClosed            int // times that a connection was not used because its searcher had closed it, which was not read yet
+	ClosedToAbandon          int // connections closed to abandon an attempt, because they carried the maximum number of attempts or had unsent data
+	SkippedClosed            int // times that a connection was not used because its searcher had closed it, although the close had not been read yet
 	Watches                  int // watches opened
 	WatchFails               int // watches that failed or ended
 	Updates                  int // member lists and changes received
 	MalformedLists           int // member lists and changes that can't be used
 	DuplicateMembers         int // members that were listed twice in a list
 	DelayedForUpdates        int // times that sends were delayed because an update had arrived that was not read yet
-	RejectedMembers          int // members that an older list reported as ready, which was not believed
+	RejectedMembers          int // entries of ready members that were rejected because they came from an older list
 	EmptyLists               int // of Updates: complete lists without a single searcher, which were ignored
 
 	Epochs        int // epochs of the layout adopted
