--- a/cmd/eiderwinch/config_test.go
+++ b/cmd/eiderwinch/config_test.go
@@ -248,7 +248,7 @@
 	sig = strings.TrimSpace(sig)
 	for bad, want := range map[string]string{
 		"": "is not signed", "x": "malformed signature", strings.Replace(sig, "now", "other", 1): "an unknown key",
-		strings.Replace(sig, "now", "then", 1): "does not hold now", sig[:len(sig)-4] + "AAA=": "does not fit",
+		strings.Replace(sig, "now", "then", 1): "validity period does not include the current time", sig[:len(sig)-4] + "AAA=": "does not fit",
 	} {
 		if code, out := stage(bad); code != exitFailure || !strings.Contains(out, want) {
 			t.Errorf("%q: code %d, %s, want %s", bad, code, out, want)
@@ -257,7 +257,7 @@
 	if code, out := stage(sig); code != exitOK || !strings.Contains(out, "transaction 1") {
 		t.Errorf("signed: code %d, %s", code, out)
 	}
-	if code, _, errs := runCommand(t, nil, "config", "sign", "--keys", keys, "--key", "then", "--operators", m.ops); code != exitConfig || !strings.Contains(errs, "does not hold now") {
+	if code, _, errs := runCommand(t, nil, "config", "sign", "--keys", keys, "--key", "then", "--operators", m.ops); code != exitConfig || !strings.Contains(errs, "validity period does not include the current time") {
 		t.Errorf("signing with an expired key: %s", errs)
 	}
 }
--- a/internal/configuration/signature/signature.go
+++ b/internal/configuration/signature/signature.go
@@ -1,6 +1,6 @@
-// Package signature verifies that a configuration comes from somebody who may change
-// it. Keys are in a file of their own, each with its period of validity, so that a new
-// key can be valid together with the old one until everybody uses the new one.
+// Package signature signs configurations and verifies that they come from somebody who
+// may change them. Keys are in a file of their own, each with a period of validity, so that
+// a new key can be valid together with the old one until everybody uses the new one.
 //
 // There are two algorithms: Ed25519 (RFC 8032), where gatherers have public keys only,
 // and BLAKE3 in its keyed mode (BLAKE3 paper, 2.3), where signer and gatherer share a
@@ -81,17 +81,17 @@
 			faults.Add(n.Line, n.Name, fmt.Sprintf("name %q twice", k.Name), "each name once")
 		}
 		seen[k.Name] = true
-		for _, at := range []struct {
+		for _, field := range []struct {
 			name string
 			to   *time.Time
 		}{{"from", &k.From}, {"until", &k.Until}} {
 			var err error
-			if *at.to, err = time.Parse(time.RFC3339, n.Text(at.name)); err != nil {
-				faults.Add(n.Line, n.Name, fmt.Sprintf("%s=%.40q", at.name, n.Text(at.name)), "a time, such as 2026-12-01T00:00:00Z")
+			if *field.to, err = time.Parse(time.RFC3339, n.Text(field.name)); err != nil {
+				faults.Add(n.Line, n.Name, fmt.Sprintf("%s=%.40q", field.name, n.Text(field.name)), "a time, such as 2026-12-01T00:00:00Z")
 			}
 		}
 		if !k.From.Before(k.Until) {
-			faults.Add(n.Line, n.Name, "until no later than from", "a key that is valid for some time")
+			faults.Add(n.Line, n.Name, "until no later than from", "until later than from")
 		}
 		value, err := base64.StdEncoding.DecodeString(n.Text("value"))
 		isBLAKE3 := n.Text("algorithm") == "blake3"
@@ -118,12 +118,12 @@
 
 // The reasons for rejecting a signature, or for not signing.
 var (
-	ErrMissing = errors.New("the configuration is not signed")
-	ErrForm    = errors.New("malformed signature")
-	ErrUnknown = errors.New("signed with an unknown key")
-	ErrExpired = errors.New("signed with a key that does not hold now")
-	ErrBad     = errors.New("the signature does not fit the configuration")
-	ErrPublic  = errors.New("the key can't sign: it is a public one")
+	ErrMissing   = errors.New("the configuration is not signed")
+	ErrMalformed = errors.New("malformed signature")
+	ErrUnknown   = errors.New("signed with an unknown key")
+	ErrExpired   = errors.New("the key's validity period does not include the current time")
+	ErrMismatch  = errors.New("the signature does not fit the configuration")
+	ErrPublicKey = errors.New("the key can't sign: it is a public one")
 )
 
 // Sign signs a message with a key that is valid at the time now. The signature has the
@@ -133,16 +133,16 @@
 	if err != nil {
 		return "", err
 	}
-	var sum []byte
+	var raw []byte
 	switch {
 	case key.secret != nil:
-		sum = key.mac(message)
+		raw = key.mac(message)
 	case key.private != nil:
-		sum = ed25519.Sign(key.private, withContext(message))
+		raw = ed25519.Sign(key.private, withContext(message))
 	default:
-		return "", fmt.Errorf("key %q: %w", name, ErrPublic)
+		return "", fmt.Errorf("key %q: %w", name, ErrPublicKey)
 	}
-	return name + ":" + base64.StdEncoding.EncodeToString(sum), nil
+	return name + ":" + base64.StdEncoding.EncodeToString(raw), nil
 }
 
 // Verify returns nil if the signature of a message is valid at the time now, otherwise the
@@ -152,21 +152,21 @@
 		return ErrMissing
 	}
 	name, text, ok := strings.Cut(strings.TrimSpace(signature), ":")
-	sum, err := base64.StdEncoding.DecodeString(text)
+	raw, err := base64.StdEncoding.DecodeString(text)
 	if !ok || err != nil {
-		return fmt.Errorf("%w, want NAME:BASE64", ErrForm)
+		return fmt.Errorf("%w, want NAME:BASE64", ErrMalformed)
 	}
 	key, err := k.find(now, name)
 	if err != nil {
 		return err
 	}
 	if key.secret != nil {
-		ok = subtle.ConstantTimeCompare(sum, key.mac(message)) == 1
+		ok = subtle.ConstantTimeCompare(raw, key.mac(message)) == 1
 	} else {
-		ok = ed25519.Verify(key.public, withContext(message), sum)
+		ok = ed25519.Verify(key.public, withContext(message), raw)
 	}
 	if !ok {
-		return fmt.Errorf("key %q: %w", name, ErrBad)
+		return fmt.Errorf("key %q: %w", name, ErrMismatch)
 	}
 	return nil
 }
@@ -188,7 +188,7 @@
 	return key.macFor(purpose, message), nil
 }
 
-// find returns the key of a name if it is valid at the time now.
+// find returns the key with the given name if it is valid at the time now.
 func (k *Keys) find(now time.Time, name string) (*Key, error) {
 	for i := range k.list {
 		key := &k.list[i]
@@ -196,7 +196,7 @@
 			continue
 		}
 		if now.Before(key.From) || !now.Before(key.Until) {
-			return nil, fmt.Errorf("key %q: %w: from %s until %s", name, ErrExpired, key.From.Format(time.RFC3339), key.Until.Format(time.RFC3339))
+			return nil, fmt.Errorf("key %q: %w: it is %s, want from %s until %s", name, ErrExpired, now.Format(time.RFC3339), key.From.Format(time.RFC3339), key.Until.Format(time.RFC3339))
 		}
 		return key, nil
 	}
--- a/internal/configuration/signature/signature_test.go
+++ b/internal/configuration/signature/signature_test.go
@@ -43,7 +43,7 @@
 		if err := verifier.Verify(june, message, s+"\n"); err != nil {
 			t.Errorf("%s: %v", name, err)
 		}
-		if err := verifier.Verify(june, []byte("another"), s); !errors.Is(err, ErrBad) {
+		if err := verifier.Verify(june, []byte("another"), s); !errors.Is(err, ErrMismatch) {
 			t.Errorf("%s for another message: %v", name, err)
 		}
 		if err := verifier.Verify(june.AddDate(1, 0, 0), message, s); !errors.Is(err, ErrExpired) {
@@ -54,16 +54,16 @@
 		}
 	}
 	swapped, _ := signer.Sign(june, "old", message)
-	if err := verifier.Verify(june, message, strings.Replace(swapped, "old", "new", 1)); !errors.Is(err, ErrBad) {
+	if err := verifier.Verify(june, message, strings.Replace(swapped, "old", "new", 1)); !errors.Is(err, ErrMismatch) {
 		t.Errorf("a signature by one key under the name of another: %v", err)
 	}
-	if _, err := verifier.Sign(june, "new", message); !errors.Is(err, ErrPublic) {
+	if _, err := verifier.Sign(june, "new", message); !errors.Is(err, ErrPublicKey) {
 		t.Errorf("a public key signs: %v", err)
 	}
 	if _, err := signer.Sign(june.AddDate(0, 2, 0), "old", message); !errors.Is(err, ErrExpired) {
 		t.Errorf("an expired key signs: %v", err)
 	}
-	for s, want := range map[string]error{"": ErrMissing, "old": ErrForm, "old:?": ErrForm, "old:": ErrBad} {
+	for s, want := range map[string]error{"": ErrMissing, "old": ErrMalformed, "old:?": ErrMalformed, "old:": ErrMismatch} {
 		if err := verifier.Verify(june, message, s); !errors.Is(err, want) {
 			t.Errorf("%q: %v, want %v", s, err, want)
 		}
