--- a/internal/configuration/change/change.go
+++ b/internal/configuration/change/change.go
@@ -11,13 +11,13 @@
 //	   +---> discarded
 //
 // This is the confirmed commit of routers (RFC 6241, 8.4): a change that is applied
-// and not confirmed in time is undone automatically, and so is one that makes
-// service regress.
+// and not confirmed in time is undone automatically, and so is one after which service
+// regresses.
 //
 // At most one transaction is being applied, on probation or being undone. Others may
 // be staged meanwhile, but applying one is refused, not queued: the generation that
-// it was made against may not stay in force, and whoever applies it should see the
-// outcome of the first change before.
+// it was made against may be replaced by then, and whoever applies it should first see
+// the outcome of the change under way.
 package change
 
 import (
@@ -201,7 +201,7 @@
 
 // Result is the outcome of one event.
 type Result struct {
-	Records []Record
+	Records []Record // to be written before the effects are carried out
 	Effects []Effect
 	Tx      Tx    // of a Stage: the new transaction
 	Err     error // why the event was refused
@@ -209,13 +209,13 @@
 
 // The reasons for refusing an event.
 var (
-	ErrBusy      = errors.New("another change is under way")
-	ErrStale     = errors.New("the change was made against another generation")
-	ErrNoTx      = errors.New("no such transaction")
-	ErrState     = errors.New("it is in another state")
-	ErrFull      = errors.New("too many changes are staged")
-	ErrProbation = errors.New("the probation time is out of bounds")
-	ErrNothing   = errors.New("the configuration is in force already")
+	ErrBusy       = errors.New("another change is under way")
+	ErrStale      = errors.New("the change was made against another generation")
+	ErrNoTx       = errors.New("no such transaction")
+	ErrWrongState = errors.New("it is in another state")
+	ErrFull       = errors.New("too many changes are staged")
+	ErrProbation  = errors.New("the probation time is out of bounds")
+	ErrUnchanged  = errors.New("the configuration is confirmed already")
 )
 
 // transaction is the state of one transaction.
@@ -363,7 +363,7 @@
 	case t == nil:
 		s.result.Err = fmt.Errorf("transaction %d: %w", id, ErrNoTx)
 	case !slices.Contains(wanted, t.state):
-		s.result.Err = fmt.Errorf("transaction %d is %v, want %v: %w", id, t.state, wanted, ErrState)
+		s.result.Err = fmt.Errorf("transaction %d is %v, want %v: %w", id, t.state, wanted, ErrWrongState)
 	default:
 		return t
 	}
@@ -384,9 +384,9 @@
 	case staged >= s.limits.MaxStaged:
 		s.result.Err = fmt.Errorf("%w: %d, at most %d", ErrFull, staged, s.limits.MaxStaged)
 	case e.Against != s.confirmed:
-		s.result.Err = fmt.Errorf("%w: %d, in force is %d", ErrStale, e.Against, s.confirmed)
+		s.result.Err = fmt.Errorf("%w: found %d, want %d, the last confirmed one", ErrStale, e.Against, s.confirmed)
 	case e.Hash == s.confirmedHash:
-		s.result.Err = fmt.Errorf("generation %d: %w", s.confirmed, ErrNothing)
+		s.result.Err = fmt.Errorf("generation %d: %w", s.confirmed, ErrUnchanged)
 	default:
 		s.lastTx++
 		t := &transaction{id: s.lastTx, hash: e.Hash, against: e.Against, reason: e.Note}
@@ -405,7 +405,7 @@
 	case s.active != 0:
 		s.result.Err = fmt.Errorf("%w: transaction %d is %v", ErrBusy, s.active, s.txs[s.active].state)
 	case t.against != s.confirmed:
-		s.result.Err = fmt.Errorf("%w: %d, in force is %d", ErrStale, t.against, s.confirmed)
+		s.result.Err = fmt.Errorf("%w: found %d, want %d, the last confirmed one", ErrStale, t.against, s.confirmed)
 	case e.Probation < s.limits.MinProbation || e.Probation > s.limits.MaxProbation:
 		s.result.Err = fmt.Errorf("%w: %v, want %v to %v", ErrProbation, e.Probation, s.limits.MinProbation, s.limits.MaxProbation)
 	default:
@@ -420,7 +420,7 @@
 func (s *step) applied(e Applied) {
 	t := s.txs[e.Tx]
 	switch {
-	case t == nil || t.state != Applying: // its undo has begun already
+	case t == nil || t.state != Applying: // the transaction is being undone or has ended
 	case e.Err != nil:
 		s.undo(t, "could not be applied: "+e.Err.Error())
 	default:
@@ -436,7 +436,7 @@
 	s.addEffect(Ended{t.id, Confirmed, t.reason})
 }
 
-// undo starts to put the last confirmed generation in force again.
+// undo starts to undo a transaction: the last confirmed generation is put in force again.
 func (s *step) undo(t *transaction, reason string) {
 	t.reason = reason
 	s.transition(t, Undoing)
@@ -494,15 +494,15 @@
 // Base is the state of a machine without unfinished transactions, onto which later
 // records are replayed. It is stored as JSON under these field names.
 type Base struct {
-	Seq       uint64 // of the last record before
-	Tx        Tx     // the last number that was assigned
-	Gen       Generation
+	Seq       uint64     // number of the last record before the base
+	Tx        Tx         // the last transaction number that was assigned
+	Gen       Generation // the last generation number that was assigned
 	Confirmed Generation
-	Hash      Hash
+	Hash      Hash // of the confirmed generation
 }
 
-// Base returns the current state as a base for later records, so that the records so
-// far need not be kept. It returns false while a transaction is unfinished.
+// Base returns the current state as a base for later records, so that the earlier
+// records need not be kept. It returns false while a transaction is unfinished.
 func (m *Machine) Base() (Base, bool) {
 	for _, t := range m.txs {
 		if !t.state.IsFinal() {
@@ -513,10 +513,9 @@
 }
 
 // Recover restores a machine from the records of an earlier process. A transaction
-// that was active is undone, since the configuration that was in force ended with
-// that process. Before anything else, the caller must put the last confirmed
-// generation in force and write the records of the result. Staged transactions stay
-// staged.
+// that was active is undone, because its configuration was in force in that process only.
+// Before anything else, the caller must put the last confirmed generation in force and
+// write the records of the result. Staged transactions stay staged.
 func Recover(now time.Time, b Base, l Limits, records []Record) (*Machine, Result, error) {
 	m := &Machine{
 		limits: l.withDefaults(), lastSeq: b.Seq, lastTx: b.Tx, lastGeneration: b.Gen, confirmed: b.Confirmed, confirmedHash: b.Hash,
--- a/internal/configuration/change/change_test.go
+++ b/internal/configuration/change/change_test.go
@@ -29,6 +29,7 @@
 	return r
 }
 
+// accept handles an event that must be accepted, and returns its transaction.
 func (h *harness) accept(e Event) Tx {
 	h.t.Helper()
 	r := h.step(e)
@@ -38,6 +39,8 @@
 	return r.Tx
 }
 
+// checkRefused handles an event that must be refused with the wanted error and without
+// records or effects.
 func (h *harness) checkRefused(e Event, want error) {
 	h.t.Helper()
 	if r := h.step(e); !errors.Is(r.Err, want) || len(r.Records)+len(r.Effects) > 0 {
@@ -77,8 +80,8 @@
 	if g, hash := h.machine.Confirmed(); g != 2 || hash != (Hash{2}) {
 		t.Errorf("generation %d", g)
 	}
-	h.checkRefused(Undo{Tx: id}, ErrState)
-	h.checkRefused(Confirm{id}, ErrState)
+	h.checkRefused(Undo{Tx: id}, ErrWrongState)
+	h.checkRefused(Confirm{id}, ErrWrongState)
 }
 
 func TestUnconfirmedChangeIsUndone(t *testing.T) {
@@ -92,7 +95,7 @@
 	if r, ok := h.effects[0].(Revert); !ok || r.Generation != 1 || r.Hash != (Hash{1}) {
 		t.Errorf("effects %v", h.effects)
 	}
-	h.checkRefused(Confirm{id}, ErrState) // too late: the undo has begun
+	h.checkRefused(Confirm{id}, ErrWrongState) // too late: the undo has begun
 	h.accept(Reverted{id})
 	h.checkState(id, Undone)
 	// The generation number is not reused.
@@ -125,13 +128,13 @@
 	apply := Apply{Tx: second, Probation: time.Minute}
 	h.checkRefused(apply, ErrBusy)
 	h.accept(Undo{first, "by hand"})
-	h.checkRefused(apply, ErrBusy) // while it is being undone, too
+	h.checkRefused(apply, ErrBusy) // also while it is being undone
 	h.accept(Reverted{first})
 	h.accept(apply)
 	h.accept(Applied{Tx: second})
 	h.accept(Confirm{second})
 	h.checkRefused(Stage{Hash: Hash{4}, Against: 1}, ErrStale)
-	h.checkRefused(Stage{Hash: Hash{3}}, ErrNothing)
+	h.checkRefused(Stage{Hash: Hash{3}}, ErrUnchanged)
 }
 
 func TestStagedChangeIsStaleAfterAnotherIsConfirmed(t *testing.T) {
@@ -145,13 +148,13 @@
 	h.checkState(second, Discarded)
 }
 
-func TestBoundsFailedAndOverdueApplies(t *testing.T) {
+func TestLimitsAndFailedOrOverdueApplies(t *testing.T) {
 	h := newHarness(t)
 	id := h.accept(Stage{Hash: Hash{2}})
 	h.checkRefused(Apply{Tx: id, Probation: time.Millisecond}, ErrProbation)
 	h.checkRefused(Apply{Tx: id, Probation: 48 * time.Hour}, ErrProbation)
 	h.checkRefused(Apply{Tx: 9, Probation: time.Minute}, ErrNoTx)
-	h.checkRefused(Confirm{id}, ErrState)
+	h.checkRefused(Confirm{id}, ErrWrongState)
 	for range defaults.MaxStaged - 1 {
 		h.accept(Stage{Hash: Hash{3}})
 	}
@@ -190,11 +193,11 @@
 		t.Errorf("%v, %v", r, err)
 	}
 	for name, records := range map[string][]Record{
-		"a gap":             {h.records[0], h.records[2]},
-		"no beginning":      h.records[1:],
+		"a missing record":  {h.records[0], h.records[2]},
+		"no first record":   h.records[1:],
 		"a skipped state":   {h.records[0], {Seq: 2, Tx: 1, State: Confirmed}},
 		"an old generation": {h.records[0], {Seq: 2, Tx: 1, State: Applying, Gen: 1}},
-		"two at once": {h.records[0], {Seq: 2, Tx: 2, State: Staged}, {Seq: 3, Tx: 1, State: Applying, Gen: 2},
+		"two active transactions": {h.records[0], {Seq: 2, Tx: 2, State: Staged}, {Seq: 3, Tx: 1, State: Applying, Gen: 2},
 			{Seq: 4, Tx: 2, State: Applying, Gen: 3}},
 	} {
 		if _, _, err := Recover(t0, base, Limits{}, records); err == nil {
--- a/internal/configuration/change/explore_test.go
+++ b/internal/configuration/change/explore_test.go
@@ -36,7 +36,7 @@
 }
 
 // key identifies a state: two models with the same key behave in the same way. It
-// contains no times: a deadline either is in the future or, after the Tick of 48 hours
+// contains no times: a deadline is either in the future or, after the Tick 48 hours
 // later, has passed.
 func (m *model) key() string {
 	b := make([]byte, 0, 128)
@@ -79,12 +79,12 @@
 	return string(b) + strings.Join(acks, "")
 }
 
-var errSwapFailed = errors.New("could not")
+var errSwapFailed = errors.New("swap failed")
 
 // action is one thing that can happen next in a state.
 type action struct {
-	name any
-	do   func(*model)
+	label any // an Event or a string
+	do    func(*model)
 }
 
 // actions returns everything that can happen next.
@@ -173,18 +173,18 @@
 			return fmt.Sprintf("generation %d was assigned twice", t.generation)
 		}
 		seen[t.generation] = true
-		if over := t.state.IsFinal(); over != (m.ended[t.id] == 1) || m.ended[t.id] > 1 {
+		if final := t.state.IsFinal(); final != (m.ended[t.id] == 1) || m.ended[t.id] > 1 {
 			return fmt.Sprintf("transaction %d is %v and ended %d times", t.id, t.state, m.ended[t.id])
 		}
 		if before == nil || before.machine.txs[t.id] == nil {
 			continue
 		}
-		switch was := before.machine.txs[t.id].state; {
-		case was.IsFinal() && t.state != was:
-			return fmt.Sprintf("transaction %d was %v and is %v", t.id, was, t.state)
-		case was == Undoing && t.state == Confirmed:
+		switch previous := before.machine.txs[t.id].state; {
+		case previous.IsFinal() && t.state != previous:
+			return fmt.Sprintf("transaction %d was %v and is %v", t.id, previous, t.state)
+		case previous == Undoing && t.state == Confirmed:
 			return fmt.Sprintf("transaction %d was confirmed while it was being undone", t.id)
-		case was != Confirmed && t.state == Confirmed && t.against != before.machine.confirmed:
+		case previous != Confirmed && t.state == Confirmed && t.against != before.machine.confirmed:
 			return fmt.Sprintf("transaction %d was made against %d and confirmed after %d", t.id, t.against, before.machine.confirmed)
 		}
 	}
@@ -202,15 +202,14 @@
 	if !isNew {
 		return ""
 	}
-	if c, _, err := Recover(t0, Base{Gen: 1, Confirmed: 1, Hash: Hash{1}}, Limits{}, m.records); err != nil || c.confirmed != m.machine.confirmed {
-		return fmt.Sprintf("after a crash generation %v would be confirmed, not %d: %v", c, m.machine.confirmed, err)
+	if recovered, _, err := Recover(t0, Base{Gen: 1, Confirmed: 1, Hash: Hash{1}}, Limits{}, m.records); err != nil || recovered.confirmed != m.machine.confirmed {
+		return fmt.Sprintf("after a crash generation %v would be confirmed, not %d: %v", recovered, m.machine.confirmed, err)
 	}
 	return ""
 }
 
-// settles reports whether the state reaches one without active transactions and
-// pending effects when these are delivered and time passes, with the confirmed
-// generation in force.
+// settles reports whether, after all pending effects and acknowledgements are delivered
+// and time passes, no transaction is active and the confirmed generation is in force.
 func (m *model) settles() bool {
 	for range 10 {
 		for len(m.effects) > 0 {
@@ -249,14 +248,14 @@
 			steps++
 			key := next.key()
 			if broken := next.violation(m, !seen[key]); broken != "" {
-				t.Fatalf("after %T %+v: %s\nrecords %+v", action.name, action.name, broken, next.records)
+				t.Fatalf("after %T %+v: %s\nrecords %+v", action.label, action.label, broken, next.records)
 			}
 			if seen[key] {
 				continue
 			}
 			seen[key], depths[key] = true, depth+1
 			if !next.clone().settles() {
-				t.Fatalf("after %T %+v it does not settle: %x", action.name, action.name, key)
+				t.Fatalf("after %T %+v the state does not settle: %x", action.label, action.label, key)
 			}
 			queue = append(queue, next)
 		}
--- a/internal/configuration/history/history.go
+++ b/internal/configuration/history/history.go
@@ -133,7 +133,7 @@
 		if err != nil {
 			return err
 		}
-		kept = append(slices.DeleteFunc(kept, func(h change.Hash) bool { return h == b.Hash }), b.Hash)
+		kept = append(slices.DeleteFunc(kept, func(keptHash change.Hash) bool { return keptHash == b.Hash }), b.Hash)
 		kept = kept[max(len(kept)-maxKeptTexts, 0):]
 		if err := h.putText(tx, b.Hash, text); err != nil {
 			return err
--- a/internal/configuration/manager/dryrun.go
+++ b/internal/configuration/manager/dryrun.go
@@ -23,40 +23,41 @@
 	maxFaults     = 50
 )
 
-// dryRun checks a configuration against the running system: its memory limit,
-// discovery, and the holders of the layout's segments. It can't find every fault:
-// a searcher may accept a connection and answer no query. The guard covers the rest.
+// dryRun checks a configuration against the running system: the memory limit, whether
+// discovery accepts connections, and whether each segment of the layout has a ready holder
+// that does. It can't find every fault: a searcher may accept a connection and answer no
+// query. The guard covers the rest.
 func (m *Manager) dryRun(ctx context.Context, c *bundle.Candidate) error {
 	faults := &faultList{}
 	if open := c.File.LiveOverrides.Admission.Open; open > 0 && int64(open)*maxQueryBytes > c.Config.MemoryLimit {
 		faults.add(fmt.Errorf("admission: found open=%d, want at most %d: each may take %d KiB, and limits.memory_mb is %d",
 			open, c.Config.MemoryLimit/maxQueryBytes, maxQueryBytes>>10, c.Config.MemoryLimit>>20))
 	}
-	list, ok := m.opts.Node.Searchers(ctx)
+	searchers, ok := m.opts.Node.Searchers(ctx)
 	if !ok {
 		return faults.err()
 	}
 	ready := make(map[string]netio.Searcher)
-	for _, s := range list {
-		if s.Ready {
-			ready[s.ID] = s
+	for _, searcher := range searchers {
+		if searcher.Ready {
+			ready[searcher.ID] = searcher
 		}
 	}
-	wanted := make(map[string]bool)
+	holdersToDial := make(map[string]bool)
 	if c.Layout != nil {
-		for s := range c.Layout.Serving() {
-			holders := slices.DeleteFunc(slices.Clone(s.Holders), func(id string) bool { return ready[id].ID == "" })
+		for segment := range c.Layout.Serving() {
+			holders := slices.DeleteFunc(slices.Clone(segment.Holders), func(id string) bool { return ready[id].ID == "" })
 			if len(holders) == 0 {
-				faults.add(fmt.Errorf("segment %d: none of its holders %v is ready according to discovery", s.ID, s.Holders))
+				faults.add(fmt.Errorf("segment %d: none of its holders %v is ready according to discovery", segment.ID, segment.Holders))
 			}
 			for _, id := range holders {
-				wanted[id] = true
+				holdersToDial[id] = true
 			}
 		}
 	}
 	type target struct{ name, addr string }
 	targets := []target{{"discovery", c.Config.Discovery}}
-	for id := range wanted {
+	for id := range holdersToDial {
 		targets = append(targets, target{"searcher " + id, ready[id].Addr})
 	}
 	unreachable := &sync.Map{}
@@ -108,9 +109,8 @@
 	return errors.Join(f.errs...)
 }
 
-// addUnreachableSegments adds a fault for each segment none of whose ready holders
-// can be connected to. A single unreachable holder is not a fault, because that
-// happens every day.
+// addUnreachableSegments adds a fault for each segment none of whose ready holders accepts
+// a connection. A single unreachable holder is not a fault, because that happens every day.
 func (f *faultList) addUnreachableSegments(l *layout.Layout, ready map[string]netio.Searcher, unreachable *sync.Map) {
 	for s := range l.Serving() {
 		reachable, readyCount := 0, 0
@@ -124,7 +124,7 @@
 			}
 		}
 		if readyCount > 0 && reachable == 0 {
-			f.add(fmt.Errorf("segment %d: none of its holders %v can be connected to", s.ID, s.Holders))
+			f.add(fmt.Errorf("segment %d: none of its holders %v accepts a connection", s.ID, s.Holders))
 		}
 	}
 }
--- a/internal/configuration/manager/manager.go
+++ b/internal/configuration/manager/manager.go
@@ -1,11 +1,11 @@
 // Package manager is the configuration manager of a running gatherer. It runs each
 // change as a transaction (package change), does a dry run before the change is
 // applied, swaps the configuration on the gatherer's event loop, watches service
-// (package guard) and records the transactions (package history). It makes no
-// decisions of its own: those packages make them.
+// (package guard) and records the transactions (package history). All decisions are made
+// by those packages.
 //
-// Two goroutines run: one owns the transactions, the other executes swaps in
-// order, so that a blocked event loop does not delay the deadline of an undo.
+// A Manager has two goroutines: one owns the transactions, the other executes swaps in
+// order, so that a blocked event loop of the gatherer does not delay an undo that is due.
 package manager
 
 import (
@@ -23,46 +23,55 @@
 	"eiderwinch/internal/netio"
 )
 
-// Node is the gatherer whose configuration is managed.
+// Node is the gatherer whose configuration is managed; netio.Node implements it. The
+// results of type bool are false if the gatherer has not started or has ended.
 type Node interface {
+	// State returns the state of the gatherer, with its finished seconds after the given one.
 	State(ctx context.Context, after int64) (netio.State, bool)
+	// Apply puts other settings in force.
 	Apply(ctx context.Context, l netio.LiveSettings) error
+	// Searchers returns the searchers in the member list.
 	Searchers(ctx context.Context) ([]netio.Searcher, bool)
+	// Generations returns the generation in force and those under which open queries were accepted.
 	Generations(ctx context.Context) ([]uint64, bool)
 }
 
 // History stores the transactions durably; history.History implements it.
 type History interface {
+	// Append writes records, and the text of the one that is staged.
 	Append(records []change.Record, text *bundle.Bundle) error
+	// SetBase replaces the base and drops all records.
 	SetBase(b change.Base, text bundle.Bundle) error
+	// NeedsCompaction reports whether SetBase should be called as soon as no change is under way.
 	NeedsCompaction() bool
 }
 
 // Options are the dependencies and settings of a Manager.
 type Options struct {
 	Node      Node
-	Initial   *bundle.Candidate // in force at the start: the configuration that Machine has confirmed
+	Initial   *bundle.Candidate // in force at the start; the last one that Machine has confirmed
 	Machine   *change.Machine
 	History   History      // nil: transactions are held in memory only
 	Names     bundle.Names // of the files that ReadFiles reads
 	ReadFiles func() (b bundle.Bundle, signature string, err error)
 	// Verify returns an error if the signature of a hash is not valid; nil: no
 	// signature is required.
-	Verify       func(hash change.Hash, signature string) error
+	Verify func(hash change.Hash, signature string) error
+	// LiveSettings returns the settings that the node is given for a candidate.
 	LiveSettings func(*bundle.Candidate, change.Generation) netio.LiveSettings
 	Applied      func(*bundle.Candidate) // called after a successful swap, for settings outside the node; may be nil
 	Logger       *slog.Logger
 }
 
 const (
-	clockInterval = 100 * time.Millisecond // an overdue probation is noticed within this time
+	clockInterval = 100 * time.Millisecond // how often the state machine checks for passed deadlines
 	guardInterval = 250 * time.Millisecond // how often the node is asked for finished seconds
 	queueCapacity = 64                     // of the channels of requests and of swaps
 	swapTimeout   = 5 * time.Second        // the default of change.Limits.ApplyTimeout
 	endTime       = 2 * time.Second
 	// maxKeptCandidates is how many candidates of finished transactions are held in
-	// memory to be shown. Without a history on disk, only these can be shown. It also
-	// bounds the list of regressions.
+	// memory, so that Show can return them. Without a history on disk, Show can return no
+	// others. It also bounds the list of regressions.
 	maxKeptCandidates = 16
 )
 
@@ -75,7 +84,7 @@
 	candidateOrder []change.Hash // keys of candidates, oldest first
 	inForce        *bundle.Candidate
 	generation     change.Generation // of inForce
-	layout         *layout.Layout    // the last one given to the node; its epoch may be newer than the one in layoutText
+	layout         *layout.Layout    // the last one given to the node; its epoch may be higher than the one in layoutText
 	layoutText     []byte
 	lastSecond     int64    // the last second passed to the guard
 	regressions    []string // found by the guard, latest first
@@ -163,13 +172,14 @@
 var ErrEnded = errors.New("the configuration manager has stopped")
 
 // step passes one event to the state machine. It writes the records to the history
-// before it executes the effects.
-func (m *Manager) step(e change.Event, text *bundle.Candidate) change.Result {
+// before it executes the effects. candidate is the one that is staged; it is nil for other
+// events.
+func (m *Manager) step(e change.Event, candidate *bundle.Candidate) change.Result {
 	r := m.machine.Step(time.Now(), e)
 	if m.opts.History != nil {
 		var b *bundle.Bundle
-		if text != nil {
-			b = &text.Bundle
+		if candidate != nil {
+			b = &candidate.Bundle
 		}
 		// No effect may happen before its records are on disk, so a temporary disk failure delays all changes.
 		if err := m.writeHistory("records of configuration changes", func() error { return m.opts.History.Append(r.Records, b) }); err != nil {
@@ -180,8 +190,8 @@
 			return r
 		}
 	}
-	for _, x := range r.Effects {
-		m.execute(x)
+	for _, effect := range r.Effects {
+		m.execute(effect)
 	}
 	if m.opts.History != nil && m.opts.History.NeedsCompaction() {
 		if base, ok := m.machine.Base(); ok {
@@ -200,7 +210,7 @@
 func (m *Manager) execute(e change.Effect) {
 	switch e := e.(type) {
 	case change.Swap, change.Revert:
-		m.swaps <- e // at most two per transaction, and one at a time
+		m.swaps <- e // does not block: at most two per transaction, and only one transaction is active
 	case change.Ended:
 		m.opts.Logger.Info("configuration change finished", "transaction", uint64(e.Tx), "state", e.State.String(), "reason", e.Reason)
 		if e.State != change.Discarded {
@@ -220,26 +230,26 @@
 		}
 		var to *bundle.Candidate
 		var live netio.LiveSettings
-		var gen change.Generation
+		var generation change.Generation
 		prepare := func() {
 			switch e := e.(type) {
 			case change.Swap:
-				to, gen = m.candidates[e.Hash], e.Generation
+				to, generation = m.candidates[e.Hash], e.Generation
 			case change.Revert:
-				to, gen = m.candidates[e.Hash], e.Generation
+				to, generation = m.candidates[e.Hash], e.Generation
 			}
-			live = m.liveSettings(to, gen)
+			live = m.liveSettings(to, generation)
 		}
 		if m.runInLoop(ctx, prepare) != nil {
 			return
 		}
-		swap, stop := context.WithTimeout(ctx, swapTimeout)
-		err := m.opts.Node.Apply(swap, live)
+		swapCtx, stop := context.WithTimeout(ctx, swapTimeout)
+		err := m.opts.Node.Apply(swapCtx, live)
 		stop()
 		if err == nil && m.opts.Applied != nil {
 			m.opts.Applied(to)
 		}
-		finish := func() { m.finishSwap(e, to, gen, err) }
+		finish := func() { m.finishSwap(e, to, generation, err) }
 		if m.runInLoop(ctx, finish) != nil {
 			return
 		}
@@ -247,9 +257,10 @@
 }
 
 // liveSettings returns the settings that the node is given for a candidate. A layout
-// that is put in force again gets a newer epoch, because epochs only increase.
-func (m *Manager) liveSettings(to *bundle.Candidate, gen change.Generation) netio.LiveSettings {
-	live := m.opts.LiveSettings(to, gen)
+// whose epoch is not above that of the last one is reissued under a higher epoch, because
+// epochs only increase.
+func (m *Manager) liveSettings(to *bundle.Candidate, generation change.Generation) netio.LiveSettings {
+	live := m.opts.LiveSettings(to, generation)
 	live.Layout = nil
 	if m.layout == nil || to.Layout == nil || to.File.Follow {
 		// A gatherer that started without a layout takes one at its next start only. One
@@ -267,12 +278,12 @@
 }
 
 // finishSwap records the outcome of a swap.
-func (m *Manager) finishSwap(e change.Effect, to *bundle.Candidate, gen change.Generation, err error) {
+func (m *Manager) finishSwap(e change.Effect, to *bundle.Candidate, generation change.Generation, err error) {
 	if err == nil {
-		m.inForce, m.generation = to, gen
-		m.opts.Logger.Info("configuration in force", "generation", uint64(gen), "hash", fmt.Sprintf("%x", to.Hash[:8]))
+		m.inForce, m.generation = to, generation
+		m.opts.Logger.Info("configuration in force", "generation", uint64(generation), "hash", fmt.Sprintf("%x", to.Hash[:8]))
 	} else {
-		m.opts.Logger.Error("configuration not put in force", "generation", uint64(gen), "err", err)
+		m.opts.Logger.Error("cannot put the configuration in force", "generation", uint64(generation), "err", err)
 	}
 	switch e := e.(type) {
 	case change.Swap:
@@ -283,7 +294,7 @@
 		m.step(change.Applied{Tx: e.Tx, Err: err}, nil)
 	case change.Revert:
 		if err != nil && !errors.Is(err, netio.ErrNotServing) {
-			m.swaps <- e // retried until it succeeds: nothing else can be applied until then
+			m.swaps <- e // retried until it succeeds: no other change can be applied before
 			return
 		}
 		m.step(change.Reverted{Tx: e.Tx}, nil)
@@ -309,14 +320,14 @@
 		for _, t := range m.machine.Txs() {
 			if t.State == change.Probation {
 				m.opts.Logger.Warn("service has regressed since a configuration change", "transaction", uint64(t.Tx), "fall", regression.String())
-				m.step(change.Regressed{Tx: t.Tx, Reason: "service fell: " + regression.String()}, nil)
+				m.step(change.Regressed{Tx: t.Tx, Reason: "service has regressed: " + regression.String()}, nil)
 			}
 		}
 	}
 }
 
-// addCandidate holds a candidate in memory and evicts old ones. The candidates in
-// force, confirmed, or of unfinished transactions are never evicted.
+// addCandidate holds a candidate in memory and evicts old ones. It never evicts the one in
+// force, the confirmed one or those of unfinished transactions.
 func (m *Manager) addCandidate(c *bundle.Candidate) {
 	if _, ok := m.candidates[c.Hash]; ok {
 		return
--- a/internal/configuration/manager/manager_test.go
+++ b/internal/configuration/manager/manager_test.go
@@ -25,7 +25,7 @@
 	"eiderwinch/internal/trial/testpeer"
 )
 
-// fakeNode is a gatherer whose service windows the test sets.
+// fakeNode is a Node that records the applied settings and returns what the test sets.
 type fakeNode struct {
 	mu        sync.Mutex
 	applied   []netio.LiveSettings
@@ -75,35 +75,37 @@
 	"settings":{"membership_mode":"pushed","domain":{"places":1,"in_a_row":1,"shards":4,"per_call":4},"policy_limits":{"max_open":1000,"attempts_cap":3},
 	"classes":[{"name":"search","aim":1000000000,"deadline":4000000000,"effect":"safe","worth":1}]}}`
 
-func operators(inner string) []byte {
-	return []byte(`<eiderwinch xmlns="urn:eiderwinch:operators:1">` + inner + `</eiderwinch>`)
+// operators returns an operators' file with the given elements.
+func operators(elements string) []byte {
+	return []byte(`<eiderwinch xmlns="urn:eiderwinch:operators:1">` + elements + `</eiderwinch>`)
 }
 
 // startManager starts the configuration manager of a fake node. Its discovery address
 // accepts connections.
 func startManager(t testing.TB, h History) (*Manager, *fakeNode) {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	boot, err := bundle.Check(bundle.Bundle{Platform: fmt.Appendf(nil, platform, l.Addr()), Operators: operators("")}, bundle.Names{Operators: "e.xml"})
+	initial, err := bundle.Check(bundle.Bundle{Platform: fmt.Appendf(nil, platform, listener.Addr()), Operators: operators("")}, bundle.Names{Operators: "e.xml"})
 	if err != nil {
 		t.Fatal(err)
 	}
 	n := &fakeNode{}
 	ctx, stop := context.WithCancel(context.Background())
 	m := Start(ctx, Options{
-		Node: n, Initial: boot, Machine: change.New(boot.Hash, change.Limits{}), History: h, LiveSettings: daemon.LiveSettings, Logger: slog.New(slog.DiscardHandler),
-		Names: bundle.Names{Operators: "e.xml"}, ReadFiles: func() (bundle.Bundle, string, error) { return boot.Bundle, "", nil },
+		Node: n, Initial: initial, Machine: change.New(initial.Hash, change.Limits{}), History: h, LiveSettings: daemon.LiveSettings, Logger: slog.New(slog.DiscardHandler),
+		Names: bundle.Names{Operators: "e.xml"}, ReadFiles: func() (bundle.Bundle, string, error) { return initial.Bundle, "", nil },
 	})
 	t.Cleanup(func() {
 		stop()
 		_ = m.Wait()
-		_ = l.Close()
+		_ = listener.Close()
 	})
 	return m, n
 }
 
+// stateOf returns the state of a transaction.
 func (m *Manager) stateOf(t *testing.T, tx change.Tx) string {
 	t.Helper()
 	s, err := m.Status(context.Background())
@@ -118,9 +120,10 @@
 	return "unknown"
 }
 
-func stage(t *testing.T, m *Manager, inner string) change.Tx {
+// stage stages an operators' file with the given elements.
+func stage(t *testing.T, m *Manager, elements string) change.Tx {
 	t.Helper()
-	s, err := m.Stage(context.Background(), bundle.Bundle{Operators: operators(inner)}, 0, "test", "")
+	s, err := m.Stage(context.Background(), bundle.Bundle{Operators: operators(elements)}, 0, "test", "")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -194,7 +197,7 @@
 		t.Errorf("generation %d is in force", n.lastGeneration())
 	}
 	s, _ := m.Status(context.Background())
-	if len(s.Regressions) == 0 || !strings.Contains(s.Transactions[0].Reason, "service fell: search: 60.0%") {
+	if len(s.Regressions) == 0 || !strings.Contains(s.Transactions[0].Reason, "service has regressed: search: 60.0%") {
 		t.Errorf("%+v", s)
 	}
 }
@@ -244,7 +247,7 @@
 	})
 }
 
-// A layout must be refused if a segment has no ready holder that can be connected to,
+// A layout must be refused if a segment has no ready holder that accepts a connection,
 // and only such segments may be reported.
 func TestDryRunReportsSegmentsWithoutReachableHolder(t *testing.T) {
 	m, n := startManager(t, nil)
@@ -263,14 +266,14 @@
 		<segment id="0" to="d"><holder searcher="a"/><holder searcher="b"/></segment><segment id="1" from="d" to="k"><holder searcher="b"/></segment>
 		<segment id="2" from="k"><holder searcher="c"/></segment></layout>`
 	_, err = m.Stage(context.Background(), bundle.Bundle{Layout: []byte(text)}, 0, "", "")
-	if err == nil || !strings.Contains(err.Error(), "segment 1: none of its holders [b] can be connected to") ||
+	if err == nil || !strings.Contains(err.Error(), "segment 1: none of its holders [b] accepts a connection") ||
 		!strings.Contains(err.Error(), "segment 2: none of its holders [c] is ready") || strings.Contains(err.Error(), "segment 0") {
 		t.Errorf("have %v", err)
 	}
 }
 
-// FuzzAdmin checks that the admin endpoints give well-formed JSON responses, never
-// status 500, to any request.
+// FuzzAdmin checks that the admin endpoints respond to any request with well-formed JSON
+// and never with status 500.
 func FuzzAdmin(f *testing.F) {
 	for _, s := range []struct{ method, path, body string }{
 		{"POST", "/v1/config", `{"operators":"PGVpZGVyd2luY2gvPg==","note":"x"}`}, {"GET", "/v1/config", ""},
@@ -298,9 +301,9 @@
 	})
 }
 
-// Each layout given to the node must have a newer epoch than the one before,
-// whatever epoch its file names and also after an undo. The node ignores an older
-// layout without an error.
+// Each layout given to the node must have a higher epoch than the one before, whatever
+// epoch its file gives, also after an undo: the node silently ignores a layout with a lower
+// epoch.
 func TestEachAppliedLayoutHasNewerEpoch(t *testing.T) {
 	text := func(epoch int, holder string) []byte {
 		return fmt.Appendf(nil, `<layout xmlns="urn:eiderwinch:layout:1" epoch="%d" next="1" replicas="1"><searcher id="a" zone="x"/><searcher id="b" zone="x"/><segment id="0"><holder searcher=%q/></segment></layout>`, epoch, holder)
--- a/internal/configuration/manager/requests.go
+++ b/internal/configuration/manager/requests.go
@@ -18,9 +18,9 @@
 }
 
 // Stage checks a configuration, does a dry run and stages it. Files that are empty
-// in the bundle are taken from the configuration in force. Against is the generation
-// that the configuration was made against; 0 means the one in force. The signature,
-// if one is required, is of the bundle as passed in.
+// in the bundle are taken from the configuration in force. against is the generation
+// that the configuration was made against; 0 means the last confirmed one. The signature,
+// if one is required, must be that of the bundle as passed in.
 func (m *Manager) Stage(ctx context.Context, b bundle.Bundle, against change.Generation, note, signature string) (StageResult, error) {
 	if m.opts.Verify != nil {
 		if err := m.opts.Verify(b.Hash(), signature); err != nil {
@@ -47,24 +47,25 @@
 	if err := m.dryRun(ctx, c); err != nil {
 		return StageResult{}, err
 	}
-	out := StageResult{Hash: fmt.Sprintf("%x", c.Hash), Restart: bundle.RestartKeys(m.opts.Initial, c)}
+	result := StageResult{Hash: fmt.Sprintf("%x", c.Hash), Restart: bundle.RestartKeys(m.opts.Initial, c)}
 	err = m.runInLoop(ctx, func() {
 		r := m.step(change.Stage{Hash: c.Hash, Against: against, Note: note}, c)
-		if out.Tx, err = r.Tx, r.Err; err == nil {
+		if result.Tx, err = r.Tx, r.Err; err == nil {
 			m.addCandidate(c)
 		}
 	})
 	if err != nil {
 		return StageResult{}, err
 	}
-	return out, nil
+	return result, nil
 }
 
-// Apply puts a staged configuration in force and on probation for the time within.
-// If within is 0 or auto is nil, the configuration's own setting applies.
-func (m *Manager) Apply(ctx context.Context, tx change.Tx, within time.Duration, auto *bool) error {
+// Apply puts a staged configuration in force and on probation for the given time. auto
+// says whether it is confirmed at the end of its probation. If probation is 0 or auto is
+// nil, the configuration's own setting applies.
+func (m *Manager) Apply(ctx context.Context, tx change.Tx, probation time.Duration, auto *bool) error {
 	return m.submit(ctx, func() change.Event {
-		e := change.Apply{Tx: tx, Probation: within}
+		e := change.Apply{Tx: tx, Probation: probation}
 		for _, t := range m.machine.Txs() {
 			if c := m.candidates[t.Hash]; t.Tx == tx && c != nil {
 				if e.AutoConfirm = c.File.Guard.Auto; e.Probation == 0 {
@@ -106,7 +107,7 @@
 		return err
 	}
 	s, err := m.Stage(ctx, b, 0, "reload", signature)
-	if errors.Is(err, change.ErrNothing) {
+	if errors.Is(err, change.ErrUnchanged) {
 		m.opts.Logger.Info("configuration not changed")
 		return nil
 	}
@@ -117,17 +118,17 @@
 		m.opts.Logger.Warn("some changed settings take effect only at the next start", "keys", s.Restart)
 	}
 	if err := m.Apply(ctx, s.Tx, 0, nil); err != nil {
-		// Without this, the transaction would stay staged for ever, because nobody knows its number.
+		// Otherwise the transaction would stay staged for ever, because nobody knows its number.
 		return errors.Join(err, m.Undo(ctx, s.Tx, err.Error()))
 	}
 	return nil
 }
 
-// Transaction is a transaction as Status shows it.
+// Transaction describes a transaction in Status.
 type Transaction struct {
 	Tx            change.Tx         `json:"transaction"`
 	State         string            `json:"state"`
-	Over          bool              `json:"over"`
+	Over          bool              `json:"over"` // whether State is final
 	Hash          string            `json:"hash"`
 	Against       change.Generation `json:"against"`
 	Generation    change.Generation `json:"generation,omitempty"`
@@ -174,36 +175,36 @@
 var ErrNoText = errors.New("its text is no longer kept")
 
 // Show returns the files of a generation that is or was in force.
-func (m *Manager) Show(ctx context.Context, gen change.Generation) (b bundle.Bundle, err error) {
-	found := errors.New("no such generation")
+func (m *Manager) Show(ctx context.Context, generation change.Generation) (b bundle.Bundle, err error) {
+	lookupErr := errors.New("no such generation")
 	loopErr := m.runInLoop(ctx, func() {
 		hash := change.Hash{}
-		if confirmed, h := m.machine.Confirmed(); confirmed == gen {
-			hash, found = h, nil
+		if confirmed, h := m.machine.Confirmed(); confirmed == generation {
+			hash, lookupErr = h, nil
 		}
 		for _, t := range m.machine.Txs() {
-			if t.Generation == gen {
-				hash, found = t.Hash, nil
+			if t.Generation == generation {
+				hash, lookupErr = t.Hash, nil
 			}
 		}
-		if found != nil {
+		if lookupErr != nil {
 			return
 		}
 		if c := m.candidates[hash]; c != nil {
 			b = c.Bundle
 			return
 		}
-		disk, ok := m.opts.History.(interface {
+		store, ok := m.opts.History.(interface {
 			Text(change.Hash) (bundle.Bundle, error)
 		})
 		if !ok {
-			found = ErrNoText
+			lookupErr = ErrNoText
 			return
 		}
-		b, found = disk.Text(hash)
+		b, lookupErr = store.Text(hash)
 	})
-	if err := errors.Join(loopErr, found); err != nil {
-		return bundle.Bundle{}, fmt.Errorf("generation %d: %w", gen, err)
+	if err := errors.Join(loopErr, lookupErr); err != nil {
+		return bundle.Bundle{}, fmt.Errorf("generation %d: %w", generation, err)
 	}
 	return b, nil
 }
--- a/internal/configuration/manager/serve.go
+++ b/internal/configuration/manager/serve.go
@@ -34,7 +34,7 @@
 }
 
 // RegisterHandlers registers the configuration endpoints of a gatherer's admin socket. The
-// right column names the request or, for GET, the response.
+// right column gives the type of the request body or, for GET, of the response.
 //
 //	POST /v1/config                         StageRequest; responds with StageResult
 //	POST /v1/config/{transaction}/apply     ApplyRequest
@@ -45,11 +45,11 @@
 //	GET  /v1/config/generations/{number}    bundle.Bundle
 func (m *Manager) RegisterHandlers(mux *http.ServeMux) {
 	mux.HandleFunc("POST /v1/config", func(w http.ResponseWriter, r *http.Request) {
-		var p StageRequest
-		if !admin.ReadJSON(w, r, &p) {
+		var request StageRequest
+		if !admin.ReadJSON(w, r, &request) {
 			return
 		}
-		s, err := m.Stage(r.Context(), p.Bundle, p.Against, p.Note, p.Signature)
+		s, err := m.Stage(r.Context(), request.Bundle, request.Against, request.Note, request.Signature)
 		respond(w, s, err)
 	})
 	mux.HandleFunc("POST /v1/config/reload", func(w http.ResponseWriter, r *http.Request) {
@@ -101,15 +101,15 @@
 	})
 }
 
-// respond writes a response, or the error with the status code that fits it.
+// respond writes a response, or an error with its status code.
 func respond(w http.ResponseWriter, v any, err error) {
 	switch {
 	case err == nil:
 		admin.WriteJSON(w, http.StatusOK, v)
 	case errors.Is(err, change.ErrNoTx) || errors.Is(err, ErrNoText):
 		admin.WriteError(w, http.StatusNotFound, err)
-	case errors.Is(err, change.ErrBusy) || errors.Is(err, change.ErrStale) || errors.Is(err, change.ErrState) || errors.Is(err, change.ErrFull) ||
-		errors.Is(err, change.ErrNothing):
+	case errors.Is(err, change.ErrBusy) || errors.Is(err, change.ErrStale) || errors.Is(err, change.ErrWrongState) || errors.Is(err, change.ErrFull) ||
+		errors.Is(err, change.ErrUnchanged):
 		admin.WriteError(w, http.StatusConflict, err)
 	case errors.Is(err, ErrEnded) || errors.Is(err, context.Canceled) || errors.Is(err, context.DeadlineExceeded):
 		admin.WriteError(w, http.StatusServiceUnavailable, err)
