--- a/internal/configuration/guard/guard.go
+++ b/internal/configuration/guard/guard.go
@@ -1,21 +1,22 @@
 // Package guard detects whether service has regressed since a change. For each class
-// it compares the seconds after the change with those before by five metrics: queries
-// not answered in time, refused, failed, slower than 99 of 100 were before, or still
-// without an answer. It has no I/O and no clock.
+// it compares the seconds after the change with those before by five metrics: the shares
+// of queries that are refused, fail, are not answered in time, are slower than 99 of 100
+// were before, or are still without an answer. The queries that a metric counts are called
+// bad. The package has no I/O and no clock.
 //
-// A test that runs each second on several counts of several classes fires by chance
-// if its significance level is the usual 5 or 1 percent, and failures come in bursts,
-// so that plain binomial bounds fire on ordinary days. There are three countermeasures.
-// Counts are divided by how much more they vary from second to second before the
-// change than independent queries would (the quasi-binomial dispersion of generalized
-// linear models; McCullagh and Nelder, 4.5). The significance level is Limits.Chance
-// for all tests of a probation together (Bonferroni correction). And a regression must
-// be large enough to matter, and be seen in two consecutive seconds.
+// There are two sources of false alarms. A test that runs each second on several counts of
+// several classes fires by chance if its significance level is the usual 5 or 1 percent.
+// And failures come in bursts, so plain binomial bounds fire on ordinary days. There are
+// three countermeasures. Counts are divided by the factor by which their variance before
+// the change exceeds that of independent queries (the quasi-binomial dispersion of
+// generalized linear models; McCullagh and Nelder, 4.5). The significance level is
+// Limits.Chance for all tests of a probation together (Bonferroni correction). And a
+// regression must be large enough to matter, and be seen in two consecutive seconds.
 //
-// The guard can't tell why service regressed. Where a searcher crashes in the second
-// of an apply, a change is undone that did not cause it. That is acceptable: the
-// previous configuration is known to be good, and applying the change again costs less
-// than leaving a bad one in force and losing reservations all morning.
+// The guard can't tell why service regressed. If a searcher crashes in the second in
+// which a change is applied, the change is undone although it is not the cause. That is
+// acceptable: the previous configuration is known to be good, and applying a change again
+// costs less than leaving a bad one in force for hours and losing reservations.
 package guard
 
 import (
@@ -38,7 +39,7 @@
 // default.
 type Limits struct {
 	Chance          float64 // probability of undoing a change without effect, in one probation; default 0.001
-	MinIncrease     float64 // least increase of the share of queries that fare badly; default 0.05
+	MinIncrease     float64 // least increase of the share of bad queries; default 0.05
 	MinSlowdown     float64 // least ratio of the p99 to that of the baseline; default 1.5
 	BaselineSeconds int     // seconds before the change to compare with; default 60
 	RecentSeconds   int     // latest seconds after the change that are tested together; default 10
@@ -47,12 +48,12 @@
 var defaults = Limits{Chance: 0.001, MinIncrease: 0.05, MinSlowdown: 1.5, BaselineSeconds: 60, RecentSeconds: 10}
 
 func (l Limits) withDefaults() Limits {
-	for _, at := range []struct {
+	for _, setting := range []struct {
 		value        *float64
 		defaultValue float64
 	}{{&l.Chance, defaults.Chance}, {&l.MinIncrease, defaults.MinIncrease}, {&l.MinSlowdown, defaults.MinSlowdown}} {
-		if *at.value <= 0 {
-			*at.value = at.defaultValue
+		if *setting.value <= 0 {
+			*setting.value = setting.defaultValue
 		}
 	}
 	if l.BaselineSeconds <= 0 {
@@ -70,13 +71,13 @@
 	// is divided. A longer probation has a slightly higher total chance.
 	testedSeconds = 60
 	// The baseline needs at least minBaselineSeconds seconds and minBaselineQueries
-	// queries. Otherwise assumedShare is taken for the share of queries that fared
-	// badly before, as on a day when service is just good enough.
+	// queries. Otherwise the share of bad queries before the change is assumed to be
+	// assumedShare, as on a day when service is just good enough.
 	minBaselineSeconds = 5
 	minBaselineQueries = 50
 	assumedShare       = 0.05
 	// minQueries is the least number of queries after the change that is tested. With
-	// fewer, not even failure of all of them is significant where 5 percent failed
+	// fewer, even the failure of all of them is not significant if 5 percent failed
 	// before.
 	minQueries = 8
 	// consecutiveSeconds is the number of seconds in a row in which a regression must
@@ -87,11 +88,11 @@
 	unansweredGrace = 2
 )
 
-// metric is one way in which queries can fare badly.
+// metric is a criterion by which a query counts as bad.
 type metric int
 
-// The metrics, in the order in which regressions are reported. Those before 'late'
-// come first because the queries that they count are late as well.
+// The metrics, in the order in which regressions are reported. refused and failed come
+// before late because the queries that they count are late as well.
 const (
 	refused metric = iota
 	failed
@@ -109,7 +110,7 @@
 	taken    int
 	ended    int             // answered, refused or failed
 	gone     int             // their client left
-	bad      [unanswered]int // by metric; without slow, which depends on the baseline
+	bad      [unanswered]int // by metric; 0 for slow, which depends on the baseline
 	times    []querystats.Bucket
 	answered int
 }
@@ -123,8 +124,8 @@
 	worseSeconds          [metricCount]int // consecutive seconds in which a regression was seen
 }
 
-// expectation is the share of queries that fared badly before a change, and the factor
-// by which the variance of their number exceeds that of independent queries.
+// expectation is the share of bad queries before a change, and the factor by which the
+// variance of their number exceeds that of independent queries.
 type expectation struct{ share, dispersion float64 }
 
 // Guard detects regressions of service. Create it with New.
@@ -147,8 +148,8 @@
 
 // Begin starts to watch a change that was applied in the given second. The seconds
 // after it are compared with those before; the second itself belongs to neither.
-func (g *Guard) Begin(at int64) {
-	g.watching, g.changeSecond = true, at
+func (g *Guard) Begin(second int64) {
+	g.watching, g.changeSecond = true, second
 	for _, c := range g.classes {
 		c.afterChange, c.worseSeconds = nil, [metricCount]int{}
 		sum := querystats.NewTotals()
@@ -164,19 +165,19 @@
 	}
 }
 
-// undoSettleSeconds is for how many seconds after an undo queries of the bad generation
-// still end. Counting them into the baseline would delay the detection of the next
-// regression.
+// undoSettleSeconds is the number of seconds after an undo in which queries of the undone
+// generation still end. Counting them into the baseline would delay the detection of the
+// next regression.
 const undoSettleSeconds = 4
 
-// End stops watching a change that was confirmed (kept) or undone in the given second.
+// End stops watching a change that was confirmed or undone in the given second.
 // The observations of its probation join the baseline only if it was confirmed.
-func (g *Guard) End(kept bool, at int64) {
-	if !kept {
-		g.distortedUntil = at + undoSettleSeconds
+func (g *Guard) End(confirmed bool, second int64) {
+	if !confirmed {
+		g.distortedUntil = second + undoSettleSeconds
 	}
 	for _, c := range g.classes {
-		if kept {
+		if confirmed {
 			c.baseline = lastN(append(c.baseline, c.afterChange...), g.limits.BaselineSeconds)
 		}
 		c.afterChange = nil
@@ -187,13 +188,13 @@
 // Regression describes how a class has regressed.
 type Regression struct {
 	Class         string
-	What          string  // the name of the metric
-	Before, After float64 // shares of the queries
+	Metric        string  // the name of the metric
+	Before, After float64 // shares of bad queries
 	Queries       int     // after the change
 }
 
 func (r Regression) String() string {
-	return fmt.Sprintf("%s: %.1f%% of %d queries %s, %.1f%% before", r.Class, 100*r.After, r.Queries, r.What, 100*r.Before)
+	return fmt.Sprintf("%s: %.1f%% of %d queries %s, %.1f%% before", r.Class, 100*r.After, r.Queries, r.Metric, 100*r.Before)
 }
 
 // Add records a finished second of a gatherer, and reports whether service has
@@ -201,12 +202,12 @@
 func (g *Guard) Add(w querystats.Window) (Regression, bool) {
 	var regression Regression
 	found := false
-	for _, k := range w.Classes {
+	for _, counts := range w.Classes {
 		for _, c := range g.classes {
-			if c.Name != k.Name {
+			if c.Name != counts.Name {
 				continue
 			}
-			s := summarize(w.Second, k, c.Aim)
+			s := summarize(w.Second, counts, c.Aim)
 			if w.Second <= g.distortedUntil && (!g.watching || w.Second < g.changeSecond) {
 				continue
 			}
@@ -231,17 +232,17 @@
 }
 
 // summarize counts the queries of a class in one second.
-func summarize(at int64, k querystats.ClassCounts, aim time.Duration) secondCounts {
-	s := secondCounts{second: at, taken: k.Taken, gone: k.Gone, times: k.Times}
-	s.answered = k.Whole + k.Partial
-	s.ended = s.answered + k.Refused + k.Failed
+func summarize(second int64, counts querystats.ClassCounts, aim time.Duration) secondCounts {
+	s := secondCounts{second: second, taken: counts.Taken, gone: counts.Gone, times: counts.Times}
+	s.answered = counts.Whole + counts.Partial
+	s.ended = s.answered + counts.Refused + counts.Failed
 	inTime := 0
-	for _, t := range k.Times {
+	for _, t := range counts.Times {
 		if t.Micros <= aim.Microseconds() {
 			inTime += int(t.N)
 		}
 	}
-	s.bad = [unanswered]int{late: s.ended - inTime, refused: k.Refused, failed: k.Failed}
+	s.bad = [unanswered]int{late: s.ended - inTime, refused: counts.Refused, failed: counts.Failed}
 	return s
 }
 
@@ -286,8 +287,8 @@
 	return regression, found
 }
 
-// sum returns the number of queries n in some seconds, and how many of them, k, fared
-// badly by a metric.
+// sum returns the number n of queries in some seconds, and the number k of those that are
+// bad by a metric.
 func (c *classState) sum(m metric, list []secondCounts, at int64) (n, k int) {
 	if m == unanswered {
 		return c.sumUnanswered(list)
@@ -299,7 +300,7 @@
 	return n, k
 }
 
-// inSecond returns the same numbers as sum for one second.
+// inSecond returns the numbers that sum returns, for one second.
 func (c *classState) inSecond(m metric, s secondCounts) (n, k int) {
 	if m != slow {
 		return s.ended, s.bad[m]
@@ -312,17 +313,17 @@
 	return s.answered, k
 }
 
-// sumUnanswered returns the number of queries n that were taken after the change and
-// should have ended by now, and how many of them, k, are still open.
+// sumUnanswered returns the number n of queries that were taken after the change and
+// should have ended by now, and the number k of those that are still open.
 func (c *classState) sumUnanswered(list []secondCounts) (n, k int) {
 	if len(list) == 0 {
 		return 0, 0
 	}
 	now := list[len(list)-1].second
-	overdue := now - unansweredGrace - int64(math.Ceil(c.baselineP99.Seconds()))
+	lastDue := now - unansweredGrace - int64(math.Ceil(c.baselineP99.Seconds()))
 	ended := 0
 	for _, s := range list {
-		if s.second <= overdue {
+		if s.second <= lastDue {
 			n += s.taken
 		}
 		ended += s.ended + s.gone
@@ -330,7 +331,8 @@
 	return n, max(n-ended, 0)
 }
 
-// expect estimates from the baseline how queries fare by a metric.
+// expect estimates from the baseline the share of bad queries by a metric and its
+// dispersion, which is Pearson's chi-squared statistic over its degrees of freedom.
 func (c *classState) expect(m metric) expectation {
 	p := 0.0
 	if m == slow {
@@ -345,26 +347,26 @@
 	if n == 0 {
 		return expectation{max(p, assumedShare), 1}
 	}
-	// Rule of succession, so that what never happened before is not impossible.
+	// Laplace's rule of succession: what never happened before must not have probability 0.
 	p = max(p, (float64(k)+1)/(float64(n)+2))
-	squares, seconds := 0.0, 0
+	chiSquared, seconds := 0.0, 0
 	for _, s := range c.baseline {
 		sn, sk := c.inSecond(m, s)
 		if sn == 0 {
 			continue
 		}
 		expected := float64(sn) * p
-		squares += (float64(sk) - expected) * (float64(sk) - expected) / (expected * (1 - p))
+		chiSquared += (float64(sk) - expected) * (float64(sk) - expected) / (expected * (1 - p))
 		seconds++
 	}
 	if seconds < 2 {
 		return expectation{p, 1}
 	}
-	return expectation{p, max(1, squares/float64(seconds-1))}
+	return expectation{p, max(1, chiSquared/float64(seconds-1))}
 }
 
-// upperTail returns the probability of k or more bad queries among n where a share p
-// is expected.
+// upperTail returns the probability of k or more bad queries among n if their expected
+// share is p.
 func upperTail(n, k int, p, dispersion float64) float64 {
 	if k == 0 {
 		return 1
--- a/internal/configuration/guard/guard_test.go
+++ b/internal/configuration/guard/guard_test.go
@@ -16,9 +16,9 @@
 	now  int64
 }
 
-// fault says how a second differs from an ordinary one.
+// fault describes how a second differs from an ordinary one.
 type fault struct {
-	failed, refused, late, lost float64 // shares of the queries
+	failed, refused, late, lost float64 // shares of the queries; lost ones are never answered
 	slowdown                    float64 // factor on the latency of answers
 }
 
@@ -26,7 +26,7 @@
 // in bursts, and latencies are distributed log-normally from 40 ms.
 func (g *generator) second(f fault) querystats.Window {
 	g.now++
-	sum := make(map[int64]int64)
+	countByMicros := make(map[int64]int64)
 	c := querystats.ClassCounts{Name: "search"}
 	burst := 0.0
 	if g.rng.Float64() < 0.1 {
@@ -49,10 +49,10 @@
 			if g.rng.Float64() < f.late {
 				ms = 2000
 			}
-			sum[int64(ms*1000)]++
+			countByMicros[int64(ms*1000)]++
 		}
 	}
-	for us, n := range sum {
+	for us, n := range countByMicros {
 		c.Times = append(c.Times, querystats.Bucket{Micros: us, N: n})
 	}
 	return querystats.Window{Second: g.now, Classes: []querystats.ClassCounts{c}}
@@ -98,8 +98,8 @@
 	}
 }
 
-// Guards against undoing changes by chance: of 400 probations of a minute without any
-// regression none may be undone. Limits.Chance allows one in 1,000.
+// Guards against undoing changes by chance: in 400 probations of a minute without a
+// regression, none may be reported. Limits.Chance allows one in 1,000.
 func TestChanceAloneIsNoRegression(t *testing.T) {
 	for seed := range uint64(400) {
 		g, gen := startWatching(seed, 10+int(seed%10)*20)
@@ -127,8 +127,8 @@
 	}
 }
 
-// Guards against undoing the first change after a start: without a baseline 5 percent are
-// assumed to fare badly, so only a large regression counts.
+// Guards against undoing the first change after a start: without a baseline, 5 percent of
+// the queries are assumed to be bad, so only a large regression counts.
 func TestWithoutABaselineOnlyLargeRegressionsCount(t *testing.T) {
 	g := New([]Class{{"search", time.Second}, {"reserve", time.Second}}, Limits{})
 	gen := &generator{rng: rand.New(rand.NewPCG(1, 1)), rate: 50}
@@ -155,7 +155,7 @@
 		g.Add(gen.second(fault{failed: 0.5}))
 	}
 	g.End(false, gen.now)
-	for range undoSettleSeconds { // queries of the bad generation still end
+	for range undoSettleSeconds { // queries of the undone generation still end
 		g.Add(gen.second(fault{failed: 0.5}))
 	}
 	g.Begin(gen.now + 1)
