--- a/internal/configuration/bundle/bundle.go
+++ b/internal/configuration/bundle/bundle.go
@@ -46,10 +46,10 @@
 	Config *config.Config
 	File   *settings.File
 	Layout *layout.Layout // nil: the platform's cells assign shards to searchers
-	Fleet  layout.Fleet
+	Fleet  layout.Fleet   // the searchers and the number of replicas, from the layout's file
 }
 
-// Names holds the names of the files, for messages.
+// Names holds the names of the files, which are used in messages only.
 type Names struct{ Platform, Operators, Layout string }
 
 // ErrTooLarge is returned for a bundle that exceeds MaxBytes.
@@ -88,18 +88,18 @@
 // RestartKeys returns the keys that differ between two candidates and take effect only at
 // the next start: the listener, file descriptors, and the settings that the decision
 // module gets when it starts.
-func RestartKeys(now, next *Candidate) (keys []string) {
-	keys = now.Config.PendingRestart(next.Config)
-	for _, at := range []struct {
+func RestartKeys(current, next *Candidate) (keys []string) {
+	keys = current.Config.PendingRestart(next.Config)
+	for _, setting := range []struct {
 		key     string
 		differs bool
 	}{
-		{"admin", now.File.Admin != next.File.Admin},
-		{"layout/@follow", now.File.Follow != next.File.Follow},
-		{"layout", (now.Layout == nil) != (next.Layout == nil)},
+		{"admin", current.File.Admin != next.File.Admin},
+		{"layout/@follow", current.File.Follow != next.File.Follow},
+		{"layout", (current.Layout == nil) != (next.Layout == nil)},
 	} {
-		if at.differs {
-			keys = append(keys, at.key)
+		if setting.differs {
+			keys = append(keys, setting.key)
 		}
 	}
 	slices.Sort(keys)
--- a/internal/format/catalog/catalog.go
+++ b/internal/format/catalog/catalog.go
@@ -1,5 +1,5 @@
-// Package catalog parses the member lists that discovery sends. It does no I/O, and does not decide which entries of a
-// list are believed: package discovery does.
+// Package catalog parses the member lists that discovery sends. It does no I/O. Package discovery decides which entries
+// of a list to trust.
 package catalog
 
 import (
@@ -66,8 +66,8 @@
 	return nil
 }
 
-// Leaving returns the members of an update that must not be sent anything new, as changes.
-// It may be applied even if the rest of the update is invalid: it can only stop sends to a
+// Leaving returns changes that hold only the members to which nothing new may be sent. They
+// may be applied even if the rest of the update is invalid: they can only stop sends to a
 // searcher.
 func (u Update) Leaving() Update {
 	u.Complete = false
@@ -78,7 +78,7 @@
 }
 
 // RemoveDuplicates removes duplicate members from an update. When two entries with the same ID differ,
-// neither is more credible, so it keeps the one that must not be sent anything, or else the
+// neither is more credible, so it keeps the one by which nothing may be sent to the searcher, or else the
 // one that started later.
 func (u *Update) RemoveDuplicates() {
 	indexes := make(map[string]int, len(u.Members))
@@ -98,8 +98,8 @@
 	u.Members = members
 }
 
-// Parse parses one update. If it returns an error, only the result of Leaving may be used of
-// the update.
+// Parse parses one update. If it returns an error, nothing but the result of Leaving may be used
+// of the update.
 func Parse(text []byte) (Update, error) {
 	var u Update
 	if err := json.Unmarshal(text, &u); err != nil {
--- a/internal/format/catalog/catalog_test.go
+++ b/internal/format/catalog/catalog_test.go
@@ -64,8 +64,8 @@
 	}
 }
 
-// Two entries of one member may contradict each other, in either order: the one by which the searcher must
-// not be sent anything must be kept. Of an invalid update, only such entries may be used.
+// If two entries of one member contradict each other, the one by which nothing may be sent to the searcher
+// must be kept, whatever their order. Of an invalid update, only such entries may be used.
 func TestLeavingMembersAreKept(t *testing.T) {
 	ready, leaving := `{"id":"s","host_port":"h:1","phase":"Ready"}`, `{"id":"s","phase":"Terminating"}`
 	for _, text := range []string{ready + "," + leaving, leaving + "," + ready} {
--- a/internal/format/sealed/sealed.go
+++ b/internal/format/sealed/sealed.go
@@ -1,6 +1,7 @@
 // Package sealed appends a checksum to a value that is stored under a key: CRC-32C
 // (RFC 3720, appendix B.4) of key and value, 4 bytes, most significant first.
-// Stores check only their own pages, not the values in them or the keys of the values.
+// It is needed because stores check only their own pages, not the values in them or the
+// keys of the values.
 package sealed
 
 import (
