--- a/internal/format/frame/frame.go
+++ b/internal/format/frame/frame.go
@@ -18,7 +18,7 @@
 // The letters that give the type of a frame.
 const (
 	Call   = 'q' // from a gatherer: the parts of one call
-	Cancel = 'c' // from a gatherer: the ID of a part that is cancelled
+	Cancel = 'c' // from a gatherer: the ID of a part to cancel
 	Probe  = 'p' // in both directions
 	Load   = 'l' // in both directions
 	Answer = 'a' // from a searcher: the answer to one part
@@ -28,7 +28,7 @@
 // searcherLetters holds the letters of the frames that a searcher sends.
 const searcherLetters = string(Answer) + string(Error) + string(Probe) + string(Load)
 
-// MaxLength is the largest valid length of a frame: a value longer than the largest
+// MaxLength is the largest valid length of a frame. A value longer than the largest
 // body (64 KiB) cannot be passed on, and the line before the value is short.
 const MaxLength = 68 << 10
 
@@ -103,25 +103,25 @@
 	Whole bool          // second step: whether the first step was whole
 }
 
-// append appends the list as NAME=VALUE pairs separated by commas. The wait is at least 1 ms.
-func (l PartOptions) append(dst []byte) []byte {
+// append appends the options as NAME=VALUE pairs separated by commas. The wait is at least 1 ms.
+func (o PartOptions) append(dst []byte) []byte {
 	dst = append(dst, "d="...)
-	dst = strconv.AppendInt(dst, max(l.Wait.Milliseconds(), 1), 10)
-	if l.Key != "" {
+	dst = strconv.AppendInt(dst, max(o.Wait.Milliseconds(), 1), 10)
+	if o.Key != "" {
 		dst = append(dst, ",k="...)
-		dst = append(dst, l.Key...)
+		dst = append(dst, o.Key...)
 	}
-	if l.From == nil {
+	if o.From == nil {
 		return dst
 	}
 	dst = append(dst, ",from="...)
-	for i, shard := range l.From {
+	for i, shard := range o.From {
 		if i > 0 {
 			dst = append(dst, '+')
 		}
 		dst = strconv.AppendInt(dst, int64(shard), 10)
 	}
-	if l.Whole {
+	if o.Whole {
 		return append(dst, ",whole=1"...)
 	}
 	return append(dst, ",whole=0"...)
@@ -181,7 +181,7 @@
 	Report Report
 }
 
-// Report holds the part of a load report that is used.
+// Report holds the fields of a load report that are used.
 type Report struct {
 	Present   bool    // a usable report was received
 	Malformed bool    // a malformed report was received
@@ -217,26 +217,26 @@
 
 var errMalformedAnswer = errors.New("malformed answer")
 
-// ParseAnswer parses the payload of an Answer frame. Only a served part must have
-// a score and a value that is valid UTF-8. The load report is the rest of the line,
+// ParseAnswer parses the payload of an Answer frame. A score, and a value that is valid
+// UTF-8, are required only for a served part. The load report is the rest of the line,
 // whatever it contains: a malformed one does not invalidate the answer, see ParseReport.
-func ParseAnswer(rest []byte) (Result, error) {
-	line, value, ok := bytes.Cut(rest, []byte("\n"))
-	f := strings.SplitN(string(line), " ", 4)
-	if !ok || len(f) != 4 || f[0] == "" {
+func ParseAnswer(payload []byte) (Result, error) {
+	line, value, ok := bytes.Cut(payload, []byte("\n"))
+	fields := strings.SplitN(string(line), " ", 4)
+	if !ok || len(fields) != 4 || fields[0] == "" {
 		return Result{}, errMalformedAnswer
 	}
-	end, ok := endNames[f[1]]
+	end, ok := endNames[fields[1]]
 	if !ok {
-		return Result{}, fmt.Errorf("%w: unknown end %q, want served, broke or skipped", errMalformedAnswer, f[1])
+		return Result{}, fmt.Errorf("%w: unknown end %q, want served, broke or skipped", errMalformedAnswer, fields[1])
 	}
-	r := Result{ID: f[0], End: end, Report: ParseReport(f[3])}
+	r := Result{ID: fields[0], End: end, Report: ParseReport(fields[3])}
 	if end != Served {
 		return r, nil
 	}
-	score, err := strconv.ParseInt(f[2], 10, 64)
+	score, err := strconv.ParseInt(fields[2], 10, 64)
 	if err != nil {
-		return Result{}, fmt.Errorf("%w: score %q, want an integer", errMalformedAnswer, f[2])
+		return Result{}, fmt.Errorf("%w: score %q, want an integer", errMalformedAnswer, fields[2])
 	}
 	if !utf8.Valid(value) {
 		return Result{}, fmt.Errorf("%w: value is not valid UTF-8", errMalformedAnswer)
--- a/internal/format/frame/frame_test.go
+++ b/internal/format/frame/frame_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-func TestCall(t *testing.T) {
+func TestAppendCallAndCancel(t *testing.T) {
 	got := string(AppendCall(nil, []Part{
 		{ID: "t.3", Shard: 3, Options: PartOptions{Wait: 240 * time.Millisecond, Key: "k1"}, Text: "c4"},
 		{ID: "t.9.b", Shard: 9, Options: PartOptions{Wait: 1, From: []int{3, 9}, Whole: true}, Text: ""},
@@ -24,7 +24,7 @@
 
 // Frames must be the same however the network splits them, and an invalid length or letter
 // must be an error before the rest of the frame arrives, which it may never do.
-func TestFrames(t *testing.T) {
+func TestParserReturnsWholeFrames(t *testing.T) {
 	text := "\x00\x00\x00\x04et.3\x00\x00\x00\x01p\x00\x00\x00\x03axy"
 	for n := 1; n <= len(text); n++ {
 		var p Parser
--- a/internal/format/http1/head.go
+++ b/internal/format/http1/head.go
@@ -18,7 +18,7 @@
 	MaxBody = 64 << 10 // body of a request
 )
 
-// Error describes a message that is rejected. Status is the status code of the response to it.
+// Error reports that a message was rejected. Status is the status code of the response to it.
 type Error struct {
 	Status int
 	Reason string
@@ -48,8 +48,8 @@
 }
 
 // Unambiguous returns the value of the field with the given name (in lower case). It returns ""
-// if the field occurs more than once with different values, because it is undecidable
-// which one is meant.
+// if the field occurs more than once with different values, because it is not clear which
+// one applies.
 func (h Header) Unambiguous(name string) string {
 	value, seen := "", false
 	for _, f := range h {
@@ -70,7 +70,7 @@
 }
 
 // listContains reports whether a field whose value is a comma-separated list contains the
-// item, in any case.
+// item. Upper and lower case are not distinguished.
 func (h Header) listContains(name, item string) bool {
 	for _, f := range h {
 		if f.Name != name {
@@ -208,9 +208,10 @@
 
 const (
 	maxChunkLine = 256
-	// maxOverhead bounds the bytes of chunk lines and their extensions beyond an allowance
-	// of freeOverhead for each chunk and twice its data. Without it, a body of one-byte
-	// chunks with an extension each would cost its reader hundreds of times its length.
+	// maxOverhead bounds the bytes of chunk lines, extensions included, beyond an allowance:
+	// freeOverhead plus twice the size of the data for each chunk. Without it, a body of
+	// one-byte chunks, each with an extension, would cost its reader hundreds of times its
+	// length.
 	maxOverhead  = 16 << 10
 	freeOverhead = 16
 )
@@ -277,7 +278,7 @@
 			return badMessage("malformed chunk size")
 		}
 		if b.overhead = max(b.overhead+int64(len(line))+2-freeOverhead-2*int64(n), 0); b.overhead > maxOverhead {
-			return badMessage("the chunked body is mostly not data")
+			return badMessage("the lines between chunks are too long for the data in the chunks")
 		}
 		b.remaining, b.state = int64(n), chunkData
 		if n == 0 {
--- a/internal/format/http1/request.go
+++ b/internal/format/http1/request.go
@@ -17,7 +17,7 @@
 // RequestParser parses the requests that arrive on one connection.
 type RequestParser struct {
 	buf            []byte
-	req            *Request // its head is parsed, its body is incomplete
+	req            *Request // the head is parsed, the body is incomplete; nil between requests
 	body           bodyDecoder
 	awaitsContinue bool // the client waits for "100 Continue" before it sends the body
 }
@@ -77,44 +77,44 @@
 	if parsed == nil || err != nil {
 		return err
 	}
-	f, h := parsed.startLine, parsed.header
-	if len(f) != 3 || !isToken(f[0]) || !strings.HasPrefix(f[1], "/") {
+	startLine, header := parsed.startLine, parsed.header
+	if len(startLine) != 3 || !isToken(startLine[0]) || !strings.HasPrefix(startLine[1], "/") {
 		return badMessage("malformed request line")
 	}
-	if f[2] != "HTTP/1.1" && f[2] != "HTTP/1.0" {
-		return &Error{Status: 505, Reason: "unknown version"}
+	if startLine[2] != "HTTP/1.1" && startLine[2] != "HTTP/1.0" {
+		return &Error{Status: 505, Reason: "unsupported HTTP version, want HTTP/1.1 or HTTP/1.0"}
 	}
-	if !isTarget(f[1]) {
+	if !isTarget(startLine[1]) {
 		return badMessage("malformed target")
 	}
 	hosts := 0
-	for _, field := range h {
+	for _, field := range header {
 		if field.Name == "host" {
 			hosts++
 		}
-		if field.Name == "transfer-encoding" && f[2] == "HTTP/1.0" { // parsers differ on its meaning there
+		if field.Name == "transfer-encoding" && startLine[2] == "HTTP/1.0" { // parsers differ on its meaning there
 			return badMessage("transfer-encoding in HTTP/1.0")
 		}
 	}
 	if hosts > 1 { // implementations disagree on which one counts (RFC 9112, 3.2)
-		return badMessage("%d host fields", hosts)
+		return badMessage("found %d host fields, want at most 1", hosts)
 	}
-	r := &Request{Method: f[0], Target: f[1], Header: h, Close: h.listContains("connection", "close")}
-	r.Close = r.Close || f[2] == "HTTP/1.0" && !h.listContains("connection", "keep-alive")
-	if p.body, err = newBodyDecoder(h, false); err != nil {
+	r := &Request{Method: startLine[0], Target: startLine[1], Header: header, Close: header.listContains("connection", "close")}
+	r.Close = r.Close || startLine[2] == "HTTP/1.0" && !header.listContains("connection", "keep-alive")
+	if p.body, err = newBodyDecoder(header, false); err != nil {
 		return err
 	}
 	if p.body.state == fixedLength && p.body.remaining > MaxBody {
 		return errBodyTooLong
 	}
 	p.awaitsContinue = p.body.state != fixedLength || p.body.remaining > 0
-	p.awaitsContinue = p.awaitsContinue && strings.EqualFold(h.Get("expect"), "100-continue")
+	p.awaitsContinue = p.awaitsContinue && strings.EqualFold(header.Get("expect"), "100-continue")
 	p.req, p.buf = r, rest
 	return nil
 }
 
-// isTarget reports whether all parsers accept a target: it has no control characters or
-// spaces, and the escapes in its path are complete.
+// isTarget reports whether s is a target that all parsers accept: one without control
+// characters or spaces, and with complete escapes in its path.
 func isTarget(s string) bool {
 	path, _, _ := strings.Cut(s, "?")
 	for i := range len(s) {
--- a/internal/format/http1/response.go
+++ b/internal/format/http1/response.go
@@ -35,8 +35,8 @@
 // Done reports whether the response has ended.
 func (p *ResponseParser) Done() bool { return p.head != nil && p.body.state == done }
 
-// EndsAtClose reports whether only the close of the connection ends the response. The connection
-// may also break before the response is complete.
+// EndsAtClose reports whether only the close of the connection ends the response. Such a response
+// may be incomplete, because the connection may also have broken.
 func (p *ResponseParser) EndsAtClose() bool { return p.head != nil && p.body.state == untilClosed }
 
 // parseHead parses the head of the response, if it is complete, and prepares its body.
@@ -45,17 +45,17 @@
 	if parsed == nil || err != nil {
 		return err
 	}
-	f, h := parsed.startLine, parsed.header
-	if len(f) < 2 || !strings.HasPrefix(f[0], "HTTP/1.") {
+	startLine, header := parsed.startLine, parsed.header
+	if len(startLine) < 2 || !strings.HasPrefix(startLine[0], "HTTP/1.") {
 		return badMessage("malformed status line")
 	}
-	status, err := strconv.Atoi(f[1])
+	status, err := strconv.Atoi(startLine[1])
 	if err != nil || status < 200 || status > 599 {
-		return badMessage("malformed status %q", f[1])
+		return badMessage("malformed status %q", startLine[1])
 	}
-	if p.body, err = newBodyDecoder(h, true); err != nil {
+	if p.body, err = newBodyDecoder(header, true); err != nil {
 		return err
 	}
-	p.head, p.buf = &Response{Status: status, Header: h}, rest
+	p.head, p.buf = &Response{Status: status, Header: header}, rest
 	return nil
 }
--- a/internal/format/wire/wire.go
+++ b/internal/format/wire/wire.go
@@ -22,9 +22,9 @@
 // maxInventorySlot is the highest slot in which a member list may be stored.
 const maxInventorySlot = 15
 
-// Batch is one batch of messages from the simulator: the clock and the input of
+// MessageBatch is one batch of messages from the simulator: the clock and the input of
 // each instance, in the order in which the instances were first named.
-type Batch struct {
+type MessageBatch struct {
 	Clock  time.Duration
 	Inputs []*Input
 
@@ -82,33 +82,33 @@
 }
 
 // Next returns the next batch, or io.EOF at the end of the input.
-func (r *Reader) Next() (Batch, error) {
+func (r *Reader) Next() (MessageBatch, error) {
 	f, err := r.readFields()
 	if err != nil {
-		return Batch{}, err
+		return MessageBatch{}, err
 	}
 	if f[0] != "clock" || len(f) < 2 {
-		return Batch{}, r.errorf("message %q at the start of a batch, want clock and a time", f[0])
+		return MessageBatch{}, r.errorf("message %q at the start of a batch, want clock and a time", f[0])
 	}
 	clock, err := strconv.ParseInt(f[1], 10, 64)
 	if err != nil {
-		return Batch{}, r.errorf("malformed clock %q, want an integer", f[1])
+		return MessageBatch{}, r.errorf("malformed clock %q, want an integer", f[1])
 	}
-	b := Batch{Clock: time.Duration(clock)}
+	b := MessageBatch{Clock: time.Duration(clock)}
 	for {
 		f, err := r.readFields()
 		if err == io.EOF {
-			return Batch{}, r.errorf("input ends inside a batch, want flush")
+			return MessageBatch{}, r.errorf("input ends inside a batch, want flush")
 		}
 		if err != nil {
-			return Batch{}, err
+			return MessageBatch{}, err
 		}
 		if f[0] == "flush" {
 			r.finish(&b)
 			return b, nil
 		}
 		if err := r.readMessage(&b, f); err != nil {
-			return Batch{}, r.errorf("%s: %v", f[0], err)
+			return MessageBatch{}, r.errorf("%s: %v", f[0], err)
 		}
 	}
 }
@@ -134,7 +134,7 @@
 
 // readMessage adds one message to a batch. The entries that follow an inventory message
 // are read with it.
-func (r *Reader) readMessage(b *Batch, f []string) error {
+func (r *Reader) readMessage(b *MessageBatch, f []string) error {
 	p := &parser{fields: f}
 	switch f[0] {
 	case "for":
@@ -206,7 +206,7 @@
 }
 
 // selectInstance makes the named instance the one that the following lines are for.
-func (r *Reader) selectInstance(b *Batch, name string) {
+func (r *Reader) selectInstance(b *MessageBatch, name string) {
 	for _, in := range b.Inputs {
 		if in.Instance == name {
 			b.current = in
@@ -218,7 +218,7 @@
 }
 
 // finish delivers the pending queries of all instances at the end of a batch.
-func (r *Reader) finish(b *Batch) {
+func (r *Reader) finish(b *MessageBatch) {
 	for _, in := range b.Inputs {
 		if s := r.instances[in.Instance]; s != nil {
 			r.deliverQueries(in, s)
@@ -280,7 +280,7 @@
 		return p.err
 	}
 	if slot < 0 || slot > maxInventorySlot || count < 0 {
-		return fmt.Errorf("slot %d with %d entries, want a slot from 0 to 15 and no negative number of entries", slot, count)
+		return fmt.Errorf("slot %d with %d entries, want a slot from 0 to 15 and 0 or more entries", slot, count)
 	}
 	var list []eiderwinch.Replica
 	for i := int64(0); i < count; i++ {
@@ -333,7 +333,7 @@
 	return nil
 }
 
-// readOrder reads a query (its shard is negative) or one part of a query. The parts of a
+// readOrder reads a query (the shard is negative) or one part of a query. The parts of a
 // second step come in a later batch under the number of their query. Parts of a query
 // that has ended are ignored.
 func (s *instanceState) readOrder(clock time.Duration, p *parser) error {
@@ -469,7 +469,7 @@
 	}
 }
 
-// statuses maps the wire's names of attempt statuses.
+// statuses maps the names that the simulator uses for attempt statuses.
 var statuses = map[string]eiderwinch.Status{
 	"GOOD":   eiderwinch.OK,
 	"BAD":    eiderwinch.Failed,
--- a/internal/format/wire/wire_test.go
+++ b/internal/format/wire/wire_test.go
@@ -16,16 +16,16 @@
 	`"domain":{"places":4,"in_a_row":2,"shards":8,"per_call":4,"call_cost":60,"whole_at":[0.67],"floor_by_class":[0.5]},` +
 	`"policy_limits":{"attempts_cap":3},"rules":{"cold":7}}`
 
-const started = "clock\t5\nfor\tbroker_1\ninit\t9\t" + settings + "\n"
+const startMessages = "clock\t5\nfor\tbroker_1\ninit\t9\t" + settings + "\n"
 
 // readBatch reads the first batch of text.
-func readBatch(t *testing.T, text string) (Batch, error) {
+func readBatch(t *testing.T, text string) (MessageBatch, error) {
 	t.Helper()
 	return NewReader(strings.NewReader(text)).Next()
 }
 
 func TestBatch(t *testing.T) {
-	b, err := readBatch(t, started+
+	b, err := readBatch(t, startMessages+
 		"inventory\t0\t2\nm\t10.0.0.1:1\tz1\tstd\t3\t1\t1\t-\nm\t10.0.0.2:1\tz2\tstd\t0\t2\t1\t44\textra\n"+
 		"backends_changed\t2\t0\t41\n"+
 		"order\t7\tread\tbob\tk-1\t900\t-\t214\t-1\t2\t2\n"+
@@ -64,7 +64,7 @@
 // The simulator sends the parts of a second step in a later batch, under the number of their query. They must
 // become one SecondStep, and parts that come after it must not become another.
 func TestSecondStepPartsArriveUnderTheirQuery(t *testing.T) {
-	text := strings.Replace(started, `"domain":{`, `"domain":{"class_fetch":[1],`, 1)
+	text := strings.Replace(startMessages, `"domain":{`, `"domain":{"class_fetch":[1],`, 1)
 	r := NewReader(strings.NewReader(text +
 		"order\t7\tread\t-\t-\t900\t-\t214\t-1\t1\t0\norder\t8\tread\t-\t-\t900\t-\t214\t5\t1\t0\nflush\n" +
 		"clock\t6\nfor\tbroker_1\norder\t9\tread\t-\t-\t900\t-\t214\t5\t1\t0\nflush\n" +
@@ -82,9 +82,9 @@
 	}
 }
 
-// Messages that nothing asks for, unknown tenants and unknown fields must not be errors.
+// Messages that were not requested, unknown tenants and unknown fields must not be errors.
 func TestUnusedInputIsIgnored(t *testing.T) {
-	b, err := readBatch(t, started+
+	b, err := readBatch(t, startMessages+
 		"status_back\t10.9.9.9:1\tGOOD\t12\tcpu:0.5,avg_ms:7\nstatus_back\t10.0.0.1:1\tNOCONN\t12\t-\n"+
 		"message\t3\t6869\nfirst\t8\t12\t10.0.0.1:1\t0\n"+
 		"order\t7\tread\tnobody\t-\t900\t-\t214\t-1\t0\t0\nflush\n")
@@ -104,7 +104,7 @@
 
 // A halt ends the instance, so events that came before it in the batch must not reach a later start.
 func TestHaltDiscardsEarlierInput(t *testing.T) {
-	b, err := readBatch(t, started+"ring\t0\nfor\tbroker_2\ninit\t1\t"+settings+"\nfor\tbroker_1\nhalt\nflush\n")
+	b, err := readBatch(t, startMessages+"ring\t0\nfor\tbroker_2\ninit\t1\t"+settings+"\nfor\tbroker_1\nhalt\nflush\n")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -122,17 +122,17 @@
 		"clock\t1\nfor\ta\nring\t":              "truncated line",
 		"clock\t1\nfor\ta\nring\t0\nflush\n":    "not started",
 		"clock\t1\nfor\ta\ninit\t1\t{\nflush\n": "settings",
-		started + "bogus\t1\nflush\n":           "unknown message",
-		started + "dropped\tx\nflush\n":         "want an unsigned integer",
-		started + "order\t7\tnone\t-\t-\t9\t-\t1\t-1\t2\t0\nflush\n":        "unknown class",
-		started + "order\t7\tread\t-\t-\t9\t-\t1\t2\t0.5\t0\nflush\n":       "without its query",
-		started + "attempt_end\t3\t1\tn\tODD\t12\t1\t-\nflush\n":            "unknown attempt status",
-		started + "backends_changed\t9\t0\t1\nflush\n":                      "unknown kind",
-		started + "backends_changed\t1\t3\t1\nflush\n":                      "no inventory",
-		started + "inventory\t0\t1\nm\ta\tz\tk\tc\t1\t1\t-\nflush\n":        "want an integer",
-		strings.Replace(started, `"safe"`, `"odd"`, 1) + "flush\n":          "unknown effect",
-		strings.Replace(started, `"places":4`, `"places":0`, 1) + "flush\n": "above 0",
-		strings.Replace(started, `"pushed"`, `"smoke"`, 1) + "flush\n":      "membership_mode",
+		startMessages + "bogus\t1\nflush\n":     "unknown message",
+		startMessages + "dropped\tx\nflush\n":   "want an unsigned integer",
+		startMessages + "order\t7\tnone\t-\t-\t9\t-\t1\t-1\t2\t0\nflush\n":        "unknown class",
+		startMessages + "order\t7\tread\t-\t-\t9\t-\t1\t2\t0.5\t0\nflush\n":       "without its query",
+		startMessages + "attempt_end\t3\t1\tn\tODD\t12\t1\t-\nflush\n":            "unknown attempt status",
+		startMessages + "backends_changed\t9\t0\t1\nflush\n":                      "unknown kind",
+		startMessages + "backends_changed\t1\t3\t1\nflush\n":                      "no inventory",
+		startMessages + "inventory\t0\t1\nm\ta\tz\tk\tc\t1\t1\t-\nflush\n":        "want an integer",
+		strings.Replace(startMessages, `"safe"`, `"odd"`, 1) + "flush\n":          "unknown effect",
+		strings.Replace(startMessages, `"places":4`, `"places":0`, 1) + "flush\n": "above 0",
+		strings.Replace(startMessages, `"pushed"`, `"smoke"`, 1) + "flush\n":      "membership_mode",
 	} {
 		if _, err := readBatch(t, text); err == nil || err == io.EOF || !strings.Contains(err.Error(), want) {
 			t.Errorf("%q: have %v, want %q", text, err, want)
@@ -161,7 +161,7 @@
 }
 
 func FuzzReader(f *testing.F) {
-	f.Add(started + "order\t7\tread\t-\tk\t900\t-\t214\t-1\t2\t2\nflush\nclock\t6\nfor\tbroker_1\nhalt\nflush\n")
+	f.Add(startMessages + "order\t7\tread\t-\tk\t900\t-\t214\t-1\t2\t2\nflush\nclock\t6\nfor\tbroker_1\nhalt\nflush\n")
 	f.Add("clock\t1\nfor\ta\ninventory\t0\t1\nm\ta\tz\tk\t1\t1\t1\t-\nflush\n")
 	f.Fuzz(func(t *testing.T, text string) {
 		r := NewReader(strings.NewReader(text))
