--- a/internal/format/xmlform/form.go
+++ b/internal/format/xmlform/form.go
@@ -1,7 +1,7 @@
-// Package xmlform reads, formats, compares and documents XML files whose form is a
-// table: the elements, the attributes of each, and their kinds, defaults, bounds and
-// doc texts. The reader, the schemas under deploy/ and the explanations for operators
-// are all derived from that one table.
+// Package xmlform reads, formats, compares and documents XML files whose form is given by
+// a table: the elements, the attributes of each, and their kinds, defaults, bounds and doc
+// texts. The reader, the schemas under deploy/ and the explanations for operators are all
+// derived from that one table.
 //
 // All faults of a file are reported together, each with its line, its element, what
 // was found and what is wanted. The package opens no files of its own.
@@ -23,7 +23,7 @@
 // Kinds of values.
 const (
 	Text     Kind = iota // any text
-	Name                 // a text without blanks that is not empty
+	Name                 // a non-empty text without blanks
 	Number               // an integer from 0 to 2^32-1, or within Min and Max
 	Count                // an integer from 1 to 2^63-1, or within Min and Max
 	Share                // above 0, at most 1
@@ -41,7 +41,7 @@
 	Name     string
 	Kind     Kind
 	Required bool
-	Default  string   // as it would stand in a file; empty means that there is none
+	Default  string   // as written in a file; empty means that there is none
 	Values   []string // of a Choice
 	// Min and Max bound numbers, and durations in seconds. If both are 0, the bounds
 	// of the kind apply.
@@ -74,7 +74,7 @@
 	Elements  map[string]Element
 }
 
-// Value is an attribute's value.
+// Value is an attribute's value: its text, and the field that fits the attribute's kind.
 type Value struct {
 	Given    bool // it was given in the file; otherwise the default applies
 	Text     string
@@ -86,9 +86,9 @@
 
 // wanted returns a description of the valid values for messages.
 func (a Attribute) wanted() string {
-	bound := func(least, most string) string {
+	bounds := func(lower, upper string) string {
 		if a.Min == 0 && a.Max == 0 {
-			return fmt.Sprintf("from %s to %s", least, most)
+			return fmt.Sprintf("from %s to %s", lower, upper)
 		}
 		return fmt.Sprintf("from %v to %v", a.Min, a.Max)
 	}
@@ -96,16 +96,16 @@
 	case Name:
 		return "a name without blanks"
 	case Number:
-		return "a number " + bound("0", "4294967295")
+		return "a number " + bounds("0", "4294967295")
 	case Count:
 		if a.Min == 0 && a.Max == 0 {
 			return "a number of at least 1"
 		}
-		return "a number " + bound("", "")
+		return "a number " + bounds("", "")
 	case Share:
 		return "a share above 0 and at most 1"
 	case Factor:
-		return "a number " + bound("0", "any")
+		return "a number " + bounds("0", "any")
 	case Duration:
 		return "a time with its unit, such as 250ms" + a.durationBounds()
 	case Choice:
@@ -193,8 +193,8 @@
 	return net.ParseIP(host)
 }
 
-// isNotDurationRune reports whether the schema does not allow r in a duration. The
-// schema allows digits, a dot and the letters of units, but no sign.
+// isNotDurationRune reports whether r is not allowed in a duration. As in the schema,
+// digits, dots and the letters of units are allowed, but no sign.
 func isNotDurationRune(r rune) bool { return !strings.ContainsRune("0123456789.nuµmsh", r) }
 
 // attributeIndex returns the index of the attribute with a name, or -1 if there is
--- a/internal/format/xmlform/format.go
+++ b/internal/format/xmlform/format.go
@@ -65,7 +65,7 @@
 	p.out.WriteString(strings.Repeat("  ", p.depth))
 }
 
-// comment writes a comment. Its further lines keep the indentation that they have.
+// comment writes a comment. The indentation of its lines after the first is kept.
 func (p *printer) comment(text string) {
 	lines := strings.Split(text, "\n")
 	for i, s := range lines {
@@ -142,7 +142,7 @@
 	return out
 }
 
-// describe returns a value and its origin for Diff.
+// describe returns a value for Diff, and whether it is the default.
 func describe(v Value) string {
 	switch {
 	case v.Given:
@@ -170,8 +170,8 @@
 	nodes map[string]*Node
 }
 
-// childrenByKey returns an element's children by their keys: the element's name with
-// the value of its attribute "name" or "id", and a number where that is not unique.
+// childrenByKey returns an element's children by their keys. A key is the child's name
+// with the value of its attribute "name" or "id", and a number if that is not unique.
 func childrenByKey(n *Node) keyedNodes {
 	out := keyedNodes{nodes: make(map[string]*Node)}
 	for _, c := range n.Children {
--- a/internal/format/xmlform/read.go
+++ b/internal/format/xmlform/read.go
@@ -21,34 +21,34 @@
 	return fmt.Sprintf("%s:%d: <%s>: found %s, want %s", f.File, f.Line, f.Element, f.Found, f.Wanted)
 }
 
-// MaxFaults bounds the number of faults that are reported of one file. Further ones
-// are only counted.
+// MaxFaults is the most faults of one file that are reported. Further ones are only
+// counted.
 const MaxFaults = 50
 
 // Faults collects the faults of one file.
 type Faults struct {
-	File string
-	list []error
-	more int // faults beyond MaxFaults
+	File    string
+	list    []error
+	omitted int // faults beyond MaxFaults
 }
 
 // Add records a fault.
 func (f *Faults) Add(line int, element, found, wanted string) {
 	if len(f.list) >= MaxFaults {
-		f.more++
+		f.omitted++
 		return
 	}
 	f.list = append(f.list, Fault{File: f.File, Line: line, Element: element, Found: found, Wanted: wanted})
 }
 
 // Count returns the number of faults, including those that are only counted.
-func (f *Faults) Count() int { return len(f.list) + f.more }
+func (f *Faults) Count() int { return len(f.list) + f.omitted }
 
 // Err joins the faults, each a Fault, in one error. It returns nil if there are none.
 func (f *Faults) Err() error {
 	list := f.list
-	if f.more > 0 {
-		list = append(list[:len(list):len(list)], fmt.Errorf("%s: and %d more faults", f.File, f.more))
+	if f.omitted > 0 {
+		list = append(list[:len(list):len(list)], fmt.Errorf("%s: and %d more faults", f.File, f.omitted))
 	}
 	return errors.Join(list...)
 }
@@ -163,21 +163,21 @@
 // startElement adds an element to its parent and reports whether to read its
 // children.
 func (x *reader) startElement(line int, t xml.StartElement) bool {
-	n, f := t.Name.Local, x.form
+	name, form := t.Name.Local, x.form
 	if len(x.open) == 0 {
 		switch {
-		case n != f.Root || t.Name.Space != f.Namespace:
-			x.faults.Add(line, n, fmt.Sprintf("%s of %q", n, t.Name.Space), fmt.Sprintf("%s of %q", f.Root, f.Namespace))
+		case name != form.Root || t.Name.Space != form.Namespace:
+			x.faults.Add(line, name, fmt.Sprintf("%s of %q", name, t.Name.Space), fmt.Sprintf("%s of %q", form.Root, form.Namespace))
 			return false
 		case x.root != nil:
-			x.faults.Add(line, n, "a second "+n, "one")
+			x.faults.Add(line, name, "a second "+name, "one")
 			return false
 		}
-	} else if parent := x.open[len(x.open)-1]; len(x.open) >= f.Depth || t.Name.Space != f.Namespace || !parent.definition.allows(n) {
-		x.faults.Add(line, n, fmt.Sprintf("%s in %s", n, parent.Name), "one of "+strings.Join(parent.definition.childNames(), ", "))
+	} else if parent := x.open[len(x.open)-1]; len(x.open) >= form.Depth || t.Name.Space != form.Namespace || !parent.definition.allows(name) {
+		x.faults.Add(line, name, fmt.Sprintf("%s in %s", name, parent.Name), "one of "+strings.Join(parent.definition.childNames(), ", "))
 		return false
 	}
-	node := &Node{Name: n, Line: line, definition: f.Elements[n]}
+	node := &Node{Name: name, Line: line, definition: form.Elements[name]}
 	node.Valid = x.readAttributes(node, t.Attr)
 	if len(x.open) == 0 {
 		x.root = node
@@ -252,7 +252,7 @@
 			continue
 		}
 		if n.values[i].Given {
-			x.faults.Add(n.Line, n.Name, "attribute "+a.Name.Local+" twice", "one")
+			x.faults.Add(n.Line, n.Name, "attribute "+a.Name.Local+" twice", "each attribute once")
 		}
 		d := n.definition.Attributes[i]
 		v, ok := d.read(a.Value)
--- a/internal/format/xmlform/schema.go
+++ b/internal/format/xmlform/schema.go
@@ -10,7 +10,7 @@
 // Schema writes the form as an XML Schema (W3C, XML Schema 1.0). The reader rejects
 // everything that the schema rejects. It also rejects what the schema cannot express:
 // durations out of bounds, missing required elements where others may be repeated, and
-// whatever the package that uses the form checks.
+// what the package that uses the form checks itself.
 func (f *Form) Schema(w io.Writer) error {
 	var b strings.Builder
 	b.WriteString(xml.Header)
@@ -35,8 +35,8 @@
 	return err
 }
 
-// writeChildren writes the children that an element may have: in any order, each at
-// most once or each any number of times.
+// writeChildren writes the children that an element may have, in any order: each at most
+// once if all children are limited to one, otherwise each any number of times.
 func (e Element) writeChildren(b *strings.Builder) {
 	if len(e.Children) == 0 {
 		return
@@ -83,16 +83,16 @@
 // restrict it.
 func (a Attribute) facets() (base, facets string) {
 	bounded := a.Min != 0 || a.Max != 0
-	bounds := func(least, most string) string {
+	bounds := func(lower, upper string) string {
 		if bounded {
-			least, most = fmt.Sprint(a.Min), fmt.Sprint(a.Max)
+			lower, upper = fmt.Sprint(a.Min), fmt.Sprint(a.Max)
 		}
 		out := ""
-		if least != "" {
-			out = fmt.Sprintf("<xs:minInclusive value=%q/>", least)
+		if lower != "" {
+			out = fmt.Sprintf("<xs:minInclusive value=%q/>", lower)
 		}
-		if most != "" {
-			out += fmt.Sprintf("<xs:maxInclusive value=%q/>", most)
+		if upper != "" {
+			out += fmt.Sprintf("<xs:maxInclusive value=%q/>", upper)
 		}
 		return out
 	}
@@ -147,11 +147,11 @@
 		return fmt.Errorf("no element %q, want one of %s", element, strings.Join(f.Order, ", "))
 	}
 	if oneAttribute && e.attributeIndex(attribute) < 0 {
-		var have []string
+		var names []string
 		for _, a := range e.Attributes {
-			have = append(have, a.Name)
+			names = append(names, a.Name)
 		}
-		return fmt.Errorf("no attribute %q in %s, want one of %s", attribute, element, strings.Join(have, ", "))
+		return fmt.Errorf("no attribute %q in %s, want one of %s", attribute, element, strings.Join(names, ", "))
 	}
 	if !oneAttribute {
 		fmt.Fprintf(w, "%s: %s\n", element, e.Doc)
