--- a/internal/format/settings/settings.go
+++ b/internal/format/settings/settings.go
@@ -1,6 +1,6 @@
 // Package settings reads the operators' file: XML that follows deploy/eiderwinch.xsd
-// and holds settings that the platform's configuration does not have. Each feature is
-// off unless the file names it. The package opens no files of its own.
+// and holds settings that the platform's configuration does not have. A feature is off
+// unless the file has its element. The package opens no files of its own.
 package settings
 
 import (
@@ -24,7 +24,7 @@
 // File is the content of an operators' file.
 type File struct {
 	Admin       string // endpoint of a gatherer's admin socket; empty means none
-	Layout      string // path of a layout file; empty means that the platform's cells say which searchers hold a shard
+	Layout      string // path of a layout file; empty: the platform's cells assign shards to searchers
 	Follow      bool   // take epochs from a coordinator and write them to Layout
 	Coordinator *Coordinator
 	Fleet       *Fleet // membership of the gatherers' fleet; nil means none
@@ -46,7 +46,7 @@
 
 	Advertise string        // address at which the others reach it; empty means Listen
 	Slots     []string      // address of each gatherer by its number, if the fleet's limits are divided among them
-	Lease     time.Duration // how long a refused connection shows that a gatherer is gone
+	Lease     time.Duration // how long a refused connection counts as proof that a gatherer is gone
 	Line      int           // line of the element in the file
 }
 
@@ -103,18 +103,18 @@
 type AdminEndpoint struct{ Name, Endpoint string }
 
 // Form returns the form of operators' files, from which deploy/eiderwinch.xsd is
-// printed.
+// generated.
 func Form() *xmlform.Form {
 	endpoint := func(doc string, required bool) xmlform.Attribute {
 		return xmlform.Attribute{Name: "endpoint", Kind: xmlform.Endpoint, Required: required, Doc: doc}
 	}
 	process := []xmlform.Attribute{
-		{Name: "name", Kind: xmlform.Name, Required: true, Doc: "its name; of a searcher, its id in discovery"},
+		{Name: "name", Kind: xmlform.Name, Required: true, Doc: "its name; for a searcher, its ID in discovery"},
 		endpoint("its admin socket", true),
 	}
 	return &xmlform.Form{
 		Namespace: Namespace, Root: "eiderwinch", Depth: 3,
-		Doc:   "The operators' file of eiderwinch. Features that it does not name are off. See docs/operate-layout.md.",
+		Doc:   "The operators' file of eiderwinch. A feature is off unless the file has its element. See docs/operate-layout.md.",
 		Order: []string{"eiderwinch", "admin", "log", "class", "pools", "admission", "guard", "history", "signing", "layout", "coordinator", "gatherer", "searcher", "fleet", "seed", "slot"},
 		Elements: map[string]xmlform.Element{
 			"eiderwinch": {Doc: "the whole file", Children: []xmlform.Child{
@@ -127,20 +127,20 @@
 			}},
 			"class": {Doc: "limits of a class of queries; can change while queries run, and each query keeps the limits that it was admitted under", Attributes: []xmlform.Attribute{
 				{Name: "name", Kind: xmlform.Name, Required: true, Doc: "name of the class in the platform's configuration"},
-				{Name: "within", Kind: xmlform.Duration, Min: 0.01, Max: 3600, Doc: "longest time until a query is answered or given up; at most the class's deadline, which applies where it is not given"},
-				{Name: "attempts", Kind: xmlform.Count, Min: 1, Max: 16, Doc: "most attempts of each part, one after the other; at most the platform's attempts_cap, which applies where it is not given"},
+				{Name: "within", Kind: xmlform.Duration, Min: 0.01, Max: 3600, Doc: "longest time until a query gets its final answer; at most the class's deadline, which is the default"},
+				{Name: "attempts", Kind: xmlform.Count, Min: 1, Max: 16, Doc: "most attempts of each part, one after the other; at most the platform's attempts_cap, which is the default"},
 				{Name: "copies", Kind: xmlform.Count, Min: 1, Max: 2, Default: "1", Doc: "attempts of a part in flight at once; the rules allow only 1"},
-				{Name: "open", Kind: xmlform.Count, Min: 1, Max: 1e6, Doc: "most queries open at once; further ones are refused immediately. Without it only the limit on all open queries and parts applies"},
+				{Name: "open", Kind: xmlform.Count, Min: 1, Max: 1e6, Doc: "most queries open at once; further ones are refused immediately. Without it, only the limit on all open queries and parts applies"},
 			}},
 			"pools": {Doc: "connections to searchers; can change while queries run", Attributes: []xmlform.Attribute{
 				{Name: "multiplex", Kind: xmlform.Count, Min: 1, Max: 1024, Unit: "parts", Doc: "most parts that one connection carries at once; at most the platform's multiplex"},
 				{Name: "connect-timeout", Kind: xmlform.Duration, Min: 0.001, Max: 10, Doc: "longest time that a call waits for a connection"},
-				{Name: "idle", Kind: xmlform.Duration, Min: 0.1, Max: 3600, Doc: "a connection that has been idle this long is closed; at most the platform's conn_idle, after which searchers close it"},
+				{Name: "idle", Kind: xmlform.Duration, Min: 0.1, Max: 3600, Doc: "a connection that has been idle for this long is closed; at most the platform's conn_idle, after which searchers close it"},
 			}},
 			"admission": {Doc: "limit on what clients may hold at once; can change while queries run", Attributes: []xmlform.Attribute{
 				{Name: "open", Kind: xmlform.Count, Min: 1, Max: 1e6, Unit: "queries and parts", Doc: "most queries and parts open at once; further ones are refused immediately; at most the platform's max_open"},
 			}},
-			"signing": {Doc: "configurations must be signed to be staged", Attributes: []xmlform.Attribute{
+			"signing": {Doc: "with it, only signed configurations can be staged", Attributes: []xmlform.Attribute{
 				{Name: "keys", Kind: xmlform.Text, Required: true, Doc: "a file that follows deploy/keys.xsd, read again at each check; a relative path starts at the directory of this file"},
 			}},
 			"history": {Doc: "where changes of the configuration are recorded; without it they are kept in memory and lost at a restart", Attributes: []xmlform.Attribute{
@@ -148,12 +148,12 @@
 			}},
 			"guard": {Doc: "how a change of the configuration is watched", Attributes: []xmlform.Attribute{
 				{Name: "probation", Kind: xmlform.Duration, Default: "30s", Min: 1, Max: 86400, Doc: "how long a change is watched"},
-				{Name: "auto", Kind: xmlform.Bool, Default: "true", Doc: "whether a change is confirmed at the end of its probation if service has not regressed; otherwise it is undone unless it has been confirmed by then"},
-				{Name: "chance", Kind: xmlform.Factor, Default: "0.001", Min: 1e-9, Max: 0.5, Doc: "the probability of undoing a change that had no effect, in one probation"},
-				{Name: "points", Kind: xmlform.Share, Default: "0.05", Doc: "the rise in the share of a class's queries that fare badly from which on service counts as regressed"},
-				{Name: "slower", Kind: xmlform.Factor, Default: "1.5", Min: 1, Max: 1000, Doc: "the ratio of p99 latency to its value before the change from which on service counts as regressed"},
+				{Name: "auto", Kind: xmlform.Bool, Default: "true", Doc: "true: a change is confirmed at the end of its probation unless service has regressed; false: it is undone then unless an operator has confirmed it"},
+				{Name: "chance", Kind: xmlform.Factor, Default: "0.001", Min: 1e-9, Max: 0.5, Doc: "the probability that a change without any effect is undone during its probation"},
+				{Name: "points", Kind: xmlform.Share, Default: "0.05", Doc: "service counts as regressed only if the share of a class's bad queries (refused, failed, late, slow or unanswered) has risen by at least this much"},
+				{Name: "slower", Kind: xmlform.Factor, Default: "1.5", Min: 1, Max: 1000, Doc: "slow queries count as a regression only if the p99 latency is at least this many times its value before the change"},
 			}},
-			"admin": {Doc: "a gatherer's admin socket", Attributes: []xmlform.Attribute{endpoint("where it listens; only on the machine itself, because it has no passwords", true)}},
+			"admin": {Doc: "a gatherer's admin socket", Attributes: []xmlform.Attribute{endpoint("where it listens; only on the machine itself, because clients are not authenticated", true)}},
 			"layout": {Doc: "the layout that a gatherer binds its queries to", Attributes: []xmlform.Attribute{
 				{Name: "file", Kind: xmlform.Text, Required: true, Doc: "a layout that follows deploy/layout.xsd; a relative path starts at the directory of this file"},
 				{Name: "follow", Kind: xmlform.Bool, Default: "false", Doc: "take epochs from a coordinator over the admin socket, and write each to the file before it takes effect"},
@@ -162,28 +162,28 @@
 				endpoint("its admin socket, for layout status, apply and abort", true),
 				{Name: "log", Kind: xmlform.Text, Required: true, Doc: "the file of its durable log"},
 				{Name: "layout", Kind: xmlform.Text, Required: true, Doc: "the layout that a new log begins with; its list of searchers also applies to an existing log"},
-				{Name: "measure", Kind: xmlform.Text, Default: "search", Doc: "the safe class whose p99 latency is measured; copies slow down when it rises"},
+				{Name: "measure", Kind: xmlform.Text, Default: "search", Doc: "the safe class whose p99 latency is measured; copying to new holders slows down when it rises"},
 				{Name: "poll", Kind: xmlform.Duration, Default: "200ms", Min: 0.01, Max: 10, Doc: "interval at which gatherers and searchers are polled"},
-				{Name: "timeout", Kind: xmlform.Duration, Default: "2s", Min: 0.05, Max: 60, Doc: "time that they have to answer a poll; three misses in a row mean that a searcher is down"},
-				{Name: "per-searcher", Kind: xmlform.Count, Default: "2", Min: 1, Max: 64, Doc: "changes that copy from or to one searcher at once"},
-				{Name: "per-zone", Kind: xmlform.Count, Default: "8", Min: 1, Max: 1024, Doc: "changes that copy from or to one data centre at once"},
+				{Name: "timeout", Kind: xmlform.Duration, Default: "2s", Min: 0.05, Max: 60, Doc: "how long to wait for the response to a poll; a searcher that misses three in a row counts as down"},
+				{Name: "per-searcher", Kind: xmlform.Count, Default: "2", Min: 1, Max: 64, Doc: "most changes that copy from or to one searcher at once"},
+				{Name: "per-zone", Kind: xmlform.Count, Default: "8", Min: 1, Max: 1024, Doc: "most changes that copy from or to one data centre at once"},
 				{Name: "queued", Kind: xmlform.Count, Default: "64", Min: 1, Max: 64, Doc: "most changes that have not ended; further ones are refused"},
-				{Name: "lag", Kind: xmlform.Duration, Default: "50ms", Min: 0.001, Max: 10, Doc: "how far new holders may be behind at the cut-over"},
+				{Name: "lag", Kind: xmlform.Duration, Default: "50ms", Min: 0.001, Max: 10, Doc: "how far new holders may lag behind at the cut-over"},
 				{Name: "fill-within", Kind: xmlform.Duration, Default: "30m", Min: 1, Max: 86400, Doc: "a change that has not been cut over this long after its start is undone"},
-				{Name: "gatherer-lost", Kind: xmlform.Duration, Default: "20s", Min: 13, Max: 600, Doc: "a gatherer from which nothing was received for this long has no open query left; must exceed the longest deadline, 12 s, plus a second for its last answer"},
-				{Name: "rows", Kind: xmlform.Factor, Default: "20000", Min: 1, Max: 1e9, Unit: "rows a second to each new holder", Doc: "highest rate of copies"},
-				{Name: "rows-least", Kind: xmlform.Factor, Default: "200", Min: 1, Max: 1e9, Unit: "rows a second to each new holder", Doc: "lowest rate of copies; slower ones would never end"},
+				{Name: "gatherer-lost", Kind: xmlform.Duration, Default: "20s", Min: 13, Max: 600, Doc: "a gatherer from which nothing was received for this long is assumed to have no open queries; must exceed the longest deadline, 12 s, plus a second for its last answer"},
+				{Name: "rows", Kind: xmlform.Factor, Default: "20000", Min: 1, Max: 1e9, Unit: "rows a second to each new holder", Doc: "highest rate of copying"},
+				{Name: "rows-least", Kind: xmlform.Factor, Default: "200", Min: 1, Max: 1e9, Unit: "rows a second to each new holder", Doc: "lowest rate of copying; at a lower one a change might never end"},
 			}, Children: []xmlform.Child{{Name: "gatherer", Min: 1}, {Name: "searcher", Min: 1}}},
-			"fleet": {Doc: "the membership view that gatherers keep of each other; each is identified by LB_NAME. Takes effect at a start", Attributes: []xmlform.Attribute{
+			"fleet": {Doc: "the membership view that gatherers keep of each other; each is identified by LB_NAME. Takes effect at the next start", Attributes: []xmlform.Attribute{
 				{Name: "name", Kind: xmlform.Name, Required: true, Doc: "name of the fleet; messages of other fleets are dropped"},
 				{Name: "listen", Kind: xmlform.Text, Required: true, Doc: "numeric address and port, for UDP and TCP, at which the others reach this gatherer"},
 				{Name: "keys", Kind: xmlform.Text, Required: true, Doc: "a file that follows deploy/keys.xsd, read at the start; a relative path starts at the directory of this file"},
 				{Name: "key", Kind: xmlform.Name, Required: true, Doc: "name of the key in it, of algorithm blake3, that seals messages; messages sealed with any valid key in it are accepted"},
-				{Name: "links", Kind: xmlform.Choice, Values: []string{"lan", "wan"}, Default: "lan", Doc: "lan: latencies of a few milliseconds, a crash is detected after about 2 s; wan: about a hundred milliseconds and some loss, and everything is detected five times later"},
+				{Name: "links", Kind: xmlform.Choice, Values: []string{"lan", "wan"}, Default: "lan", Doc: "lan: latencies of a few milliseconds, a crash is detected after about 2 s; wan: latencies of about a hundred milliseconds and some loss, detection takes five times as long"},
 				{Name: "advertise", Kind: xmlform.Text, Doc: "address at which the others reach this gatherer, if not at listen"},
-				{Name: "lease", Kind: xmlform.Duration, Default: "1s", Min: 0.05, Max: 60, Doc: "with slots: how long a refused connection shows that a gatherer is gone. A gatherer that starts sends nothing to cold searchers for a little longer than this and rules.overload_for together; must be the same in all files"},
+				{Name: "lease", Kind: xmlform.Duration, Default: "1s", Min: 0.05, Max: 60, Doc: "with slots: how long a refused connection counts as proof that a gatherer is gone. After its start, a gatherer sends nothing to cold searchers for a little longer than the sum of this and rules.overload_for. Must be the same in all files"},
 			}, Children: []xmlform.Child{{Name: "seed", Max: 64}, {Name: "slot", Max: 4096}}},
-			"slot": {Doc: "the address of one gatherer by its number: while its host refuses connections to that address, the next gatherer uses its share of what cold searchers can do. There must be one for each of balancers, this gatherer's own at listen, the same in all files", Attributes: []xmlform.Attribute{
+			"slot": {Doc: "the address of one gatherer by its number: while its host refuses connections to that address, the next gatherer uses its share of the capacity of cold searchers. There must be as many slots as the platform's balancers, with this gatherer's own at its listen address, the same in all files", Attributes: []xmlform.Attribute{
 				{Name: "number", Kind: xmlform.Number, Required: true, Max: 4095, Doc: "its my_number in the platform's configuration"},
 				{Name: "addr", Kind: xmlform.Text, Required: true, Doc: "its numeric address and port; no other process may ever listen there, and nothing on the network path may refuse connections on its behalf"},
 			}},
@@ -251,7 +251,7 @@
 		Advertise: n.Text("advertise"), Lease: n.Duration("lease"), Line: n.Line,
 	}
 	checkAddress := func(n *xmlform.Node, key, value string) {
-		if at, err := netip.ParseAddrPort(value); n.Valid && (err != nil || at.Addr().IsUnspecified()) {
+		if addrPort, err := netip.ParseAddrPort(value); n.Valid && (err != nil || addrPort.Addr().IsUnspecified()) {
 			faults.Add(n.Line, n.Name, fmt.Sprintf("%s=%.80q", key, value), "a numeric address that others can reach, and a port")
 		}
 	}
@@ -318,43 +318,43 @@
 	}
 }
 
-// CheckPlatform checks a file against the platform's configuration. The error joins everything
-// in which they contradict each other.
+// CheckPlatform checks a file against the platform's configuration. The error joins all
+// contradictions between them.
 func (f *File) CheckPlatform(file string, c config.Settings) error {
 	faults := &xmlform.Faults{File: file}
-	for _, own := range f.LiveOverrides.Classes {
-		i := slices.IndexFunc(c.Module.Classes, func(k eiderwinch.Class) bool { return k.Name == own.Name })
+	for _, class := range f.LiveOverrides.Classes {
+		i := slices.IndexFunc(c.Module.Classes, func(k eiderwinch.Class) bool { return k.Name == class.Name })
 		if i < 0 {
 			var names []string
-			for _, k := range c.Module.Classes {
-				names = append(names, k.Name)
+			for _, platformClass := range c.Module.Classes {
+				names = append(names, platformClass.Name)
 			}
-			faults.Add(own.Line, "class", fmt.Sprintf("class %q", own.Name), "one of "+strings.Join(names, ", "))
+			faults.Add(class.Line, "class", fmt.Sprintf("class %q", class.Name), "one of "+strings.Join(names, ", "))
 			continue
 		}
-		if k := c.Module.Classes[i]; own.Timeout > k.Deadline {
-			faults.Add(own.Line, "class", fmt.Sprintf("within=%v", own.Timeout), fmt.Sprintf("at most the deadline of %s, %v", k.Name, k.Deadline))
+		if platformClass := c.Module.Classes[i]; class.Timeout > platformClass.Deadline {
+			faults.Add(class.Line, "class", fmt.Sprintf("within=%v", class.Timeout), fmt.Sprintf("at most the deadline of %s, %v", platformClass.Name, platformClass.Deadline))
 		}
-		if most := c.Module.MaxAttempts; most > 0 && own.Attempts > most {
-			faults.Add(own.Line, "class", fmt.Sprintf("attempts=%d", own.Attempts), fmt.Sprintf("at most attempts_cap, %d", most))
+		if maxAttempts := c.Module.MaxAttempts; maxAttempts > 0 && class.Attempts > maxAttempts {
+			faults.Add(class.Line, "class", fmt.Sprintf("attempts=%d", class.Attempts), fmt.Sprintf("at most attempts_cap, %d", maxAttempts))
 		}
 	}
-	if fl := f.Fleet; fl != nil && len(fl.Slots) > 0 {
-		if have, want := len(fl.Slots), max(c.Module.Gatherers, 1); have != want {
-			faults.Add(fl.Line, "fleet", fmt.Sprintf("%d slots", have), fmt.Sprintf("balancers, %d", want))
-		} else if own := fl.Slots[c.Module.GathererNumber]; own != fl.Listen {
-			faults.Add(fl.Line, "fleet", fmt.Sprintf("slot %d, which is this gatherer's, at %.80q", c.Module.GathererNumber, own), fmt.Sprintf("listen, %q", fl.Listen))
+	if fleet := f.Fleet; fleet != nil && len(fleet.Slots) > 0 {
+		if have, want := len(fleet.Slots), max(c.Module.Gatherers, 1); have != want {
+			faults.Add(fleet.Line, "fleet", fmt.Sprintf("%d slots", have), fmt.Sprintf("%d, the platform's balancers", want))
+		} else if ownAddr := fleet.Slots[c.Module.GathererNumber]; ownAddr != fleet.Listen {
+			faults.Add(fleet.Line, "fleet", fmt.Sprintf("slot %d, which is this gatherer's, at %.80q", c.Module.GathererNumber, ownAddr), fmt.Sprintf("%q, its listen address", fleet.Listen))
 		}
 	}
-	p, l := f.LiveOverrides.Pools, c.Limits
-	if p.Multiplex > l.Multiplex {
-		faults.Add(p.Line, "pools", fmt.Sprintf("multiplex=%d", p.Multiplex), fmt.Sprintf("at most the platform's, %d", l.Multiplex))
+	pools, limits := f.LiveOverrides.Pools, c.Limits
+	if pools.Multiplex > limits.Multiplex {
+		faults.Add(pools.Line, "pools", fmt.Sprintf("multiplex=%d", pools.Multiplex), fmt.Sprintf("at most the platform's multiplex, %d", limits.Multiplex))
 	}
-	if p.Idle > l.ConnIdle {
-		faults.Add(p.Line, "pools", fmt.Sprintf("idle=%v", p.Idle), fmt.Sprintf("at most conn_idle, %v, after which searchers close connections", l.ConnIdle))
+	if pools.Idle > limits.ConnIdle {
+		faults.Add(pools.Line, "pools", fmt.Sprintf("idle=%v", pools.Idle), fmt.Sprintf("at most conn_idle, %v, after which searchers close connections", limits.ConnIdle))
 	}
-	if open := f.LiveOverrides.Admission.Open; l.MaxOpen > 0 && open > l.MaxOpen {
-		faults.Add(f.LiveOverrides.Admission.Line, "admission", fmt.Sprintf("open=%d", open), fmt.Sprintf("at most max_open, %d", l.MaxOpen))
+	if open := f.LiveOverrides.Admission.Open; limits.MaxOpen > 0 && open > limits.MaxOpen {
+		faults.Add(f.LiveOverrides.Admission.Line, "admission", fmt.Sprintf("open=%d", open), fmt.Sprintf("at most max_open, %d", limits.MaxOpen))
 	}
 	return faults.Err()
 }
--- a/internal/format/settings/settings_test.go
+++ b/internal/format/settings/settings_test.go
@@ -76,8 +76,8 @@
 	}
 }
 
-// The operators' file that is deployed names no element, so every feature is off on the
-// platform. The schema next to it must be the one that the form prints.
+// The deployed operators' file has no elements, so every feature is off on the platform.
+// The schema next to it must be the one generated from the form.
 func TestDeployedFiles(t *testing.T) {
 	text, err := os.ReadFile("../../../deploy/eiderwinch.xml")
 	if err != nil {
@@ -96,7 +96,7 @@
 	}
 	var b bytes.Buffer
 	if err := form.Schema(&b); err != nil || b.String() != string(schema) {
-		t.Errorf("deploy/eiderwinch.xsd is not what the form says (%v): print it with eiderwinch config schema operators", err)
+		t.Errorf("deploy/eiderwinch.xsd does not match the form (%v): generate it with eiderwinch config schema operators", err)
 	}
 }
 
@@ -112,13 +112,13 @@
 		if err != nil {
 			return
 		}
-		var b, c bytes.Buffer
-		if err := Form().Format("e.xml", []byte(text), &b); err != nil {
+		var once, twice bytes.Buffer
+		if err := Form().Format("e.xml", []byte(text), &once); err != nil {
 			t.Fatal(err)
 		}
-		again, err := Read("e.xml", bytes.NewReader(b.Bytes()))
+		again, err := Read("e.xml", bytes.NewReader(once.Bytes()))
 		if err != nil {
-			t.Fatalf("cannot read the formatted file: %v\n%s", err, b.String())
+			t.Fatalf("cannot read the formatted file: %v\n%s", err, once.String())
 		}
 		for _, f := range []*File{file, again} { // line numbers may differ
 			f.LiveOverrides.Pools.Line, f.LiveOverrides.Admission.Line = 0, 0
@@ -132,14 +132,14 @@
 		if !reflect.DeepEqual(file, again) {
 			t.Fatalf("the formatted file differs: %+v became %+v", file, again)
 		}
-		if err := Form().Format("e.xml", b.Bytes(), &c); err != nil || c.String() != b.String() {
-			t.Fatalf("formatted twice: %v\n%s\n%s", err, b.String(), c.String())
+		if err := Form().Format("e.xml", once.Bytes(), &twice); err != nil || twice.String() != once.String() {
+			t.Fatalf("formatted twice: %v\n%s\n%s", err, once.String(), twice.String())
 		}
 	})
 }
 
-// If a file lists other slots than the platform's settings imply, two gatherers can use
-// the same slot.
+// If the slots of a file do not match the platform's settings, two gatherers can use the
+// same slot.
 func TestSlotsMustMatchThePlatform(t *testing.T) {
 	f, err := Read("e.xml", strings.NewReader(validFile))
 	if err != nil {
@@ -150,8 +150,8 @@
 		want              string
 	}{
 		{2, 1, ""},
-		{3, 1, "e.xml:9: <fleet>: found 2 slots, want balancers, 3"},
-		{2, 0, `found slot 0, which is this gatherer's, at "127.0.0.1:7301", want listen, "127.0.0.1:7300"`},
+		{3, 1, "e.xml:9: <fleet>: found 2 slots, want 3, the platform's balancers"},
+		{2, 0, `found slot 0, which is this gatherer's, at "127.0.0.1:7301", want "127.0.0.1:7300", its listen address`},
 	} {
 		var s config.Settings
 		s.Module.Gatherers, s.Module.GathererNumber = c.gatherers, c.number
