--- a/internal/format/config/config.go
+++ b/internal/format/config/config.go
@@ -22,7 +22,7 @@
 	Discovery    string
 	MemoryLimit  int64          // memory limit of the process in bytes
 	SocketLimit  int            // limit on the file descriptors of the process
-	KnownMembers catalog.Update // the member list as of the writing of the file
+	KnownMembers catalog.Update // the member list when the file was written
 	Settings     Settings
 }
 
--- a/internal/format/config/settings.go
+++ b/internal/format/config/settings.go
@@ -22,7 +22,7 @@
 	Multiplex      int           // most parts that one connection carries at once
 	ConnectTimeout time.Duration // of a connection to a searcher
 	ConnIdle       time.Duration // searchers close connections that have been idle this long
-	DrainGrace     time.Duration // sending to a draining or removed searcher must stop within it
+	DrainGrace     time.Duration // sends to a draining or removed searcher must stop within this time
 	AnswerSlack    time.Duration // how late a final answer may be
 }
 
@@ -50,7 +50,7 @@
 type settings struct {
 	Zone           string      `json:"az"`
 	Gatherers      int         `json:"balancers"`
-	Number         int         `json:"my_number"`
+	GathererNumber int         `json:"my_number"`
 	MembershipMode string      `json:"membership_mode"`
 	Tick           nanoseconds `json:"tick"`
 	Classes        []struct {
@@ -63,16 +63,16 @@
 		Worth        float64     `json:"worth"`
 	} `json:"classes"`
 	Domain struct {
-		Batch    int         `json:"per_call"`
-		CallCost nanoseconds `json:"call_cost"`
-		Cells    int         `json:"places"`
-		Reach    int         `json:"in_a_row"`
-		Shards   int         `json:"shards"`
-		WholeAt  []float64   `json:"whole_at"`
-		Floor    []float64   `json:"floor_by_class"`
-		Partial  []float64   `json:"class_partial"`
-		Fetch    []int       `json:"class_fetch"`
-		WarmKeys bool        `json:"warm_keys"`
+		MaxBatch         int         `json:"per_call"`
+		CallCost         nanoseconds `json:"call_cost"`
+		Cells            int         `json:"places"`
+		ReplicasPerShard int         `json:"in_a_row"`
+		Shards           int         `json:"shards"`
+		WholeShares      []float64   `json:"whole_at"`
+		MinShares        []float64   `json:"floor_by_class"`
+		PartialWorths    []float64   `json:"class_partial"`
+		SecondStepParts  []int       `json:"class_fetch"`
+		WarmKeys         bool        `json:"warm_keys"`
 	} `json:"domain"`
 	Limits struct {
 		MaxAttempts    int         `json:"attempts_cap"`
@@ -85,9 +85,9 @@
 		ConnectTimeout nanoseconds `json:"connect_timeout"`
 		ConnIdle       nanoseconds `json:"conn_idle"`
 	} `json:"policy_limits"`
-	ValueBy   string  `json:"value_by"`
-	OverShare float64 `json:"over_share_worth"`
-	Tenants   []struct {
+	ValueBy        string  `json:"value_by"`
+	OverShareWorth float64 `json:"over_share_worth"`
+	Tenants        []struct {
 		Name  string  `json:"name"`
 		Share float64 `json:"share"`
 	} `json:"parties"`
@@ -98,16 +98,16 @@
 		CrossZone float64 `json:"cross_zone"`
 	} `json:"prices"`
 	Rules struct {
-		AnswerSlack       nanoseconds `json:"answer_slack"`
-		AskWithin         nanoseconds `json:"ask_within"`
-		RetryBudgetFree   float64     `json:"budget_free"`
-		RetryBudgetRatio  float64     `json:"repeat_ratio"`
-		RetryBudgetWindow nanoseconds `json:"counted_over"`
-		ColdFor           nanoseconds `json:"cold"`
-		ColdShare         float64     `json:"start_capacity"`
-		DrainGrace        nanoseconds `json:"drain_grace"`
-		ColdMultiple      float64     `json:"fall_multiple"`
-		ColdOverload      nanoseconds `json:"overload_for"`
+		AnswerSlack        nanoseconds `json:"answer_slack"`
+		SubscribeWithin    nanoseconds `json:"ask_within"`
+		RetryBudgetFree    float64     `json:"budget_free"`
+		RetryBudgetRatio   float64     `json:"repeat_ratio"`
+		RetryBudgetWindow  nanoseconds `json:"counted_over"`
+		ColdDuration       nanoseconds `json:"cold"`
+		ColdShare          float64     `json:"start_capacity"`
+		DrainGrace         nanoseconds `json:"drain_grace"`
+		ColdMultiple       float64     `json:"fall_multiple"`
+		ColdOverloadWindow nanoseconds `json:"overload_for"`
 	} `json:"rules"`
 }
 
@@ -122,55 +122,55 @@
 
 // ParseSettings reads a settings object, checks it and applies defaults.
 func ParseSettings(text []byte) (Settings, error) {
-	var e settings
-	if err := json.Unmarshal(text, &e); err != nil {
+	var raw settings
+	if err := json.Unmarshal(text, &raw); err != nil {
 		return Settings{}, fmt.Errorf("settings: %w", err)
 	}
-	if err := e.check(); err != nil {
+	if err := raw.check(); err != nil {
 		return Settings{}, fmt.Errorf("settings: %w", err)
 	}
-	s := Settings{Module: e.module(), Limits: e.limits()}
+	s := Settings{Module: raw.module(), Limits: raw.limits()}
 	s.Module.Tick = s.Limits.Tick // the decision module uses the tick that is in effect, default included
 	return s, nil
 }
 
-func (e *settings) check() error {
+func (raw *settings) check() error {
 	switch {
-	case e.Domain.Cells < 1 || e.Domain.Reach < 1 || e.Domain.Shards < 1:
-		return fmt.Errorf("domain.shards, domain.places and domain.in_a_row must be above 0, found %d, %d and %d", e.Domain.Shards, e.Domain.Cells, e.Domain.Reach)
-	case e.MembershipMode != "on_request" && e.MembershipMode != "pushed":
-		return fmt.Errorf("membership_mode: found %q, want on_request or pushed", e.MembershipMode)
-	case e.ValueBy != "" && e.ValueBy != valueByWork && e.ValueBy != "request":
-		return fmt.Errorf("value_by: found %q, want work or request", e.ValueBy)
+	case raw.Domain.Cells < 1 || raw.Domain.ReplicasPerShard < 1 || raw.Domain.Shards < 1:
+		return fmt.Errorf("domain.shards, domain.places and domain.in_a_row must be above 0, found %d, %d and %d", raw.Domain.Shards, raw.Domain.Cells, raw.Domain.ReplicasPerShard)
+	case raw.MembershipMode != "on_request" && raw.MembershipMode != "pushed":
+		return fmt.Errorf("membership_mode: found %q, want on_request or pushed", raw.MembershipMode)
+	case raw.ValueBy != "" && raw.ValueBy != valueByWork && raw.ValueBy != "request":
+		return fmt.Errorf("value_by: found %q, want work or request", raw.ValueBy)
 	}
 	for _, setting := range []struct {
 		key   string
 		value int64
 	}{
-		{"tick", e.Tick},
-		{"domain.per_call", int64(e.Domain.Batch)},
-		{"policy_limits.max_open", int64(e.Limits.MaxOpen)},
-		{"policy_limits.multiplex", int64(e.Limits.Multiplex)},
-		{"policy_limits.connect_timeout", e.Limits.ConnectTimeout},
-		{"policy_limits.conn_idle", e.Limits.ConnIdle},
-		{"policy_limits.attempts_cap", int64(e.Limits.MaxAttempts)},
-		{"rules.drain_grace", e.Rules.DrainGrace},
-		{"rules.answer_slack", e.Rules.AnswerSlack},
-		{"rules.ask_within", e.Rules.AskWithin},
-		{"rules.counted_over", e.Rules.RetryBudgetWindow},
-		{"rules.cold", e.Rules.ColdFor},
-		{"rules.overload_for", e.Rules.ColdOverload},
-		{"domain.call_cost", e.Domain.CallCost},
-		{"policy_limits.max_retry_after", e.Limits.MaxRetryAdvice},
-		{"balancers", int64(e.Gatherers)},
-		{"my_number", int64(e.Number)},
+		{"tick", raw.Tick},
+		{"domain.per_call", int64(raw.Domain.MaxBatch)},
+		{"policy_limits.max_open", int64(raw.Limits.MaxOpen)},
+		{"policy_limits.multiplex", int64(raw.Limits.Multiplex)},
+		{"policy_limits.connect_timeout", raw.Limits.ConnectTimeout},
+		{"policy_limits.conn_idle", raw.Limits.ConnIdle},
+		{"policy_limits.attempts_cap", int64(raw.Limits.MaxAttempts)},
+		{"rules.drain_grace", raw.Rules.DrainGrace},
+		{"rules.answer_slack", raw.Rules.AnswerSlack},
+		{"rules.ask_within", raw.Rules.SubscribeWithin},
+		{"rules.counted_over", raw.Rules.RetryBudgetWindow},
+		{"rules.cold", raw.Rules.ColdDuration},
+		{"rules.overload_for", raw.Rules.ColdOverloadWindow},
+		{"domain.call_cost", raw.Domain.CallCost},
+		{"policy_limits.max_retry_after", raw.Limits.MaxRetryAdvice},
+		{"balancers", int64(raw.Gatherers)},
+		{"my_number", int64(raw.GathererNumber)},
 	} {
 		if setting.value < 0 {
 			return fmt.Errorf("%s is negative: found %d, want 0 or more", setting.key, setting.value)
 		}
 	}
 	for key, shares := range map[string][]float64{
-		"domain.whole_at": e.Domain.WholeAt, "domain.floor_by_class": e.Domain.Floor, "domain.class_partial": e.Domain.Partial,
+		"domain.whole_at": raw.Domain.WholeShares, "domain.floor_by_class": raw.Domain.MinShares, "domain.class_partial": raw.Domain.PartialWorths,
 	} {
 		for i, share := range shares {
 			if !(share >= 0 && share <= 1) {
@@ -178,13 +178,13 @@
 			}
 		}
 	}
-	for i, n := range e.Domain.Fetch {
+	for i, n := range raw.Domain.SecondStepParts {
 		if n < 0 {
 			return fmt.Errorf("domain.class_fetch[%d]: found %d, want 0 or more", i, n)
 		}
 	}
 	names := make(map[string]bool)
-	for i, c := range e.Classes {
+	for i, c := range raw.Classes {
 		_, ok := effects[c.Effect]
 		switch {
 		case c.Name == "":
@@ -203,40 +203,40 @@
 	return nil
 }
 
-func (e *settings) module() eiderwinch.Settings {
+func (raw *settings) module() eiderwinch.Settings {
 	s := eiderwinch.Settings{
-		Gatherers: e.Gatherers, GathererNumber: e.Number, Zone: e.Zone, Tick: time.Duration(e.Tick),
-		Shards: e.Domain.Shards, Cells: e.Domain.Cells, ReplicasPerShard: e.Domain.Reach,
-		MaxBatch: e.Domain.Batch, CallCost: time.Duration(e.Domain.CallCost),
-		WarmKeys: e.Domain.WarmKeys, CrossZoneCosts: e.Prices.CrossZone > 0,
-		MarksRepeats: e.Callers.MarksRepeats, OverShareWorth: e.OverShare, WorthByWork: e.ValueBy == valueByWork,
-		SubscribeToList: e.MembershipMode == "on_request",
-		MaxAttempts:     e.Limits.MaxAttempts, MayCancel: e.Limits.MayCancel, SecondCopies: e.Limits.SecondCopies,
-		RetryAdvice: e.Limits.RetryAdvice, MaxRetryAdvice: time.Duration(e.Limits.MaxRetryAdvice),
-		SubscribeWithin:  time.Duration(e.Rules.AskWithin),
-		RetryBudgetRatio: e.Rules.RetryBudgetRatio, RetryBudgetFree: e.Rules.RetryBudgetFree,
-		RetryBudgetWindow: time.Duration(e.Rules.RetryBudgetWindow),
-		ColdShare:         e.Rules.ColdShare, ColdDuration: time.Duration(e.Rules.ColdFor),
-		ColdMultiple: e.Rules.ColdMultiple, ColdOverloadWindow: time.Duration(e.Rules.ColdOverload),
+		Gatherers: raw.Gatherers, GathererNumber: raw.GathererNumber, Zone: raw.Zone, Tick: time.Duration(raw.Tick),
+		Shards: raw.Domain.Shards, Cells: raw.Domain.Cells, ReplicasPerShard: raw.Domain.ReplicasPerShard,
+		MaxBatch: raw.Domain.MaxBatch, CallCost: time.Duration(raw.Domain.CallCost),
+		WarmKeys: raw.Domain.WarmKeys, CrossZoneCosts: raw.Prices.CrossZone > 0,
+		MarksRepeats: raw.Callers.MarksRepeats, OverShareWorth: raw.OverShareWorth, WorthByWork: raw.ValueBy == valueByWork,
+		SubscribeToList: raw.MembershipMode == "on_request",
+		MaxAttempts:     raw.Limits.MaxAttempts, MayCancel: raw.Limits.MayCancel, SecondCopies: raw.Limits.SecondCopies,
+		RetryAdvice: raw.Limits.RetryAdvice, MaxRetryAdvice: time.Duration(raw.Limits.MaxRetryAdvice),
+		SubscribeWithin:  time.Duration(raw.Rules.SubscribeWithin),
+		RetryBudgetRatio: raw.Rules.RetryBudgetRatio, RetryBudgetFree: raw.Rules.RetryBudgetFree,
+		RetryBudgetWindow: time.Duration(raw.Rules.RetryBudgetWindow),
+		ColdShare:         raw.Rules.ColdShare, ColdDuration: time.Duration(raw.Rules.ColdDuration),
+		ColdMultiple: raw.Rules.ColdMultiple, ColdOverloadWindow: time.Duration(raw.Rules.ColdOverloadWindow),
 	}
-	for _, t := range e.Tenants {
+	for _, t := range raw.Tenants {
 		s.Tenants = append(s.Tenants, eiderwinch.Tenant{Name: t.Name, Share: t.Share})
 	}
-	for i, c := range e.Classes {
+	for i, c := range raw.Classes {
 		class := eiderwinch.Class{
 			Name: c.Name, Aim: time.Duration(c.Aim), Deadline: time.Duration(c.Deadline),
 			Worth: c.Worth, LateWorth: c.LateWorth, Effect: effects[c.Effect], RepeatWindow: time.Duration(c.RepeatWindow),
-			WholeShare: shareOfClass(e.Domain.WholeAt, i), MinShare: shareOfClass(e.Domain.Floor, i), PartialWorth: shareOfClass(e.Domain.Partial, i),
+			WholeShare: valueOfClass(raw.Domain.WholeShares, i), MinShare: valueOfClass(raw.Domain.MinShares, i), PartialWorth: valueOfClass(raw.Domain.PartialWorths, i),
 		}
-		if i < len(e.Domain.Fetch) {
-			class.SecondStepParts = e.Domain.Fetch[i]
+		if i < len(raw.Domain.SecondStepParts) {
+			class.SecondStepParts = raw.Domain.SecondStepParts[i]
 		}
 		s.Classes = append(s.Classes, class)
 	}
 	return s
 }
 
-func (e *settings) limits() Limits {
+func (raw *settings) limits() Limits {
 	durationOr := func(n nanoseconds, defaultValue time.Duration) time.Duration {
 		if n == 0 {
 			return defaultValue
@@ -244,13 +244,13 @@
 		return time.Duration(n)
 	}
 	l := Limits{
-		Tick:           durationOr(e.Tick, defaultTick),
-		MaxOpen:        e.Limits.MaxOpen,
-		Multiplex:      e.Limits.Multiplex,
-		ConnectTimeout: durationOr(e.Limits.ConnectTimeout, defaultConnectTimeout),
-		ConnIdle:       durationOr(e.Limits.ConnIdle, defaultConnIdle),
-		DrainGrace:     durationOr(e.Rules.DrainGrace, defaultDrainGrace),
-		AnswerSlack:    durationOr(e.Rules.AnswerSlack, defaultAnswerSlack),
+		Tick:           durationOr(raw.Tick, defaultTick),
+		MaxOpen:        raw.Limits.MaxOpen,
+		Multiplex:      raw.Limits.Multiplex,
+		ConnectTimeout: durationOr(raw.Limits.ConnectTimeout, defaultConnectTimeout),
+		ConnIdle:       durationOr(raw.Limits.ConnIdle, defaultConnIdle),
+		DrainGrace:     durationOr(raw.Rules.DrainGrace, defaultDrainGrace),
+		AnswerSlack:    durationOr(raw.Rules.AnswerSlack, defaultAnswerSlack),
 	}
 	if l.Multiplex == 0 {
 		l.Multiplex = defaultMultiplex
@@ -258,9 +258,9 @@
 	return l
 }
 
-// shareOfClass returns the share of class i. Without one in the settings it is 1: all
-// parts are needed.
-func shareOfClass(values []float64, i int) float64 {
+// valueOfClass returns element i of a list with one value for each class, or 1 if the list
+// is shorter. For the shares, 1 means that all parts are needed.
+func valueOfClass(values []float64, i int) float64 {
 	if i < len(values) {
 		return values[i]
 	}
