--- a/internal/format/xmlform/format.go
+++ b/internal/format/xmlform/format.go
@@ -148,7 +148,7 @@
 	case v.Given:
 		return fmt.Sprintf("%q", v.Text)
 	case v.Text != "":
-		return fmt.Sprintf("%q by default", v.Text)
+		return fmt.Sprintf("%q (default)", v.Text)
 	}
 	return "not given"
 }
