--- a/internal/configuration/manager/manager.go
+++ b/internal/configuration/manager/manager.go
@@ -320,7 +320,7 @@
 		for _, t := range m.machine.Txs() {
 			if t.State == change.Probation {
 				m.opts.Logger.Warn("service has regressed since a configuration change", "transaction", uint64(t.Tx), "fall", regression.String())
-				m.step(change.Regressed{Tx: t.Tx, Reason: "service has regressed: " + regression.String()}, nil)
+				m.step(change.Regressed{Tx: t.Tx, Reason: "service fell: " + regression.String()}, nil)
 			}
 		}
 	}
