--- a/internal/netio/watch_test.go
+++ b/internal/netio/watch_test.go
@@ -111,7 +111,8 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			asked := make(chan time.Time, 1000)
+			asked, ended := make(chan time.Time, 1000), make(chan struct{})
+			t.Cleanup(func() { close(ended) })
 			l, err := net.Listen("tcp", "127.0.0.1:0")
 			if err != nil {
 				t.Fatal(err)
@@ -125,6 +126,7 @@
 					}
 					asked <- time.Now()
 					go func() {
+						defer conn.Close()
 						fmt.Fprint(conn, c.head, c.body)
 						for c.body != "" { // an object that goes on is no sign of life
 							time.Sleep(50 * time.Millisecond)
@@ -132,6 +134,7 @@
 								return
 							}
 						}
+						<-ended // conn stays open until then: the garbage collector closes a connection that nothing refers to
 					}()
 				}
 			}()
