--- a/internal/netio/eventloop/conn.go
+++ b/internal/netio/eventloop/conn.go
@@ -25,17 +25,17 @@
 
 // Conn is one connection. It may be used on the loop's goroutine only.
 type Conn struct {
-	loop          *Loop
-	fd            int // -1 once it is closed
-	handler       Handler
-	unsent        bytes.Buffer // bytes given to Write that the system has not accepted yet
-	registered    interest     // what it is registered for with the poller
-	paused        bool         // nothing is read or written until a timer resumes it
-	pauses        int          // in a row, see pause
-	registerFails int          // failed registrations with the poller, in a row
-	closing       bool         // it will be closed in the next round
-	muted         bool         // nothing more is written
-	closed        bool
+	loop           *Loop
+	fd             int // -1 once it is closed
+	handler        Handler
+	unsent         bytes.Buffer // bytes given to Write that the system has not accepted yet
+	registered     interest     // what it is registered for with the poller
+	paused         bool         // nothing is read or written until a timer resumes it
+	pauses         int          // in a row, see pause
+	registerFails  int          // failed registrations with the poller, in a row
+	closing        bool         // it will be closed in the next round
+	writingStopped bool         // by StopWriting: nothing more is written
+	closed         bool
 }
 
 // Enroll adds a connection that was opened elsewhere to the loop, which calls h.Opened. It may be called from
@@ -112,7 +112,7 @@
 	switch {
 	case c.paused:
 		return noEvents
-	case c.unsent.Len() > 0 && !c.muted:
+	case c.unsent.Len() > 0 && !c.writingStopped:
 		return readWriteEvents
 	}
 	return readEvents
@@ -224,7 +224,7 @@
 	if c.closed {
 		return ErrClosed
 	}
-	if c.unsent.Len() > 0 || c.paused || c.muted {
+	if c.unsent.Len() > 0 || c.paused || c.writingStopped {
 		c.unsent.Write(b)
 		return nil
 	}
@@ -241,7 +241,7 @@
 
 // flush sends the buffered bytes.
 func (c *Conn) flush() {
-	if c.closed || c.paused || c.muted {
+	if c.closed || c.paused || c.writingStopped {
 		return
 	}
 	n, err := c.send(c.unsent.Bytes())
@@ -282,7 +282,7 @@
 
 // StopWriting stops all writing: bytes that the system has not accepted by now are never sent, and stay Buffered.
 func (c *Conn) StopWriting() {
-	c.muted = true
+	c.writingStopped = true
 	c.updateInterest()
 }
 
--- a/internal/netio/eventloop/loop_test.go
+++ b/internal/netio/eventloop/loop_test.go
@@ -104,18 +104,18 @@
 	if err := l.Enroll(c, &echo{}); !errors.Is(err, ErrEnded) {
 		t.Errorf("Enroll: %v", err)
 	}
-	far, err := peer.Accept()
+	remote, err := peer.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
-	_ = far.SetDeadline(time.Now().Add(testpeer.Timeout))
-	if n, err := far.Read(make([]byte, 1)); n != 0 || errors.Is(err, os.ErrDeadlineExceeded) {
+	_ = remote.SetDeadline(time.Now().Add(testpeer.Timeout))
+	if n, err := remote.Read(make([]byte, 1)); n != 0 || errors.Is(err, os.ErrDeadlineExceeded) {
 		t.Errorf("the peer read %d bytes, error %v, want a closed connection", n, err)
 	}
 }
 
-// Bytes that are buffered in a muted connection are never sent.
-func TestMutedConnWritesNothing(t *testing.T) {
+// Bytes that are buffered in a connection after StopWriting are never sent.
+func TestNothingIsWrittenAfterStopWriting(t *testing.T) {
 	l, ended, _ := serve(t)
 	peer, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -126,28 +126,28 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	far, err := peer.Accept()
+	remote, err := peer.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer far.Close()
+	defer remote.Close()
 	h := &echo{ended: ended, opened: make(chan *Conn, 1)}
 	if err := l.Enroll(c, h); err != nil {
 		t.Fatal(err)
 	}
-	own := testpeer.Receive(t, h.opened, "the connection")
+	conn := testpeer.Receive(t, h.opened, "the connection")
 	buffered := make(chan int, 1)
 	_ = l.Execute(func() {
-		own.StopWriting()
-		_ = own.Write([]byte("held"))
-		buffered <- own.Buffered()
-		own.Close()
+		conn.StopWriting()
+		_ = conn.Write([]byte("held"))
+		buffered <- conn.Buffered()
+		conn.Close()
 	})
 	if n := testpeer.Receive(t, buffered, "the number of buffered bytes"); n != len("held") {
 		t.Errorf("%d bytes buffered", n)
 	}
-	_ = far.SetDeadline(time.Now().Add(testpeer.Timeout))
-	if n, _ := far.Read(make([]byte, 8)); n != 0 {
+	_ = remote.SetDeadline(time.Now().Add(testpeer.Timeout))
+	if n, _ := remote.Read(make([]byte, 8)); n != 0 {
 		t.Errorf("%d bytes were sent", n)
 	}
 	_ = l.Execute(l.Stop)
@@ -165,11 +165,11 @@
 	}
 	for _, err := range [...]error{unix.EMFILE, unix.ENFILE, unix.EPROTO, unix.ENETDOWN, unix.EPERM, unix.EOPNOTSUPP} {
 		if isListenerBroken(err) {
-			t.Errorf("accept: %v is taken for an error that ends the loop", err)
+			t.Errorf("accept: %v is treated as an error that ends the loop", err)
 		}
 	}
 	if IsTransient(errors.New("malformed")) || !isListenerBroken(unix.EBADF) {
-		t.Error("a permanent error is taken for a temporary one")
+		t.Error("a permanent error is treated as a temporary one")
 	}
 }
 
