--- a/internal/discovery/follower.go
+++ b/internal/discovery/follower.go
@@ -1,5 +1,5 @@
 // Package discovery decides when a gatherer requests the member list from discovery, which
-// of its requests is used, and which entries of a list are believed. It does no I/O and
+// of its requests is used, and which entries of a list are accepted. It does no I/O and
 // reads no clock, and its types are not safe for concurrent use.
 //
 // A gatherer counts as notified that a searcher leaves even while it has no watch open: if
@@ -43,7 +43,7 @@
 	// silentNotifyDelay is the time from when a watch fell silent until the gatherer counts as
 	// notified of an update that the watch has missed. It is also the time from when discovery
 	// could be reached until the gatherer counts as notified of all that discovery knows, whatever
-	// became of the calls before.
+	// the result of earlier calls.
 	silentNotifyDelay = 6 * time.Second
 	// Maximum waits for the next call after one that was refused or has ended, and after one that
 	// was given up. The next call may then take its whole queueTimeout; waitReserve is for the
--- a/internal/discovery/follower_test.go
+++ b/internal/discovery/follower_test.go
@@ -35,9 +35,9 @@
 	lastHeartbeat time.Time
 }
 
-func newFakeAgent(clients int, seed uint64) *fakeAgent {
+func newFakeAgent(gatherers int, seed uint64) *fakeAgent {
 	return &fakeAgent{
-		follower: New(Settings{Pushed: true, DrainGrace: grace, Gatherers: clients, Seed: seed}, began),
+		follower: New(Settings{Pushed: true, DrainGrace: grace, Gatherers: gatherers, Seed: seed}, began),
 		now:      began, lastHeartbeat: began, open: make(map[RequestID]time.Time), delay: ms,
 	}
 }
@@ -96,7 +96,7 @@
 // not. Whatever ended the watch, the update must be received long before 500 ms have passed, in a fleet of any
 // size: otherwise parts are sent to a searcher that leaves.
 func TestUpdateArrivesWithinGrace(t *testing.T) {
-	for _, clients := range []int{1, 80, 300, 350, 1024} {
+	for _, gatherers := range []int{1, 80, 300, 350, 1024} {
 		worst := make(map[string]time.Duration)
 		for seed := range uint64(20) {
 			outage := func(a *fakeAgent, fault *bool) { // all open requests are reset, and the agent has the fault for a while
@@ -137,7 +137,7 @@
 					clear(a.open) // the Follower receives nothing more, and no error either
 				}, silenceTimeout + 5*ms},
 			} {
-				a := newFakeAgent(clients, seed)
+				a := newFakeAgent(gatherers, seed)
 				c.fault(a)
 				notified := a.now
 				for !a.lastUpdate.After(notified) && a.now.Sub(notified) < 20*time.Second {
@@ -146,11 +146,11 @@
 				took := a.now.Sub(notified)
 				worst[name] = max(worst[name], took)
 				if took > c.maxTime {
-					t.Errorf("%d gatherers, seed %d, %s: update received after %v, want %v", clients, seed, name, took, c.maxTime)
+					t.Errorf("%d gatherers, seed %d, %s: update received after %v, want %v", gatherers, seed, name, took, c.maxTime)
 				}
 			}
 		}
-		t.Logf("%d gatherers: %v", clients, worst)
+		t.Logf("%d gatherers: %v", gatherers, worst)
 	}
 }
 
@@ -216,20 +216,20 @@
 // Requests cost a shared service work, and all gatherers lose it at the same time: their next requests are spread
 // over the backoff windows, but all are sent before the gatherers count as notified of what they missed.
 func TestRequestsToSharedServiceAreSpread(t *testing.T) {
-	const clients, within = 300, 10 * time.Second
+	const gatherers, within = 300, 10 * time.Second
 	var at []time.Duration
-	for seed := range uint64(clients) {
-		f := New(Settings{DrainGrace: grace, MaxTimeWithoutWatch: within, Gatherers: clients, Seed: seed}, began)
+	for seed := range uint64(gatherers) {
+		f := New(Settings{DrainGrace: grace, MaxTimeWithoutWatch: within, Gatherers: gatherers, Seed: seed}, began)
 		id, _ := f.Run(began)
 		f.RecordUpdate(id, began)
 		f.RequestEnded(id, began)
 		at = append(at, f.Due().Sub(began))
 	}
 	slices.Sort(at)
-	if at[0] < 100*ms || at[clients-1] > within/2 || at[clients*3/4]-at[clients/4] < time.Second {
-		t.Errorf("next requests after %v to %v, quartiles %v and %v", at[0], at[clients-1], at[clients/4], at[clients*3/4])
+	if at[0] < 100*ms || at[gatherers-1] > within/2 || at[gatherers*3/4]-at[gatherers/4] < time.Second {
+		t.Errorf("next requests after %v to %v, quartiles %v and %v", at[0], at[gatherers-1], at[gatherers/4], at[gatherers*3/4])
 	}
-	silent := New(Settings{DrainGrace: grace, MaxTimeWithoutWatch: within, Gatherers: clients, Seed: 1}, began)
+	silent := New(Settings{DrainGrace: grace, MaxTimeWithoutWatch: within, Gatherers: gatherers, Seed: 1}, began)
 	id, _ := silent.Run(began)
 	silent.RecordUpdate(id, began)
 	silent.Run(silent.Due())
@@ -238,10 +238,10 @@
 	}
 }
 
-// Whatever became of the calls before, a gatherer counts as notified of a change 6 s after a shared service had it
-// and could be reached. The next call must begin early enough to take its whole time in the service's queue.
+// Whatever the result of earlier calls, a gatherer counts as notified of a change 6 s after a shared service had it
+// and could be reached. The next call must begin early enough to wait in the service's queue for all of queueTimeout.
 func TestSharedServiceIsCalledBeforeNotificationCounts(t *testing.T) {
-	for _, clients := range []int{1, 3, 300, 1024} {
+	for _, gatherers := range []int{1, 3, 300, 1024} {
 		for name, c := range map[string]struct {
 			fail func(f *Follower, id RequestID, now time.Time) (reached time.Time) // of a call that begins now
 		}{
@@ -260,7 +260,7 @@
 			worst := time.Duration(0)
 			for seed := range uint64(60) {
 				within := []time.Duration{0, 10 * time.Second, 40 * time.Second}[seed%3]
-				f := New(Settings{DrainGrace: grace, MaxTimeWithoutWatch: within, Gatherers: clients, Seed: seed}, began)
+				f := New(Settings{DrainGrace: grace, MaxTimeWithoutWatch: within, Gatherers: gatherers, Seed: seed}, began)
 				reached := began // when the service could first be reached after the call before
 				for range 12 {
 					now := f.Due()
@@ -274,7 +274,7 @@
 				}
 			}
 			if worst >= silentNotifyDelay {
-				t.Errorf("%d gatherers, %s: update received after %v in the worst case", clients, name, worst)
+				t.Errorf("%d gatherers, %s: update received after %v in the worst case", gatherers, name, worst)
 			}
 		}
 	}
@@ -301,25 +301,25 @@
 		"a later start":                {"b", 0, list(1, true, ready("s", 8)), catalog.Ready},
 		"too late for an old list":     {"b", maxListAge, list(1, true, ready("s", 7)), catalog.Ready},
 	} {
-		var r MemberFilter
-		r.Apply(began, "a", list(41, true, ready("s", 7), ready("o", 1)))
-		r.Apply(began, "a", list(42, true, ready("o", 1)))
-		if got := r.Apply(began.Add(c.after), c.source, c.u); got[0].Phase != c.want {
+		var filter MemberFilter
+		filter.Apply(began, "a", list(41, true, ready("s", 7), ready("o", 1)))
+		filter.Apply(began, "a", list(42, true, ready("o", 1)))
+		if got := filter.Apply(began.Add(c.after), c.source, c.u); got[0].Phase != c.want {
 			t.Errorf("%s: have %s, want %s", name, got[0].Phase, c.want)
 		}
 	}
-	var r MemberFilter
-	r.Apply(began, "a", list(41, true, ready("s", 7)))
-	r.Apply(began, "a", list(42, true)) // as from a discovery that has lost its state
-	if got := r.Apply(began, "b", list(1, true, ready("s", 7))); got[0].Phase != catalog.Ready {
+	var filter MemberFilter
+	filter.Apply(began, "a", list(41, true, ready("s", 7)))
+	filter.Apply(began, "a", list(42, true)) // as from a discovery that has lost its state
+	if got := filter.Apply(began, "b", list(1, true, ready("s", 7))); got[0].Phase != catalog.Ready {
 		t.Errorf("after an empty list: have %s", got[0].Phase)
 	}
 	for i := range int64(100) { // new searchers with new ids: those that left must not be kept forever
-		r.Apply(began.Add(time.Duration(i)*time.Second), "b", list(2+i, true, ready(string(rune('a'+i)), 1)))
-		r.Reinstated(began.Add(time.Duration(i) * time.Second))
+		filter.Apply(began.Add(time.Duration(i)*time.Second), "b", list(2+i, true, ready(string(rune('a'+i)), 1)))
+		filter.Reinstated(began.Add(time.Duration(i) * time.Second))
 	}
-	if len(r.serving) != 1 || len(r.leaving) > 10 {
-		t.Errorf("%d ready and %d leaving searchers are kept", len(r.serving), len(r.leaving))
+	if len(filter.serving) != 1 || len(filter.leaving) > 10 {
+		t.Errorf("%d ready and %d leaving searchers are kept", len(filter.serving), len(filter.leaving))
 	}
 }
 
@@ -344,15 +344,15 @@
 		"a higher revision: a clock went back": {"a", 43, 0, 7, 7},
 		"a later start, from any address":      {"b", 1, 0, 9, 9},
 	} {
-		var r MemberFilter
-		r.Apply(began, "a", catalog.Update{Revision: 42, Members: []catalog.Member{ready(8, "new:1")}})
+		var filter MemberFilter
+		filter.Apply(began, "a", catalog.Update{Revision: 42, Members: []catalog.Member{ready(8, "new:1")}})
 		addr := "old:1"
-		got := r.Apply(began.Add(c.after), c.source, catalog.Update{Revision: c.revision, Members: []catalog.Member{ready(c.started, addr)}})[0]
+		got := filter.Apply(began.Add(c.after), c.source, catalog.Update{Revision: c.revision, Members: []catalog.Member{ready(c.started, addr)}})[0]
 		if c.want == 8 {
 			addr = "new:1"
 		}
-		if got != ready(c.want, addr) || (r.Rejected == 1) != (c.want == 8) {
-			t.Errorf("%s: have %+v, rejected %d", name, got, r.Rejected)
+		if got != ready(c.want, addr) || (filter.Rejected == 1) != (c.want == 8) {
+			t.Errorf("%s: have %+v, rejected %d", name, got, filter.Rejected)
 		}
 	}
 }
@@ -381,30 +381,30 @@
 		"too late for an old list":              {"b", maxListAge, list(1, member(catalog.Ready, 7)), catalog.Ready},
 		"gone":                                  {"b", 0, list(1, member(catalog.Gone, 7)), catalog.Gone},
 	} {
-		var r MemberFilter
-		r.Apply(began, "a", list(42, member(catalog.Terminating, 7)))
-		if got := r.Apply(began.Add(c.after), c.source, c.u); got[0].Phase != c.want {
+		var filter MemberFilter
+		filter.Apply(began, "a", list(42, member(catalog.Terminating, 7)))
+		if got := filter.Apply(began.Add(c.after), c.source, c.u); got[0].Phase != c.want {
 			t.Errorf("%s: have %s, want %s", name, got[0].Phase, c.want)
 		}
 	}
-	var r MemberFilter
-	r.Apply(began, "a", list(42, member(catalog.Terminating, 7)))
-	r.Apply(began, "b", list(1, member(catalog.Ready, 7)))
-	if got := r.Reinstated(began.Add(maxListAge - ms)); len(got) > 0 {
+	var filter MemberFilter
+	filter.Apply(began, "a", list(42, member(catalog.Terminating, 7)))
+	filter.Apply(began, "b", list(1, member(catalog.Ready, 7)))
+	if got := filter.Reinstated(began.Add(maxListAge - ms)); len(got) > 0 {
 		t.Errorf("reinstated too soon: %+v", got)
 	}
-	if got := r.Reinstated(began.Add(maxListAge)); len(got) != 1 || got[0].Phase != catalog.Ready || len(r.leaving) > 0 {
-		t.Errorf("not reinstated: %+v, %d leaving searchers are kept", got, len(r.leaving))
+	if got := filter.Reinstated(began.Add(maxListAge)); len(got) != 1 || got[0].Phase != catalog.Ready || len(filter.leaving) > 0 {
+		t.Errorf("not reinstated: %+v, %d leaving searchers are kept", got, len(filter.leaving))
 	}
 }
 
 // Under any order of resets, silences, outages, refusals and stalls, an update of the agent is received before the
-// grace is over. The grace runs from the latest of the moment the agent had the update, its return and the end of
-// a stall; for a watch that fell silent it begins 6 s later.
+// grace is over. The grace begins when the agent has the update, when the agent returns or when a stall ends, whichever
+// is last; for a watch that fell silent it begins 6 s later.
 func TestUpdateArrivesWithinGraceUnderRandomFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a := newFakeAgent(rapid.SampledFrom([]int{1, 350}).Draw(t, "gatherers"), rapid.Uint64().Draw(t, "seed"))
-		a.losesRequests = rapid.Bool().Draw(t, "forgets")
+		a.losesRequests = rapid.Bool().Draw(t, "loses requests")
 		for range rapid.IntRange(1, 12).Draw(t, "faults") {
 			notified := a.now
 			switch rapid.SampledFrom([]string{"reset", "silence", "outage", "refusals", "stall"}).Draw(t, "fault") {
@@ -432,13 +432,13 @@
 				notified = a.now
 				a.reset()
 			}
-			began := a.now
-			for !a.lastUpdate.After(began) {
+			faultEnd := a.now
+			for !a.lastUpdate.After(faultEnd) {
 				if a.step(); a.now.Sub(notified) > grace-maxAgentInterval {
 					t.Fatalf("update not received %v after the gatherer counts as notified", a.now.Sub(notified))
 				}
 			}
-			a.run(time.Duration(rapid.IntRange(0, 3000).Draw(t, "calm")) * ms)
+			a.run(time.Duration(rapid.IntRange(0, 3000).Draw(t, "pause")) * ms)
 		}
 	})
 }
--- a/internal/discovery/leaving_test.go
+++ b/internal/discovery/leaving_test.go
@@ -17,7 +17,7 @@
 
 // fakeDiscovery is a fake of discovery at one address, with the list and the revisions that it knows.
 type fakeDiscovery struct {
-	name         string // unique: a fake that is created again gets another one
+	name         string // unique: a fake that starts anew gets another name
 	revision     int64
 	members      map[string]catalog.Member
 	changed      map[string]int64        // the revision of each member's last change
@@ -27,12 +27,12 @@
 	unread       bool  // the gatherer has read nothing here yet
 }
 
-func (a *fakeDiscovery) update(m catalog.Member) {
-	a.revision++
-	a.members[m.ID], a.changed[m.ID] = m, a.revision
+func (d *fakeDiscovery) update(m catalog.Member) {
+	d.revision++
+	d.members[m.ID], d.changed[m.ID] = m, d.revision
 }
 
-// simulation is one gatherer in virtual time, with its real core, MemberFilter and Followers. Its decision module keeps
+// simulation runs one gatherer in virtual time, with its real core, MemberFilter and Followers. Its aggregator keeps
 // sending parts to all searchers it has ever known. Each call waits up to 250 ms for a connection.
 type simulation struct {
 	t             *rapid.T
@@ -68,20 +68,20 @@
 	at      time.Time // when a connection is available
 }
 
-func (w *simulation) Turn(_ time.Duration, events []eiderwinch.Event) (out []eiderwinch.Action) {
+func (sim *simulation) Turn(_ time.Duration, events []eiderwinch.Event) (out []eiderwinch.Action) {
 	for _, e := range events {
 		if q, ok := e.(eiderwinch.Query); ok {
 			for i, p := range q.Parts {
-				out = append(out, eiderwinch.Send{Part: p.ID, Replica: w.ids[(int(q.ID)+i)%len(w.ids)]})
+				out = append(out, eiderwinch.Send{Part: p.ID, Replica: sim.ids[(int(q.ID)+i)%len(sim.ids)]})
 			}
 		}
 	}
 	return out
 }
 
-func (w *simulation) Call(now time.Time, attempts []*gatherer.Attempt) {
+func (sim *simulation) Call(now time.Time, attempts []*gatherer.Attempt) {
 	for _, a := range attempts {
-		w.calls = append(w.calls, pendingCall{a, now.Add(time.Duration(len(w.calls)*37%250) * ms)})
+		sim.calls = append(sim.calls, pendingCall{a, now.Add(time.Duration(len(sim.calls)*37%250) * ms)})
 	}
 }
 
@@ -90,37 +90,37 @@
 func (*simulation) Reply(gatherer.Reply)      {}
 func (*simulation) Disconnected() bool        { return false }
 
-func (w *simulation) apply(kind eiderwinch.ListKind, from int, u catalog.Update) {
+func (sim *simulation) apply(kind eiderwinch.ListKind, from int, u catalog.Update) {
 	states := map[catalog.Phase]eiderwinch.State{
 		catalog.Ready: eiderwinch.Ready, catalog.Terminating: eiderwinch.Draining, catalog.Gone: eiderwinch.Removed,
 	}
 	var list []gatherer.Member
-	for _, m := range w.memberFilter.Apply(w.now, w.discoveries[from].name, u) {
+	for _, m := range sim.memberFilter.Apply(sim.now, sim.discoveries[from].name, u) {
 		list = append(list, gatherer.Member{ID: m.ID, State: states[m.Phase], Started: m.Started()})
 	}
-	w.core.UpdateMembers(w.now, kind, list)
+	sim.core.UpdateMembers(sim.now, kind, list)
 }
 
 // start starts the gatherer process with a known list.
-func (w *simulation) start(known catalog.Update) {
-	w.core = gatherer.New(gatherer.Settings{Tick: 5 * ms, Module: eiderwinch.Settings{
+func (sim *simulation) start(known catalog.Update) {
+	sim.core = gatherer.New(gatherer.Settings{Tick: 5 * ms, Module: eiderwinch.Settings{
 		Shards: 1, Classes: []eiderwinch.Class{{Name: "c", Aim: time.Second, Deadline: time.Second, WholeShare: 1, MinShare: 1}},
-	}}, w, w, stats.New(), slog.New(slog.DiscardHandler), w.now)
-	w.memberFilter, w.calls, w.moving, w.silentSince = MemberFilter{}, nil, false, time.Time{}
-	w.follow(w.current, known.Revision, false)
-	w.apply(eiderwinch.Stale, w.current, known)
+	}}, sim, sim, stats.New(), slog.New(slog.DiscardHandler), sim.now)
+	sim.memberFilter, sim.calls, sim.moving, sim.silentSince = MemberFilter{}, nil, false, time.Time{}
+	sim.follow(sim.current, known.Revision, false)
+	sim.apply(eiderwinch.Stale, sim.current, known)
 }
 
-func (w *simulation) follow(k int, revision int64, unread bool) {
-	a := w.discoveries[k]
-	a.follower, a.requests, a.readRevision, a.unread = New(w.settings, w.now), make(map[RequestID]time.Time), revision, unread
+func (sim *simulation) follow(k int, revision int64, unread bool) {
+	d := sim.discoveries[k]
+	d.follower, d.requests, d.readRevision, d.unread = New(sim.settings, sim.now), make(map[RequestID]time.Time), revision, unread
 }
 
 // list returns the complete list, or the changes since a revision.
-func (a *fakeDiscovery) list(from int64, complete bool) catalog.Update {
-	u := catalog.Update{Revision: a.revision, Complete: complete}
-	for id, m := range a.members {
-		if (complete || a.changed[id] > from) && !(complete && m.Phase == catalog.Gone) {
+func (d *fakeDiscovery) list(from int64, complete bool) catalog.Update {
+	u := catalog.Update{Revision: d.revision, Complete: complete}
+	for id, m := range d.members {
+		if (complete || d.changed[id] > from) && !(complete && m.Phase == catalog.Gone) {
 			u.Members = append(u.Members, m)
 		}
 	}
@@ -128,202 +128,202 @@
 }
 
 // stepDiscovery makes one discovery answer its open requests, and its Follower send the requests that are due.
-func (w *simulation) stepDiscovery(k int, heartbeat bool) {
-	a := w.discoveries[k]
-	for id, since := range a.requests {
-		if a.follower.index(id) < 0 {
-			delete(a.requests, id)
+func (sim *simulation) stepDiscovery(k int, heartbeat bool) {
+	d := sim.discoveries[k]
+	for id, since := range d.requests {
+		if d.follower.index(id) < 0 {
+			delete(d.requests, id)
 			continue
 		}
-		watching := !a.follower.requests[a.follower.index(id)].lastReceived.IsZero()
-		if w.silent || w.now.Sub(since) < ms || watching && !heartbeat && a.revision <= a.readRevision {
+		watching := !d.follower.requests[d.follower.index(id)].lastReceived.IsZero()
+		if sim.silent || sim.now.Sub(since) < ms || watching && !heartbeat && d.revision <= d.readRevision {
 			continue
 		}
-		complete := a.unread || a.readRevision == 0
-		a.unread = false
-		if u := a.list(a.readRevision, complete); complete {
-			w.apply(eiderwinch.Whole, k, u)
+		complete := d.unread || d.readRevision == 0
+		d.unread = false
+		if u := d.list(d.readRevision, complete); complete {
+			sim.apply(eiderwinch.Whole, k, u)
 		} else if len(u.Members) > 0 {
-			w.apply(eiderwinch.Changes, k, u)
+			sim.apply(eiderwinch.Changes, k, u)
 		}
-		a.readRevision = a.revision
-		for _, other := range a.follower.RecordUpdate(id, w.now) {
-			delete(a.requests, other)
+		d.readRevision = d.revision
+		for _, other := range d.follower.RecordUpdate(id, sim.now) {
+			delete(d.requests, other)
 		}
-		w.silentSince, w.lastReceived = time.Time{}, w.now
-		if k != w.current {
-			w.current, w.moving = k, false
+		sim.silentSince, sim.lastReceived = time.Time{}, sim.now
+		if k != sim.current {
+			sim.current, sim.moving = k, false
 		}
 	}
-	if !w.now.Before(a.follower.Due()) {
-		id, drop := a.follower.Run(w.now)
+	if !sim.now.Before(d.follower.Due()) {
+		id, drop := d.follower.Run(sim.now)
 		for _, other := range drop {
-			delete(a.requests, other)
+			delete(d.requests, other)
 		}
 		if id != 0 {
-			a.requests[id] = w.now
+			d.requests[id] = sim.now
 		}
 	}
 }
 
 // step advances by a millisecond: discovery sends, the gatherer's loop reads that, then sends parts.
-func (w *simulation) step() {
-	w.now = w.now.Add(ms)
-	heartbeat := w.now.Sub(w.lastHeartbeat) >= 2*time.Second
+func (sim *simulation) step() {
+	sim.now = sim.now.Add(ms)
+	heartbeat := sim.now.Sub(sim.lastHeartbeat) >= 2*time.Second
 	if heartbeat {
-		w.lastHeartbeat = w.now
+		sim.lastHeartbeat = sim.now
 	}
-	w.delayed = slices.DeleteFunc(w.delayed, func(d delayedUpdate) bool {
-		due := !w.now.Before(d.at)
+	sim.delayed = slices.DeleteFunc(sim.delayed, func(d delayedUpdate) bool {
+		due := !sim.now.Before(d.at)
 		if due {
 			d.discovery.update(d.member)
 		}
 		return due
 	})
-	w.stepDiscovery(w.current, heartbeat)
-	if w.moving {
-		w.stepDiscovery(1-w.current, heartbeat)
+	sim.stepDiscovery(sim.current, heartbeat)
+	if sim.moving {
+		sim.stepDiscovery(1-sim.current, heartbeat)
 	}
-	if w.now.UnixMilli()%250 == 0 {
+	if sim.now.UnixMilli()%250 == 0 {
 		var reinstated catalog.Update
-		reinstated.Members = w.memberFilter.Reinstated(w.lastReceived)
+		reinstated.Members = sim.memberFilter.Reinstated(sim.lastReceived)
 		for _, m := range reinstated.Members {
-			w.core.UpdateMembers(w.now, eiderwinch.Changes, []gatherer.Member{{ID: m.ID, State: eiderwinch.Ready, Started: m.Started()}})
+			sim.core.UpdateMembers(sim.now, eiderwinch.Changes, []gatherer.Member{{ID: m.ID, State: eiderwinch.Ready, Started: m.Started()}})
 		}
 	}
-	if w.now.UnixMilli()%20 == 0 {
-		_, _ = w.core.Take(w.now, gatherer.QueryRequest{Trace: w.now.String(), Class: "c", Parts: []gatherer.PartRequest{{Weight: 1}}}, w)
+	if sim.now.UnixMilli()%20 == 0 {
+		_, _ = sim.core.Take(sim.now, gatherer.QueryRequest{Trace: sim.now.String(), Class: "c", Parts: []gatherer.PartRequest{{Weight: 1}}}, sim)
 	}
-	w.core.Run(w.now)
-	waiting := w.calls[:0]
-	for _, c := range w.calls {
+	sim.core.Run(sim.now)
+	waiting := sim.calls[:0]
+	for _, c := range sim.calls {
 		switch {
-		case w.now.Before(c.at):
+		case sim.now.Before(c.at):
 			waiting = append(waiting, c)
-		case !w.core.MaySend(w.now, c.attempt):
-			w.core.NotSent(w.now, c.attempt)
+		case !sim.core.MaySend(sim.now, c.attempt):
+			sim.core.NotSent(sim.now, c.attempt)
 		default:
-			w.sent++
-			if notified, ok := w.notified[c.attempt.Searcher]; ok && w.now.Sub(notified) > grace {
-				w.t.Fatalf("a part was sent to %s %v after the gatherer was notified that it leaves", c.attempt.Searcher, w.now.Sub(notified))
+			sim.sent++
+			if notified, ok := sim.notified[c.attempt.Searcher]; ok && sim.now.Sub(notified) > grace {
+				sim.t.Fatalf("a part was sent to %s %v after the gatherer was notified that it leaves", c.attempt.Searcher, sim.now.Sub(notified))
 			}
-			w.core.Result(w.now, c.attempt, eiderwinch.OK, 1, "v")
+			sim.core.Result(sim.now, c.attempt, eiderwinch.OK, 1, "v")
 		}
 	}
-	w.calls = waiting
+	sim.calls = waiting
 }
 
-func (w *simulation) run(d time.Duration) {
-	for end := w.now.Add(d); w.now.Before(end); {
-		w.step()
+func (sim *simulation) run(d time.Duration) {
+	for end := sim.now.Add(d); sim.now.Before(end); {
+		sim.step()
 	}
 }
 
 // drain makes a searcher leave. notified is the earliest time at which the gatherer counts as notified of that.
-func (w *simulation) drain(id string, notified time.Time) {
-	if w.silent {
-		w.pendingDrains = append(w.pendingDrains, id)
+func (sim *simulation) drain(id string, notified time.Time) {
+	if sim.silent {
+		sim.pendingDrains = append(sim.pendingDrains, id)
 		return
 	}
-	m := w.members[id]
+	m := sim.members[id]
 	m.Phase = catalog.Terminating
-	w.members[id], w.left[id] = m, w.now
-	for k, a := range w.discoveries {
-		if k == w.current || w.moving {
-			a.update(m)
+	sim.members[id], sim.left[id] = m, sim.now
+	for k, d := range sim.discoveries {
+		if k == sim.current || sim.moving {
+			d.update(m)
 		}
 	}
-	if !w.silentSince.IsZero() && w.silentSince.Add(silentNotifyDelay).After(notified) {
-		notified = w.silentSince.Add(silentNotifyDelay)
+	if !sim.silentSince.IsZero() && sim.silentSince.Add(silentNotifyDelay).After(notified) {
+		notified = sim.silentSince.Add(silentNotifyDelay)
 	}
-	if _, ok := w.notified[id]; !ok {
-		w.notified[id] = notified
+	if _, ok := sim.notified[id]; !ok {
+		sim.notified[id] = notified
 	}
 }
 
-// Under any order of lists, resets, silences, moves to another discovery address with SIGHUP, starts from an old
-// list and stalls, no part is sent to a searcher later than 500 ms after the gatherer counts as notified that the
+// Under any order of lists, resets, lost watches, silences, moves to another discovery address, starts from an old list
+// and stalls, no part is sent to a searcher later than 500 ms after the gatherer counts as notified that the
 // searcher leaves.
 func TestNothingIsSentToLeavingSearcher(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := &simulation{t: t, now: began, lastHeartbeat: began, notified: make(map[string]time.Time), members: make(map[string]catalog.Member), left: make(map[string]time.Time), settings: Settings{
+		sim := &simulation{t: t, now: began, lastHeartbeat: began, notified: make(map[string]time.Time), members: make(map[string]catalog.Member), left: make(map[string]time.Time), settings: Settings{
 			Pushed: true, DrainGrace: grace, Gatherers: rapid.SampledFrom([]int{1, 350}).Draw(t, "gatherers"), Seed: rapid.Uint64().Draw(t, "seed"),
 		}}
-		for k := range w.discoveries {
-			w.discoveries[k] = &fakeDiscovery{name: fmt.Sprint(k), members: make(map[string]catalog.Member), changed: make(map[string]int64)}
+		for k := range sim.discoveries {
+			sim.discoveries[k] = &fakeDiscovery{name: fmt.Sprint(k), members: make(map[string]catalog.Member), changed: make(map[string]int64)}
 		}
 		join := func() string {
-			id := fmt.Sprint("s", len(w.ids))
-			w.ids = append(w.ids, id)
-			w.members[id] = catalog.Member{ID: id, HostPort: "h:1", Phase: catalog.Ready, UpSinceMS: w.now.UnixMilli()}
-			for _, a := range w.discoveries {
-				a.update(w.members[id])
+			id := fmt.Sprint("s", len(sim.ids))
+			sim.ids = append(sim.ids, id)
+			sim.members[id] = catalog.Member{ID: id, HostPort: "h:1", Phase: catalog.Ready, UpSinceMS: sim.now.UnixMilli()}
+			for _, d := range sim.discoveries {
+				d.update(sim.members[id])
 			}
 			return id
 		}
 		join()
 		join()
-		w.start(w.discoveries[0].list(0, true))
-		w.run(50 * ms)
+		sim.start(sim.discoveries[0].list(0, true))
+		sim.run(50 * ms)
 		for range rapid.IntRange(1, 5).Draw(t, "events") {
 			id := join()
-			w.run(time.Duration(rapid.IntRange(0, 400).Draw(t, "before")) * ms)
-			notified := w.now
-			switch rapid.SampledFrom([]string{"news", "reset", "deaf", "silence", "move", "restart", "stall", "older list"}).Draw(t, "event") {
+			sim.run(time.Duration(rapid.IntRange(0, 400).Draw(t, "before")) * ms)
+			notified := sim.now
+			switch rapid.SampledFrom([]string{"no fault", "reset", "lost watch", "silence", "move", "restart", "stall", "older list"}).Draw(t, "event") {
 			case "reset":
-				a := w.discoveries[w.current]
-				for requestID := range a.requests {
-					a.follower.RequestEnded(requestID, w.now)
+				d := sim.discoveries[sim.current]
+				for requestID := range d.requests {
+					d.follower.RequestEnded(requestID, sim.now)
 				}
-				clear(a.requests)
-			case "deaf": // the gatherer counts as notified of what an open watch misses 6 s later
-				w.run(300 * ms) // previous updates are received
-				clear(w.discoveries[w.current].requests)
-				w.silentSince = w.now
+				clear(d.requests)
+			case "lost watch": // the gatherer counts as notified of what an open watch misses 6 s later
+				sim.run(300 * ms) // previous updates are received
+				clear(sim.discoveries[sim.current].requests)
+				sim.silentSince = sim.now
 			case "silence":
-				w.run(300 * ms) // previous updates are received
-				w.silent = true
-				w.run(time.Duration(rapid.IntRange(2600, 5000).Draw(t, "ms")) * ms)
-				w.silent = false
-				notified = w.now
+				sim.run(300 * ms) // previous updates are received
+				sim.silent = true
+				sim.run(time.Duration(rapid.IntRange(2600, 5000).Draw(t, "ms")) * ms)
+				sim.silent = false
+				notified = sim.now
 			case "move": // the gatherer counts as notified of what the new address knows 4 s later; its revisions are its own
-				other := w.discoveries[1-w.current]
+				other := sim.discoveries[1-sim.current]
 				other.name += "'"
 				other.members, other.changed = make(map[string]catalog.Member), make(map[string]int64)
 				lag := time.Duration(rapid.IntRange(0, 5500).Draw(t, "lag")) * ms // how far the new address lags behind
-				w.run(300 * ms)                                                   // previous updates are received: they would be missed if an address that lags this far were left at once
-				notified = w.now
-				for _, id := range w.ids {
-					m := w.members[id]
-					if left, ok := w.left[id]; ok && w.now.Sub(left) < lag {
-						w.delayed = append(w.delayed, delayedUpdate{left.Add(lag), other, m})
+				sim.run(300 * ms)                                                 // previous updates are received: they would be missed if an address that lags this far were left at once
+				notified = sim.now
+				for _, id := range sim.ids {
+					m := sim.members[id]
+					if left, ok := sim.left[id]; ok && sim.now.Sub(left) < lag {
+						sim.delayed = append(sim.delayed, delayedUpdate{left.Add(lag), other, m})
 						m.Phase = catalog.Ready
 					}
 					other.update(m)
 				}
-				w.follow(1-w.current, 0, true)
-				w.moving = true
+				sim.follow(1-sim.current, 0, true)
+				sim.moving = true
 				notified = notified.Add(4 * time.Second)
 			case "restart":
-				known := w.discoveries[w.current].list(0, true)
-				w.drain(id, notified)
-				for _, d := range w.delayed { // the new process knows only what this address reports
-					w.notified[d.member.ID] = d.at
+				known := sim.discoveries[sim.current].list(0, true)
+				sim.drain(id, notified)
+				for _, d := range sim.delayed { // the new process knows only what this address reports
+					sim.notified[d.member.ID] = d.at
 				}
-				w.start(known)
+				sim.start(known)
 			case "stall": // the event loop is blocked, then reads before it sends
-				w.drain(id, notified)
-				w.now = w.now.Add(time.Duration(rapid.IntRange(1, 3000).Draw(t, "ms")) * ms)
+				sim.drain(id, notified)
+				sim.now = sim.now.Add(time.Duration(rapid.IntRange(1, 3000).Draw(t, "ms")) * ms)
 			case "older list":
-				old := w.discoveries[w.current].list(0, true)
-				w.drain(id, notified)
-				w.run(300 * ms)
-				w.apply(eiderwinch.Whole, w.current, old)
+				old := sim.discoveries[sim.current].list(0, true)
+				sim.drain(id, notified)
+				sim.run(300 * ms)
+				sim.apply(eiderwinch.Whole, sim.current, old)
 			}
-			w.drain(id, notified)
-			w.run(time.Duration(rapid.IntRange(0, 3000).Draw(t, "after")) * ms)
+			sim.drain(id, notified)
+			sim.run(time.Duration(rapid.IntRange(0, 3000).Draw(t, "after")) * ms)
 		}
-		if w.sent == 0 {
+		if sim.sent == 0 {
 			t.Fatal("nothing was sent: the test proves nothing")
 		}
 	})
