--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -15,7 +15,7 @@
 	"eiderwinch/internal/netio"
 )
 
-// fakeNode records the epoch that it adopted, and what the layout file held at that
+// fakeNode records the epoch that it adopted, and the contents of the layout file at that
 // time.
 type fakeNode struct {
 	epoch       layout.Epoch
@@ -68,7 +68,7 @@
 		}
 		return e.Status
 	}
-	if _, err := put(layoutXML(4)); status(err) != http.StatusConflict || !strings.Contains(err.Error(), "found epoch 4, want one after 5") {
+	if _, err := put(layoutXML(4)); status(err) != http.StatusConflict || !strings.Contains(err.Error(), "found epoch 4, want 5 or a later one") {
 		t.Errorf("an older epoch: %v", err)
 	}
 	if _, err := put(layoutXML(5)); err != nil {
@@ -132,10 +132,10 @@
 	if err := os.WriteFile(path, nil, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	for _, bad := range []string{"unix:" + path, "0.0.0.0:0", "example:80"} {
-		if l, err := Listen(bad); err == nil {
+	for _, endpoint := range []string{"unix:" + path, "0.0.0.0:0", "example:80"} {
+		if l, err := Listen(endpoint); err == nil {
 			l.Close()
-			t.Errorf("listened at %s", bad)
+			t.Errorf("listened at %s", endpoint)
 		}
 	}
 }
--- a/internal/admin/coordinator.go
+++ b/internal/admin/coordinator.go
@@ -63,7 +63,7 @@
 	Over       bool               `json:"over"`
 	Successors []layout.SegmentID `json:"heirs,omitempty"`
 	Copied     int                `json:"copied"` // new holders that have finished copying
-	Targets    int                `json:"of"`
+	Targets    int                `json:"of"`     // all new holders
 	Reason     string             `json:"reason,omitempty"`
 	Change
 }
--- a/internal/admin/gatherer.go
+++ b/internal/admin/gatherer.go
@@ -72,9 +72,9 @@
 type FleetState struct {
 	Name     string           `json:"name"`
 	Addr     string           `json:"addr"`
-	View     uint64           `json:"view"`   // number of the membership view, counted by this gatherer alone
-	Digest   string           `json:"digest"` // equal where the same processes are counted
-	Counted  int              `json:"counted"`
+	View     uint64           `json:"view"`            // number of the membership view, counted by this gatherer alone
+	Digest   string           `json:"digest"`          // equal for gatherers whose views have the same active members
+	Counted  int              `json:"counted"`         // active members
 	Replaced bool             `json:"over"`            // a newer process has the same name
 	Share    *FleetShare      `json:"share,omitempty"` // set if the fleet's limits are divided
 	Members  []FleetMember    `json:"members"`
@@ -112,8 +112,8 @@
 	}
 	v := g.Fleet.View()
 	s := FleetState{Name: g.Name, Addr: g.Fleet.Addr(), View: v.Number, Digest: fmt.Sprintf("%016x", v.Digest), Counted: len(v.Members), Replaced: g.Fleet.SteppedDown(), Counts: counts}
-	if x, ok := g.Fleet.Share(); ok {
-		s.Share = &FleetShare{x.Slots, x.Until}
+	if share, ok := g.Fleet.Share(); ok {
+		s.Share = &FleetShare{share.Slots, share.Until}
 	}
 	for _, m := range known {
 		s.Members = append(s.Members, FleetMember{m.Name, m.State.String(), m.Addr, m.Zone, m.Incarnation.Start, m.Generation, m.Epoch})
@@ -142,7 +142,7 @@
 	if s := r.FormValue("after"); s != "" {
 		var err error
 		if after, err = strconv.ParseInt(s, 10, 64); err != nil {
-			WriteError(w, http.StatusBadRequest, fmt.Errorf("after: found %.40q, want a second", s))
+			WriteError(w, http.StatusBadRequest, fmt.Errorf("after: found %.40q, want a Unix time in seconds", s))
 			return
 		}
 	}
@@ -178,7 +178,7 @@
 		WriteError(w, http.StatusServiceUnavailable, errNotServing)
 		return
 	case l.Epoch() < s.Epoch:
-		WriteError(w, http.StatusConflict, fmt.Errorf("found epoch %d, want one after %d", l.Epoch(), s.Epoch))
+		WriteError(w, http.StatusConflict, fmt.Errorf("found epoch %d, want %d or a later one", l.Epoch(), s.Epoch))
 		return
 	case l.Epoch() > s.Epoch:
 		if err := WriteFileAtomic(g.LayoutPath, text.Bytes()); err != nil {
--- a/internal/admin/socket.go
+++ b/internal/admin/socket.go
@@ -114,8 +114,8 @@
 	return s, nil
 }
 
-// retryListener retries accept after a failure: a server that ended at the first
-// failure would not come back.
+// retryListener retries accept after a failure, because http.Server.Serve would end for
+// good at the first one that is not temporary.
 type retryListener struct{ net.Listener }
 
 // acceptRetryDelay is the pause after a failed accept.
