--- a/internal/netio/clientconn.go
+++ b/internal/netio/clientconn.go
@@ -197,7 +197,7 @@
 		}
 		c.respond(status, nil)
 	case r.Method != "POST":
-		c.reject(http.StatusMethodNotAllowed, "queries are POSTed", false)
+		c.reject(http.StatusMethodNotAllowed, "want a query, sent with POST", false)
 	default:
 		c.submit(path, r)
 	}
@@ -209,7 +209,7 @@
 	if err == nil {
 		now := time.Now()
 		query.Waited = c.sinceArrival(now)
-		query.Timeout = c.node.capExpiry(now, query.Timeout, query.Waited)
+		query.Timeout = c.node.capTimeout(now, query.Timeout, query.Waited)
 		var id uint64
 		id, err = c.node.core.Take(now, query, c)
 		if id != 0 {
@@ -234,17 +234,17 @@
 	}
 }
 
-// capExpiry shortens the time of a query that comes late in a drain, so that it is answered before the process may
-// be killed. waited is the part of that time that is already over.
-func (n *Node) capExpiry(now time.Time, expires, waited time.Duration) time.Duration {
+// capTimeout shortens the time-out of a query that arrives late in a drain, so that the query is answered before the
+// process may be killed. waited is how much of the time-out is already over.
+func (n *Node) capTimeout(now time.Time, timeout, waited time.Duration) time.Duration {
 	if !n.draining || now.Before(n.drainUntil) {
-		return expires
+		return timeout
 	}
 	left := max(n.answerDeadline().Sub(now), n.cfg.Gatherer.Tick) + waited
-	if expires == 0 {
+	if timeout == 0 {
 		return left
 	}
-	return min(expires, left)
+	return min(timeout, left)
 }
 
 // queryBody is the body of a query.
@@ -280,7 +280,7 @@
 	if s := r.Header.Get("x-expires-in-ms"); s != "" {
 		ms, err := strconv.ParseUint(s, 10, 31)
 		if err != nil || ms == 0 {
-			return query, fmt.Errorf("%w: X-Expires-In-Ms is %q", gatherer.ErrInvalid, s)
+			return query, fmt.Errorf("%w: X-Expires-In-Ms is %q, want milliseconds from 1 on", gatherer.ErrInvalid, s)
 		}
 		query.Timeout = time.Duration(ms) * time.Millisecond
 	}
@@ -355,11 +355,13 @@
 	return s != "" && len(s) <= maxNameLength
 }
 
+// answerBody is the body of an answer.
 type answerBody struct {
 	Full   bool    `json:"full"`
 	Pieces []piece `json:"pieces"`
 }
 
+// piece is the answer to one part: its shard and its value.
 type piece struct {
 	Tablet int    `json:"tablet"`
 	Cell   string `json:"cell"`
@@ -499,7 +501,7 @@
 const maxTransientExcess = 8
 
 // evict makes room for a connection that is being opened, so that descriptors are never used up. If all others are
-// in use, it closes the new one, unread.
+// in use, or more than maxTransientExcess connections are held beyond the bound, it closes the new one, unread.
 func (n *Node) evict(newest *clientConn) {
 	if _, rank := n.chooseVictim(&newest.entry); rank == limit.RankNewest || n.excessClients() > maxTransientExcess {
 		n.stats.Evicted[limit.RankNewest.String()]++
@@ -529,8 +531,8 @@
 
 // chooseVictim returns the connection that is least needed, and its rank.
 func (n *Node) chooseVictim(newest *limit.Entry[*clientConn]) (*limit.Entry[*clientConn], limit.Rank) {
-	return n.clientTable.Victim(time.Now(), newest, func(s *limit.Entry[*clientConn]) bool {
-		unread := s.Owner.hasPendingData()
+	return n.clientTable.Victim(time.Now(), newest, func(entry *limit.Entry[*clientConn]) bool {
+		unread := entry.Owner.hasPendingData()
 		if unread {
 			n.stats.NotClosed++
 		}
@@ -538,10 +540,11 @@
 	})
 }
 
-// closeIfUnused closes a connection between requests, which no answer has announced to its client. It reports
-// whether it did: it does not if a request has been received. Both directions are closed at once. A client repeats a
-// request that crosses the close and was not read. If only the sending side were shut down and the rest discarded,
-// a request could be read that nobody answers.
+// closeIfUnused closes a connection that is between requests, although no answer has announced the close to its
+// client. It does nothing if received data was not read yet or an answer is not fully written, and reports whether it
+// has closed the connection. Both directions are closed at once: a client repeats a request that crosses the close and
+// was not read. If only the sending side were shut down and the rest discarded, a request could be read that nobody
+// answers.
 func (c *clientConn) closeIfUnused() bool {
 	if c.hasPendingData() {
 		c.node.stats.NotClosed++
@@ -551,8 +554,8 @@
 	return true
 }
 
-// closeNow closes the connection at once. Close of the connection itself waits for the loop's next round, which
-// may read first.
+// closeNow closes the connection at once. eventloop.Conn.Close would wait for the loop's next round, which may read
+// from the connection first.
 func (c *clientConn) closeNow() {
 	c.ending = true
 	c.releaseEntry()
@@ -562,8 +565,8 @@
 // closeIdleClients closes the connections that are between requests, and reports whether none is left.
 func (n *Node) closeIdleClients() bool {
 	for _, stage := range [...]limit.Stage{limit.Silent, limit.Idle} {
-		for s := n.clientTable.Oldest(stage); s != nil; s = n.clientTable.Oldest(stage) {
-			if !s.Owner.closeIfUnused() {
+		for entry := n.clientTable.Oldest(stage); entry != nil; entry = n.clientTable.Oldest(stage) {
+			if !entry.Owner.closeIfUnused() {
 				return false // its request is read next
 			}
 		}
@@ -574,7 +577,7 @@
 // checkClients closes the connections whose time limit is over, and the longest idle ones if there are too many.
 func (n *Node) checkClients(now time.Time) {
 	n.closeOverdue(now)
-	for s := n.clientTable.SurplusIdle(now); s != nil && !n.draining && s.Owner.closeIfUnused(); s = n.clientTable.SurplusIdle(now) {
+	for entry := n.clientTable.SurplusIdle(now); entry != nil && !n.draining && entry.Owner.closeIfUnused(); entry = n.clientTable.SurplusIdle(now) {
 		n.stats.ClosedIdle++
 	}
 	n.checkFlushing(now)
@@ -582,9 +585,9 @@
 
 // closeOverdue closes the connections whose time limit is over.
 func (n *Node) closeOverdue(now time.Time) {
-	for s := n.clientTable.Overdue(now); s != nil; s = n.clientTable.Overdue(now) {
-		switch c := s.Owner; {
-		case s.Stage() == limit.Closing:
+	for entry := n.clientTable.Overdue(now); entry != nil; entry = n.clientTable.Overdue(now) {
+		switch c := entry.Owner; {
+		case entry.Stage() == limit.Closing:
 			c.drop()
 		case c.parser.Idle():
 			if !c.closeIfUnused() {
@@ -592,7 +595,7 @@
 			}
 			n.stats.ClosedSilent++
 		default:
-			c.reject(http.StatusRequestTimeout, "the request was not complete in time", true)
+			c.reject(http.StatusRequestTimeout, "time-out: the request is incomplete", true)
 		}
 	}
 }
--- a/internal/netio/clientconn_test.go
+++ b/internal/netio/clientconn_test.go
@@ -81,7 +81,7 @@
 	}
 	h.onLoop(func() {
 		if h.stats.ClosedWithAnswer != 47 || h.stats.EvictedInUse+len(h.stats.Evicted) > 0 {
-			t.Errorf("noticed %d, crossed %d, evicted %v", h.stats.ClosedWithAnswer, h.stats.EvictedInUse, h.stats.Evicted)
+			t.Errorf("closed with an answer %d, evicted in use %d, evicted %v", h.stats.ClosedWithAnswer, h.stats.EvictedInUse, h.stats.Evicted)
 		}
 	})
 }
@@ -130,7 +130,7 @@
 // Long idle connections are closed only if there are many of them, the longest idle first.
 func TestIdleConnectionsAreClosedWhereThereAreMany(t *testing.T) {
 	h := startBounded(t, 3, 100, 100)
-	before := time.Now() // none has been idle since then or earlier
+	before := time.Now() // all clients become idle after this time
 	clients := make([]*testpeer.Client, 3)
 	for i := range clients {
 		clients[i] = testpeer.NewClient(t, h.Addr())
@@ -161,7 +161,7 @@
 // A request that crosses an unannounced close is not read, and its client sends it again. A request that was
 // received is never cut off, in whichever way connections between requests are closed.
 func TestARequestThatCrossesACloseIsNotRead(t *testing.T) {
-	for name, shut := range map[string]func(*harness){
+	for name, closeConns := range map[string]func(*harness){
 		"trimmed": func(h *harness) { h.checkClients(time.Now().Add(h.clientTable.Bounds().IdleGrace)) },
 		"drained": func(h *harness) { h.closeIdleClients() },
 		"silent":  func(h *harness) { h.checkClients(time.Now().Add(h.clientTable.Bounds().RequestTimeout)) },
@@ -179,9 +179,9 @@
 			a.Send(healthRequest)
 			for end := time.Now().Add(testpeer.Timeout); pendingBytes(c.conn.FD()) == 0 && time.Now().Before(end); {
 			}
-			shut(h)
+			closeConns(h)
 			if h.stats.NotClosed != 1 || c.ending {
-				t.Errorf("%s: spared %d, ending %v", name, h.stats.NotClosed, c.ending)
+				t.Errorf("%s: not closed %d, ending %v", name, h.stats.NotClosed, c.ending)
 			}
 		})
 		if resp, _ := a.ReadResponse(); resp.StatusCode != 200 {
@@ -224,7 +224,7 @@
 			h.clientTable.Remove(&more[i])
 		}
 		if h.stats.NotClosed != 1 || h.stats.Evicted["once_new"] != 1 || h.stats.EvictedInUse != 0 {
-			t.Errorf("spared %d, evicted %v, crossed %d", h.stats.NotClosed, h.stats.Evicted, h.stats.EvictedInUse)
+			t.Errorf("not closed %d, evicted %v, evicted in use %d", h.stats.NotClosed, h.stats.Evicted, h.stats.EvictedInUse)
 		}
 	})
 	if resp, _ := a.ReadResponse(); resp.StatusCode != 200 {
@@ -265,7 +265,7 @@
 	var b *testpeer.Client
 	h.onLoop(func() { b = testpeer.NewClient(t, h.Addr()).Send(healthRequest) })
 	if b, err := io.ReadAll(b); len(b) > 0 || !errors.Is(err, syscall.ECONNRESET) {
-		t.Errorf("have %q, %v: it was read", b, err)
+		t.Errorf("have %q, %v, want a reset: the connection was read", b, err)
 	}
 	p.Answer("served", 1, "v")
 	if resp, _ := a.ReadResponse(); resp.StatusCode != 200 {
@@ -310,7 +310,7 @@
 				h.runTurn()
 			})
 			if resp, _ := client.ReadResponse(); resp.Close {
-				t.Error("the connection ends in spite of it")
+				t.Error("the connection ends although another request was received")
 			}
 			first.Conn.Close()
 			h.nextPart().Answer("served", 1, "w")
@@ -346,7 +346,7 @@
 	h.onLoop(func() {
 		h.checkClients(time.Now())
 		if len(h.flushing) != 1 || h.clientTable.Count(limit.Busy) != 1 {
-			t.Error("its place was given away before the answer was sent")
+			t.Error("the client's place was given away before the answer was sent")
 		}
 	})
 	resp, body := c.ReadResponse()
--- a/internal/netio/drain.go
+++ b/internal/netio/drain.go
@@ -42,21 +42,21 @@
 // answerDeadline returns the time by which a draining node must have written all answers.
 func (n *Node) answerDeadline() time.Time { return n.killAt.Add(-answerMargin) }
 
-// drained reports whether a draining node has nothing left to do. It closes idle client connections and, once
-// it has waited long enough for their rest, refuses incomplete requests.
+// drained reports whether a draining node has nothing left to do. It closes idle client connections, and refuses
+// incomplete requests once it has waited long enough for the rest of them.
 func (n *Node) drained(now time.Time) bool {
 	if !n.draining || now.Before(n.drainUntil) || now.Before(n.serveUntil) && n.clientTable.Len() > 0 {
 		return false
 	}
 	closed := n.closeIdleClients()
-	last := n.answerDeadline()
-	if until := n.serveUntil.Add(partialRequestWait); !now.Before(until) || !now.Before(last) {
+	deadline := n.answerDeadline()
+	if until := n.serveUntil.Add(partialRequestWait); !now.Before(until) || !now.Before(deadline) {
 		n.refusePartialRequests()
 	}
 	incomplete := n.clientTable.Count(limit.FirstRequest)+n.clientTable.Count(limit.NextRequest) > 0
 	// Closing a connection that holds unread bytes would reset it, and the client could lose its last answer. A
 	// client whose connection is not accepted yet may already have sent a query.
-	inputUnread := (n.clientTable.Count(limit.Closing) > 0 || readable(n.loop.ListenerFD())) && now.Before(last)
+	inputUnread := (n.clientTable.Count(limit.Closing) > 0 || readable(n.loop.ListenerFD())) && now.Before(deadline)
 	return closed && !incomplete && !inputUnread && n.core.OpenQueries() == 0 && n.clientTable.Count(limit.Busy) == 0
 }
 
@@ -64,9 +64,9 @@
 // process, and nobody would answer them.
 func (n *Node) refusePartialRequests() {
 	for _, stage := range [...]limit.Stage{limit.FirstRequest, limit.NextRequest} {
-		for s := n.clientTable.Oldest(stage); s != nil; s = n.clientTable.Oldest(stage) {
-			s.Owner.lastRequest = true
-			s.Owner.respond(http.StatusServiceUnavailable, nil)
+		for entry := n.clientTable.Oldest(stage); entry != nil; entry = n.clientTable.Oldest(stage) {
+			entry.Owner.lastRequest = true
+			entry.Owner.respond(http.StatusServiceUnavailable, nil)
 		}
 	}
 }
--- a/internal/netio/drain_test.go
+++ b/internal/netio/drain_test.go
@@ -48,7 +48,7 @@
 }
 
 // A close while received data is unread resets the connection, and the last answer may be lost. So a draining
-// process waits for clients that were told to close, for as long as it is certain to live.
+// process waits for clients that were told to close, for as long as it is certain not to be killed.
 func TestADrainWaitsForClientsToReadTheirLastAnswer(t *testing.T) {
 	h := startHarness(t, nil)
 	client := testpeer.NewClient(t, h.Addr()).Send("nonsense\r\n\r\n")
@@ -66,7 +66,7 @@
 	client.ExpectClosed()
 }
 
-// A process may start while the previous one still holds its address. One that can't listen at all must exit,
+// A process may start while the previous one still holds its address. A process that can't listen at all must exit,
 // because it would serve nobody.
 func TestOpeningTheListenerIsRetried(t *testing.T) {
 	t.Parallel()
@@ -84,9 +84,9 @@
 	n, done := run(other.Addr().String())
 	select {
 	case <-n.Started():
-		t.Error("it started although another listener holds its address")
+		t.Error("the node started although another listener holds its address")
 	case err := <-done:
-		t.Errorf("it gave up: %v", err)
+		t.Errorf("the node gave up: %v", err)
 	case <-time.After(100 * time.Millisecond):
 	}
 	other.Close()
@@ -96,8 +96,8 @@
 	if err := testpeer.Receive(t, done, "the end"); err != nil {
 		t.Error(err)
 	}
-	if _, done := run("192.0.2.1:1"); !errors.Is(testpeer.Receive(t, done, "the end of one without an address"), unix.EADDRNOTAVAIL) {
-		t.Error("it ended for another reason")
+	if _, done := run("192.0.2.1:1"); !errors.Is(testpeer.Receive(t, done, "the end of a node without an address"), unix.EADDRNOTAVAIL) {
+		t.Error("the node without an address ended for another reason")
 	}
 }
 
@@ -111,7 +111,7 @@
 		now := time.Now()
 		h.draining, h.drainUntil, h.serveUntil, h.killAt = true, now, now, now.Add(time.Minute)
 		if !h.drained(now) {
-			t.Error("something is left to do")
+			t.Error("the node without clients has not drained")
 		}
 		client = testpeer.NewClient(t, h.Addr()).Send(testpeer.Query("search", "t", time.Minute, 1))
 		h.spinUntil("the client is connected", func() bool { return readable(h.loop.ListenerFD()) })
@@ -145,7 +145,7 @@
 // Queries taken before a drain may have more time left than the process. They are answered before the process may
 // be killed, and refused if a repeat does no harm.
 func TestADrainAnswersQueriesThatWouldOutliveTheProcess(t *testing.T) {
-	nothing := func(h *harness) { h.decide = func(eiderwinch.Event) []eiderwinch.Action { return nil } }
+	neverDecide := func(h *harness) { h.decide = func(eiderwinch.Event) []eiderwinch.Action { return nil } }
 	for name, c := range map[string]struct {
 		set          func(*harness)
 		class        string
@@ -154,7 +154,7 @@
 	}{
 		"safe, sent to a searcher that hangs":  {sendOnce, "search", true, false, http.StatusServiceUnavailable},
 		"keyed, sent to a searcher that hangs": {sendOnce, "reserve", true, false, http.StatusBadGateway},
-		"keyed, never sent":                    {nothing, "reserve", false, false, http.StatusServiceUnavailable},
+		"keyed, never sent":                    {neverDecide, "reserve", false, false, http.StatusServiceUnavailable},
 		"safe, taken in the drain":             {sendOnce, "search", true, true, http.StatusServiceUnavailable},
 		"half of it is answered, which is enough": {func(h *harness) {
 			h.cfg.Gatherer.Module.Classes[0].MinShare = 0.5
@@ -193,7 +193,7 @@
 			h.onLoop(func() {
 				h.drainUntil = time.Now()
 				if h.stats.CutShort != 1 || h.stats.DeadlineExceeded != 0 {
-					t.Errorf("cut short %d, overdue %d", h.stats.CutShort, h.stats.DeadlineExceeded)
+					t.Errorf("cut short %d, deadline exceeded %d", h.stats.CutShort, h.stats.DeadlineExceeded)
 				}
 			})
 		})
@@ -217,7 +217,7 @@
 	h.waitUntil("an answer is in the buffer", func() bool { return len(h.flushing) == 1 })
 	h.onLoop(func() {
 		if h.drained(time.Now()) {
-			t.Error("it ends before the answer is written")
+			t.Error("the node ends before the answer is written")
 		}
 	})
 	if resp, body := client.ReadResponse(); resp.StatusCode != http.StatusOK || strings.Count(body, value) != 4 {
@@ -226,7 +226,7 @@
 	client.ExpectClosed()
 }
 
-// Data read after the sending side was shut down is no request: nobody could answer it.
+// Data read after the sending side was shut down is not taken as a request, because it could not be answered.
 func TestNoQueryIsTakenOnceTheSendingSideIsShut(t *testing.T) {
 	h := startHarness(t, nil)
 	client := testpeer.NewClient(t, h.Addr())
--- a/internal/netio/netio_test.go
+++ b/internal/netio/netio_test.go
@@ -129,11 +129,11 @@
 	}
 }
 
-// holdDials reports each dial to the searcher on dialed, and holds it until up is closed.
-func (h *harness) holdDials(dialed chan<- bool, up <-chan bool) {
+// holdDials reports each dial to the searcher on dialed, and holds it until release is closed.
+func (h *harness) holdDials(dialed chan<- bool, release <-chan bool) {
 	h.beforeDial(h.searcher.Addr, func(context.Context) error {
 		dialed <- true
-		<-up
+		<-release
 		return nil
 	})
 }
@@ -186,25 +186,25 @@
 	p = h.nextPart()
 	p.Answer("served", 1, "c")
 	if resp, _ := c.ReadResponse(); resp.StatusCode != 200 || p.Call != 1 {
-		t.Errorf("on the same connections: %s, call %d", resp.Status, p.Call)
+		t.Errorf("the second query on the same connections: %s, call %d", resp.Status, p.Call)
 	}
 }
 
 // Rule 1: each query that was taken gets one final answer before its time is over.
 func TestNoQueryIsLost(t *testing.T) {
-	silent := func(*harness) {}
+	doNothing := func(*harness) {}
 	for name, c := range map[string]struct {
 		set   func(*harness)
 		class string
 		do    func(*harness)
 		want  int
 	}{
-		"a silent searcher":       {nil, "search", silent, 503},
-		"one that may have run":   {nil, "reserve", func(h *harness) { h.nextPart() }, 502},
-		"no connection":           {neverConnect, "search", silent, 503},
-		"nothing decides":         {func(h *harness) { h.decide = func(eiderwinch.Event) []eiderwinch.Action { return nil } }, "search", silent, 504},
-		"connections that break":  {nil, "reserve", func(h *harness) { h.nextPart().Conn.Close() }, 200},
-		"an answer after a break": {nil, "search", func(h *harness) { h.nextPart().Conn.Close() }, 200},
+		"a silent searcher":                  {nil, "search", doNothing, 503},
+		"a part that may have run":           {nil, "reserve", func(h *harness) { h.nextPart() }, 502},
+		"no connection":                      {neverConnect, "search", doNothing, 503},
+		"an aggregator that decides nothing": {func(h *harness) { h.decide = func(eiderwinch.Event) []eiderwinch.Action { return nil } }, "search", doNothing, 504},
+		"connections that break":             {nil, "reserve", func(h *harness) { h.nextPart().Conn.Close() }, 200},
+		"an answer after a break":            {nil, "search", func(h *harness) { h.nextPart().Conn.Close() }, 200},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -234,26 +234,26 @@
 		do   func(*harness)
 		want eiderwinch.Status
 	}{
-		"served":        {nil, func(h *harness) { h.nextPart().Answer("served", 1, "v") }, eiderwinch.OK},
-		"broke":         {nil, func(h *harness) { h.nextPart().Answer("broke", 0, "") }, eiderwinch.Failed},
-		"skipped":       {nil, func(h *harness) { h.nextPart().Answer("skipped", 0, "") }, eiderwinch.Full},
-		"closed":        {nil, func(h *harness) { h.nextPart().Conn.Close() }, eiderwinch.Reset},
-		"bad frame":     {nil, func(h *harness) { h.nextPart().Write("z") }, eiderwinch.Reset},
-		"bad answer":    {nil, func(h *harness) { h.nextPart().Write("at.0 served") }, eiderwinch.Reset},
-		"error frame":   {nil, func(h *harness) { p := h.nextPart(); p.Write("ewords"); p.Conn.Close() }, eiderwinch.Reset},
-		"unknown id":    {nil, func(h *harness) { h.nextPart().Answer("other", 0, "") }, eiderwinch.Reset},
-		"another's id":  {nil, func(h *harness) { h.nextPart().Write("ax.0 served 1 -\nv") }, eiderwinch.Reset},
-		"unasked probe": {nil, func(h *harness) { h.nextPart().Write("p") }, eiderwinch.Reset},
-		"odd letter":    {nil, func(h *harness) { h.nextPart().WriteRaw("\x00\x00\x00\x09z") }, eiderwinch.Reset},
-		"3 GB to come":  {nil, func(h *harness) { h.nextPart().WriteRaw("\xb2\xd0\x5e\x00") }, eiderwinch.Reset},
-		"never ends": {func(h *harness) { h.cfg.ConnectTimeout = 300 * time.Millisecond }, func(h *harness) {
+		"served":            {nil, func(h *harness) { h.nextPart().Answer("served", 1, "v") }, eiderwinch.OK},
+		"broke":             {nil, func(h *harness) { h.nextPart().Answer("broke", 0, "") }, eiderwinch.Failed},
+		"skipped":           {nil, func(h *harness) { h.nextPart().Answer("skipped", 0, "") }, eiderwinch.Full},
+		"closed":            {nil, func(h *harness) { h.nextPart().Conn.Close() }, eiderwinch.Reset},
+		"invalid frame":     {nil, func(h *harness) { h.nextPart().Write("z") }, eiderwinch.Reset},
+		"invalid answer":    {nil, func(h *harness) { h.nextPart().Write("at.0 served") }, eiderwinch.Reset},
+		"error frame":       {nil, func(h *harness) { p := h.nextPart(); p.Write("ewords"); p.Conn.Close() }, eiderwinch.Reset},
+		"unknown id":        {nil, func(h *harness) { h.nextPart().Answer("other", 0, "") }, eiderwinch.Reset},
+		"another's id":      {nil, func(h *harness) { h.nextPart().Write("ax.0 served 1 -\nv") }, eiderwinch.Reset},
+		"unsolicited probe": {nil, func(h *harness) { h.nextPart().Write("p") }, eiderwinch.Reset},
+		"unknown type":      {nil, func(h *harness) { h.nextPart().WriteRaw("\x00\x00\x00\x09z") }, eiderwinch.Reset},
+		"frame of 3 GB":     {nil, func(h *harness) { h.nextPart().WriteRaw("\xb2\xd0\x5e\x00") }, eiderwinch.Reset},
+		"incomplete frame": {func(h *harness) { h.cfg.ConnectTimeout = 300 * time.Millisecond }, func(h *harness) {
 			h.nextPart().WriteRaw("\x00\x00\x00\x09at.0")
 		}, eiderwinch.Reset},
-		"report of noise": {nil, func(h *harness) { h.nextPart().Write("at.0 served 1 x y =\xff\nv") }, eiderwinch.OK},
-		"refused": {func(h *harness) {
+		"malformed report": {nil, func(h *harness) { h.nextPart().Write("at.0 served 1 x y =\xff\nv") }, eiderwinch.OK},
+		"refused dial": {func(h *harness) {
 			h.dialContext = func(context.Context, string, string) (net.Conn, error) { return nil, errors.New("refused") }
 		}, func(*harness) {}, eiderwinch.NoConnection},
-		"never up": {func(h *harness) { neverConnect(h); h.cfg.ConnectTimeout = time.Millisecond }, func(*harness) {}, eiderwinch.NoConnection},
+		"dial that hangs": {func(h *harness) { neverConnect(h); h.cfg.ConnectTimeout = time.Millisecond }, func(*harness) {}, eiderwinch.NoConnection},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -275,8 +275,8 @@
 // Data behind a valid answer, with nothing in flight, harms neither that answer nor the next query.
 func TestSurplusDataBehindAnAnswer(t *testing.T) {
 	for name, extra := range map[string]string{
-		"second copy": "\x00\x00\x00\x11at.0 served 1 -\nv", "other id": "\x00\x00\x00\x11ax.0 served 1 -\nv",
-		"noise": "\xff\xfe noise", "half a frame": "\x00\x00\x00\x11a", "probe": "\x00\x00\x00\x01p",
+		"duplicate": "\x00\x00\x00\x11at.0 served 1 -\nv", "other id": "\x00\x00\x00\x11ax.0 served 1 -\nv",
+		"random bytes": "\xff\xfe noise", "half a frame": "\x00\x00\x00\x11a", "probe": "\x00\x00\x00\x01p",
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -463,17 +463,17 @@
 // Rule 3: a call that waits for a connection past its searcher's drain grace is not sent when the connection comes
 // up.
 func TestNothingIsSentPastADrainsGrace(t *testing.T) {
-	dialed, up := make(chan bool, 1), make(chan bool)
+	dialed, releaseDials := make(chan bool, 1), make(chan bool)
 	h := startHarness(t, func(h *harness) {
 		sendOnce(h)
-		h.holdDials(dialed, up)
+		h.holdDials(dialed, releaseDials)
 	})
 	watch := testpeer.Receive(t, h.discovery.Watches, "a watch")
 	h.sendQuery("search", "t", time.Minute, 1)
 	testpeer.Receive(t, dialed, "a dial")
 	watch.Send(testpeer.MemberList(42, false, testpeer.Member("s", h.searcher.Addr, "Terminating", 0)))
 	h.nextListChange()
-	close(up)
+	close(releaseDials)
 	if got := h.nextOutcome(); got.Status != eiderwinch.NoConnection {
 		t.Errorf("have %v", got.Status)
 	}
@@ -495,8 +495,8 @@
 	}
 }
 
-// Rule 5: answers hold only what searchers gave, and a second step states truthfully which parts of the first were
-// answered.
+// Rule 5: answers hold only what searchers returned, and a second step states truthfully which parts of the first step
+// were answered.
 func TestAnswersHoldOnlyWhatSearchersGave(t *testing.T) {
 	h := startHarness(t, nil)
 	c := h.sendQuery("report", "t", time.Minute, 3)
@@ -525,14 +525,14 @@
 
 func TestRequestsThatAreNotQueries(t *testing.T) {
 	h := startHarness(t, nil)
-	good := testpeer.Query("search", "t", time.Minute, 1)
-	edit := func(old, new string) string { return strings.Replace(good, old, new, 1) }
+	valid := testpeer.Query("search", "t", time.Minute, 1)
+	edit := func(old, new string) string { return strings.Replace(valid, old, new, 1) }
 	for text, want := range map[string]int{
 		"GET /_health HTTP/1.1\r\n\r\n":                   200,
 		"GET /search HTTP/1.1\r\n\r\n":                    405,
 		"nonsense\r\n\r\n":                                400,
 		edit("/search", "/other"):                         400,
-		strings.ReplaceAll(good, "search", "other"):       404,
+		strings.ReplaceAll(valid, "search", "other"):      404,
 		edit("X-Trace-Id: t", "X-Trace-Id: t t"):          400,
 		edit("X-Trace-Id: t\r\n", ""):                     400,
 		edit("60000", "-1"):                               400,
@@ -570,24 +570,24 @@
 		want                 want
 	}{
 		{"a key", "Cookie: user=7f3a9c21e0b4d655\r\nX-Customer: south\r\n", "", want{200, "7f3a9c21e0b4d655", 2}},
-		{"among others", "Cookie: a=b; user=7f; x\r\n", "", want{200, "7f", 0}},
+		{"a key among other cookies", "Cookie: a=b; user=7f; x\r\n", "", want{200, "7f", 0}},
 		{"a token", "", token, want{200, "00ab", 0}},
-		{"both", "Cookie: user=7f\r\n", token, want{200, "7f", 0}},
-		{"the same twice", "Cookie: user=7f; user=7f\r\nCookie: user=7f\r\n", "", want{200, "7f", 0}},
-		{"two that differ", "Cookie: user=7f; user=80\r\n", "", want{200, "", 0}},
+		{"a key and a token", "Cookie: user=7f\r\n", token, want{200, "7f", 0}},
+		{"the same key three times", "Cookie: user=7f; user=7f\r\nCookie: user=7f\r\n", "", want{200, "7f", 0}},
+		{"two keys that differ", "Cookie: user=7f; user=80\r\n", "", want{200, "", 0}},
 		{"two cookies that differ", "Cookie: user=7f\r\nCookie: user=80\r\n", "", want{200, "", 0}},
-		{"an empty one", "Cookie: user=\r\n", "", want{200, "", 0}},
+		{"an empty key", "Cookie: user=\r\n", "", want{200, "", 0}},
 		{"no value", "Cookie: user\r\n", "", want{200, "", 0}},
 		{"another name", "Cookie: users=7f; User=7f\r\n", "", want{200, "", 0}},
 		{"not a key", "Cookie: user=a,b\r\n", "", want{200, "", 0}},
 		{"bytes that are not text", "Cookie: user=\xff\xfe\r\n", "", want{200, "", 0}},
-		{"one that is too long", "Cookie: user=" + strings.Repeat("a", 4096) + "\r\n", "", want{200, "", 0}},
-		{"one of 60 KB", "Cookie: user=" + strings.Repeat("a", 60<<10) + "\r\n", "", want{431, "", 0}},
+		{"a key that is too long", "Cookie: user=" + strings.Repeat("a", 4096) + "\r\n", "", want{200, "", 0}},
+		{"a key of 60 KB", "Cookie: user=" + strings.Repeat("a", 60<<10) + "\r\n", "", want{431, "", 0}},
 		{"a control character", "Cookie: user=a\x01\r\n", "", want{400, "", 0}},
 		{"a token that is too long", "", `"tablet":0,"token":"` + strings.Repeat("t", 500) + `"`, want{200, "", 0}},
 		{"a token that is not text", "", `"tablet":0,"token":7`, want{400, "", 0}},
 		{"an unknown tenant", "X-Customer: east\r\n", "", want{200, "", 0}},
-		{"in another case", "X-Customer: NORTH\r\n", "", want{200, "", 0}},
+		{"a tenant in another case", "X-Customer: NORTH\r\n", "", want{200, "", 0}},
 		{"a tenant twice", "X-Customer: north\r\nX-Customer: north\r\n", "", want{200, "", 1}},
 		{"two tenants", "X-Customer: north\r\nX-Customer: south\r\n", "", want{200, "", 0}},
 	} {
@@ -725,7 +725,7 @@
 	for name, end := range map[string]func(*testpeer.Watch){
 		"ended":   func(w *testpeer.Watch) { w.Conn.Close() },
 		"silent":  func(*testpeer.Watch) {},
-		"garbage": func(w *testpeer.Watch) { w.Send("{") },
+		"invalid": func(w *testpeer.Watch) { w.Send("{") },
 		"done":    func(w *testpeer.Watch) { _, _ = io.WriteString(w.Conn, "0\r\n\r\n") },
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -747,22 +747,22 @@
 // The old address is used until the new one has sent its list. Revisions of the old address mean nothing to the
 // new one.
 func TestReloadFollowsDiscoveryToItsNewAddress(t *testing.T) {
-	h, moved, skipped := startHarness(t, nil), testpeer.NewDiscovery(t), testpeer.NewDiscovery(t)
+	h, newDiscovery, skippedDiscovery := startHarness(t, nil), testpeer.NewDiscovery(t), testpeer.NewDiscovery(t)
 	old := testpeer.Receive(t, h.discovery.Watches, "a watch")
 	client := h.sendQuery("search", "t", time.Minute, 1)
 	part := h.nextPart()
-	h.Reload(skipped.Addr)
-	h.Reload(moved.Addr) // before the first one has sent anything
-	h.Reload(moved.Addr)
+	h.Reload(skippedDiscovery.Addr)
+	h.Reload(newDiscovery.Addr) // before the first one has sent anything
+	h.Reload(newDiscovery.Addr)
 	old.Send(testpeer.MemberList(42, false, testpeer.Member("x", "127.0.0.1:1", "Ready", 0)))
 	if got := h.nextListChange(); got.Kind != eiderwinch.Changes || got.Replicas[0].ID != "x" {
 		t.Errorf("the old watch received %+v", got)
 	}
-	moved.SetList(testpeer.MemberList(7, true, testpeer.Member("s", h.searcher.Addr, "Ready", 0)))
+	newDiscovery.SetList(testpeer.MemberList(7, true, testpeer.Member("s", h.searcher.Addr, "Ready", 0)))
 	if got := h.nextListChange(); got.Kind != eiderwinch.Whole || len(got.Replicas) != 1 {
 		t.Errorf("the new watch received %+v", got)
 	}
-	w := testpeer.Receive(t, moved.Watches, "the new watch")
+	w := testpeer.Receive(t, newDiscovery.Watches, "the new watch")
 	if w.From != "7" {
 		t.Errorf("watched from %s", w.From)
 	}
@@ -774,8 +774,8 @@
 		t.Errorf("the open query: %s", resp.Status)
 	}
 	w.Conn.Close()
-	if w := testpeer.Receive(t, moved.Watches, "another watch"); w.From != "7" || len(moved.Watches)+len(h.discovery.Watches) > 0 {
-		t.Errorf("reopened from %s, and %d more", w.From, len(moved.Watches)+len(h.discovery.Watches))
+	if w := testpeer.Receive(t, newDiscovery.Watches, "another watch"); w.From != "7" || len(newDiscovery.Watches)+len(h.discovery.Watches) > 0 {
+		t.Errorf("reopened from %s, and %d more", w.From, len(newDiscovery.Watches)+len(h.discovery.Watches))
 	}
 }
 
@@ -795,10 +795,10 @@
 func TestUnreadAnswersAreBounded(t *testing.T) {
 	h := startHarness(t, nil)
 	c := testpeer.NewClient(t, h.Addr())
-	many := strings.Repeat("GET /_health HTTP/1.1\r\n\r\n", 1000)
+	requests := strings.Repeat("GET /_health HTTP/1.1\r\n\r\n", 1000)
 	for {
-		if _, err := io.WriteString(c, many); errors.Is(err, os.ErrDeadlineExceeded) {
-			t.Fatal("it is served without limit")
+		if _, err := io.WriteString(c, requests); errors.Is(err, os.ErrDeadlineExceeded) {
+			t.Fatal("a client that reads no answers is served without limit")
 		} else if err != nil {
 			return // closed, because more answers than a client may leave unread were waiting
 		}
@@ -840,10 +840,10 @@
 	}
 	fresh := open(8, "")
 	for _, c := range kept {
-		c.ExpectClosed() // idle connections make room for new ones,
+		c.ExpectClosed() // idle connections make room for new ones
 	}
 	for _, c := range fresh {
-		health(c) // which may be about to send a request
+		health(c) // the new connections are kept: they may be about to send a request
 	}
 	half := open(8, "POST / HTTP/1.1\r\nExpect: 100-continue\r\nContent-Length: 9\r\n\r\n")
 	for _, c := range half {
--- a/internal/netio/node.go
+++ b/internal/netio/node.go
@@ -342,7 +342,7 @@
 func (n *Node) boot() {
 	now := time.Now()
 	n.applyUpdate(now, eiderwinch.Stale, n.cfg.Discovery, n.cfg.InitialMembers)
-	// An agent answers at once, so one that stays silent until then has no update to wait for.
+	// An agent answers at once, so if it stays silent until then, there is no update to wait for.
 	n.pool.timers.Set(&timer{Value: n.core.ConfirmMembers}, now.Add(n.cfg.DrainGrace))
 	n.core.Run(now)
 	n.timer = time.AfterFunc(time.Hour, func() { n.exec(n.runDue) })
--- a/internal/netio/pool.go
+++ b/internal/netio/pool.go
@@ -98,7 +98,7 @@
 	call.timer.Value = func(now time.Time) { s.failCall(p, now, call) }
 	p.timers.Set(&call.timer, now.Add(p.node.connectWait()))
 	s.queue = append(s.queue, call)
-	p.sendQueued(time.Now(), s) // the turn may have taken its time
+	p.sendQueued(time.Now(), s) // not now: the turn may have taken long
 }
 
 // sendQueued sends queued calls on the connections that have room for them, and opens connections for the rest.
@@ -129,7 +129,7 @@
 	p.dial(now, s)
 }
 
-// resumeQueued sends queued calls, unless an update from discovery has to be read first; it then tries again.
+// resumeQueued sends queued calls. If an update from discovery has to be read first, it tries again after that.
 func (p *pool) resumeQueued(now time.Time, s *searcher) {
 	if len(s.queue) > 0 && p.node.deferForUpdates(now) {
 		retry := &timer{Value: func(now time.Time) { p.resumeQueued(now, s) }}
@@ -232,8 +232,8 @@
 }
 
 // descriptorLimit returns how many descriptors connections to searchers may take, where those being dialed count
-// twice. It is half of the available ones, or less if clients hold more than the other half, but never less than a
-// quarter: a gatherer calls hundreds of searchers, and has to open a connection for each call to a searcher that
+// twice. It is half of the available ones, or what clients leave of usableDescriptors if that is less, but never less
+// than a quarter: a gatherer calls hundreds of searchers, and has to open a connection for each call to a searcher that
 // has none.
 func (p *pool) descriptorLimit() int {
 	usable := p.node.cfg.MaxDescriptors - reservedDescriptors
--- a/internal/netio/pool_test.go
+++ b/internal/netio/pool_test.go
@@ -141,7 +141,7 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			other := testpeer.NewSearcher(t)
-			now := make(chan bool, 1)
+			cancelNow := make(chan bool, 1)
 			h := startHarness(t, func(h *harness) {
 				h.cfg.Multiplex = c.multiplex
 				h.cfg.InitialMembers.Members = append(h.cfg.InitialMembers.Members, catalog.Member{ID: "o", HostPort: other.Addr, Phase: catalog.Ready})
@@ -155,7 +155,7 @@
 						return []eiderwinch.Action{eiderwinch.Send{Part: e.Parts[0].ID, Replica: "s"}, eiderwinch.Wake{}}
 					case eiderwinch.Woken:
 						select {
-						case <-now:
+						case <-cancelNow:
 							return []eiderwinch.Action{eiderwinch.Cancel{Part: first}}
 						default:
 							return []eiderwinch.Action{eiderwinch.Wake{}}
@@ -176,7 +176,7 @@
 					t.Error("the other part is on another connection")
 				}
 			}
-			now <- true
+			cancelNow <- true
 			if testpeer.Receive(t, other.Parts, "the part elsewhere").ID != p.ID {
 				t.Error("another part was sent")
 			}
@@ -200,7 +200,7 @@
 	}
 }
 
-// Once nobody waits for a part, its connection stays open; the cancel frame is read when an answer has made room.
+// If nobody waits for a part any more, its connection stays open. The cancel frame is read when an answer has made room.
 func TestAFullConnectionStaysOpenOnceItsPartsAreOver(t *testing.T) {
 	h := startHarness(t, func(h *harness) { h.decide, h.cfg.Multiplex = nil, 1 })
 	client := h.sendQuery("search", "t", time.Minute, 1)
@@ -228,7 +228,7 @@
 // a loop that is held up by a turn would have no descriptors left to accept with, and end.
 func TestConnectionsThatComeUpWhileTheLoopIsBusyAreCounted(t *testing.T) {
 	const searchers, queries, descriptors = 40, 12, 40 // 12 clients and 20 for searchers are within seven eighths
-	up := make(chan bool)
+	releaseDials := make(chan bool)
 	h := startHarness(t, func(h *harness) {
 		h.cfg.MaxDescriptors = reservedDescriptors + descriptors
 		real := h.dialContext
@@ -236,7 +236,7 @@
 			if addr == h.discovery.Addr {
 				return real(ctx, network, addr)
 			}
-			<-up
+			<-releaseDials
 			return real(ctx, network, addr)
 		}
 		for i := range searchers {
@@ -258,16 +258,16 @@
 	}
 	h.waitUntil("all parts are sent to the pool", func() bool { return h.stats.Sent == queries })
 	h.onLoop(func() {
-		if n, held := h.pool.connCount, h.clientTable.Len(); n < 5 || 2*n > descriptors/2 || 2*n+held > descriptors*7/8 {
-			t.Errorf("%d connections are being opened, which may hold %d descriptors of %d, with %d clients", n, 2*n, descriptors, held)
+		if n, clients := h.pool.connCount, h.clientTable.Len(); n < 5 || 2*n > descriptors/2 || 2*n+clients > descriptors*7/8 {
+			t.Errorf("%d connections are being opened, which may hold %d descriptors of %d, besides %d clients", n, 2*n, descriptors, clients)
 		}
 	})
-	close(up)
+	close(releaseDials)
 	h.waitUntil("no connection is being opened", func() bool { return h.pool.dialing == 0 && h.stats.Dialed >= 5 })
 }
 
-// A call that finds no descriptor for its connection is sent once there is room, whichever searcher's connection
-// has made it: one that has come up, or one that has become idle and is closed for it.
+// A call that finds no free descriptor for its connection is sent once there is one. A connection to any searcher can
+// free it: one that has come up, or one that has become idle and is closed for the call.
 func TestACallThatWaitsForDescriptorsIsSent(t *testing.T) {
 	const searchers, descriptors = 24, 40 // 20 for searchers
 	h := startHarness(t, func(h *harness) {
@@ -309,18 +309,18 @@
 		h.clientTable = limit.New[*clientConn](limit.Defaults(400))
 	})
 	h.waitUntil("no client is connected", func() bool { return h.clientTable.Len() == 0 })
-	for _, c := range []struct{ held, links, most, excess int }{
+	for _, c := range []struct{ clients, searcherConns, searcherLimit, excess int }{
 		{0, 0, 200, -250}, {100, 0, 200, -150}, {200, 100, 150, -50}, {250, 100, 100, 0}, {251, 100, 100, 1}, {150, 200, 200, 0}, {151, 200, 199, 1},
 	} {
 		h.onLoop(func() {
-			held := make([]limit.Entry[*clientConn], c.held)
+			held := make([]limit.Entry[*clientConn], c.clients)
 			for i := range held {
 				h.clientTable.Add(time.Now(), &held[i])
 			}
-			h.pool.connCount = c.links
-			if most, excess := h.pool.descriptorLimit(), h.excessClients(); most != c.most || excess != c.excess {
+			h.pool.connCount = c.searcherConns
+			if searcherLimit, excess := h.pool.descriptorLimit(), h.excessClients(); searcherLimit != c.searcherLimit || excess != c.excess {
 				t.Errorf("%d clients and %d connections to searchers: at most %d of these, %d clients too many; want %d and %d",
-					c.held, c.links, most, excess, c.most, c.excess)
+					c.clients, c.searcherConns, searcherLimit, excess, c.searcherLimit, c.excess)
 			}
 			h.pool.connCount = 0
 			for i := range held {
@@ -332,7 +332,7 @@
 
 // A connection that comes up after its call was given up does not send that call, and serves the next one.
 func TestAConnectionThatComesUpTooLateServesTheNextCall(t *testing.T) {
-	up := make(chan bool)
+	releaseDials := make(chan bool)
 	h := startHarness(t, func(h *harness) {
 		h.cfg.Gatherer.Module.Classes[0].Aim = 150 * time.Millisecond // a call waits for a third of it
 		h.decide = func(e eiderwinch.Event) []eiderwinch.Action {
@@ -342,7 +342,7 @@
 			return nil
 		}
 		h.beforeDial(h.searcher.Addr, func(context.Context) error {
-			<-up
+			<-releaseDials
 			return nil
 		})
 	})
@@ -350,7 +350,7 @@
 	if got := h.nextOutcome(); got.Status != eiderwinch.NoConnection {
 		t.Errorf("have %v", got.Status)
 	}
-	close(up)
+	close(releaseDials)
 	h.waitUntil("the connection is up", func() bool { return h.stats.Dialed == 1 })
 	h.expectNextPart("next")
 	h.onLoop(func() {
@@ -390,7 +390,7 @@
 	}
 }
 
-// An answer may arrive in pieces of a byte each.
+// An answer may arrive one byte at a time.
 func TestAnAnswerInPieces(t *testing.T) {
 	h := startHarness(t, retryOnce)
 	client := h.sendQuery("search", "t", time.Minute, 1)
--- a/internal/netio/races_test.go
+++ b/internal/netio/races_test.go
@@ -13,12 +13,12 @@
 	"eiderwinch/internal/trial/testpeer"
 )
 
-// These tests force rare orders of events: each one holds the loop, or the other side, until something has
-// happened that rarely happens at that point. docs/acceptance.md has the table.
+// These tests force rare orders of events: each one blocks the loop, or the other side, until an event has happened
+// that rarely happens at that point. docs/acceptance.md has the table.
 
 // spinUntil spins on the loop until the system has brought a condition about.
-func (h *harness) spinUntil(what string, is func() bool) {
-	for end := time.Now().Add(testpeer.Timeout); !is(); {
+func (h *harness) spinUntil(what string, condition func() bool) {
+	for end := time.Now().Add(testpeer.Timeout); !condition(); {
 		if time.Now().After(end) {
 			h.t.Errorf("timed out waiting: %s", what)
 			return
@@ -33,7 +33,7 @@
 }
 
 // encodeFrame returns a frame as a searcher sends it.
-func encodeFrame(rest string) []byte { return append([]byte{0, 0, 0, byte(len(rest))}, rest...) }
+func encodeFrame(body string) []byte { return append([]byte{0, 0, 0, byte(len(body))}, body...) }
 
 // retryOnce scripts an aggregator that sends each part to "s", and a second time if the first attempt fails.
 func retryOnce(h *harness) {
@@ -64,7 +64,7 @@
 	}
 }
 
-// A loop that is late reads the end of a client's connection only after the turn. Nothing may be started for a
+// A loop that is late reads the end of a client's connection only after the turn. No attempt may be started for a
 // client that has left by then.
 func TestNoAttemptBeginsForAClientWhoseEndIsUnread(t *testing.T) {
 	end := func(c *testpeer.Client) { c.Close() }
@@ -114,19 +114,19 @@
 	}
 }
 
-// A call that waits for its connection is not sent once that is up if its client has left: not even if the
-// settings allow no cancel, so that the aggregator cancels nothing.
+// A call that waits for its connection is not sent if its client has left by the time the connection is up, not even if
+// the settings allow no cancel, so that the aggregator cancels nothing.
 func TestACallWhoseClientHasLeftIsNotSentWhenItsConnectionComesUp(t *testing.T) {
-	up, dialed := make(chan bool), make(chan bool, 10)
+	releaseDials, dialed := make(chan bool), make(chan bool, 10)
 	h := startHarness(t, func(h *harness) {
 		retryOnce(h)
-		h.holdDials(dialed, up)
+		h.holdDials(dialed, releaseDials)
 	})
 	client := h.sendQuery("search", "t", time.Minute, 1)
 	testpeer.Receive(t, dialed, "a dial")
 	client.Close()
 	h.waitUntil("the client is gone", func() bool { return h.stats.ClientsDisconnected == 1 })
-	close(up)
+	close(releaseDials)
 	h.waitUntil("the connection is up", func() bool { return h.stats.Dialed == 1 })
 	if got := h.nextOutcome(); got.Status != eiderwinch.NotSent {
 		t.Errorf("have %v, which says something about the searcher", got.Status)
@@ -289,18 +289,18 @@
 // The time that a searcher is given is what is left to the client when the call is written, not when it was
 // decided.
 func TestACallCarriesTheTimeLeftWhenItIsWritten(t *testing.T) {
-	const waits = 300 * time.Millisecond
+	const dialDelay = 300 * time.Millisecond
 	h := startHarness(t, func(h *harness) {
 		retryOnce(h)
 		h.beforeDial(h.searcher.Addr, func(context.Context) error {
-			time.Sleep(waits) // the query came before this dial began
+			time.Sleep(dialDelay) // the query came before this dial began
 			return nil
 		})
 	})
 	h.sendQuery("search", "t", 10*time.Second, 1)
 	var stated int64
 	p := h.nextPart()
-	if _, err := fmt.Sscanf(p.Fields, "d=%d", &stated); err != nil || stated > (10*time.Second-waits).Milliseconds() {
-		t.Errorf("the searcher is given %s after %v of 10 s", p.Fields, waits)
+	if _, err := fmt.Sscanf(p.Fields, "d=%d", &stated); err != nil || stated > (10*time.Second-dialDelay).Milliseconds() {
+		t.Errorf("the searcher is given %s after %v of 10 s", p.Fields, dialDelay)
 	}
 }
--- a/internal/netio/searcherconn.go
+++ b/internal/netio/searcherconn.go
@@ -50,13 +50,13 @@
 }
 
 // full reports whether a connection carries as many parts as it may. What is written on it then waits unread, as
-// it does where the system accepts no more data. That includes cancel frames: until an answer has come, a part is
-// cancelled only by closing the connection.
+// it does if the system accepts no more data. That includes cancel frames: until an answer has been received, a part
+// can be cancelled only by closing the connection.
 func (c *searcherConn) full() bool {
 	return len(c.inFlight)+len(c.unreadCancels) >= c.pool.node.cfg.Multiplex
 }
 
-// clearUnreadCancels is called when an answer has come. If the connection has room again, the searcher has read
+// clearUnreadCancels is called when an answer has been received. If the connection has room again, the searcher has read
 // everything that was written, including the cancel frames.
 func (c *searcherConn) clearUnreadCancels() {
 	if !c.full() {
@@ -208,12 +208,12 @@
 // closeMalformed closes a connection that carried a frame that is invalid, unsolicited or incomplete for too long:
 // the attempts in flight on it would only wait for their time-out. They end as those of a broken connection. Parts
 // that were answered on it before stay answered.
-func (c *searcherConn) closeMalformed(what string, detail any) {
+func (c *searcherConn) closeMalformed(message string, detail any) {
 	if c.malformed {
 		return
 	}
 	c.pool.node.stats.MalformedConns++
-	c.pool.node.log.Warn(what, "searcher", c.searcher.id, "parts", len(c.inFlight), "detail", detail)
+	c.pool.node.log.Warn(message, "searcher", c.searcher.id, "parts", len(c.inFlight), "detail", detail)
 	c.malformed = true
 	c.pool.timers.Stop(&c.frameTimer)
 	c.close()
@@ -262,9 +262,9 @@
 
 // unsolicited handles a frame that nothing has asked for. While an attempt is in flight, the frame stands in place
 // of its answer and is an error; otherwise it is surplus data behind an answer and is ignored.
-func (c *searcherConn) unsolicited(letter byte) error {
+func (c *searcherConn) unsolicited(frameType byte) error {
 	if len(c.inFlight) > 0 {
-		return fmt.Errorf("%w: letter %q", errUnsolicited, letter)
+		return fmt.Errorf("%w: type %q", errUnsolicited, frameType)
 	}
 	return nil
 }
--- a/internal/netio/updates.go
+++ b/internal/netio/updates.go
@@ -16,9 +16,9 @@
 	return []*watch{n.watch, n.nextWatch}
 }
 
-// Due work waits for unread updates for at most deferGraceShare of the drain grace (1/5), and no longer than a
-// final answer may be late. Whatever was received before the first of minDeferWakeups rounds of the loop is read
-// within these; only discovery that sends without end takes longer.
+// Due work waits for unread updates for up to minDeferWakeups rounds of the loop: within these, everything is read that
+// was received before the first one. If discovery goes on sending, due work waits for longer, until a fraction of the
+// drain grace (1/5, deferGraceShare) is over, but no longer than a final answer may be late.
 const (
 	deferGraceShare = 5
 	minDeferWakeups = 3
--- a/internal/netio/watch.go
+++ b/internal/netio/watch.go
@@ -30,8 +30,8 @@
 	errNoList     = errors.New("answer of discovery holds no member list")
 )
 
-// watch follows discovery's member list at one address. Package follow decides when to ask and which of the
-// requests counts; each request is a subscription with a connection of its own.
+// watch follows discovery's member list at one address. Its follower, of package discovery, decides when a request
+// is sent and which of the open ones is used. Each request is a subscription with a connection of its own.
 type watch struct {
 	node           *Node
 	addr           string
@@ -71,7 +71,7 @@
 	}
 }
 
-// run starts and gives up requests when that is due.
+// run sends the request that is due, if any, and gives up those that have received nothing for too long.
 func (w *watch) run(now time.Time) {
 	id, drop := w.follower.Run(now)
 	w.drop(drop)
@@ -147,11 +147,11 @@
 	now := time.Now()
 	r, err := s.parser.Feed(data, func(data []byte) error { return s.readBody(now, data) })
 	switch {
-	case s.ended: // another one has taken its place because of this data
+	case s.ended: // another subscription has replaced this one because of the data
 		return
 	case err == nil && r != nil && r.Status != 200:
 		err = fmt.Errorf("%w: status %d, want 200", errWatchEnded, r.Status)
-	case err == nil && s.needsWholeList && (s.parser.Done() || s.parser.EndsAtClose() && s.wholeList != nil): // complete, whether or not the body ends
+	case err == nil && s.needsWholeList && (s.parser.Done() || s.parser.EndsAtClose() && s.wholeList != nil): // the list is complete, whether or not the body has ended
 		err = s.acceptWholeList(now)
 	case err == nil && s.parser.Done():
 		err = errWatchEnded
@@ -159,7 +159,7 @@
 	switch {
 	case err != nil:
 		s.fail(err)
-	case s.updateReceived, s.bodyReceived && !s.objects.InObject(): // an incomplete object is no sign of life
+	case s.updateReceived, s.bodyReceived && !s.objects.InObject(): // data that leaves an object incomplete does not show that the watch is alive
 		s.updateReceived, s.bodyReceived = false, false
 		s.watch.recordUpdate(now, s)
 		if s.endsAfterList {
@@ -258,11 +258,11 @@
 // received a list, so that no update is missed. Revisions of two addresses can't be compared, not even revision 0,
 // and the answer to a revision holds changes only. So the whole list is requested first.
 func (n *Node) followDiscovery(addr string) {
-	wanted := n.watch
+	latest := n.watch
 	if n.nextWatch != nil {
-		wanted = n.nextWatch
+		latest = n.nextWatch
 	}
-	if wanted.addr == addr {
+	if latest.addr == addr {
 		return
 	}
 	if n.nextWatch != nil {
@@ -272,7 +272,7 @@
 	if addr == n.watch.addr { // back at the address in use before the other one has sent a list
 		return
 	}
-	n.log.Info("discovery address is changing", "from", wanted.addr, "to", addr)
+	n.log.Info("discovery address is changing", "from", latest.addr, "to", addr)
 	n.nextWatch = newWatch(n, addr, 0)
 	n.nextWatch.needsWholeList = true
 	n.nextWatch.run(time.Now())
--- a/internal/netio/watch_test.go
+++ b/internal/netio/watch_test.go
@@ -38,28 +38,29 @@
 	return strings.Count(l.buf.String(), part)
 }
 
-// Invalid data from discovery is logged once with what was found and wanted, is counted, is never used in part and
-// loses no drain. The watch is reopened within the grace, however often that happens.
+// Invalid data from discovery is logged once, with what was found and wanted. It is counted, is not used in part, and
+// does not undo an earlier report that a searcher is draining. The watch is reopened within the grace, however often
+// that happens.
 func TestInvalidDataFromDiscovery(t *testing.T) {
-	const good = `{"id":"new","host_port":"127.0.0.1:1","phase":"Ready"}`
+	const valid = `{"id":"new","host_port":"127.0.0.1:1","phase":"Ready"}`
 	list := func(members string) func(*testpeer.Watch) {
 		return func(w *testpeer.Watch) { w.Send(`{"revision":43,"complete":true,"members":[` + members + `]}`) }
 	}
 	for name, c := range map[string]struct {
-		send func(*testpeer.Watch)
-		want string // in the log
-		bad  int    // lists counted
+		send      func(*testpeer.Watch)
+		want      string // in the log
+		malformed int    // lists counted
 	}{
-		"wrong JSON":                    {func(w *testpeer.Watch) { w.Send(`{"revision":}`) }, "invalid character", 1},
-		"no object":                     {func(w *testpeer.Watch) { w.Send(`odd`) }, "want white space or an object", 0},
-		"an unknown phase":              {list(good + `,{"id":"x","host_port":"h:1","phase":"Odd"}`), `unknown phase \"Odd\" of \"x\", want Ready, Terminating or Gone`, 1},
-		"no phase":                      {list(good + `,{"id":"x","host_port":"h:1"}`), "unknown phase", 1},
-		"no host_port":                  {list(good + `,{"id":"x","phase":"Ready"}`), `host_port of \"x\" is missing, want address:port`, 1},
-		"no id":                         {list(good + `,{"phase":"Ready"}`), "id is missing", 1},
-		"beyond the bound":              {func(w *testpeer.Watch) { w.Send("{" + strings.Repeat(" ", minObjectLimit+1)) }, "too long", 0},
-		"truncated":                     {func(w *testpeer.Watch) { w.Send(`{"revision":43,"complete":true,"members":[` + good); w.Conn.Close() }, "EOF", 0},
-		"an end":                        {func(w *testpeer.Watch) { _, _ = io.WriteString(w.Conn, "0\r\n\r\n") }, errWatchEnded.Error(), 0},
-		"no chunk":                      {func(w *testpeer.Watch) { _, _ = io.WriteString(w.Conn, "zz\r\n") }, "malformed chunk size", 0},
+		"invalid JSON":                  {func(w *testpeer.Watch) { w.Send(`{"revision":}`) }, "invalid character", 1},
+		"no object at all":              {func(w *testpeer.Watch) { w.Send(`odd`) }, "want white space or an object", 0},
+		"an unknown phase":              {list(valid + `,{"id":"x","host_port":"h:1","phase":"Odd"}`), `unknown phase \"Odd\" of \"x\", want Ready, Terminating or Gone`, 1},
+		"no phase":                      {list(valid + `,{"id":"x","host_port":"h:1"}`), "unknown phase", 1},
+		"no host_port":                  {list(valid + `,{"id":"x","phase":"Ready"}`), `host_port of \"x\" is missing, want address:port`, 1},
+		"no id":                         {list(valid + `,{"phase":"Ready"}`), "id is missing", 1},
+		"longer than the limit":         {func(w *testpeer.Watch) { w.Send("{" + strings.Repeat(" ", minObjectLimit+1)) }, "too long", 0},
+		"truncated":                     {func(w *testpeer.Watch) { w.Send(`{"revision":43,"complete":true,"members":[` + valid); w.Conn.Close() }, "EOF", 0},
+		"the end of the body":           {func(w *testpeer.Watch) { _, _ = io.WriteString(w.Conn, "0\r\n\r\n") }, errWatchEnded.Error(), 0},
+		"not a chunk size":              {func(w *testpeer.Watch) { _, _ = io.WriteString(w.Conn, "zz\r\n") }, "malformed chunk size", 0},
 		"a drain among invalid members": {list(`{"id":"other","phase":"Terminating"},{"id":"x","phase":"Odd"}`), "unknown phase", 1},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -79,20 +80,20 @@
 					t.Errorf("reopened from %s after %v", w.From, time.Since(sent))
 				}
 			}
-			ready, listed, bad := make(chan bool, 1), make(chan bool, 1), make(chan int, 1)
+			ready, listed, malformed := make(chan bool, 1), make(chan bool, 1), make(chan int, 1)
 			h.exec(func() {
 				ready <- h.core.Ready("s") || name == "a drain among invalid members" && h.core.Ready("other")
 				listed <- h.core.Listed("new")
-				bad <- h.stats.MalformedLists
+				malformed <- h.stats.MalformedLists
 			})
 			if <-ready {
-				t.Error("a drain was lost")
+				t.Error("a draining searcher is ready again")
 			}
 			if <-listed {
 				t.Error("part of a list was used")
 			}
-			if got := <-bad; got != 3*c.bad {
-				t.Errorf("%d lists counted as invalid, want %d", got, 3*c.bad)
+			if got := <-malformed; got != 3*c.malformed {
+				t.Errorf("%d lists counted as malformed, want %d", got, 3*c.malformed)
 			}
 			if n := log.count("request to discovery failed"); n != 1 || log.count(c.want) == 0 {
 				t.Errorf("logged %d times: %s", n, log.buf.String())
@@ -101,11 +102,12 @@
 	}
 }
 
-// An answer with another status than 200, and an object that never ends, bring no update either.
+// An answer of discovery that brings no list, such as one with another status than 200 or an object that never ends,
+// fails its request: the reason is logged, and another request follows.
 func TestAnswersOfDiscoveryWithoutAList(t *testing.T) {
 	for name, c := range map[string]struct{ head, body, want string }{
 		"a status":                {"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n", "", "status 503, want 200"},
-		"no HTTP":                 {"SSH-2.0\r\n\r\n", "", "malformed status line"},
+		"not HTTP":                {"SSH-2.0\r\n\r\n", "", "malformed status line"},
 		"an object without end":   {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n", "1\r\n{\r\n", "no data received in time"},
 		"a head and nothing else": {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n", "", "no data received in time"},
 	} {
@@ -128,7 +130,7 @@
 					go func() {
 						defer conn.Close()
 						fmt.Fprint(conn, c.head, c.body)
-						for c.body != "" { // an object that goes on is no sign of life
+						for c.body != "" { // white space in an incomplete object does not show that the watch is alive
 							time.Sleep(50 * time.Millisecond)
 							if _, err := fmt.Fprint(conn, "1\r\n \r\n"); err != nil {
 								return
@@ -144,11 +146,11 @@
 				h.watch = newWatch(h.Node, l.Addr().String(), 41)
 			})
 			first, again := testpeer.Receive(t, asked, "a request"), testpeer.Receive(t, asked, "another")
-			most := 500 * time.Millisecond
+			maxWait := 500 * time.Millisecond
 			if c.want == "no data received in time" {
-				most = 3 * time.Second
+				maxWait = 3 * time.Second
 			}
-			if took := again.Sub(first); took > most {
+			if took := again.Sub(first); took > maxWait {
 				t.Errorf("the next request came after %v", took)
 			}
 			testpeer.WaitUntil(t, "logged: "+c.want, func() bool { return log.count(c.want) > 0 })
@@ -163,17 +165,17 @@
 func (discardClient) Disconnected() bool   { return false }
 
 // Updates that were received and not read are handled before anything is sent. The loop may have been blocked for
-// longer than the grace, and the task that would send may precede the update in its round.
+// longer than the grace, and the task that would send may precede the update in the same round of the loop.
 func TestReceivedUpdatesAreReadBeforeAnythingIsSent(t *testing.T) {
 	for name, c := range map[string]struct{ waiting bool }{"a call that waited for its connection": {true}, "a turn": {false}} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			up := make(chan bool)
+			releaseDial := make(chan bool)
 			h := startHarness(t, func(h *harness) {
 				sendOnce(h)
 				h.beforeDial(h.searcher.Addr, func(context.Context) error {
 					if c.waiting {
-						<-up
+						<-releaseDial
 					}
 					return nil
 				})
@@ -198,7 +200,7 @@
 				}
 			})
 			watch.Send(testpeer.MemberList(43, false, testpeer.Member("s", h.searcher.Addr, "Terminating", 0)))
-			close(up)
+			close(releaseDial)
 			time.Sleep(100 * time.Millisecond) // all of it is received
 			close(resume)
 			h.nextListChange()
@@ -212,8 +214,8 @@
 	}
 }
 
-// An answer of discovery may have no length. Its list is complete with its last brace, and the connection may then
-// end with a reset, which means nothing. If the list were not accepted then, a reload would never take effect.
+// An answer of discovery may state no length. Its list is complete with its last brace, so a reset of the connection
+// after that is no error. If the list were not accepted then, a reload would never take effect.
 func TestAWholeListWithoutALength(t *testing.T) {
 	asked := make(chan string, 100)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -259,17 +261,17 @@
 // A searcher that a whole list leaves out is gone, even if it still answers. Calls that wait for a connection to
 // it are not sent.
 func TestASearcherLeftOutOfAWholeListIsSentNothing(t *testing.T) {
-	up, dialed := make(chan bool), make(chan bool, 10)
+	releaseDials, dialed := make(chan bool), make(chan bool, 10)
 	h := startHarness(t, func(h *harness) {
 		retryOnce(h)
-		h.holdDials(dialed, up)
+		h.holdDials(dialed, releaseDials)
 	})
 	w := testpeer.Receive(t, h.discovery.Watches, "a watch")
 	h.sendQuery("search", "t", time.Minute, 1)
 	testpeer.Receive(t, dialed, "a dial")
 	w.Send(testpeer.MemberList(42, true, testpeer.Member("other", "127.0.0.1:1", "Ready", 0)))
 	h.nextListChange()
-	close(up)
+	close(releaseDials)
 	if got := h.nextOutcome(); got.Status != eiderwinch.NoConnection {
 		t.Errorf("have %v", got.Status)
 	}
@@ -279,10 +281,10 @@
 	}
 }
 
-// Due work waits for updates, but final answers must not. However long a grace the settings name, updates without
-// end delay answers for no longer than they may be late.
+// Due work waits for unread updates, and final answers must not be late because of that. However long the drain grace
+// is, endless updates delay answers by no more than the answer slack.
 func TestEndlessUpdatesDelayNoAnswers(t *testing.T) {
-	for grace, most := range map[time.Duration]time.Duration{
+	for grace, maxDelay := range map[time.Duration]time.Duration{
 		50 * time.Millisecond: 10 * time.Millisecond, 500 * time.Millisecond: 20 * time.Millisecond, 2 * time.Second: 20 * time.Millisecond,
 	} {
 		t.Run(grace.String(), func(t *testing.T) {
@@ -299,9 +301,9 @@
 					h.wakeups = h.deferredAtWakeup + rounds
 					return h.deferForUpdates(now.Add(after))
 				}
-				if !deferred(minDeferWakeups-1, time.Hour) || !deferred(minDeferWakeups, most-1) || deferred(minDeferWakeups, most) {
-					t.Errorf("deferred: %v, %v and %v, want until round %d and for %v", deferred(minDeferWakeups-1, time.Hour), deferred(minDeferWakeups, most-1),
-						deferred(minDeferWakeups, most), minDeferWakeups, most)
+				if !deferred(minDeferWakeups-1, time.Hour) || !deferred(minDeferWakeups, maxDelay-1) || deferred(minDeferWakeups, maxDelay) {
+					t.Errorf("deferred: %v, %v and %v, want until round %d and for %v", deferred(minDeferWakeups-1, time.Hour), deferred(minDeferWakeups, maxDelay-1),
+						deferred(minDeferWakeups, maxDelay), minDeferWakeups, maxDelay)
 				}
 			})
 		})
@@ -344,7 +346,7 @@
 			}
 			h.onLoop(func() {
 				if h.stats.ClosedWithUnsentParts != 1 {
-					t.Errorf("%d held back", h.stats.ClosedWithUnsentParts)
+					t.Errorf("%d connections closed with unsent parts, want 1", h.stats.ClosedWithUnsentParts)
 				}
 			})
 		})
@@ -354,24 +356,24 @@
 // The list of another address may know only an earlier process of a searcher. The later process stays as cold as
 // it is, and parts are sent to its address.
 func TestAnOlderListDoesNotBringBackThePreviousProcess(t *testing.T) {
-	h, moved, later := startHarness(t, sendOnce), testpeer.NewDiscovery(t), testpeer.NewSearcher(t)
+	h, newDiscovery, restartedSearcher := startHarness(t, sendOnce), testpeer.NewDiscovery(t), testpeer.NewSearcher(t)
 	old := testpeer.Receive(t, h.discovery.Watches, "a watch")
 	started := time.Now().UnixMilli()
-	old.Send(testpeer.MemberList(42, false, testpeer.Member("s", later.Addr, "Ready", started)))
+	old.Send(testpeer.MemberList(42, false, testpeer.Member("s", restartedSearcher.Addr, "Ready", started)))
 	reported := h.nextListChange().Replicas[0].Started
-	h.Reload(moved.Addr)
-	moved.SetList(testpeer.MemberList(7, true, testpeer.Member("s", h.searcher.Addr, "Ready", started-1000)))
+	h.Reload(newDiscovery.Addr)
+	newDiscovery.SetList(testpeer.MemberList(7, true, testpeer.Member("s", h.searcher.Addr, "Ready", started-1000)))
 	if got := h.nextListChange(); got.Kind != eiderwinch.Whole || got.Replicas[0].Started != reported {
 		t.Errorf("have %+v, want the start at %v", got, reported)
 	}
 	client := h.sendQuery("search", "t", time.Minute, 1)
-	testpeer.Receive(t, later.Parts, "a part").Answer("served", 1, "v")
+	testpeer.Receive(t, restartedSearcher.Parts, "a part").Answer("served", 1, "v")
 	if resp, _ := client.ReadResponse(); resp.StatusCode != 200 {
 		t.Errorf("have %s", resp.Status)
 	}
 }
 
-// A watch that can't be opened because there are no descriptors is opened once there are some, and the loop goes
+// A watch that can't be opened because there are no free descriptors is opened once there are some, and the loop goes
 // on.
 func TestAWatchIsOpenedOnceThereAreDescriptors(t *testing.T) {
 	var refused atomic.Int32
@@ -394,17 +396,17 @@
 // If both the address in use and that of a reload are silent, the first one to send an update is used, and the
 // move takes place once the new address has sent its list.
 func TestAReloadWhileBothAddressesAreSilent(t *testing.T) {
-	h, moved := startHarness(t, nil), testpeer.NewDiscovery(t)
+	h, newDiscovery := startHarness(t, nil), testpeer.NewDiscovery(t)
 	old := testpeer.Receive(t, h.discovery.Watches, "a watch")
-	h.Reload(moved.Addr)
+	h.Reload(newDiscovery.Addr)
 	h.waitUntil("the old watch is silent", func() bool { return time.Until(h.watch.follower.Due()) < time.Second })
 	old.Send(testpeer.MemberList(42, false, testpeer.Member("s", h.searcher.Addr, "Terminating", 0)))
 	if got := h.nextListChange(); got.Replicas[0].State != eiderwinch.Draining {
 		t.Errorf("the update from the old address is %+v", got)
 	}
-	moved.SetList(testpeer.MemberList(7, true, testpeer.Member("s", h.searcher.Addr, "Ready", 0), testpeer.Member("x", "127.0.0.1:1", "Ready", 0)))
+	newDiscovery.SetList(testpeer.MemberList(7, true, testpeer.Member("s", h.searcher.Addr, "Ready", 0), testpeer.Member("x", "127.0.0.1:1", "Ready", 0)))
 	if got := h.nextListChange(); got.Kind != eiderwinch.Whole || got.Replicas[0].State != eiderwinch.Draining || len(got.Replicas) != 2 {
 		t.Errorf("the list from the new address is %+v", got)
 	}
-	testpeer.Receive(t, moved.Watches, "a watch at the new address")
+	testpeer.Receive(t, newDiscovery.Watches, "a watch at the new address")
 }
