--- a/cmd/eiderwinch/configsoak.go
+++ b/cmd/eiderwinch/configsoak.go
@@ -40,16 +40,16 @@
 // configRows formats a report of a configuration soak.
 func configRows(r soak.ConfigReport) []reportRow {
 	rows := []reportRow{
-		{"queries asked, not asked because too many were open", fmt.Sprint(r.Asked, r.Held)},
+		{"queries asked, not asked because too many were open", fmt.Sprint(r.Asked, r.NotSent)},
 		{"answered whole, answered partially, refused, failed", fmt.Sprint(r.Whole, r.Partial, r.Refused, r.Failed)},
 		{"taken, ended according to the gatherer's records", fmt.Sprint(r.Taken, r.Ended)},
-		{"lost, of a generation not in force, marked whole but incomplete, reserved twice", fmt.Sprint(r.Lost, r.Mixed, r.NotWhole, r.Doubled)},
+		{"lost, of a generation not in force, marked whole but incomplete, reserved twice", fmt.Sprint(r.Lost, r.Inconsistent, r.NotWhole, r.DuplicateReservations)},
 		{"reservations linearizable", r.Linearizable},
 		{"changes applied, confirmed, refused while one was under way, stale", fmt.Sprint(r.Applied, r.Confirmed, r.Busy, r.Late)},
 		{"bad changes, of these undone, of these kept; good changes undone", fmt.Sprint(r.Bad, r.BadUndone, r.BadStayed, r.GoodUndone)},
 		{"seconds from a bad change until the old configuration was in force: median, worst", fmt.Sprintf("%.2f %.2f", r.Median(), r.Worst())},
 		{"changes in a row; heap in KiB, descriptors and goroutines after three tenths of them, and after all of them",
-			fmt.Sprint(r.Row.Changes, ";", r.Row.HeapBefore>>10, r.Row.FilesBefore, r.Row.RoutinesBefore, ",", r.Row.HeapAfter>>10, r.Row.FilesAfter, r.Row.RoutinesAfter)},
+			fmt.Sprint(r.SequenceUse.Changes, ";", r.SequenceUse.HeapBefore>>10, r.SequenceUse.FilesBefore, r.SequenceUse.RoutinesBefore, ",", r.SequenceUse.HeapAfter>>10, r.SequenceUse.FilesAfter, r.SequenceUse.RoutinesAfter)},
 	}
 	for _, reason := range r.Reasons {
 		rows = append(rows, reportRow{"undone", reason})
--- a/cmd/eiderwinch/load.go
+++ b/cmd/eiderwinch/load.go
@@ -121,11 +121,11 @@
 	table := tabwriter.NewWriter(e.stdout, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(table, "class\tasked\twhole\tpartial\trefused\tfailed\tnot asked\tp50\tp90\tp99\tp99.9\tmax\tasked late by\t")
 	for _, r := range reports {
-		fmt.Fprintf(table, "%s\t%d\t%d\t%d\t%d\t%d\t%d\t", r.Class, r.Asked, r.Whole, r.Partial, r.Refused, r.Failed, r.Unasked)
+		fmt.Fprintf(table, "%s\t%d\t%d\t%d\t%d\t%d\t%d\t", r.Class, r.Asked, r.Whole, r.Partial, r.Refused, r.Failed, r.NotSent)
 		for _, q := range quantiles {
 			fmt.Fprintf(table, "%v\t", r.Quantile(q).Round(100*time.Microsecond))
 		}
-		fmt.Fprintf(table, "%v\t\n", r.Behind.Round(100*time.Microsecond))
+		fmt.Fprintf(table, "%v\t\n", r.MaxSendDelay.Round(100*time.Microsecond))
 	}
 	return table.Flush()
 }
--- a/cmd/eiderwinch/soak.go
+++ b/cmd/eiderwinch/soak.go
@@ -34,7 +34,7 @@
 func (c layoutSoak) Run(e environment) error {
 	return runSoak(e, c.outputFormat, func(ctx context.Context, dir string, progress io.Writer) (soak.Report, error) {
 		return soak.Run(ctx, soak.Options{
-			Rounds: c.Rounds, Quiet: c.Quiet, Changes: c.Changes, Interval: c.Every, Rate: c.Rate, Seed: c.Seed, Dir: dir, Out: progress,
+			Rounds: c.Rounds, QuietDuration: c.Quiet, ChangeDuration: c.Changes, Interval: c.Every, Rate: c.Rate, Seed: c.Seed, Dir: dir, Out: progress,
 		})
 	}, layoutRows)
 }
@@ -84,7 +84,7 @@
 		{"queries asked", r.Asked},
 		{"answered whole, answered partially, refused, failed", fmt.Sprint(r.Whole, r.Partial, r.Refused, r.Failed)},
 		{"taken, ended according to the gatherers' records", fmt.Sprint(r.Taken, r.Ended)},
-		{"lost, mixed, marked whole but incomplete, reserved twice", fmt.Sprint(r.Lost, r.Mixed, r.NotWhole, r.Doubled)},
+		{"lost, mixed, marked whole but incomplete, reserved twice", fmt.Sprint(r.Lost, r.Inconsistent, r.NotWhole, r.DuplicateReservations)},
 		{"reservations linearizable", r.Linearizable},
 		{"reservations run, of these repeats", fmt.Sprint(r.Reserved, r.Repeated)},
 		{"splits, merges, moves done", fmt.Sprint(r.Splits, r.Merges, r.Moves)},
--- a/internal/trial/load/load.go
+++ b/internal/trial/load/load.go
@@ -43,7 +43,7 @@
 	Duration time.Duration
 	Segments int
 	Classes  []Class
-	Open     int // maximum number of open queries; further ones are not sent but counted in Report.Unasked; 0 means 2,000
+	Open     int // maximum number of open queries; further ones are not sent but counted in Report.NotSent; 0 means 2,000
 	Timeout  time.Duration
 	Seed     uint64
 }
@@ -54,8 +54,8 @@
 type Report struct {
 	Class                                  string
 	Asked, Whole, Partial, Refused, Failed int
-	Unasked                                int           // not sent because Options.Open queries were open
-	Behind                                 time.Duration // maximum delay of a send after its planned time
+	NotSent                                int           `json:"Unasked"` // not sent because Options.Open queries were open
+	MaxSendDelay                           time.Duration `json:"Behind"`  // maximum delay of a send after its planned time
 
 	latencies *hdrhistogram.Histogram // in microseconds
 	mu        sync.Mutex
@@ -122,7 +122,7 @@
 		case slots <- struct{}{}:
 		default:
 			r.mu.Lock()
-			r.Unasked++
+			r.NotSent++
 			r.mu.Unlock()
 			continue
 		}
@@ -152,7 +152,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.Asked++
-	r.Behind = max(r.Behind, delay)
+	r.MaxSendDelay = max(r.MaxSendDelay, delay)
 	switch {
 	case err != nil:
 		r.Failed++
--- a/internal/trial/load/load_test.go
+++ b/internal/trial/load/load_test.go
@@ -34,8 +34,8 @@
 	for _, r := range reports {
 		answers += r.Whole
 		slowest = max(slowest, r.Quantile(1))
-		if r.Asked != r.Whole || r.Unasked > 0 {
-			t.Errorf("%s: %d sent, %d whole, %d not sent", r.Class, r.Asked, r.Whole, r.Unasked)
+		if r.Asked != r.Whole || r.NotSent > 0 {
+			t.Errorf("%s: %d sent, %d whole, %d not sent", r.Class, r.Asked, r.Whole, r.NotSent)
 		}
 	}
 	// 20 queries at 200 per second: the first one waits for about 0.1 s.
@@ -76,7 +76,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if r := reports[0]; r.Partial < 1 || r.Refused != 1 || r.Failed < 1 || r.Unasked == 0 {
+	if r := reports[0]; r.Partial < 1 || r.Refused != 1 || r.Failed < 1 || r.NotSent == 0 {
 		t.Errorf("got %+v", r)
 	}
 	if _, err := Run(ctx, Options{Rate: 1, Duration: 1, Segments: 3, Classes: DefaultClasses()}); err == nil {
--- a/internal/trial/soak/audit.go
+++ b/internal/trial/soak/audit.go
@@ -68,7 +68,7 @@
 	r.Asked++
 	switch {
 	case wrong != "":
-		a.recordViolationLocked(&r.Mixed, "%s %s: %s", q.class, q.trace, wrong)
+		a.recordViolationLocked(&r.Inconsistent, "%s %s: %s", q.class, q.trace, wrong)
 		return
 	case q.err != nil:
 		a.recordViolationLocked(&r.Lost, "%s %s: %v", q.class, q.trace, q.err)
@@ -86,14 +86,14 @@
 	r.Whole++
 	l := a.epochs[q.epoch]
 	if l == nil {
-		a.recordViolationLocked(&r.Mixed, "%s %s: epoch %d was never published", q.class, q.trace, q.epoch)
+		a.recordViolationLocked(&r.Inconsistent, "%s %s: epoch %d was never published", q.class, q.trace, q.epoch)
 		return
 	}
 	seen := make(map[layout.SegmentID]bool)
 	for _, p := range q.pieces {
 		id := layout.SegmentID(p.Tablet)
 		if s := l.Segment(id); s == nil || s.State != layout.Serving || seen[id] {
-			a.recordViolationLocked(&r.Mixed, "%s %s: segment %d does not serve in epoch %d, or answered twice", q.class, q.trace, id, q.epoch)
+			a.recordViolationLocked(&r.Inconsistent, "%s %s: segment %d does not serve in epoch %d, or answered twice", q.class, q.trace, id, q.epoch)
 			return
 		}
 		seen[id] = true
@@ -112,12 +112,12 @@
 		for _, k := range strings.Fields(p.Cell) {
 			key := layout.Key(k)
 			if l.Find(key).ID != layout.SegmentID(p.Tablet) {
-				a.recordViolationLocked(&r.Mixed, "search %s: key %s comes from segment %d, but in epoch %d it belongs to segment %d",
+				a.recordViolationLocked(&r.Inconsistent, "search %s: key %s comes from segment %d, but in epoch %d it belongs to segment %d",
 					q.trace, k, p.Tablet, q.epoch, l.Find(key).ID)
 				return
 			}
 			if found[key] {
-				a.recordViolationLocked(&r.Mixed, "search %s: key %s occurs twice", q.trace, k)
+				a.recordViolationLocked(&r.Inconsistent, "search %s: key %s occurs twice", q.trace, k)
 				return
 			}
 			found[key] = true
--- a/internal/trial/soak/config.go
+++ b/internal/trial/soak/config.go
@@ -45,14 +45,14 @@
 
 // ConfigReport is the result of RunConfig.
 type ConfigReport struct {
-	Report                             // of the queries; Mixed also counts answers of a generation that was not in force
+	Report                             // of the queries; Inconsistent also counts answers of a generation that was not in force
 	Applied, Confirmed, Busy, Late int // changes applied, confirmed, refused because another was in progress, refused as stale
 	Bad, BadUndone, BadStayed      int
 	GoodUndone                     int
 	Generations                    int
-	Recovery                       []float64 // seconds from the apply of a bad change until the former configuration was in force again
-	Reasons                        []string  // why changes were undone
-	Row                            ResourceUse
+	Recovery                       []float64   // seconds from the apply of a bad change until the former configuration was in force again
+	Reasons                        []string    // why changes were undone
+	SequenceUse                    ResourceUse `json:"Row"`
 }
 
 // ResourceUse shows what a sequence of changes leaves behind: what the process uses after three tenths of the changes
@@ -185,8 +185,8 @@
 	report.Taken = c.Taken
 	report.Ended = c.Whole + c.Partial + c.Refused + c.Failed + c.ClientsDisconnected
 	report.Translated = c.Translated
-	report.Held = int(r.heldQueries.Load())
-	report.Doubled = len(r.store.DuplicateReservations())
+	report.NotSent = int(r.unsentQueries.Load())
+	report.DuplicateReservations = len(r.store.DuplicateReservations())
 	report.Reserved, report.Repeated = r.store.ReservationCounts()
 	report.Linearizable = string(r.audit.checkReservations(initialStock, time.Now()))
 	return report, err
@@ -446,7 +446,7 @@
 		}
 		return wait("a confirmation", func() bool { return r.call(ctx, http.MethodPost, path+"confirm", nil, nil) == nil })
 	}
-	use := &r.report.Row
+	use := &r.report.SequenceUse
 	for i := range r.options.SequenceLength {
 		if i == r.options.SequenceLength*3/10 { // bounded histories are full from here on
 			use.HeapBefore, use.FilesBefore, use.RoutinesBefore = measure()
--- a/internal/trial/soak/soak.go
+++ b/internal/trial/soak/soak.go
@@ -35,25 +35,25 @@
 
 // Options configures Run.
 type Options struct {
-	Rounds   int           // each has a quiet window and one with changes; at least 1
-	Quiet    time.Duration // length of a quiet window
-	Changes  time.Duration // length of one with changes
-	Interval time.Duration // interval between changes
-	Rate     float64       // queries per second
-	Seed     uint64
-	Dir      string    // for the coordinator's log and sockets
-	Out      io.Writer // for progress messages
+	Rounds         int           // each has a window without changes and a window with changes; at least 1
+	QuietDuration  time.Duration // length of a window without changes
+	ChangeDuration time.Duration // length of a window with changes
+	Interval       time.Duration // interval between changes
+	Rate           float64       // queries per second
+	Seed           uint64
+	Dir            string    // for the coordinator's log and sockets
+	Out            io.Writer // for progress messages
 }
 
 // Report is the result of a soak run.
 type Report struct {
 	Asked, Whole, Partial, Refused, Failed int
 	Lost                                   int // queries without an answer
-	Mixed                                  int // answers that mix epochs, or are wrong in another way
+	Inconsistent                           int `json:"Mixed"` // answers that mix epochs, or are wrong in another way
 	NotWhole                               int // answers marked whole that lack a key
-	Doubled                                int // reservations made more than once
+	DuplicateReservations                  int `json:"Doubled"` // reservations made more than once
 	Taken, Ended                           int // queries, by the gatherers' counters
-	Held                                   int // queries not sent because too many were open
+	NotSent                                int `json:"Held"` // queries not sent because too many were open
 	Linearizable                           string
 	Reserved, Repeated                     int // reservations made at searchers, and repeats that they recognized
 
@@ -80,9 +80,9 @@
 // Err returns an error if an invariant was violated.
 func (r Report) Err() error {
 	switch {
-	case r.Lost+r.Mixed+r.NotWhole+r.Doubled > 0 || r.Taken != r.Ended || r.Linearizable != string(porcupine.Ok):
+	case r.Lost+r.Inconsistent+r.NotWhole+r.DuplicateReservations > 0 || r.Taken != r.Ended || r.Linearizable != string(porcupine.Ok):
 		return fmt.Errorf("%d lost, %d mixed, %d not whole, %d doubled, %d taken and %d ended, reservations: %s; %v",
-			r.Lost, r.Mixed, r.NotWhole, r.Doubled, r.Taken, r.Ended, r.Linearizable, r.Faults)
+			r.Lost, r.Inconsistent, r.NotWhole, r.DuplicateReservations, r.Taken, r.Ended, r.Linearizable, r.Faults)
 	case r.Whole == 0:
 		return errors.New("no query was answered whole")
 	}
@@ -127,7 +127,7 @@
 	searchLatencies   atomic.Pointer[latencyWindow]
 	queries           sync.WaitGroup
 	openQueries       atomic.Int64
-	heldQueries       atomic.Int64
+	unsentQueries     atomic.Int64
 	traceCount        atomic.Int64
 }
 
@@ -186,9 +186,9 @@
 	for round := range max(o.Rounds, 1) {
 		quiet, change := newLatencyWindow(), newLatencyWindow()
 		r.searchLatencies.Store(quiet)
-		r.runWindow(ctx, o.Quiet, false)
+		r.runWindow(ctx, o.QuietDuration, false)
 		r.searchLatencies.Store(change)
-		r.runWindow(ctx, o.Changes, true)
+		r.runWindow(ctx, o.ChangeDuration, true)
 		report.QuietP99, report.ChangeP99 = append(report.QuietP99, quiet.p99()), append(report.ChangeP99, change.p99())
 		report.Ratio = append(report.Ratio, change.p99()/quiet.p99())
 		fmt.Fprintf(o.Out, "round %d: p99 of searches %.1f ms without changes, %.1f ms with; epoch %d\n",
@@ -199,7 +199,7 @@
 	}
 	stop()
 	r.queries.Wait()
-	report.Held = int(r.heldQueries.Load())
+	report.NotSent = int(r.unsentQueries.Load())
 	err = r.close()
 	for _, n := range r.nodes {
 		c := n.counters
@@ -207,7 +207,7 @@
 		report.Ended += c.Whole + c.Partial + c.Refused + c.Failed + c.ClientsDisconnected
 		report.Translated += c.Translated
 	}
-	report.Doubled = len(r.store.DuplicateReservations())
+	report.DuplicateReservations = len(r.store.DuplicateReservations())
 	report.Reserved, report.Repeated = r.store.ReservationCounts()
 	report.Linearizable = string(r.audit.checkReservations(initialStock, time.Now()))
 	report.Epochs = r.latest.Load().Epoch()
@@ -515,7 +515,7 @@
 func (r *run) generateLoad(ctx context.Context) {
 	for i := 0; sleep(ctx, time.Duration(r.rng.exp()/r.Options.Rate*float64(time.Second))); i++ {
 		if r.openQueries.Load() >= maxOpen {
-			r.heldQueries.Add(1)
+			r.unsentQueries.Add(1)
 			continue
 		}
 		r.openQueries.Add(1)
--- a/internal/trial/soak/soak_test.go
+++ b/internal/trial/soak/soak_test.go
@@ -15,7 +15,7 @@
 func TestChangesUnderLoad(t *testing.T) {
 	t.Parallel()
 	r, err := Run(context.Background(), Options{
-		Rounds: 1, Quiet: 3 * time.Second, Changes: 12 * time.Second, Interval: time.Second, Rate: 80, Seed: 1,
+		Rounds: 1, QuietDuration: 3 * time.Second, ChangeDuration: 12 * time.Second, Interval: time.Second, Rate: 80, Seed: 1,
 		Dir: t.TempDir(), Out: io.Discard,
 	})
 	if err != nil {
@@ -63,12 +63,12 @@
 		pieces []ask.Piece
 		count  func(*Report) int
 	}{
-		"a correct answer":   {1, []ask.Piece{{Tablet: 0, Cell: "k1"}, {Tablet: 1, Cell: "k2 k3"}}, func(r *Report) int { return r.Whole - r.Mixed - r.NotWhole }},
+		"a correct answer":   {1, []ask.Piece{{Tablet: 0, Cell: "k1"}, {Tablet: 1, Cell: "k2 k3"}}, func(r *Report) int { return r.Whole - r.Inconsistent - r.NotWhole }},
 		"a key is missing":   {1, []ask.Piece{{Tablet: 0, Cell: "k1"}, {Tablet: 1, Cell: "k2"}}, func(r *Report) int { return r.NotWhole }},
-		"a segment twice":    {1, []ask.Piece{{Tablet: 0, Cell: "k1"}, {Tablet: 0, Cell: "k1"}, {Tablet: 1, Cell: "k2 k3"}}, func(r *Report) int { return r.Mixed }},
-		"a key from another": {1, []ask.Piece{{Tablet: 0, Cell: "k1 k2"}, {Tablet: 1, Cell: "k3"}}, func(r *Report) int { return r.Mixed }},
-		"a former segment":   {1, []ask.Piece{{Tablet: 0, Cell: "k1"}, {Tablet: 7, Cell: "k2 k3"}}, func(r *Report) int { return r.Mixed }},
-		"an unknown epoch":   {2, []ask.Piece{{Tablet: 0, Cell: "k1"}, {Tablet: 1, Cell: "k2 k3"}}, func(r *Report) int { return r.Mixed }},
+		"a segment twice":    {1, []ask.Piece{{Tablet: 0, Cell: "k1"}, {Tablet: 0, Cell: "k1"}, {Tablet: 1, Cell: "k2 k3"}}, func(r *Report) int { return r.Inconsistent }},
+		"a key from another": {1, []ask.Piece{{Tablet: 0, Cell: "k1 k2"}, {Tablet: 1, Cell: "k3"}}, func(r *Report) int { return r.Inconsistent }},
+		"a former segment":   {1, []ask.Piece{{Tablet: 0, Cell: "k1"}, {Tablet: 7, Cell: "k2 k3"}}, func(r *Report) int { return r.Inconsistent }},
+		"an unknown epoch":   {2, []ask.Piece{{Tablet: 0, Cell: "k1"}, {Tablet: 1, Cell: "k2 k3"}}, func(r *Report) int { return r.Inconsistent }},
 	} {
 		r := new(Report)
 		a := &audit{epochs: map[layout.Epoch]*layout.Layout{1: l}, keys: []layout.Key{"k1", "k2", "k3"}, report: r}
