--- a/internal/trial/testpeer/testpeer.go
+++ b/internal/trial/testpeer/testpeer.go
@@ -1,6 +1,6 @@
-// Package testpeer provides searchers, discovery and clients on loopback sockets whose
-// messages a test scripts: the test decides what each of them sends, and when. The searchers
-// parse frames with package fake, whose own searchers answer by themselves.
+// Package testpeer provides searchers, a discovery service and clients on loopback sockets.
+// The test decides which messages each of them sends, and when. The searchers parse frames
+// with package fake, whose own searchers answer without the test.
 package testpeer
 
 import (
@@ -16,7 +16,7 @@
 	"eiderwinch/internal/trial/fake"
 )
 
-// Timeout bounds each wait of a test for something that must happen. Only a failing test
+// Timeout bounds each wait of a test for an event that must happen. Only a failing test
 // waits that long.
 const Timeout = 20 * time.Second
 
@@ -48,7 +48,7 @@
 		name, strings.Repeat("A", 43))
 }
 
-// listen serves connections on a loopback port until the test ends.
+// listen serves connections on a loopback port until the test ends, and returns its address.
 func listen(t testing.TB, serve func(net.Conn)) string {
 	s, err := fake.Listen(serve)
 	if err != nil {
@@ -58,7 +58,8 @@
 	return s.Addr()
 }
 
-// Searcher is a searcher that passes what it receives to the test, which sends the answers.
+// Searcher is a searcher that passes the parts and cancels it receives to the test, which
+// sends the answers.
 type Searcher struct {
 	Addr        string
 	Parts       chan Part
@@ -66,8 +67,8 @@
 	ClosedConns chan struct{} // receives a value for each connection that has ended
 }
 
-// Part is a part that a Searcher has received. Call is the number of its frame on the
-// connection, from 0.
+// Part is a part that a Searcher has received. Call is the number of the frame that carried
+// it, counted from 0 on its connection; cancels are counted too.
 type Part struct {
 	ID, Fields, Text string
 	Shard, Call      int
@@ -102,7 +103,7 @@
 	}
 }
 
-// Answer sends the answer to the part.
+// Answer sends the answer to the part: how the part ended, its score and its value.
 func (p Part) Answer(end string, score int, value string) {
 	p.Write(fmt.Sprintf("a%s %s %d -\n%s", p.ID, end, score, value))
 }
@@ -113,7 +114,8 @@
 // WriteRaw sends bytes on the part's connection, which need not form a frame.
 func (p Part) WriteRaw(text string) { _, _ = io.WriteString(p.Conn, text) }
 
-// Discovery is a discovery that passes the open watches to the test, which writes to them.
+// Discovery is a discovery service that passes the open watches to the test, which writes to
+// them.
 type Discovery struct {
 	Addr    string
 	Watches chan *Watch
@@ -139,7 +141,7 @@
 			select {
 			case list = <-d.list:
 				d.list <- list
-			case <-ended: // SetList was never called; closing the listener waits for its connections
+			case <-ended: // SetList was never called; return, since closing the listener waits for its connections
 				return
 			}
 			fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(list), list)
@@ -164,7 +166,7 @@
 // already wait for it. A second call blocks.
 func (d *Discovery) SetList(list string) { d.list <- list }
 
-// Send sends a line to the watch.
+// Send sends a line on the watch, as one HTTP chunk.
 func (w *Watch) Send(line string) { fmt.Fprintf(w.Conn, "%x\r\n%s\n\r\n", len(line)+1, line) }
 
 // Member returns an entry of a member list, in JSON.
@@ -208,7 +210,7 @@
 	return &Client{c, t, bufio.NewReader(c)}
 }
 
-// Send sends text unchanged.
+// Send sends text unchanged and returns the client.
 func (c *Client) Send(text string) *Client {
 	if _, err := io.WriteString(c, text); err != nil {
 		c.t.Fatal(err)
