--- a/cmd/eiderwinch/configsoak.go
+++ b/cmd/eiderwinch/configsoak.go
@@ -14,7 +14,7 @@
 	outputFormat
 	Warm    time.Duration `default:"20s" help:"Length of the initial load without changes."`
 	Changes time.Duration `default:"2m" help:"Length of the period with changes."`
-	Every   time.Duration `default:"2s" help:"Interval between changes; every fourth is bad."`
+	Every   time.Duration `default:"2s" help:"Interval between changes; every fourth change is bad."`
 	Rate    float64       `default:"500" help:"Queries per second."`
 	Row     int           `default:"1000" help:"Number of changes made one after the other at the end, to measure what they leave behind."`
 	Seed    uint64        `default:"1" help:"Seed of the queries and changes."`
@@ -28,7 +28,7 @@
 	return nil
 }
 
-// Run runs the soak to its end or until a signal.
+// Run runs the soak to its end or until a signal arrives.
 func (c configSoak) Run(e environment) error {
 	return runSoak(e, c.outputFormat, func(ctx context.Context, dir string, progress io.Writer) (soak.ConfigReport, error) {
 		return soak.RunConfig(ctx, soak.ConfigOptions{
@@ -47,7 +47,7 @@
 		{"reservations linearizable", r.Linearizable},
 		{"changes applied, confirmed, refused while one was under way, stale", fmt.Sprint(r.Applied, r.Confirmed, r.Busy, r.Late)},
 		{"bad changes, of these undone, of these kept; good changes undone", fmt.Sprint(r.Bad, r.BadUndone, r.BadStayed, r.GoodUndone)},
-		{"seconds from a bad change until the old configuration was in force: median, worst", fmt.Sprintf("%.2f %.2f", r.Median(), r.Worst())},
+		{"seconds from a bad change until the old configuration was in force: median, worst", fmt.Sprintf("%.2f %.2f", r.MedianRecovery(), r.WorstRecovery())},
 		{"changes in a row; heap in KiB, descriptors and goroutines after three tenths of them, and after all of them",
 			fmt.Sprint(r.SequenceUse.Changes, ";", r.SequenceUse.HeapBefore>>10, r.SequenceUse.FilesBefore, r.SequenceUse.RoutinesBefore, ",", r.SequenceUse.HeapAfter>>10, r.SequenceUse.FilesAfter, r.SequenceUse.RoutinesAfter)},
 	}
--- a/cmd/eiderwinch/demo.go
+++ b/cmd/eiderwinch/demo.go
@@ -43,7 +43,7 @@
 // startTimeout bounds the time that the gatherer takes to start serving.
 const startTimeout = 5 * time.Second
 
-// Run runs the demo until all queries are answered or a signal arrives, then drains the gatherer.
+// Run runs the demo until all queries have been answered or a signal arrives, then drains the gatherer.
 func (d demoCommand) Run(e environment) (err error) {
 	ctx, stop := e.untilSignal()
 	defer stop()
@@ -71,10 +71,10 @@
 type demoQuery struct {
 	class, trace, key, statement string
 	segments                     []int
-	about, tenant                string
+	user, tenant                 string
 
 	status int
-	full   bool
+	whole  bool
 	values []string
 	took   time.Duration
 	err    error
@@ -94,7 +94,7 @@
 
 func (d demoCommand) partial() bool { return d.Answers == "partial" }
 
-// classes returns the classes of the queries, and a list of seven that weights them for random choice.
+// classes returns the classes of the queries, and a list to draw classes from, in which each occurs by its weight.
 func (d demoCommand) classes() (names, weighted []string) {
 	if d.partial() {
 		return []string{"report", "lookup"}, []string{"report", "report", "lookup", "lookup", "lookup", "lookup", "lookup"}
@@ -110,7 +110,7 @@
 	classes, mix := d.classes()
 	for i := range d.Queries {
 		// The first queries take each class once, so that a short demo shows all of them. The others follow the weighted
-		// mix that branches send.
+		// mix that clients send.
 		class := classes[i%len(classes)]
 		if i >= len(classes) {
 			class = mix[rng.IntN(len(mix))]
@@ -121,7 +121,7 @@
 			if class == "report" {
 				parts = segments * 2 / 5
 			}
-			q.about, q.tenant = fmt.Sprintf("%016x", rng.Uint64()), fake.Tenants[rng.IntN(len(fake.Tenants))]
+			q.user, q.tenant = fmt.Sprintf("%016x", rng.Uint64()), fake.Tenants[rng.IntN(len(fake.Tenants))]
 		}
 		first := rng.IntN(segments)
 		for j := range min(parts, segments) {
@@ -172,34 +172,34 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if ctx.Err() != nil {
-		return // the signal may have cancelled the query, so its result means nothing
+		return // the signal may have cancelled the query, so its result is not counted
 	}
 	c.done = append(c.done, q)
-	what := "not served"
+	outcome := "not served"
 	switch {
 	case q.err != nil:
-		what = q.err.Error()
-	case q.status == http.StatusOK && q.full:
-		what = "whole"
+		outcome = q.err.Error()
+	case q.status == http.StatusOK && q.whole:
+		outcome = "whole"
 	case q.status == http.StatusOK:
-		what = "partial"
+		outcome = "partial"
 	}
-	fmt.Fprintf(c.out, "%-8s %d %-6s %6.1f ms  segments %s: %s\n", q.class, q.status, what,
+	fmt.Fprintf(c.out, "%-8s %d %-6s %6.1f ms  segments %s: %s\n", q.class, q.status, outcome,
 		float64(q.took.Microseconds())/1000, strings.Trim(fmt.Sprint(q.segments), "[]"), strings.Join(q.values, "; "))
 }
 
 // post sends one query and reads its answer.
 func (c *demoClient) post(ctx context.Context, q *demoQuery) error {
-	got, err := ask.Do(ctx, c.client, c.addr, ask.Query{
-		Class: q.class, Trace: q.trace, Key: q.key, Expires: 4 * time.Second, Segments: q.segments, Statement: q.statement,
-		User: q.about, Tenant: q.tenant,
+	answer, err := ask.Do(ctx, c.client, c.addr, ask.Query{
+		Class: q.class, Trace: q.trace, IdempotencyKey: q.key, Expires: 4 * time.Second, Segments: q.segments, Statement: q.statement,
+		User: q.user, Tenant: q.tenant,
 	})
-	if got.Status != 0 {
-		q.took, q.status = got.Done.Sub(got.Sent), got.Status
+	if answer.Status != 0 {
+		q.took, q.status = answer.Done.Sub(answer.Sent), answer.Status
 	}
-	q.full = got.Full
-	for _, p := range got.Pieces {
-		q.values = append(q.values, p.Cell)
+	q.whole = answer.Whole
+	for _, p := range answer.Pieces {
+		q.values = append(q.values, p.Value)
 	}
 	return err
 }
@@ -215,20 +215,20 @@
 	whole := 0
 	classes, _ := c.classes()
 	for _, class := range classes {
-		times := hdrhistogram.New(1, maxLatencyMS*1000, 3) // microseconds, to three digits
-		count, full := 0, 0
+		latencies := hdrhistogram.New(1, maxLatencyMS*1000, 3) // microseconds, to three digits
+		asked, answeredWhole := 0, 0
 		for _, q := range c.done {
 			if q.class != class {
 				continue
 			}
-			if count++; q.status == http.StatusOK && q.full {
-				full++
-				_ = times.RecordValue(min(q.took.Microseconds(), maxLatencyMS*1000))
+			if asked++; q.status == http.StatusOK && q.whole {
+				answeredWhole++
+				_ = latencies.RecordValue(min(q.took.Microseconds(), maxLatencyMS*1000))
 			}
 		}
-		whole += full
-		fmt.Fprintf(table, "%s\t%d\t%d\t%.1f\t%.1f\n", class, count, full,
-			float64(times.ValueAtQuantile(50))/1000, float64(times.ValueAtQuantile(99))/1000)
+		whole += answeredWhole
+		fmt.Fprintf(table, "%s\t%d\t%d\t%.1f\t%.1f\n", class, asked, answeredWhole,
+			float64(latencies.ValueAtQuantile(50))/1000, float64(latencies.ValueAtQuantile(99))/1000)
 	}
 	if err := table.Flush(); err != nil {
 		return err
@@ -238,16 +238,16 @@
 		n := s.Counts()
 		calls, parts = calls+n.Calls, parts+n.Parts
 	}
-	doubled := deployment.Catalogue.DuplicateReservations()
+	duplicates := deployment.Catalogue.DuplicateReservations()
 	fmt.Fprintf(c.out, "\n%d of %d answered whole; %d parts in %d calls; %d reservations made twice.\n",
-		whole, len(c.queries), parts, calls, len(doubled))
+		whole, len(c.queries), parts, calls, len(duplicates))
 	switch {
-	case len(doubled) > 0:
-		return fmt.Errorf("reserved more than once: %s", strings.Join(doubled, ", "))
+	case len(duplicates) > 0:
+		return fmt.Errorf("items reserved more than once: %s", strings.Join(duplicates, ", "))
 	case ctx.Err() != nil:
 		fmt.Fprintf(c.out, "Ended early, after %d.\n", len(c.done))
 	case whole < len(c.queries):
-		return fmt.Errorf("%d of %d were not answered whole", len(c.queries)-whole, len(c.queries))
+		return fmt.Errorf("%d of %d queries were not answered whole", len(c.queries)-whole, len(c.queries))
 	}
 	return nil
 }
--- a/internal/trial/ask/ask.go
+++ b/internal/trial/ask/ask.go
@@ -1,5 +1,5 @@
-// Package ask is an HTTP client that sends one query to a gatherer and reads its answer, as
-// branch counters do. The demo, the soaks and the load tool use it.
+// Package ask sends queries to a gatherer over HTTP and reads the answers, as clients do. The
+// demo, the soaks, the load command and the test cluster use it.
 package ask
 
 import (
@@ -15,33 +15,33 @@
 
 // Query is a query to a gatherer. Its segments have equal weights.
 type Query struct {
-	Class, Trace string
-	Key          string        // idempotency key; empty if none
-	Expires      time.Duration // how long its client waits; not sent if 0
-	Epoch        uint64        // epoch of the layout that its client knows; not sent if 0
-	Segments     []int
-	Statement    string
-	User         string // key of the user that it is about, sent as a cookie; empty if none
-	Tenant       string // empty if none
+	Class, Trace   string
+	IdempotencyKey string        // empty if none
+	Expires        time.Duration // how long the client waits for the answer; not sent if 0
+	Epoch          uint64        // epoch of the layout that the client knows; not sent if 0
+	Segments       []int
+	Statement      string
+	User           string // key of the user that the query is about, sent as a cookie; empty if none
+	Tenant         string // empty if none
 }
 
-// Answer is the outcome of a query. After an error it holds what was known by then.
+// Answer is the outcome of a query. After an error it holds what was received before.
 type Answer struct {
 	Sent, Done time.Time // Done is zero if there was no response
 	Status     int       // HTTP status; 0 if there was no response
-	Full       bool      // whether the answer is whole
+	Whole      bool      // whether the answer is marked as whole
 	Pieces     []Piece
-	Epoch      uint64 // epoch of the layout that it was answered in; 0 if not given
+	Epoch      uint64 // epoch of the layout that the query was answered in; 0 if not given
 	Generation uint64 // generation of the configuration that the query was accepted under; 0 if not given
 }
 
-// Piece is the value of one segment, from one searcher.
+// Piece is the value of one segment, as one searcher answered it.
 type Piece struct {
-	Tablet int    `json:"tablet"`
-	Cell   string `json:"cell"`
+	Segment int    `json:"tablet"`
+	Value   string `json:"cell"`
 }
 
-// Do sends a query to the gatherer at an address and reads the answer. A status other than
+// Do sends a query to the gatherer at addr and reads the answer. A status other than
 // 200 is not an error.
 func Do(ctx context.Context, client *http.Client, addr string, q Query) (a Answer, err error) {
 	type tablet struct {
@@ -65,8 +65,8 @@
 	}
 	r.Header.Set("X-Trace-Id", q.Trace)
 	r.Header.Set("X-Qos", q.Class)
-	if q.Key != "" {
-		r.Header.Set("Idempotency-Key", q.Key)
+	if q.IdempotencyKey != "" {
+		r.Header.Set("Idempotency-Key", q.IdempotencyKey)
 	}
 	if q.User != "" {
 		r.AddCookie(&http.Cookie{Name: "user", Value: q.User})
@@ -100,6 +100,6 @@
 	if err := json.Unmarshal(responseBody, &parsed); err != nil {
 		return a, fmt.Errorf("parse the answer: %w", err)
 	}
-	a.Full, a.Pieces = parsed.Full, parsed.Pieces
+	a.Whole, a.Pieces = parsed.Full, parsed.Pieces
 	return a, nil
 }
--- a/internal/trial/load/load.go
+++ b/internal/trial/load/load.go
@@ -1,7 +1,8 @@
-// Package load generates load on a gatherer. It draws random send times in advance and sends
-// each query at its time, whether or not earlier ones have been answered. Latency is measured
-// from the planned send time, not from the actual one: a client that waits for answers before
-// it sends hides the stalls during which it waited (coordinated omission; G. Tene).
+// Package load generates load on a gatherer. It plans random send times and sends each query
+// at its planned time, whether or not earlier queries have been answered (an open loop).
+// Latency is measured from the planned send time, not from the actual one: a client that
+// waits for answers before it sends hides the stalls during which it waited (coordinated
+// omission; G. Tene).
 package load
 
 import (
@@ -21,8 +22,8 @@
 // Class is one class of queries.
 type Class struct {
 	Name      string
-	Share     float64 // of all queries, in proportion to the sum over the classes
-	Parts     int     // of each query
+	Share     float64 // share of all queries, relative to the sum of the shares of all classes
+	Parts     int     // number of parts of each query
 	Statement string  // contains %d, which is replaced by a number, if Keyed
 	Keyed     bool    // queries carry an idempotency key
 }
@@ -38,16 +39,17 @@
 
 // Options configures a run.
 type Options struct {
-	Addr     string
+	Addr     string  // of the gatherer
 	Rate     float64 // queries per second over all classes, as a Poisson process
 	Duration time.Duration
-	Segments int
+	Segments int // number of segments of the catalogue
 	Classes  []Class
-	Open     int // maximum number of open queries; further ones are not sent but counted in Report.NotSent; 0 means 2,000
-	Timeout  time.Duration
+	Open     int           // maximum number of open queries; further ones are not sent but counted in Report.NotSent; 0 means 2,000
+	Timeout  time.Duration // of each query; 0 means none
 	Seed     uint64
 }
 
+// defaultOpen is the default of Options.Open.
 const defaultOpen = 2000
 
 // Report holds the results of one class.
@@ -58,7 +60,7 @@
 	MaxSendDelay                           time.Duration `json:"Behind"`  // maximum delay of a send after its planned time
 
 	latencies *hdrhistogram.Histogram // in microseconds
-	mu        sync.Mutex
+	mu        sync.Mutex              // guards the other fields while Run runs
 }
 
 // Quantile returns the latency that a share q of the answered queries, whole or partial, did
@@ -95,15 +97,15 @@
 		Transport: &http.Transport{MaxIdleConnsPerHost: o.Open, MaxConnsPerHost: 0}, Timeout: o.Timeout,
 	}
 	defer client.CloseIdleConnections()
-	slots := make(chan struct{}, o.Open)
+	openQueries := make(chan struct{}, o.Open)
 	var pending sync.WaitGroup
 	defer pending.Wait()
 	timer := time.NewTimer(0)
 	defer timer.Stop()
-	at := time.Now()
-	for end := at.Add(o.Duration); ; {
-		at = at.Add(time.Duration(rng.ExpFloat64() / o.Rate * float64(time.Second)))
-		if at.After(end) {
+	sendTime := time.Now()
+	for end := sendTime.Add(o.Duration); ; {
+		sendTime = sendTime.Add(time.Duration(rng.ExpFloat64() / o.Rate * float64(time.Second)))
+		if sendTime.After(end) {
 			return reports, nil
 		}
 		i, remaining := 0, rng.Float64()*totalShare
@@ -111,7 +113,7 @@
 			i++
 		}
 		id, firstSegment := rng.Uint64(), rng.IntN(o.Segments)
-		timer.Reset(time.Until(at))
+		timer.Reset(time.Until(sendTime))
 		select {
 		case <-ctx.Done():
 			return reports, nil
@@ -119,7 +121,7 @@
 		}
 		r := reports[i]
 		select {
-		case slots <- struct{}{}:
+		case openQueries <- struct{}{}:
 		default:
 			r.mu.Lock()
 			r.NotSent++
@@ -127,10 +129,10 @@
 			continue
 		}
 		pending.Add(1)
-		planned := at
+		planned := sendTime
 		go func() {
 			defer pending.Done()
-			defer func() { <-slots }()
+			defer func() { <-openQueries }()
 			r.send(client, o, o.Classes[i], id, firstSegment, planned)
 		}()
 	}
@@ -141,7 +143,7 @@
 	name := strconv.FormatUint(id, 36)
 	q := ask.Query{Class: c.Name, Trace: "l" + name, Statement: c.Statement}
 	if c.Keyed {
-		q.Key, q.Statement = "k"+name, fmt.Sprintf(c.Statement, id%1000)
+		q.IdempotencyKey, q.Statement = "k"+name, fmt.Sprintf(c.Statement, id%1000)
 	}
 	for i := range c.Parts {
 		q.Segments = append(q.Segments, (firstSegment+i)%o.Segments)
@@ -157,7 +159,7 @@
 	case err != nil:
 		r.Failed++
 		return
-	case a.Status == http.StatusOK && a.Full:
+	case a.Status == http.StatusOK && a.Whole:
 		r.Whole++
 	case a.Status == http.StatusOK:
 		r.Partial++
--- a/internal/trial/soak/audit.go
+++ b/internal/trial/soak/audit.go
@@ -60,15 +60,15 @@
 	err            error
 }
 
-// check audits one answer. wrong says what another check found wrong with it, if anything.
-func (a *audit) check(q *query, wrong string) {
+// check audits one answer. violation describes a violation that another check found, or is empty.
+func (a *audit) check(q *query, violation string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	r := a.report
 	r.Asked++
 	switch {
-	case wrong != "":
-		a.recordViolationLocked(&r.Inconsistent, "%s %s: %s", q.class, q.trace, wrong)
+	case violation != "":
+		a.recordViolationLocked(&r.Inconsistent, "%s %s: %s", q.class, q.trace, violation)
 		return
 	case q.err != nil:
 		a.recordViolationLocked(&r.Lost, "%s %s: %v", q.class, q.trace, q.err)
@@ -91,9 +91,9 @@
 	}
 	seen := make(map[layout.SegmentID]bool)
 	for _, p := range q.pieces {
-		id := layout.SegmentID(p.Tablet)
+		id := layout.SegmentID(p.Segment)
 		if s := l.Segment(id); s == nil || s.State != layout.Serving || seen[id] {
-			a.recordViolationLocked(&r.Inconsistent, "%s %s: segment %d does not serve in epoch %d, or answered twice", q.class, q.trace, id, q.epoch)
+			a.recordViolationLocked(&r.Inconsistent, "%s %s: segment %d does not serve in epoch %d, or it answered twice", q.class, q.trace, id, q.epoch)
 			return
 		}
 		seen[id] = true
@@ -109,11 +109,11 @@
 	r := a.report
 	found := make(map[layout.Key]bool)
 	for _, p := range q.pieces {
-		for _, k := range strings.Fields(p.Cell) {
+		for _, k := range strings.Fields(p.Value) {
 			key := layout.Key(k)
-			if l.Find(key).ID != layout.SegmentID(p.Tablet) {
+			if l.Find(key).ID != layout.SegmentID(p.Segment) {
 				a.recordViolationLocked(&r.Inconsistent, "search %s: key %s comes from segment %d, but in epoch %d it belongs to segment %d",
-					q.trace, k, p.Tablet, q.epoch, l.Find(key).ID)
+					q.trace, k, p.Segment, q.epoch, l.Find(key).ID)
 				return
 			}
 			if found[key] {
@@ -132,15 +132,15 @@
 }
 
 // remaining returns the stock of the row after a reservation, as its answer says, or -1 if that is unknown. If the row's
-// segment was split, all its successors are asked, and one of them has the row.
+// segment was split, all its successors are queried, and one of them has the row.
 func (q *query) remaining() int {
 	if q.err != nil || q.status != 200 {
 		return -1
 	}
 	var values []string
 	for _, p := range q.pieces {
-		if p.Cell != "" {
-			values = append(values, p.Cell)
+		if p.Value != "" {
+			values = append(values, p.Value)
 		}
 	}
 	if len(values) != 1 {
@@ -153,8 +153,8 @@
 	return n
 }
 
-// recordReservation records a reservation with all its tries, from the start of the first to the end of the last. One
-// without an answer (remaining is -1) may have been made at any time, or not at all.
+// recordReservation records a reservation with all its retries, from the start of the first query to the end of the last.
+// A reservation without an answer (remaining is -1) may have been made at any time, or not at all.
 func (a *audit) recordReservation(client int, item layout.Key, started, ended time.Time, remaining int) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/trial/soak/config.go
+++ b/internal/trial/soak/config.go
@@ -35,7 +35,7 @@
 type ConfigOptions struct {
 	WarmUp         time.Duration // load without changes at first, from which the regression guard learns what is typical
 	ChangeDuration time.Duration
-	Interval       time.Duration // interval between changes; each fourth change is bad
+	Interval       time.Duration // interval between changes; every fourth change is bad
 	Rate           float64       // queries per second
 	SequenceLength int           // number of changes in sequence at the end, without load
 	Seed           uint64
@@ -45,18 +45,18 @@
 
 // ConfigReport is the result of RunConfig.
 type ConfigReport struct {
-	Report                             // of the queries; Inconsistent also counts answers of a generation that was not in force
-	Applied, Confirmed, Busy, Late int // changes applied, confirmed, refused because another was in progress, refused as stale
-	Bad, BadUndone, BadStayed      int
-	GoodUndone                     int
-	Generations                    int
-	Recovery                       []float64   // seconds from the apply of a bad change until the former configuration was in force again
+	Report                                     // of the queries; Inconsistent also counts answers of a generation that was not in force
+	Applied, Confirmed, Busy, Late int         // changes applied, confirmed, refused because another was in progress, refused for any other reason, such as being stale
+	Bad, BadUndone, BadStayed      int         // bad changes applied, undone, ended in another way
+	GoodUndone                     int         // good changes that could not be confirmed
+	Generations                    int         // the generation in force at the end
+	Recovery                       []float64   // seconds from applying a bad change until the former configuration was in force again
 	Reasons                        []string    // why changes were undone
 	SequenceUse                    ResourceUse `json:"Row"`
 }
 
-// ResourceUse shows what a sequence of changes leaves behind: what the process uses after three tenths of the changes
-// (Before) and after all of them (After).
+// ResourceUse holds the resources that the process uses after three tenths of a sequence of changes (Before) and after all
+// of them (After). Growth in between shows what changes leave behind.
 type ResourceUse struct {
 	Changes                       int
 	HeapBefore, HeapAfter         uint64 // bytes
@@ -64,11 +64,11 @@
 	RoutinesBefore, RoutinesAfter int
 }
 
-// Worst returns the maximum of Recovery.
-func (r ConfigReport) Worst() float64 { return r.quantile(1) }
+// WorstRecovery returns the maximum of Recovery.
+func (r ConfigReport) WorstRecovery() float64 { return r.quantile(1) }
 
-// Median returns the median of Recovery.
-func (r ConfigReport) Median() float64 { return r.quantile(0.5) }
+// MedianRecovery returns the median of Recovery.
+func (r ConfigReport) MedianRecovery() float64 { return r.quantile(0.5) }
 
 // quantile returns a quantile of Recovery, or 0 if it is empty.
 func (r ConfigReport) quantile(q float64) float64 {
@@ -85,8 +85,8 @@
 // Err returns an error if an invariant was violated.
 func (r ConfigReport) Err() error {
 	errs := []error{r.Report.Err()}
-	if r.BadStayed > 0 || r.Bad != r.BadUndone || r.Worst() > maxRecovery.Seconds() {
-		errs = append(errs, fmt.Errorf("%d bad changes, %d undone, %d confirmed, the longest in force for %.1f s", r.Bad, r.BadUndone, r.BadStayed, r.Worst()))
+	if r.BadStayed > 0 || r.Bad != r.BadUndone || r.WorstRecovery() > maxRecovery.Seconds() {
+		errs = append(errs, fmt.Errorf("%d bad changes: %d undone, %d not undone; the longest was in force for %.1f s, want at most %v", r.Bad, r.BadUndone, r.BadStayed, r.WorstRecovery(), maxRecovery))
 	}
 	if r.GoodUndone > 0 {
 		errs = append(errs, fmt.Errorf("%d good changes were undone: %v", r.GoodUndone, r.Reasons))
@@ -101,7 +101,7 @@
 }
 
 // Apply applies a configuration. Before that it records that the generation may be in force, and afterwards that the
-// earlier ones no longer are.
+// earlier generations are no longer in force.
 func (n *auditedNode) Apply(ctx context.Context, l netio.LiveSettings) error {
 	r := n.run
 	if l.Layout != nil {
@@ -120,7 +120,7 @@
 		}
 	}
 	if l.Layout != nil {
-		r.latest.Store(l.Layout)
+		r.latestLayout.Store(l.Layout)
 	}
 	return err
 }
@@ -137,12 +137,12 @@
 	options           ConfigOptions
 	manager           *manager.Manager
 	client            *admin.Client
-	operatorsFormat   string // the operators' file, with a verb in place of the settings that change
+	operatorsFormat   string // format of the operators' file; its verb stands for the elements that change
 	hungSearcher      string // a searcher that accepts connections and never answers
 	periods           []activePeriod
 	report            *ConfigReport
-	mu                sync.Mutex // guards periods
-	changes           int
+	mu                sync.Mutex     // guards periods
+	changeCount       int            // changes proposed so far
 	pendingBadChanges sync.WaitGroup // bad changes whose outcome is still awaited
 }
 
@@ -168,7 +168,7 @@
 	loadDone.Add(1)
 	go func() { defer loadDone.Done(); r.generateLoad(loadCtx) }()
 	sleep(ctx, o.WarmUp)
-	for started := time.Now(); time.Since(started) < o.ChangeDuration && ctx.Err() == nil; r.changes++ {
+	for started := time.Now(); time.Since(started) < o.ChangeDuration && ctx.Err() == nil; r.changeCount++ {
 		next := time.Now().Add(o.Interval)
 		r.submitChange(ctx)
 		sleep(ctx, time.Until(next))
@@ -280,7 +280,7 @@
 	return l, nil
 }
 
-// checkGeneration returns what is wrong with the generation of an answer, or "".
+// checkGeneration checks that the generation of an answer was in force. It returns a description of a violation, or "".
 func (r *configRun) checkGeneration(q *query) string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -305,19 +305,19 @@
 	return s, r.call(ctx, http.MethodGet, "", nil, &s)
 }
 
-// proposal returns the next change. Each fourth is bad. The bad ones are, in rotation: a segment whose only holder never
-// answers, searches within 10 ms, at most one open search, and at most three admitted queries.
+// proposal returns the next change. Every fourth change is bad. The bad changes are, in rotation: a segment whose only
+// holder never answers, a time limit of 10 ms for searches, at most one open search, and at most three admitted queries.
 func (r *configRun) proposal() (p manager.StageRequest, bad bool) {
-	i := r.changes
-	inner := ""
+	i := r.changeCount
+	elements := ""
 	switch {
 	case i%4 != 3:
-		inner = []string{`<log level="warn"/><class name="search" open="%d"/>`, `<pools multiplex="%d"/>`, `<admission open="%d"/>`, `<class name="report" within="%ds" attempts="3"/>`}[i%5%4]
-		inner = fmt.Sprintf(inner, map[int]int{0: 500 + i, 1: 8 + i%20, 2: 900 + i%90, 3: 8 + i%4}[i%5%4])
+		elements = []string{`<log level="warn"/><class name="search" open="%d"/>`, `<pools multiplex="%d"/>`, `<admission open="%d"/>`, `<class name="report" within="%ds" attempts="3"/>`}[i%5%4]
+		elements = fmt.Sprintf(elements, map[int]int{0: 500 + i, 1: 8 + i%20, 2: 900 + i%90, 3: 8 + i%4}[i%5%4])
 	case i%16 == 3:
 		bad = true
 		// The holder is listed and accepts connections, so that no check rejects the layout.
-		l := r.latest.Load()
+		l := r.latestLayout.Load()
 		segment := slices.Collect(l.Serving())[r.rng.intn(len(slices.Collect(l.Serving())))]
 		var text bytes.Buffer
 		next, err := layout.Restore(l.Epoch()+1, l.NextID(), withHolders(l, segment.ID, []string{r.hungSearcher}), nil)
@@ -327,22 +327,22 @@
 			err = layoutfile.Write(&text, next, fleet)
 		}
 		if err != nil {
-			panic(err) // derived from a layout that is in force
+			panic(err) // can't happen: derived from a layout that is in force
 		}
 		p.Bundle.Layout = text.Bytes()
 	case i%16 == 7:
-		bad, inner = true, `<class name="search" within="10ms"/>`
+		bad, elements = true, `<class name="search" within="10ms"/>`
 	case i%16 == 11:
-		bad, inner = true, `<class name="search" open="1"/>`
+		bad, elements = true, `<class name="search" open="1"/>`
 	default:
-		bad, inner = true, `<admission open="3"/>`
+		bad, elements = true, `<admission open="3"/>`
 	}
-	p.Operators = fmt.Appendf(nil, r.operatorsFormat, inner)
+	p.Operators = fmt.Appendf(nil, r.operatorsFormat, elements)
 	p.Note = fmt.Sprint("change ", i)
 	return p, bad
 }
 
-// withHolders returns the segments of a layout with the holders of one replaced.
+// withHolders returns the segments of a layout, with the holders of segment id replaced.
 func withHolders(l *layout.Layout, id layout.SegmentID, holders []string) (out []layout.Segment) {
 	for s := range l.Segments() {
 		c := *s
@@ -354,8 +354,8 @@
 	return out
 }
 
-// submitChange stages and applies the next change. A good one is confirmed after a second, a bad one is left for the
-// guard to undo.
+// submitChange stages and applies the next change. A good change is confirmed after at most a second, a bad
+// change is left for the guard to undo.
 func (r *configRun) submitChange(ctx context.Context) {
 	p, bad := r.proposal()
 	var s manager.StageResult
@@ -412,8 +412,8 @@
 	}()
 }
 
-// runSequence applies and confirms changes in sequence, and measures the heap, descriptors and goroutines they leave
-// behind.
+// runSequence applies and confirms changes one after the other, and measures the heap, descriptors and goroutines that
+// they leave behind.
 func (r *configRun) runSequence(ctx context.Context) error {
 	if r.options.SequenceLength == 0 {
 		return nil
@@ -431,7 +431,7 @@
 		runtime.GC()
 		var m runtime.MemStats
 		runtime.ReadMemStats(&m)
-		list, _ := os.ReadDir("/proc/self/fd") // 0 on systems without it
+		list, _ := os.ReadDir("/proc/self/fd") // empty on systems without it
 		return m.HeapAlloc, len(list), runtime.NumGoroutine()
 	}
 	applyOne := func(i int) error {
--- a/internal/trial/soak/soak.go
+++ b/internal/trial/soak/soak.go
@@ -1,5 +1,5 @@
-// Package soak runs deployments on loopback under load and audits every answer. Run has segments split, merged and moved
-// while searchers and the coordinator are killed; RunConfig changes the configuration of a gatherer.
+// Package soak runs fake deployments on loopback under load and audits every answer. Run splits, merges and moves
+// segments while searchers and the coordinator are killed; RunConfig changes the configuration of a gatherer.
 package soak
 
 import (
@@ -48,24 +48,24 @@
 // Report is the result of a soak run.
 type Report struct {
 	Asked, Whole, Partial, Refused, Failed int
-	Lost                                   int // queries without an answer
-	Inconsistent                           int `json:"Mixed"` // answers that mix epochs, or are wrong in another way
-	NotWhole                               int // answers marked whole that lack a key
-	DuplicateReservations                  int `json:"Doubled"` // reservations made more than once
-	Taken, Ended                           int // queries, by the gatherers' counters
-	NotSent                                int `json:"Held"` // queries not sent because too many were open
-	Linearizable                           string
-	Reserved, Repeated                     int // reservations made at searchers, and repeats that they recognized
+	Lost                                   int    // queries without an answer
+	Inconsistent                           int    `json:"Mixed"` // answers that mix epochs, or are wrong in another way
+	NotWhole                               int    // answers marked whole that lack a key
+	DuplicateReservations                  int    `json:"Doubled"` // reservations made more than once
+	Taken, Ended                           int    // queries, by the gatherers' counters
+	NotSent                                int    `json:"Held"` // queries not sent because too many were open
+	Linearizable                           string // result of the check of the reservations, a porcupine.CheckResult
+	Reserved, Repeated                     int    // reservations made at searchers, and repeats that they recognized
 
 	Jobs                            reshard.Counts
 	Splits, Merges, Moves           int // completed
 	SearcherKills, CoordinatorKills int
-	Orders, Missed, LateOrders      int // orders of the coordinator to searchers: sent, failed, and ignored as outdated
-	Slowed                          int // how often copies of rows were slowed down in favour of queries
-	Epochs                          layout.Epoch
-	Translated                      int
-	QuietP99, ChangeP99, Ratio      []float64 // of searches, in ms, by round
-	Faults                          []string
+	Orders, Missed, LateOrders      int          // orders of the coordinator to searchers: sent, failed, and ignored as outdated
+	Slowed                          int          // how often copies of rows were slowed down in favour of queries
+	Epochs                          layout.Epoch // epoch of the last layout
+	Translated                      int          // queries whose parts a gatherer translated to its current epoch
+	QuietP99, ChangeP99, Ratio      []float64    // of searches, in ms, by round
+	Faults                          []string     // texts of the first violations of invariants
 }
 
 // MedianRatio returns the median over the rounds of the ratio of p99 with changes to p99 without.
@@ -81,7 +81,7 @@
 func (r Report) Err() error {
 	switch {
 	case r.Lost+r.Inconsistent+r.NotWhole+r.DuplicateReservations > 0 || r.Taken != r.Ended || r.Linearizable != string(porcupine.Ok):
-		return fmt.Errorf("%d lost, %d mixed, %d not whole, %d doubled, %d taken and %d ended, reservations: %s; %v",
+		return fmt.Errorf("%d queries lost, %d answers inconsistent, %d marked whole but incomplete, %d reservations made twice, %d queries taken and %d ended, reservations linearizable: %s; %v",
 			r.Lost, r.Inconsistent, r.NotWhole, r.DuplicateReservations, r.Taken, r.Ended, r.Linearizable, r.Faults)
 	case r.Whole == 0:
 		return errors.New("no query was answered whole")
@@ -94,8 +94,8 @@
 	gathererCount   = 2
 	replicaCount    = 3
 	segmentCount    = 6                      // of the first layout
-	maxOpen         = 500                    // queries at once
-	maxMessageDelay = 400 * time.Millisecond // bound of the delay of a message between the coordinator and its peers
+	maxOpen         = 500                    // open queries
+	maxMessageDelay = 400 * time.Millisecond // maximum delay of a message between the coordinator and its peers
 	delayRate       = 0.2                    // share of the messages that are delayed
 	lossRate        = 0.1                    // share of the requests, and of the responses, that are lost
 	downTime        = time.Second            // of a killed searcher
@@ -115,12 +115,12 @@
 	nodes             []*node
 	audit             *audit
 	client            *http.Client
-	latest            atomic.Pointer[layout.Layout] // as published last
-	known             atomic.Pointer[layout.Layout] // as clients know it, up to two seconds later
+	latestLayout      atomic.Pointer[layout.Layout] // the layout that was published last
+	clientLayout      atomic.Pointer[layout.Layout] // the layout that clients know, up to two seconds older
 	coordinator       atomic.Pointer[coordinator.Coordinator]
 	cancelCoordinator context.CancelFunc
 	report            *Report
-	extraCheck        func(*query) string // additional check, returns what is wrong with an answer; may be nil
+	extraCheck        func(*query) string // additional check that describes a violation by an answer, or returns ""; may be nil
 	jobKinds          map[reshard.JobID]layout.ChangeKind
 	mu                sync.Mutex // guards jobKinds and the report's counts of changes and kills
 	assignmentServers map[string]*fake.AssignmentServer
@@ -192,7 +192,7 @@
 		report.QuietP99, report.ChangeP99 = append(report.QuietP99, quiet.p99()), append(report.ChangeP99, change.p99())
 		report.Ratio = append(report.Ratio, change.p99()/quiet.p99())
 		fmt.Fprintf(o.Out, "round %d: p99 of searches %.1f ms without changes, %.1f ms with; epoch %d\n",
-			round+1, quiet.p99(), change.p99(), r.latest.Load().Epoch())
+			round+1, quiet.p99(), change.p99(), r.latestLayout.Load().Epoch())
 		if ctx.Err() != nil {
 			break
 		}
@@ -210,11 +210,11 @@
 	report.DuplicateReservations = len(r.store.DuplicateReservations())
 	report.Reserved, report.Repeated = r.store.ReservationCounts()
 	report.Linearizable = string(r.audit.checkReservations(initialStock, time.Now()))
-	report.Epochs = r.latest.Load().Epoch()
+	report.Epochs = r.latestLayout.Load().Epoch()
 	return report, err
 }
 
-// start starts the deployment, its gatherers and the coordinator.
+// start starts the deployment, the gatherers and the coordinator.
 func (r *run) start() error {
 	if err := r.deploy(); err != nil {
 		return err
@@ -271,7 +271,7 @@
 		list[0].Keys.From, list[segmentCount-1].Keys.To = "", ""
 		first, err := layout.First(list...)
 		if err != nil {
-			panic(err) // the segments above are fixed
+			panic(err) // can't happen: the segments above are fixed
 		}
 		return first
 	}})
@@ -281,8 +281,8 @@
 	r.deployment, r.fleet = deployment, deployment.Fleet(replicaCount)
 	r.searcherIDs = slices.Sorted(maps.Keys(r.fleet.Zones))
 	first := deployment.InitialLayout()
-	r.latest.Store(first)
-	r.known.Store(first)
+	r.latestLayout.Store(first)
+	r.clientLayout.Store(first)
 	r.audit = &audit{epochs: map[layout.Epoch]*layout.Layout{1: first}, keys: r.store.Keys(), report: r.report, start: time.Now()}
 	for _, id := range r.searcherIDs {
 		server := fake.NewAssignmentServer(id, r.store, filepath.Join(r.Dir, id+".sock"))
@@ -347,7 +347,7 @@
 	return resp, err
 }
 
-// stopCoordinator stops the coordinator at once, without letting it finish anything.
+// stopCoordinator stops the coordinator at once, in the middle of whatever it does, and adds its counts to the report.
 func (r *run) stopCoordinator() error {
 	c := r.coordinator.Load()
 	if c == nil {
@@ -381,14 +381,14 @@
 	}
 }
 
-// onPublished is called with each new layout before any gatherer gets it. Clients learn of it up to two seconds later.
+// onPublished is called with each new layout before any gatherer gets it. Clients get it up to two seconds later.
 func (r *run) onPublished(l *layout.Layout) {
-	if l.Epoch() < r.latest.Load().Epoch() {
+	if l.Epoch() < r.latestLayout.Load().Epoch() {
 		return
 	}
 	r.audit.addLayout(l)
-	r.latest.Store(l)
-	time.AfterFunc(time.Duration(r.rng.float()*2*float64(time.Second)), func() { r.known.Store(l) })
+	r.latestLayout.Store(l)
+	time.AfterFunc(time.Duration(r.rng.float()*2*float64(time.Second)), func() { r.clientLayout.Store(l) })
 }
 
 // runWindow runs load for one window and kills one searcher meanwhile. With changes, it also submits changes and kills
@@ -410,7 +410,7 @@
 	tasks.Wait()
 }
 
-// sleep waits for d, and reports whether ctx had not ended before.
+// sleep waits for d or until ctx ends, and reports whether it waited for all of d.
 func sleep(ctx context.Context, d time.Duration) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
@@ -447,7 +447,7 @@
 		return
 	}
 	if err := r.stopCoordinator(); err != nil {
-		fmt.Fprintln(r.Out, "coordinator had ended:", err)
+		fmt.Fprintln(r.Out, "coordinator ended with an error:", err)
 	}
 	r.report.CoordinatorKills++
 	if err := r.startCoordinator(); err != nil {
@@ -475,9 +475,10 @@
 	}
 }
 
-// drawChange draws a change of the given kind to the latest layout. It reports false if the layout doesn't allow one.
+// drawChange returns a random change of the given kind to the latest layout. It reports false if the layout doesn't
+// allow one.
 func (r *run) drawChange(k layout.ChangeKind) (layout.Change, bool) {
-	l := r.latest.Load()
+	l := r.latestLayout.Load()
 	list := slices.Collect(l.Serving())
 	i := r.rng.intn(len(list))
 	switch k {
@@ -502,7 +503,7 @@
 	}
 }
 
-// drawHolders draws one searcher of each zone.
+// drawHolders returns one random searcher of each zone.
 func (r *run) drawHolders() (out []string) {
 	n := len(r.searcherIDs) / replicaCount
 	for z := range replicaCount {
@@ -535,12 +536,12 @@
 	}
 }
 
-// nextTrace returns a unique name for a query.
+// nextTrace returns a unique trace id for a query.
 func (r *run) nextTrace() string { return "q" + strconv.FormatInt(r.traceCount.Add(1), 10) }
 
-// scan queries the keys of up to the given number of neighbouring segments, as the client knows them.
+// scan queries the keys of up to maxSegments neighbouring segments of the layout that clients know.
 func (r *run) scan(class string, maxSegments int) {
-	l := r.known.Load()
+	l := r.clientLayout.Load()
 	list := slices.Collect(l.Serving())
 	i := r.rng.intn(len(list))
 	list = list[i:min(i+maxSegments, len(list))]
@@ -562,15 +563,15 @@
 	r.check(q)
 }
 
-// reserve reserves one of a row. Until an answer confirms it, it tries again with the same idempotency key, as long as
-// that can't reserve twice.
+// reserve reserves one from the stock of a random row. It retries with the same idempotency key until an answer
+// confirms the reservation or retryPeriod has passed. A later retry could reserve twice.
 func (r *run) reserve() {
 	keys := r.store.Keys()
 	key := keys[r.rng.intn(len(keys))]
 	id := "r" + r.nextTrace()
 	started := time.Now()
 	for {
-		l := r.known.Load()
+		l := r.clientLayout.Load()
 		q := &query{class: "reserve", trace: r.nextTrace(), knownEpoch: l.Epoch(), idempotencyKey: id, segments: []layout.SegmentID{l.Find(key).ID}}
 		r.send(q, "reserve "+string(key))
 		r.check(q)
@@ -584,11 +585,11 @@
 
 // check audits an answer.
 func (r *run) check(q *query) {
-	wrong := ""
+	violation := ""
 	if r.extraCheck != nil && q.err == nil {
-		wrong = r.extraCheck(q)
+		violation = r.extraCheck(q)
 	}
-	r.audit.check(q, wrong)
+	r.audit.check(q, violation)
 }
 
 // send sends one query and stores its answer in it.
@@ -599,10 +600,10 @@
 	}
 	node := r.nodes[r.rng.intn(len(r.nodes))]
 	answer, err := ask.Do(context.Background(), r.client, node.Addr(), ask.Query{
-		Class: q.class, Trace: q.trace, Key: q.idempotencyKey, Expires: queryTimeout, Epoch: uint64(q.knownEpoch), Segments: segments, Statement: statement,
+		Class: q.class, Trace: q.trace, IdempotencyKey: q.idempotencyKey, Expires: queryTimeout, Epoch: uint64(q.knownEpoch), Segments: segments, Statement: statement,
 	})
 	q.sent, q.received, q.status, q.err = answer.Sent, answer.Done, answer.Status, err
-	q.whole, q.pieces, q.generation = answer.Full, answer.Pieces, answer.Generation
+	q.whole, q.pieces, q.generation = answer.Whole, answer.Pieces, answer.Generation
 	if answer.Status == http.StatusOK {
 		q.epoch = layout.Epoch(answer.Epoch)
 	}
--- a/internal/trial/soak/soak_test.go
+++ b/internal/trial/soak/soak_test.go
@@ -63,12 +63,12 @@
 		pieces []ask.Piece
 		count  func(*Report) int
 	}{
-		"a correct answer":   {1, []ask.Piece{{Tablet: 0, Cell: "k1"}, {Tablet: 1, Cell: "k2 k3"}}, func(r *Report) int { return r.Whole - r.Inconsistent - r.NotWhole }},
-		"a key is missing":   {1, []ask.Piece{{Tablet: 0, Cell: "k1"}, {Tablet: 1, Cell: "k2"}}, func(r *Report) int { return r.NotWhole }},
-		"a segment twice":    {1, []ask.Piece{{Tablet: 0, Cell: "k1"}, {Tablet: 0, Cell: "k1"}, {Tablet: 1, Cell: "k2 k3"}}, func(r *Report) int { return r.Inconsistent }},
-		"a key from another": {1, []ask.Piece{{Tablet: 0, Cell: "k1 k2"}, {Tablet: 1, Cell: "k3"}}, func(r *Report) int { return r.Inconsistent }},
-		"a former segment":   {1, []ask.Piece{{Tablet: 0, Cell: "k1"}, {Tablet: 7, Cell: "k2 k3"}}, func(r *Report) int { return r.Inconsistent }},
-		"an unknown epoch":   {2, []ask.Piece{{Tablet: 0, Cell: "k1"}, {Tablet: 1, Cell: "k2 k3"}}, func(r *Report) int { return r.Inconsistent }},
+		"a correct answer":   {1, []ask.Piece{{Segment: 0, Value: "k1"}, {Segment: 1, Value: "k2 k3"}}, func(r *Report) int { return r.Whole - r.Inconsistent - r.NotWhole }},
+		"a key is missing":   {1, []ask.Piece{{Segment: 0, Value: "k1"}, {Segment: 1, Value: "k2"}}, func(r *Report) int { return r.NotWhole }},
+		"a segment twice":    {1, []ask.Piece{{Segment: 0, Value: "k1"}, {Segment: 0, Value: "k1"}, {Segment: 1, Value: "k2 k3"}}, func(r *Report) int { return r.Inconsistent }},
+		"a key from another": {1, []ask.Piece{{Segment: 0, Value: "k1 k2"}, {Segment: 1, Value: "k3"}}, func(r *Report) int { return r.Inconsistent }},
+		"a former segment":   {1, []ask.Piece{{Segment: 0, Value: "k1"}, {Segment: 7, Value: "k2 k3"}}, func(r *Report) int { return r.Inconsistent }},
+		"an unknown epoch":   {2, []ask.Piece{{Segment: 0, Value: "k1"}, {Segment: 1, Value: "k2 k3"}}, func(r *Report) int { return r.Inconsistent }},
 	} {
 		r := new(Report)
 		a := &audit{epochs: map[layout.Epoch]*layout.Layout{1: l}, keys: []layout.Key{"k1", "k2", "k3"}, report: r}
