--- a/cmd/eiderwinch/cluster_test.go
+++ b/cmd/eiderwinch/cluster_test.go
@@ -14,7 +14,7 @@
 	"eiderwinch/internal/trial/testpeer"
 )
 
-// Flags of TestAFleetUnderFaults, for longer runs or to repeat a failed one:
+// Flags of TestAFleetUnderFaults, for longer runs or to repeat a failed run:
 // go test -run FleetUnderFaults ./cmd/eiderwinch -rig.seed 7 -rig.gatherers 9 -rig.for 10m, or with another plan of
 // faults in -rig.plan FILE.
 var (
@@ -27,9 +27,9 @@
 	clusterDir       = flag.String("rig.dir", "", "folder for logs and the history")
 )
 
-// Several processes of the program run with faults between them. No slot of the fleet's limits may be used by two
-// processes within a window, a cold searcher must get no more than the fleet's whole limit, each query must get its
-// answer, and the views must converge.
+// Several processes of the program run as one fleet, while processes and the network between them fail. No slot of the
+// fleet's limits may be used by two processes within a window, a cold searcher must get no more than the limit of the
+// whole fleet, each query must get its answer, and the views must converge.
 func TestAFleetUnderFaults(t *testing.T) {
 	dir := *clusterDir
 	if dir == "" {
@@ -64,7 +64,7 @@
 	t.Logf("seed %d, %d gatherers, %d faults", *clusterSeed, *clusterGatherers, report.Steps)
 	for _, s := range report.Convergence {
 		slices.Sort(s.Times)
-		t.Logf("%-8s %-7s %3d times, settled after %5d ms (median), %5d ms (worst)", s.Kind, s.When, len(s.Times),
+		t.Logf("%-8s %-7s %3d times, converged after %5d ms (median), %5d ms (worst)", s.Kind, s.When, len(s.Times),
 			s.Times[len(s.Times)/2].Milliseconds(), s.Times[len(s.Times)-1].Milliseconds())
 	}
 	t.Logf("queries %+v", report.Queries)
--- a/cmd/eiderwinch/commands_test.go
+++ b/cmd/eiderwinch/commands_test.go
@@ -18,7 +18,7 @@
 	return code, out.String(), errs.String()
 }
 
-// README.md has a row for each command with the same text as --help, and no further rows.
+// README.md has a row for each command, with the same help text as --help, and no further rows of commands.
 func TestReadmeAndHelpAgree(t *testing.T) {
 	readme, err := os.ReadFile("../../README.md")
 	if err != nil {
@@ -70,13 +70,13 @@
 
 func TestCheckReportsFaults(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "c.json")
-	good := fmt.Sprintf(configText, "127.0.0.1:1", "", settingsText)
+	valid := fmt.Sprintf(configText, "127.0.0.1:1", "", settingsText)
 	for _, c := range []struct {
 		text, out, err string
 		code           int
 	}{
-		{good, "in order", "", exitOK},
-		{strings.Replace(good, `"listen":"127.0.0.1:0"`, `"listen":"here"`, 1), "", "listen", exitConfig},
+		{valid, "in order", "", exitOK},
+		{strings.Replace(valid, `"listen":"127.0.0.1:0"`, `"listen":"here"`, 1), "", "listen", exitConfig},
 		{"{", "", "JSON", exitConfig},
 	} {
 		if err := os.WriteFile(path, []byte(c.text), 0o600); err != nil {
--- a/cmd/eiderwinch/config.go
+++ b/cmd/eiderwinch/config.go
@@ -59,7 +59,7 @@
 	Key  string `required:"" help:"The key's name."`
 }
 
-// Run prints the signature of the files.
+// Run prints a signature of the files.
 func (c configSign) Run(e environment) error {
 	keys, err := readKeys(c.Keys)
 	if err != nil {
@@ -82,7 +82,7 @@
 	outputFormat
 	gathererTarget
 	proposedFiles
-	Signature string `help:"The signature that config sign printed, if the gatherer requires one."`
+	Signature string `help:"The signature printed by config sign, if the gatherer requires one."`
 	Against   uint64 `help:"The generation that the change is based on; 0 is the one in force."`
 	Note      string `help:"A note that is shown with the change."`
 }
@@ -168,7 +168,7 @@
 	gathererTarget
 }
 
-// Run prints the configuration in force and the transactions under way.
+// Run prints which configuration is in force and which transactions are under way.
 func (c configStatus) Run(e environment) error {
 	var s manager.Status
 	if err := c.do(http.MethodGet, "/v1/config", nil, &s); err != nil {
@@ -214,7 +214,7 @@
 type configShow struct {
 	gathererTarget
 	Generation uint64 `arg:"" help:"The generation's number."`
-	Part       string `enum:"operators,platform,layout" default:"operators" help:"Which file of it: operators, platform or layout."`
+	Part       string `enum:"operators,platform,layout" default:"operators" help:"Which of its files to print: operators, platform or layout."`
 }
 
 // Run prints one file of a generation.
--- a/cmd/eiderwinch/config_test.go
+++ b/cmd/eiderwinch/config_test.go
@@ -35,7 +35,7 @@
 	return m
 }
 
-// writeOperatorsFile writes the operators' file with further elements.
+// writeOperatorsFile writes the operators' file with further elements besides the admin socket and the history.
 func (m *managedProgram) writeOperatorsFile(t *testing.T, inner string) {
 	t.Helper()
 	text := fmt.Sprintf(`<eiderwinch xmlns="urn:eiderwinch:operators:1"><admin endpoint="unix:%s/g"/><history file="history.db"/>%s</eiderwinch>`,
@@ -54,10 +54,10 @@
 	return p, addr
 }
 
-// waitForStatus waits until the status of the configuration satisfies is.
-func (m *managedProgram) waitForStatus(t *testing.T, what string, is func(manager.Status) bool) manager.Status {
+// waitForStatus waits until the status of the configuration satisfies condition, and returns that status.
+func (m *managedProgram) waitForStatus(t *testing.T, what string, condition func(manager.Status) bool) manager.Status {
 	t.Helper()
-	return waitForJSON(t, what, is, "config", "status", "--json", "--file", m.ops)
+	return waitForJSON(t, what, condition, "config", "status", "--json", "--file", m.ops)
 }
 
 // queryGeneration sends a query and returns the configuration generation under which it was answered.
@@ -71,8 +71,8 @@
 	return func(s manager.Status) bool { return len(s.Transactions) == n && s.Transactions[n-1].State == want }
 }
 
-// Changes are made through SIGHUP and the admin socket. The program is killed while one is on probation: after
-// the restart that change is undone and the last confirmed generation is in force.
+// Changes are made through SIGHUP and the admin socket. The program is killed while one is on probation: after the restart
+// that change is undone, and the last confirmed generation is in force.
 func TestConfigChangesAreTransactions(t *testing.T) {
 	m := newManagedProgram(t)
 	m.writeOperatorsFile(t, `<guard probation="60s" auto="false"/>`)
@@ -80,11 +80,11 @@
 	if g := queryGeneration(t, addr, "t1"); g != "1" {
 		t.Errorf("generation %q, want 1", g)
 	}
-	hup := func() { _ = p.Process.Signal(syscall.SIGHUP) }
+	sighup := func() { _ = p.Process.Signal(syscall.SIGHUP) }
 
 	// A reload reports all faults of the file at once, and changes nothing.
 	m.writeOperatorsFile(t, `<class name="search" within="20s" attempts="9"/><class name="nobody"/>`)
-	hup()
+	sighup()
 	line := p.waitForLog(t, "configuration not reloaded")
 	for _, want := range []string{"at most the deadline of search, 4s", "at most attempts_cap, 4", "one of report, search, reserve"} {
 		if !strings.Contains(line, want) {
@@ -94,7 +94,7 @@
 
 	// Applied by SIGHUP, confirmed by the operator.
 	m.writeOperatorsFile(t, `<guard probation="60s" auto="false"/><class name="search" open="50"/>`)
-	hup()
+	sighup()
 	m.waitForStatus(t, "probation", lastTransaction(1, "probation"))
 	if g := queryGeneration(t, addr, "t2"); g != "2" {
 		t.Errorf("generation %q, want 2", g)
@@ -115,7 +115,7 @@
 		t.Fatalf("apply: %s", errs)
 	}
 	m.waitForStatus(t, "probation", lastTransaction(2, "probation"))
-	hup() // a second change while the first is on probation
+	sighup() // a second change while the first is on probation
 	if line := p.waitForLog(t, "configuration not"); !strings.Contains(line, "another change is under way") {
 		t.Errorf("a second change: %s", line)
 	}
@@ -133,7 +133,7 @@
 	}
 
 	// A confirmation is refused once the undo has begun.
-	hup()
+	sighup()
 	n := len(s.Transactions) + 1
 	m.waitForStatus(t, "probation", lastTransaction(n, "probation"))
 	tx := fmt.Sprint(m.waitForStatus(t, "a status", func(manager.Status) bool { return true }).Transactions[n-1].Tx)
@@ -152,21 +152,21 @@
 	}
 }
 
-// A file may be replaced while it is read, so that the reading finds it half written or missing. It is read
-// again until two consecutive readings are the same.
+// A file may be replaced while it is read, so that it is found half written or missing. It is read again until two
+// consecutive reads return the same.
 func TestReadIsRepeatedWhileFileIsReplaced(t *testing.T) {
 	for name, c := range map[string]struct {
-		readings []string // the last one is repeated; "!" stands for a failed reading
-		want     string
+		reads []string // what consecutive reads return; the last one is repeated; "!" stands for a failed read
+		want  string
 	}{
-		"at rest":           {[]string{"a"}, "a"},
-		"half written":      {[]string{"a", "", "ab", "abc"}, "abc"},
-		"away for a moment": {[]string{"!", "!", "b"}, "b"},
-		"gone":              {[]string{"!"}, ""},
+		"at rest":              {[]string{"a"}, "a"},
+		"half written":         {[]string{"a", "", "ab", "abc"}, "abc"},
+		"missing for a moment": {[]string{"!", "!", "b"}, "b"},
+		"gone":                 {[]string{"!"}, ""},
 	} {
 		n := 0
 		b, err := readUntilStable(func() (bundle.Bundle, error) {
-			s := c.readings[min(n, len(c.readings)-1)]
+			s := c.reads[min(n, len(c.reads)-1)]
 			if n++; s == "!" {
 				return bundle.Bundle{}, os.ErrNotExist
 			}
@@ -180,7 +180,7 @@
 	if _, err := readUntilStable(func() (bundle.Bundle, error) { n++; return bundle.Bundle{Operators: fmt.Append(nil, n)}, nil }, func() {}); err == nil {
 		t.Error("files that keep changing were accepted")
 	}
-	// The same with real files.
+	// The same with real files, which do not change.
 	dir := t.TempDir()
 	f := configFiles{platform: filepath.Join(dir, "p"), operators: filepath.Join(dir, "o")}
 	for _, path := range []string{f.platform, f.operators} {
@@ -200,8 +200,8 @@
 		t.Errorf("check: %s", out)
 	}
 	platform := writeFile(t, "p.json", fmt.Sprintf(configText, "127.0.0.1:1", "", settingsText))
-	odd := writeFile(t, "odd.xml", `<eiderwinch xmlns="urn:eiderwinch:operators:1"><class name="odd"/><class name="search" attempts="5"/></eiderwinch>`)
-	if code, _, errs := runCommand(t, nil, "config", "check", "--platform", platform, odd); code != exitConfig || !strings.Contains(errs, `found class "odd", want one of search`) ||
+	invalid := writeFile(t, "invalid.xml", `<eiderwinch xmlns="urn:eiderwinch:operators:1"><class name="odd"/><class name="search" attempts="5"/></eiderwinch>`)
+	if code, _, errs := runCommand(t, nil, "config", "check", "--platform", platform, invalid); code != exitConfig || !strings.Contains(errs, `found class "odd", want one of search`) ||
 		!strings.Contains(errs, "at most attempts_cap, 4") {
 		t.Errorf("check against the platform's: %s", errs)
 	}
@@ -219,8 +219,7 @@
 	}
 }
 
-// If signing is configured, no configuration is staged without a valid signature, neither by command nor by
-// SIGHUP.
+// If signing is configured, no configuration is staged without a valid signature, neither by command nor by SIGHUP.
 func TestUnsignedConfigurationsAreRejected(t *testing.T) {
 	m := newManagedProgram(t)
 	dir := filepath.Dir(m.ops)
--- a/cmd/eiderwinch/coordinate.go
+++ b/cmd/eiderwinch/coordinate.go
@@ -25,19 +25,18 @@
 	File string `arg:"" help:"An operators' file that conforms to deploy/eiderwinch.xsd, with the element coordinator."`
 }
 
-// Run runs the coordinator until a signal ends it. Changes under way continue when it is started
-// again.
+// Run runs the coordinator until a signal ends it. Changes under way continue when it is started again.
 func (c coordinateCommand) Run(e environment) error {
 	log := slog.New(slog.NewTextHandler(e.stderr, nil))
 	ops, err := readOperatorsFile(c.File)
 	if err != nil {
 		return err
 	}
-	co := ops.Coordinator
-	if co == nil {
-		return &exitError{exitConfig, fmt.Errorf("%s: found no coordinator, want that element", c.File)}
+	cfg := ops.Coordinator
+	if cfg == nil {
+		return &exitError{exitConfig, fmt.Errorf("%s: found no element coordinator, want one", c.File)}
 	}
-	first, fleet, err := readValidLayout(co.Layout)
+	first, fleet, err := readValidLayout(cfg.Layout)
 	if err != nil {
 		return err
 	}
@@ -50,18 +49,18 @@
 	ctx, stop := e.untilSignal()
 	defer stop()
 	run, err := coordinator.Start(ctx, coordinator.Options{
-		LogPath: co.Log, InitialLayout: first, Fleet: fleet, Limits: co.Limits, MeasuredClass: co.MeasuredClass, PollInterval: co.Poll, Timeout: co.Timeout,
-		Gatherers: toProcesses(co.Gatherers), Searchers: toProcesses(co.Searchers), Logger: log,
+		LogPath: cfg.Log, InitialLayout: first, Fleet: fleet, Limits: cfg.Limits, MeasuredClass: cfg.MeasuredClass, PollInterval: cfg.Poll, Timeout: cfg.Timeout,
+		Gatherers: toProcesses(cfg.Gatherers), Searchers: toProcesses(cfg.Searchers), Logger: log,
 	})
 	if err != nil {
 		return &exitError{exitConfig, err}
 	}
-	socket, err := admin.Serve(co.Listen, run.Handler())
+	socket, err := admin.Serve(cfg.Listen, run.Handler())
 	if err != nil {
 		stop()
 		return errors.Join(err, run.Wait())
 	}
-	log.Info("coordinating", "endpoint", socket.Endpoint(), "log", co.Log)
+	log.Info("coordinating", "endpoint", socket.Endpoint(), "log", cfg.Log)
 	err = run.Wait()
 	return errors.Join(err, socket.Close())
 }
@@ -88,7 +87,7 @@
 	Layout bool `help:"Print the layout in force instead, as a layout file."`
 }
 
-// Run prints the coordinator's state, or the layout in force.
+// Run prints the coordinator's status, or the layout in force.
 func (c layoutStatus) Run(e environment) error {
 	client, err := c.client()
 	if err != nil {
@@ -114,7 +113,7 @@
 	return printStatus(e.stdout, s)
 }
 
-// printStatus prints a coordinator's state as text.
+// printStatus prints a coordinator's status as text.
 func printStatus(w io.Writer, s admin.CoordinatorStatus) error {
 	fmt.Fprintf(w, "epoch %d, %d segments, term %d, copies at up to %.0f rows a second", s.Epoch, s.Segments, s.Term, s.RowsPerSecond)
 	if s.P99WithoutCopiesMS > 0 {
@@ -150,7 +149,7 @@
 	outputFormat
 	coordinatorTarget
 	Changes string        `arg:"" help:"A file of changes as printed by layout plan --json; - reads standard input."`
-	Wait    time.Duration `placeholder:"TIME" help:"How long to wait until all changes are over; fails if any of them is not done."`
+	Wait    time.Duration `placeholder:"TIME" help:"How long to wait for all changes to end; fails if any of them is not done by then."`
 }
 
 // maxChangesBytes bounds the size of a file of changes.
@@ -180,7 +179,7 @@
 	d := json.NewDecoder(bytes.NewReader(text))
 	d.DisallowUnknownFields()
 	if err := d.Decode(&s); err != nil {
-		return &exitError{exitConfig, fmt.Errorf("%s: %w; want what layout plan --json prints", c.Changes, err)}
+		return &exitError{exitConfig, fmt.Errorf("%s: %w; want changes as printed by layout plan --json", c.Changes, err)}
 	}
 	if len(s.Changes) == 0 {
 		fmt.Fprintln(e.stdout, "nothing to change")
@@ -210,7 +209,7 @@
 // statusInterval is the interval between requests for the status while changes are awaited.
 const statusInterval = 100 * time.Millisecond
 
-// await waits until the accepted changes are over.
+// await waits until the accepted changes are over, c.Wait has passed or a signal arrives.
 func (c layoutApply) await(e environment, client *admin.Client, results []admin.ChangeResult) error {
 	signalled, stop := e.untilSignal()
 	defer stop()
@@ -227,7 +226,7 @@
 	defer tick.Stop()
 	for len(waiting) > 0 {
 		var s admin.CoordinatorStatus
-		// On an error the coordinator may be restarting, so the next tick asks again.
+		// After an error the next tick tries again, because the coordinator may be restarting.
 		if err := client.Do(ctx, http.MethodGet, "/v1/status", nil, &s); err == nil {
 			for _, j := range s.Jobs {
 				if !waiting[j.Job] || !j.Over {
@@ -246,7 +245,7 @@
 		}
 		select {
 		case <-ctx.Done():
-			return errors.Join(append(errs, fmt.Errorf("%d changes are not over", len(waiting)))...)
+			return errors.Join(append(errs, fmt.Errorf("stopped waiting: %d changes are not over", len(waiting)))...)
 		case <-tick.C:
 		}
 	}
--- a/cmd/eiderwinch/coordinate_test.go
+++ b/cmd/eiderwinch/coordinate_test.go
@@ -94,20 +94,21 @@
 	return p
 }
 
-// waitForStatus waits until the status of the coordinator satisfies is.
-func (d *reshardDeployment) waitForStatus(t *testing.T, what string, is func(admin.CoordinatorStatus) bool) admin.CoordinatorStatus {
+// waitForStatus waits until the status of the coordinator satisfies condition, and returns that status.
+func (d *reshardDeployment) waitForStatus(t *testing.T, what string, condition func(admin.CoordinatorStatus) bool) admin.CoordinatorStatus {
 	t.Helper()
-	return waitForJSON(t, what, is, "layout", "status", "--json", "--file", d.ops)
+	return waitForJSON(t, what, condition, "layout", "status", "--json", "--file", d.ops)
 }
 
-// waitForJSON repeats a command until the JSON that it prints satisfies is, for at most 30 s.
-func waitForJSON[S any](t *testing.T, what string, is func(S) bool, args ...string) S {
+// waitForJSON repeats a command until the JSON that it prints satisfies condition, and returns the decoded JSON. It fails
+// the test after 30 s.
+func waitForJSON[S any](t *testing.T, what string, condition func(S) bool, args ...string) S {
 	t.Helper()
 	var s S
 	for end := time.Now().Add(30 * time.Second); time.Now().Before(end); {
 		code, out, _ := runCommand(t, nil, args...)
 		s = *new(S)
-		if code == exitOK && json.Unmarshal([]byte(out), &s) == nil && is(s) {
+		if code == exitOK && json.Unmarshal([]byte(out), &s) == nil && condition(s) {
 			return s
 		}
 	}
@@ -151,8 +152,8 @@
 	_ = p.Wait()
 }
 
-// Built programs move a segment between searchers. Gatherer and coordinator are killed during the move: the
-// change continues after the restart, and no process goes back to an older epoch.
+// The built program runs as gatherer and as coordinator and moves a segment between searchers. Both processes are killed
+// during the move: the change continues after the restart, and no process goes back to an older epoch.
 func TestSegmentMoveSurvivesKills(t *testing.T) {
 	d := newReshardDeployment(t)
 	g, addr := d.startGatherer(t)
@@ -163,20 +164,20 @@
 	}
 
 	changes := filepath.Join(d.dir, "changes.json")
-	put := func(text string) {
+	writeChanges := func(text string) {
 		if err := os.WriteFile(changes, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
 	}
-	put(`{"epoch":9,"changes":[{"change":"move","segments":[0],"holders":[["s-01","s-03"]]}]}`)
+	writeChanges(`{"epoch":9,"changes":[{"change":"move","segments":[0],"holders":[["s-01","s-03"]]}]}`)
 	if code, _, errs := runCommand(t, nil, "layout", "apply", "--file", d.ops, changes); code != exitFailure || !strings.Contains(errs, "the changes are for epoch 9, in force is 1") {
 		t.Errorf("for another epoch: code %d, %s", code, errs)
 	}
-	put(`{"changes":[{"change":"move","segments":[0],"holders":[["s-01"]]}]}`)
+	writeChanges(`{"changes":[{"change":"move","segments":[0],"holders":[["s-01"]]}]}`)
 	if code, _, errs := runCommand(t, nil, "layout", "apply", "--file", d.ops, changes); code != exitFailure || !strings.Contains(errs, "too few holders") {
 		t.Errorf("to one holder: code %d, %s", code, errs)
 	}
-	put(`{"epoch":1,"changes":[{"change":"move","segments":[0],"holders":[["s-01","s-03"]]}]}`)
+	writeChanges(`{"epoch":1,"changes":[{"change":"move","segments":[0],"holders":[["s-01","s-03"]]}]}`)
 	if code, out, errs := runCommand(t, nil, "layout", "apply", "--at", "unix:"+d.dir+"/co", changes); code != exitOK || !strings.Contains(out, "is job 1") {
 		t.Fatalf("code %d, %s%s", code, out, errs)
 	}
@@ -212,15 +213,15 @@
 	if err := os.Remove(filepath.Join(d.dir, "changes.db")); err != nil {
 		t.Fatal(err)
 	}
-	lost := d.startCoordinator(t)
-	lost.waitForLog(t, "searchers obey a coordinator of a later term")
-	for range lost.lines {
+	withoutLog := d.startCoordinator(t)
+	withoutLog.waitForLog(t, "searchers obey a coordinator of a later term")
+	for range withoutLog.lines {
 	}
-	if _ = lost.Wait(); lost.ProcessState.ExitCode() != exitFailure {
-		t.Errorf("the coordinator without its log ended with %v", lost.ProcessState)
+	if _ = withoutLog.Wait(); withoutLog.ProcessState.ExitCode() != exitFailure {
+		t.Errorf("the coordinator without its log ended with %v", withoutLog.ProcessState)
 	}
 	if held := d.catalogue.Held("s-01"); len(held) != 1 {
-		t.Errorf("it made a new holder drop its segment: %v", held)
+		t.Errorf("the coordinator without its log made a new holder drop its segment: it holds %v", held)
 	}
 	_ = g.Process.Signal(syscall.SIGTERM)
 	for range g.lines {
--- a/cmd/eiderwinch/experiment.go
+++ b/cmd/eiderwinch/experiment.go
@@ -28,7 +28,7 @@
 type experimentRun struct {
 	outputFormat
 	File    string `arg:"" help:"An experiment that conforms to deploy/scenario.xsd."`
-	Out     string `placeholder:"FILE" help:"Where results are written, one run per line; runs already there are not repeated. FILE.csv gets a table. Default: the experiment's name with .results."`
+	Out     string `placeholder:"FILE" help:"Where the results are written, one run per line; runs that already have a result are not repeated. FILE.csv gets a table. Default: the experiment's name with .results."`
 	Workers int    `help:"Number of concurrent runs; 0 means one per core."`
 }
 
@@ -40,8 +40,7 @@
 	return strings.TrimSuffix(c.File, filepath.Ext(c.File)) + ".results"
 }
 
-// Run executes the runs that have no result yet. A signal ends it; the next call continues with the
-// remaining runs.
+// Run executes the runs that have no result yet. A signal ends it; the next call continues with the remaining runs.
 func (c experimentRun) Run(e environment) error {
 	x, err := readForm(c.File, emulator.ReadExperiment)
 	if err != nil {
@@ -54,7 +53,7 @@
 	defer stop()
 	bar := progressbar.NewOptions(len(x.Points()), progressbar.OptionSetWriter(e.stderr), progressbar.OptionSetDescription("runs"),
 		progressbar.OptionShowCount(), progressbar.OptionClearOnFinish())
-	runs, err := experiment.RunAll(ctx, x, c.results(), c.Workers, func(over, _ int) { _ = bar.Set(over) })
+	runs, err := experiment.RunAll(ctx, x, c.results(), c.Workers, func(done, _ int) { _ = bar.Set(done) })
 	if err != nil && !errors.Is(err, experiment.ErrBreach) {
 		return err
 	}
@@ -62,8 +61,8 @@
 	if csvErr := experiment.WriteCSV(&table, runs); csvErr != nil {
 		return csvErr
 	}
-	if keepErr := admin.WriteFileAtomic(c.results()+".csv", table.Bytes()); keepErr != nil {
-		return keepErr
+	if writeErr := admin.WriteFileAtomic(c.results()+".csv", table.Bytes()); writeErr != nil {
+		return writeErr
 	}
 	groups := experiment.Groups(runs)
 	if c.JSON {
@@ -95,7 +94,7 @@
 		return err
 	}
 	if len(runs) == 0 {
-		return fmt.Errorf("there are no results of %s yet: eiderwinch experiment run", c.File)
+		return fmt.Errorf("found no results of %s, want a run with eiderwinch experiment run first", c.File)
 	}
 	name := strings.TrimSuffix(c.File, filepath.Ext(c.File))
 	if c.HTML == "" {
@@ -113,7 +112,7 @@
 }
 
 type experimentFleet struct {
-	File string `arg:"" help:"A history.jsonl that the test of a fleet under faults has written."`
+	File string `arg:"" help:"A history.jsonl written by the test of a fleet under faults."`
 	HTML string `placeholder:"FILE" help:"Where the page is written. Default: the history's name with .html."`
 }
 
@@ -124,7 +123,7 @@
 		return &exitError{exitConfig, err}
 	}
 	defer f.Close()
-	list, err := testcluster.ReadHistory(f)
+	history, err := testcluster.ReadHistory(f)
 	if err != nil {
 		return &exitError{exitConfig, fmt.Errorf("%s: %w", c.File, err)}
 	}
@@ -133,12 +132,12 @@
 		c.HTML = name + ".html"
 	}
 	var b bytes.Buffer
-	if err := experiment.FleetReport(&b, filepath.Base(name), list); err != nil {
+	if err := experiment.FleetReport(&b, filepath.Base(name), history); err != nil {
 		return err
 	}
 	if err := admin.WriteFileAtomic(c.HTML, b.Bytes()); err != nil {
 		return err
 	}
-	fmt.Fprintf(e.stdout, "%s: %d lines, %d KiB\n", c.HTML, len(list), b.Len()>>10)
+	fmt.Fprintf(e.stdout, "%s: %d lines, %d KiB\n", c.HTML, len(history), b.Len()>>10)
 	return nil
 }
--- a/cmd/eiderwinch/faults_test.go
+++ b/cmd/eiderwinch/faults_test.go
@@ -44,36 +44,36 @@
 	once := func(call string, errno syscall.Errno) faults.Fault {
 		return faults.Fault{Call: call, Errno: errno, After: startDelay, MaxFailures: 1}
 	}
-	share := func(call string, errno syscall.Errno, to faults.Target, rate float64) faults.Fault {
+	withRate := func(call string, errno syscall.Errno, to faults.Target, rate float64) faults.Fault {
 		return faults.Fault{Call: call, Errno: errno, Target: to, After: startDelay, Rate: rate}
 	}
-	span := func(call string, errno syscall.Errno) faults.Fault {
+	forPeriod := func(call string, errno syscall.Errno) faults.Fault {
 		return faults.Fault{Call: call, Errno: errno, After: startDelay, For: 300 * time.Millisecond}
 	}
 	return map[string][]faults.Fault{
 		"accept, once":         {once("accept4", syscall.ENFILE)},
-		"accept, for a moment": {span("accept4", syscall.EMFILE)},
+		"accept, for a while":  {forPeriod("accept4", syscall.EMFILE)},
 		"accept, network down": {once("accept4", syscall.ENETDOWN), once("accept4", syscall.ECONNABORTED), once("accept4", syscall.ENOBUFS)},
-		"reads interrupted":    {share("read", syscall.EINTR, faults.Socket, 0.05)},
-		"writes interrupted":   {share("write", syscall.EINTR, faults.Socket, 0.05), share("writev", syscall.EINTR, faults.Socket, 0.05)},
-		"reads without memory": {share("read", syscall.ENOMEM, faults.Socket, 0.02)},
-		"writes out of buffers": {share("write", syscall.ENOBUFS, faults.Socket, 0.02),
-			share("writev", syscall.ENOBUFS, faults.Socket, 0.02)},
-		"wakes interrupted":        {share("write", syscall.EINTR, faults.EventFD, 0.1)},
-		"waits interrupted":        {share("epoll_pwait", syscall.EINTR, faults.Any, 0.2), share("epoll_wait", syscall.EINTR, faults.Any, 0.2)},
-		"looks interrupted":        {share("poll", syscall.EINTR, faults.Any, 0.3), share("ioctl", syscall.EINTR, faults.Any, 0.3)},
-		"polling, no memory":       {share("epoll_ctl", syscall.ENOMEM, faults.Any, 0.1)},
-		"sockets, no buffers":      {span("socket", syscall.ENOBUFS)},
-		"connects without address": {span("connect", syscall.EADDRNOTAVAIL)},
-		"network unreachable":      {span("connect", syscall.ENETUNREACH)},
-		"short reads and writes":   {share("read", 0, faults.Socket, 0.2), share("write", 0, faults.Socket, 0.2)},
-		"all at once": {span("accept4", syscall.ENFILE), span("socket", syscall.ENFILE),
-			share("read", syscall.EINTR, faults.Socket, 0.02), share("write", syscall.EINTR, faults.Any, 0.02),
-			share("epoll_ctl", syscall.ENOMEM, faults.Any, 0.05)},
+		"reads interrupted":    {withRate("read", syscall.EINTR, faults.Socket, 0.05)},
+		"writes interrupted":   {withRate("write", syscall.EINTR, faults.Socket, 0.05), withRate("writev", syscall.EINTR, faults.Socket, 0.05)},
+		"reads without memory": {withRate("read", syscall.ENOMEM, faults.Socket, 0.02)},
+		"writes out of buffers": {withRate("write", syscall.ENOBUFS, faults.Socket, 0.02),
+			withRate("writev", syscall.ENOBUFS, faults.Socket, 0.02)},
+		"eventfd writes interrupted":      {withRate("write", syscall.EINTR, faults.EventFD, 0.1)},
+		"epoll waits interrupted":         {withRate("epoll_pwait", syscall.EINTR, faults.Any, 0.2), withRate("epoll_wait", syscall.EINTR, faults.Any, 0.2)},
+		"poll and ioctl interrupted":      {withRate("poll", syscall.EINTR, faults.Any, 0.3), withRate("ioctl", syscall.EINTR, faults.Any, 0.3)},
+		"epoll_ctl without memory":        {withRate("epoll_ctl", syscall.ENOMEM, faults.Any, 0.1)},
+		"sockets, no buffers":             {forPeriod("socket", syscall.ENOBUFS)},
+		"connects without a free address": {forPeriod("connect", syscall.EADDRNOTAVAIL)},
+		"network unreachable":             {forPeriod("connect", syscall.ENETUNREACH)},
+		"short reads and writes":          {withRate("read", 0, faults.Socket, 0.2), withRate("write", 0, faults.Socket, 0.2)},
+		"all at once": {forPeriod("accept4", syscall.ENFILE), forPeriod("socket", syscall.ENFILE),
+			withRate("read", syscall.EINTR, faults.Socket, 0.02), withRate("write", syscall.EINTR, faults.Any, 0.02),
+			withRate("epoll_ctl", syscall.ENOMEM, faults.Any, 0.05)},
 	}
 }
 
-// System calls of the built program fail for a moment. It must answer or refuse each request, and end only on SIGTERM.
+// System calls of the built program fail transiently. It must answer or refuse each request, and end only on SIGTERM.
 func TestNoRequestIsLostWhileSystemCallsFail(t *testing.T) {
 	path := buildProgram(t)
 	for name, list := range faultCases() {
@@ -84,7 +84,7 @@
 	}
 }
 
-// The limit of descriptors is lowered from outside for a moment, in which no descriptor can be opened.
+// The descriptor limit of the process is lowered from outside for short periods, in which it can't open descriptors.
 func TestNoRequestIsLostWhileDescriptorLimitIsLow(t *testing.T) {
 	p := launchDeployed(t, exec.Command(buildProgram(t)), 1)
 	go func() {
@@ -103,7 +103,7 @@
 	p.checkRequests(t)
 }
 
-// tracedProgram is the program, possibly under faults, with a fake deployment around it.
+// tracedProgram is the program with a fake deployment around it. It is traced if it runs under a plan of faults.
 type tracedProgram struct {
 	*program
 	deployment *fake.Deployment
@@ -138,7 +138,7 @@
 	return &tracedProgram{program: p, deployment: deployment}
 }
 
-// At a first SIGHUP reading the configuration file fails for a while; at a second one the file is half written. The
+// At a first SIGHUP, reading the configuration file fails for a while; at a second one, the file is half written. The
 // reload is retried and succeeds in both cases.
 func TestReloadSurvivesDiskFailures(t *testing.T) {
 	path := buildProgram(t)
@@ -246,8 +246,8 @@
 	}
 }
 
-// A disk that fails for a while delays a change of the configuration, but the change is not lost: it survives a
-// kill after its confirmation.
+// A disk that fails for a while delays a change of the configuration, but the change is not lost: once confirmed, it
+// survives a kill.
 func TestConfigChangeSurvivesDiskFailures(t *testing.T) {
 	for name, list := range map[string][]faults.Fault{
 		"syncs":      {{Call: "fdatasync", Errno: syscall.EIO, MaxFailures: 5}},
@@ -354,7 +354,7 @@
 		log = append(log, line)
 	}
 	if err := p.Wait(); err != nil || !draining {
-		t.Errorf("the program ended with %v, draining logged: %v", err, draining)
+		t.Errorf("the program ended with %v, want no error; draining logged: %v, want true", err, draining)
 	}
 	total, whole := faultClients*faultQueries, count["200"]
 	refused := count["503"] + count["429"]
@@ -370,7 +370,7 @@
 // query on another connection if its idle connection breaks.
 func (p *tracedProgram) ask(client int, results chan<- string) {
 	var connection *clientConn
-	lost := 0
+	unanswered := 0
 	for i := range faultQueries {
 		if i%faultQueriesPerConn == 0 {
 			connection.close()
@@ -379,7 +379,7 @@
 		result := connection.ask(fmt.Sprintf("f-%d-%d", client, i), (client+i)%(p.deployment.Segments()-1))
 		results <- result
 		if result == noAnswer {
-			if lost++; lost == faultMaxUnanswered {
+			if unanswered++; unanswered == faultMaxUnanswered {
 				break
 			}
 		}
--- a/cmd/eiderwinch/faultsoak_test.go
+++ b/cmd/eiderwinch/faultsoak_test.go
@@ -15,8 +15,8 @@
 	"eiderwinch/internal/trial/faults"
 )
 
-// Sizes and times of a soak. The process is killed as early as the platform may do it: after the longest deadline,
-// capped at 3 s, plus 0.7 s. The longest deadline is above the cap here, so the kill comes after 3.7 s.
+// Sizes and times of a soak. The process is killed as early after SIGTERM as the platform may kill it: after the longest
+// deadline, capped at 3 s, plus 0.7 s. The longest deadline is above the cap here, so the kill comes after 3.7 s.
 const (
 	soakServeTime     = 1500 * time.Millisecond
 	soakKillTimeout   = 3700 * time.Millisecond
@@ -69,8 +69,8 @@
 	return plan
 }
 
-// Clients use their connections until the kill, signals come in series and system calls fail. Each request that
-// was read must get its answer, and the process must end by itself before the kill.
+// Clients send queries until the process ends, signals arrive in quick succession, and system calls fail. Each request
+// that was read must get its answer, and the process must end by itself before the kill.
 func TestASoakUnderFaults(t *testing.T) {
 	seeds := soakSeeds
 	if s := os.Getenv(soakSeedsVariable); s != "" {
@@ -80,12 +80,12 @@
 		}
 	}
 	path := buildProgram(t)
-	slots := make(chan struct{}, 4)
+	semaphore := make(chan struct{}, 4)
 	for seed := range seeds {
 		t.Run(fmt.Sprintf("seed %d", seed+1), func(t *testing.T) {
 			t.Parallel()
-			slots <- struct{}{}
-			defer func() { <-slots }()
+			semaphore <- struct{}{}
+			defer func() { <-semaphore }()
 			soakOnce(t, path, drawPlan(uint64(seed+1)))
 		})
 	}
@@ -166,8 +166,8 @@
 	}
 }
 
-// useConnections sends queries on one connection until the gatherer closes it, then on the next, until none can be
-// opened or stop is closed.
+// useConnections sends queries on one connection until the gatherer closes it, then on the next one, until no connection
+// can be opened or stop is closed.
 func (p *tracedProgram) useConnections(seed uint64, client int, results *resultCounts, stop <-chan struct{}) {
 	random := rand.New(rand.NewPCG(seed, uint64(client)))
 	for number := 0; ; {
--- a/cmd/eiderwinch/fleet.go
+++ b/cmd/eiderwinch/fleet.go
@@ -25,17 +25,17 @@
 	"eiderwinch/internal/netio"
 )
 
-// joinFleet starts a gatherer's fleet node as an operators' file configures it.
+// joinFleet starts the fleet node that makes a gatherer a member of its fleet, as an operators' file configures it.
 func joinFleet(f *settings.Fleet, file string, cfg *config.Config, log *slog.Logger) (*transport.Node, error) {
 	if cfg.Name == "" {
-		return nil, errors.New("fleet: the gatherer has no name, want LB_NAME")
+		return nil, errors.New("fleet: the gatherer has no name, want one in LB_NAME")
 	}
 	keys, err := readForm(resolveRelative(file, f.Keys), signature.Read)
 	if err != nil {
 		return nil, fmt.Errorf("fleet: %w", err)
 	}
 	now := time.Now()
-	// With a seed of 0 two starts would draw the same numbers, so the time replaces it.
+	// With a seed of 0 every start would draw the same numbers, so the time replaces it.
 	seed := cmp.Or(cfg.Settings.Module.Seed, uint64(now.UnixNano()))
 	sealer, err := seal.New(keys, f.Key, f.Name, rand.New(rand.NewPCG(seed, 0x73656564)).Uint64()|1)
 	if err != nil {
@@ -44,13 +44,13 @@
 	if _, err := sealer.Seal(now, nil); err != nil {
 		return nil, fmt.Errorf("fleet: %s: %w", f.Keys, err)
 	}
-	set := membership.LAN()
+	membershipSettings := membership.LAN()
 	if f.WAN {
-		set = membership.WAN()
+		membershipSettings = membership.WAN()
 	}
 	n, err := listenFleet(transport.Config{
 		Self:     membership.Member{Name: cfg.Name, Addr: f.Listen, Zone: cfg.Settings.Module.Zone, Incarnation: membership.Incarnation{Start: uint64(now.UnixMicro())}},
-		Settings: set, Sealer: sealer, Seeds: f.Seeds, Seed: seed, Log: log, Advertise: f.Advertise, Slots: f.Slots,
+		Settings: membershipSettings, Sealer: sealer, Seeds: f.Seeds, Seed: seed, Log: log, Advertise: f.Advertise, Slots: f.Slots,
 		Share: share.Settings{
 			Slots: len(f.Slots), Number: cfg.Settings.Module.GathererNumber, Lease: f.Lease, Window: cfg.Settings.Module.ColdOverloadWindow, Seed: seed,
 		},
@@ -71,7 +71,8 @@
 	return n, err
 }
 
-// shareForwarder notifies a gatherer of its share of the fleet's limits until the gatherer leaves the fleet.
+// shareForwarder passes changes of the gatherer's share of the fleet's limits to its node, until the gatherer leaves the
+// fleet.
 type shareForwarder struct {
 	fleet *transport.Node
 	node  *netio.Node
@@ -82,17 +83,17 @@
 // run forwards changes of the share until the fleet node closes.
 func (s *shareForwarder) run() {
 	<-s.node.Started()
-	for x := range s.fleet.WatchShare() {
+	for current := range s.fleet.WatchShare() {
 		s.mu.Lock()
 		if !s.left {
-			s.node.Share(x.Slots, x.Until)
+			s.node.Share(current.Slots, current.Until)
 		}
 		s.mu.Unlock()
 	}
 }
 
-// leave makes the gatherer leave its fleet. Other gatherers take its slots once its fleet port is closed, so
-// the port is closed only after the gatherer has stopped using the slots.
+// leave makes the gatherer leave its fleet. Other gatherers take its slots once its fleet port is closed, so the port is
+// closed only after the gatherer has stopped using the slots.
 func (s *shareForwarder) leave(ctx context.Context) error {
 	if _, divided := s.fleet.Share(); divided {
 		s.mu.Lock()
@@ -109,10 +110,10 @@
 	return nil
 }
 
-// noExpiry is the lease of a share that does not expire: longer than any process runs.
+// noExpiry is the lease of a share that must not expire. It is longer than any process runs.
 const noExpiry = 100 * 365 * 24 * time.Hour
 
-// publishInterval is the mean interval between publications; each varies by up to a quarter.
+// publishInterval is the mean interval between publications. Each interval varies by up to a quarter.
 const publishInterval = time.Second
 
 // publishState publishes a gatherer's configuration generation and layout epoch to the fleet until ctx ends.
@@ -139,7 +140,7 @@
 	Leave   fleetLeave   `cmd:"" help:"Make a gatherer leave its fleet and give up its slots; it keeps serving."`
 }
 
-// fleetRequest holds the flags of the commands that read one view.
+// fleetRequest holds the flags of the commands that read one gatherer's view.
 type fleetRequest struct {
 	outputFormat
 	gathererTarget
@@ -197,10 +198,10 @@
 
 type fleetWatch struct {
 	fleetRequest
-	Every time.Duration `default:"500ms" help:"Mean interval between looks; each varies by a quarter."`
+	Every time.Duration `default:"500ms" help:"Mean interval between requests for the view; each interval varies by up to a quarter."`
 }
 
-// Run prints each change of the view; a failure to answer counts as a change.
+// Run prints each change of the view. A failed request counts as a change.
 func (c fleetWatch) Run(e environment) error {
 	if c.Every < 10*time.Millisecond {
 		return &exitError{exitConfig, fmt.Errorf("--every: found %v, want at least 10ms", c.Every)}
@@ -265,7 +266,7 @@
 // Run asks all gatherers, and fails if views differ or a member is suspect or dead.
 func (c fleetCheck) Run(e environment) error {
 	f := fleetFinding{Asked: len(c.Endpoints), Faults: []string{}}
-	fault := func(format string, args ...any) { f.Faults = append(f.Faults, fmt.Sprintf(format, args...)) }
+	addFault := func(format string, args ...any) { f.Faults = append(f.Faults, fmt.Sprintf(format, args...)) }
 	first := ""
 	var digest string
 	for _, endpoint := range c.Endpoints {
@@ -274,21 +275,21 @@
 		err := client.Do(context.Background(), http.MethodGet, "/v1/fleet", nil, &s)
 		client.Close()
 		if err != nil {
-			fault("%v", err)
+			addFault("%v", err)
 			continue
 		}
 		if first == "" {
 			first, digest, f.Counted = s.Name, s.Digest, s.Counted
 		}
 		if s.Digest != digest {
-			fault("%s counts %d with digest %s, %s counts %d with digest %s", s.Name, s.Counted, s.Digest, first, f.Counted, digest)
+			addFault("%s counts %d with digest %s, %s counts %d with digest %s", s.Name, s.Counted, s.Digest, first, f.Counted, digest)
 		}
 		if s.Replaced {
-			fault("%s no longer takes part: a newer process bears its name", s.Name)
+			addFault("%s no longer takes part: a newer process bears its name", s.Name)
 		}
 		for _, m := range s.Members {
 			if m.State == membership.Suspect.String() || m.State == membership.Dead.String() {
-				fault("%s considers %s at %s %s", s.Name, m.Name, m.Addr, m.State)
+				addFault("%s considers %s at %s %s", s.Name, m.Name, m.Addr, m.State)
 			}
 		}
 		if s.Share != nil {
--- a/cmd/eiderwinch/fleet_test.go
+++ b/cmd/eiderwinch/fleet_test.go
@@ -47,7 +47,7 @@
 	return path
 }
 
-// freeAddr returns an address on which nobody listens.
+// freeAddr returns a loopback address on which nothing listens.
 func freeAddr(t *testing.T) string {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -167,15 +167,15 @@
 	}
 	testpeer.WaitUntil(t, "all hold their slots", func() bool { code, out := check(); return code == exitOK && strings.Contains(out, "3 slots") })
 	signals := make(chan os.Signal, 1)
-	seen := make(chan string)
+	watchOutput := make(chan string)
 	go func() {
 		_, out, _ := runCommand(t, signals, "fleet", "watch", "--every", "20ms", "--file", all[2].ops)
-		seen <- out
+		watchOutput <- out
 	}()
 	if code, out, errs := runCommand(t, nil, "fleet", "leave", "--file", all[1].ops); code != exitOK {
 		t.Fatalf("code %d %s%s", code, out, errs)
 	}
-	waitForJSON(t, "the next one has its slot", func(s admin.FleetState) bool { return s.Share.Slots == 2 }, "fleet", "status", "--json", "--file", all[2].ops)
+	waitForJSON(t, "the gatherer with the next slot takes over the slot", func(s admin.FleetState) bool { return s.Share.Slots == 2 }, "fleet", "status", "--json", "--file", all[2].ops)
 	if code, out := check(); code != exitFailure || !strings.Contains(out, "left its fleet") || !strings.Contains(out, "3 slots") {
 		t.Errorf("code %d, %s", code, out)
 	}
@@ -183,9 +183,9 @@
 	if resp, _ := c.Send("GET /_health HTTP/1.1\r\n\r\n").ReadResponse(); resp.StatusCode != 200 {
 		t.Errorf("health of the gatherer that left: %s", resp.Status)
 	}
-	time.Sleep(100 * time.Millisecond) // so that the watch sees it
+	time.Sleep(100 * time.Millisecond) // so that the watch sees the change
 	signals <- syscall.SIGTERM
-	if out := testpeer.Receive(t, seen, "the watch ends"); !strings.Contains(out, "holds 2 slots, g1 left") {
+	if out := testpeer.Receive(t, watchOutput, "the watch ends"); !strings.Contains(out, "holds 2 slots, g1 left") {
 		t.Errorf("have %s", out)
 	}
 	if code, out, _ := runCommand(t, nil, "fleet", "check", "--json", endpoint(all[0]), endpoint(all[2])); code != exitOK || !strings.Contains(out, `"settled": true`) {
--- a/cmd/eiderwinch/layout.go
+++ b/cmd/eiderwinch/layout.go
@@ -55,8 +55,8 @@
 	return l, fleet, nil
 }
 
-// readValidLayout reads a layout file and checks the layout against its fleet. A layout that can be read but
-// is invalid is returned together with the error.
+// readValidLayout reads a layout file and checks the layout against its fleet. A layout that can be read but is invalid
+// is returned together with the error.
 func readValidLayout(path string) (*layout.Layout, layout.Fleet, error) {
 	l, fleet, err := readLayout(path)
 	if err != nil {
@@ -100,12 +100,12 @@
 		out.Epoch, out.Segments = l.Epoch(), segmentCounts(l)
 	}
 	for _, f := range joinedErrors(err) {
-		var at layoutfile.Fault
-		errors.As(f, &at)
-		out.Faults = append(out.Faults, fault{at.Line, at.Element, f.Error()})
+		var position layoutfile.Fault
+		errors.As(f, &position)
+		out.Faults = append(out.Faults, fault{position.Line, position.Element, f.Error()})
 	}
-	if printed := c.print(e.stdout, out); printed != nil {
-		return printed
+	if printErr := c.print(e.stdout, out); printErr != nil {
+		return printErr
 	}
 	return err
 }
@@ -115,8 +115,8 @@
 	if err == nil {
 		return nil
 	}
-	for at := err; at != nil; at = errors.Unwrap(at) {
-		if joined, ok := at.(interface{ Unwrap() []error }); ok {
+	for current := err; current != nil; current = errors.Unwrap(current) {
+		if joined, ok := current.(interface{ Unwrap() []error }); ok {
 			return joined.Unwrap()
 		}
 	}
@@ -181,7 +181,7 @@
 	Target float64 `default:"50" help:"Target load of a segment in parts per second."`
 }
 
-// Run proposes changes as if the loads had lasted for as many windows as the planner requires.
+// Run proposes changes. It sets the planner's Windows to 1, because the file holds the loads of a single window.
 func (c layoutPlan) Run(e environment) error {
 	l, fleet, err := readLayout(c.File)
 	if err != nil {
@@ -198,8 +198,8 @@
 	proposals := p.Window(time.Time{}, l, fleet, loads)
 	if c.JSON {
 		out := admin.Submission{Epoch: l.Epoch(), Changes: []admin.Change{}}
-		for _, g := range proposals {
-			out.Changes = append(out.Changes, admin.NewChange(g.Change, g.Reason))
+		for _, proposal := range proposals {
+			out.Changes = append(out.Changes, admin.NewChange(proposal.Change, proposal.Reason))
 		}
 		return c.print(e.stdout, out)
 	}
@@ -209,8 +209,8 @@
 	}
 	table := tabwriter.NewWriter(e.stdout, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(table, "change\tholders\twhy")
-	for _, g := range proposals {
-		fmt.Fprintf(table, "%v\t%v\t%s\n", g.Change, g.Change.Holders, g.Reason)
+	for _, proposal := range proposals {
+		fmt.Fprintf(table, "%v\t%v\t%s\n", proposal.Change, proposal.Change.Holders, proposal.Reason)
 	}
 	return table.Flush()
 }
--- a/cmd/eiderwinch/layout_test.go
+++ b/cmd/eiderwinch/layout_test.go
@@ -14,6 +14,7 @@
 	"eiderwinch/internal/trial/testpeer"
 )
 
+// layoutText is a valid layout of two segments.
 const layoutText = `<layout xmlns="urn:eiderwinch:layout:1" epoch="1" next="2" replicas="2">
   <searcher id="a" zone="x"/><searcher id="b" zone="y"/><searcher id="c" zone="x"/><searcher id="d" zone="y"/>
   <segment id="0" to="m"><holder searcher="a"/><holder searcher="b"/></segment>
@@ -32,28 +33,28 @@
 }
 
 func TestLayoutCheck(t *testing.T) {
-	good := writeFile(t, "good.xml", layoutText)
-	if code, out, errs := runCommand(t, nil, "layout", "check", good); code != exitOK || !strings.Contains(out, "2 segments serving") {
+	valid := writeFile(t, "valid.xml", layoutText)
+	if code, out, errs := runCommand(t, nil, "layout", "check", valid); code != exitOK || !strings.Contains(out, "2 segments serving") {
 		t.Errorf("code %d, %q, %q", code, out, errs)
 	}
-	bad := writeFile(t, "bad.xml", strings.NewReplacer(`zone="x"/><searcher id="b"`, `/><searcher id="b"`, `id="1"`, `id="x"`).Replace(layoutText))
-	code, _, errs := runCommand(t, nil, "layout", "check", bad)
-	if code != exitConfig || !strings.Contains(errs, "bad.xml:2: <searcher>") || !strings.Contains(errs, "bad.xml:4: <segment>") {
+	invalid := writeFile(t, "invalid.xml", strings.NewReplacer(`zone="x"/><searcher id="b"`, `/><searcher id="b"`, `id="1"`, `id="x"`).Replace(layoutText))
+	code, _, errs := runCommand(t, nil, "layout", "check", invalid)
+	if code != exitConfig || !strings.Contains(errs, "invalid.xml:2: <searcher>") || !strings.Contains(errs, "invalid.xml:4: <segment>") {
 		t.Errorf("code %d, %q", code, errs)
 	}
-	lonely := writeFile(t, "lonely.xml", strings.Replace(layoutText, `<holder searcher="b"/></segment>`, `</segment>`, 1))
-	for _, at := range []struct {
+	tooFewHolders := writeFile(t, "few.xml", strings.Replace(layoutText, `<holder searcher="b"/></segment>`, `</segment>`, 1))
+	for _, c := range []struct {
 		path   string
 		ok     bool
 		faults int
-	}{{good, true, 0}, {bad, false, 2}, {lonely, false, 1}} {
-		code, out, _ := runCommand(t, nil, "layout", "check", "--json", at.path)
+	}{{valid, true, 0}, {invalid, false, 2}, {tooFewHolders, false, 1}} {
+		code, out, _ := runCommand(t, nil, "layout", "check", "--json", c.path)
 		var got struct {
 			OK     bool
 			Faults []struct{ Line int }
 		}
-		if err := json.Unmarshal([]byte(out), &got); err != nil || got.OK != at.ok || len(got.Faults) != at.faults || (code == exitOK) != at.ok {
-			t.Errorf("%s: code %d, %v, %s", at.path, code, err, out)
+		if err := json.Unmarshal([]byte(out), &got); err != nil || got.OK != c.ok || len(got.Faults) != c.faults || (code == exitOK) != c.ok {
+			t.Errorf("%s: code %d, %v, %s", c.path, code, err, out)
 		}
 	}
 }
@@ -76,12 +77,12 @@
 	if code != exitOK || !strings.Contains(out, `split [0] at "f"`) || !strings.Contains(out, "300.0 parts a second") {
 		t.Errorf("code %d, %q, %q", code, out, errs)
 	}
-	quiet := writeFile(t, "quiet.csv", "0, 50, f, 0.5\n1, 50, p, 0.5\n")
-	if _, out, _ := runCommand(t, nil, "layout", "plan", "--json", file, quiet); strings.Contains(out, "split") {
+	lowLoad := writeFile(t, "low.csv", "0, 50, f, 0.5\n1, 50, p, 0.5\n")
+	if _, out, _ := runCommand(t, nil, "layout", "plan", "--json", file, lowLoad); strings.Contains(out, "split") {
 		t.Errorf("have %s", out)
 	}
 	for text, want := range map[string]string{"9, 1, a, 0\n": `found segment "9"`, "0, x, a, 0\n": `found "x" parts`, "0, 1, a, 2\n": `found share "2"`, "0, 1\n": "wrong number of fields"} {
-		if code, _, errs := runCommand(t, nil, "layout", "plan", file, writeFile(t, "bad.csv", text)); code != exitConfig || !strings.Contains(errs, want) {
+		if code, _, errs := runCommand(t, nil, "layout", "plan", file, writeFile(t, "invalid.csv", text)); code != exitConfig || !strings.Contains(errs, want) {
 			t.Errorf("%q: code %d, %q", text, code, errs)
 		}
 	}
@@ -113,7 +114,7 @@
 		}
 	}
 	ask("t1", 0)
-	put := func(text, logged string) {
+	reloadWith := func(text, logged string) {
 		t.Helper()
 		if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
@@ -121,9 +122,9 @@
 		_ = p.Process.Signal(syscall.SIGHUP)
 		p.waitForLog(t, logged)
 	}
-	put("<layout", "layout not reloaded")
+	reloadWith("<layout", "layout not reloaded")
 	ask("t2", 0)
-	put(serveLayout(3, 3, `<segment id="1" to="k"><holder searcher="s"/></segment><segment id="2" from="k"><holder searcher="s"/></segment>
+	reloadWith(serveLayout(3, 3, `<segment id="1" to="k"><holder searcher="s"/></segment><segment id="2" from="k"><holder searcher="s"/></segment>
 		<was segment="0" since="3"><heir segment="1" share="0.5"/><heir segment="2" share="0.5"/></was>`), "msg=layout")
 	ask("t3", 1, 2)
 	_ = p.Process.Signal(syscall.SIGTERM)
--- a/cmd/eiderwinch/leaving_test.go
+++ b/cmd/eiderwinch/leaving_test.go
@@ -26,20 +26,20 @@
 }
 
 // newRecordingSearcher starts a searcher that answers each part after hold.
-func newRecordingSearcher(t *testing.T, id string, hold time.Duration) *recordingSearcher {
+func newRecordingSearcher(t *testing.T, id string, delay time.Duration) *recordingSearcher {
 	r := &recordingSearcher{Searcher: testpeer.NewSearcher(t), id: id}
 	go func() {
 		for p := range r.Parts {
 			r.mu.Lock()
 			r.parts, r.last = r.parts+1, time.Now()
 			r.mu.Unlock()
-			time.AfterFunc(hold, func() { p.Answer("served", 1, "v") })
+			time.AfterFunc(delay, func() { p.Answer("served", 1, "v") })
 		}
 	}()
 	return r
 }
 
-// seen returns the number of parts so far and when the last one arrived.
+// seen returns the number of parts received so far, and when the last one arrived.
 func (r *recordingSearcher) seen() (int, time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -71,10 +71,10 @@
 	}
 }
 
-// Several gatherers follow one discovery, whose watches fail in different ways. No gatherer may send anything to a
-// leaving searcher later than 500 ms after the update about it takes effect. It takes effect when discovery
-// has it, when discovery responds again after a silence, or when a new process starts; and 6 s after an open watch has
-// fallen silent.
+// Several gatherers follow one discovery service, whose watches fail in different ways. No gatherer may send anything to a
+// leaving searcher later than 500 ms after the update about it takes effect. The update takes effect when discovery
+// publishes it, or, after a silence, when discovery responds again, or when a new process starts. If open watches fall
+// silent, it takes effect after 6 s.
 func TestNoSendsToLeavingSearcherUnderDiscoveryFaults(t *testing.T) {
 	const gatherers, clients, grace = 3, 3, 500 * time.Millisecond
 	path := buildProgram(t)
@@ -83,10 +83,10 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = d.Close() })
-	// This searcher holds each part for 10 ms, so that the other one gets parts meanwhile. Of two idle searchers the
+	// This searcher answers each part after 10 ms, so that the other one gets parts meanwhile. Of two idle searchers, the
 	// one that was faster in the first calls gets nearly all parts: on a busy machine the other got 7 of 11,578 in 19 s.
-	stays := newRecordingSearcher(t, "stays", 10*time.Millisecond)
-	d.Publish(stays.member(fake.Ready))
+	staying := newRecordingSearcher(t, "stays", 10*time.Millisecond)
+	d.Publish(staying.member(fake.Ready))
 	var running []*program
 	var stop chan struct{}
 	begin := func(known []byte) {
@@ -104,7 +104,7 @@
 			addr, _, _ = strings.Cut(addr, " ")
 			running = append(running, p)
 			for k := range clients {
-				// At different intervals, so that the clients' parts do not share a call.
+				// The pauses differ, so that parts of different clients do not share a call.
 				go sendQueries(t, addr, fmt.Sprint(i, ".", k), time.Duration(5+4*k)*time.Millisecond, stop)
 			}
 		}
@@ -121,7 +121,7 @@
 		name  string
 		fault func(leave func()) (effective time.Time)
 	}{
-		{"nothing", func(leave func()) time.Time { leave(); return time.Now() }},
+		{"no fault", func(leave func()) time.Time { leave(); return time.Now() }},
 		{"a reset", func(leave func()) time.Time { d.ResetConns(); leave(); return time.Now() }},
 		{"a silence, after a reset", func(leave func()) time.Time {
 			d.PauseResponses()
@@ -147,15 +147,15 @@
 			return effective
 		}},
 	} {
-		leaves := newRecordingSearcher(t, fmt.Sprint("leaves", i), 0)
-		d.Publish(leaves.member(fake.Ready))
-		testpeer.WaitUntil(t, c.name+": parts before the update", func() bool { n, _ := leaves.seen(); return n > 20 })
-		effective := c.fault(func() { d.Publish(leaves.member(fake.Terminating)) })
+		leaving := newRecordingSearcher(t, fmt.Sprint("leaves", i), 0)
+		d.Publish(leaving.member(fake.Ready))
+		testpeer.WaitUntil(t, c.name+": parts before the update", func() bool { n, _ := leaving.seen(); return n > 20 })
+		effective := c.fault(func() { d.Publish(leaving.member(fake.Terminating)) })
 		time.Sleep(time.Until(effective.Add(grace)))
-		n, _ := leaves.seen()
-		other, _ := stays.seen()
-		testpeer.WaitUntil(t, c.name+": service after the update", func() bool { m, _ := stays.seen(); return m > other+20 })
-		if m, last := leaves.seen(); m > n {
+		n, _ := leaving.seen()
+		servedBefore, _ := staying.seen()
+		testpeer.WaitUntil(t, c.name+": service after the update", func() bool { m, _ := staying.seen(); return m > servedBefore+20 })
+		if m, last := leaving.seen(); m > n {
 			t.Errorf("%s: %d parts later than %v after the update took effect, the last after %v", c.name, m-n, grace, last.Sub(effective))
 		}
 	}
--- a/cmd/eiderwinch/load.go
+++ b/cmd/eiderwinch/load.go
@@ -29,7 +29,7 @@
 		return nil, err
 	}
 	defer func() {
-		if err != nil { // l may be nil by now
+		if err != nil { // l may be nil here
 			err = errors.Join(err, deployment.Close())
 		}
 	}()
@@ -50,12 +50,11 @@
 	case err := <-l.ended:
 		return nil, err
 	case <-time.After(startTimeout):
-		return nil, errors.New("the gatherer did not start in time")
+		return nil, fmt.Errorf("the gatherer did not start within %v", startTimeout)
 	}
 }
 
-// drain ends the gatherer once it has answered all queries. The rest of the deployment keeps running until its
-// Close.
+// drain ends the gatherer once it has answered all queries. The rest of the deployment runs until it is closed.
 func (l *loopbackDeployment) drain() error {
 	l.node.Drain()
 	return <-l.ended
@@ -68,7 +67,7 @@
 	Segments int           `default:"12" help:"Number of segments of the catalogue at --at."`
 	Rate     float64       `default:"200" help:"Queries per second, sent at random times."`
 	Duration time.Duration `default:"10s" help:"Length of the load."`
-	Open     int           `default:"2000" help:"Bound of the queries open at once; those beyond it are not sent but counted."`
+	Open     int           `default:"2000" help:"Maximum number of open queries; those beyond it are not sent but counted."`
 	Seed     uint64        `default:"1" help:"Seed of the queries and their times."`
 }
 
--- a/cmd/eiderwinch/main.go
+++ b/cmd/eiderwinch/main.go
@@ -17,7 +17,7 @@
 // Exit codes.
 const (
 	exitOK      = 0
-	exitFailure = 1 // a command failed: serving failed, or a demo query got no whole answer
+	exitFailure = 1 // the command failed, for example because serving failed or a demo query got no whole answer
 	exitConfig  = 2 // the configuration or the command line is invalid
 )
 
@@ -70,7 +70,7 @@
 }
 
 func main() {
-	// The channels are set up first, because a SIGHUP that is not caught ends the process.
+	// The channels are set up first, because a SIGHUP that is not caught would end the process.
 	e := environment{
 		getenv: os.Getenv, stdout: os.Stdout, stderr: os.Stderr, stdin: os.Stdin,
 		signals: signalChannel(syscall.SIGTERM, syscall.SIGINT), reloads: signalChannel(syscall.SIGHUP), reports: signalChannel(syscall.SIGUSR1),
@@ -78,12 +78,12 @@
 	os.Exit(run(os.Args[1:], e))
 }
 
-// signalChannel returns a channel for signals that have the same effect. It buffers one signal,
-// because a waiting signal covers all that follow it. Signals with other effects have separate channels, so that
-// they can't fill this one, however many arrive.
-func signalChannel(kind ...os.Signal) <-chan os.Signal {
+// signalChannel returns a channel for signals that have the same effect. It buffers one signal, because handling that
+// one also handles those that arrive meanwhile. Signals with other effects have separate channels, so that they can't
+// fill this one, however many arrive.
+func signalChannel(signals ...os.Signal) <-chan os.Signal {
 	c := make(chan os.Signal, 1)
-	signal.Notify(c, kind...)
+	signal.Notify(c, signals...)
 	return c
 }
 
@@ -104,10 +104,10 @@
 // run executes one command line and returns the exit code.
 func run(args []string, e environment) (code int) {
 	defer func() {
-		if h := recover(); h != nil {
-			exit, ok := h.(parserExit)
+		if recovered := recover(); recovered != nil {
+			exit, ok := recovered.(parserExit)
 			if !ok {
-				panic(h)
+				panic(recovered)
 			}
 			code = exit.code
 		}
@@ -115,7 +115,7 @@
 	var c commandLine
 	parser, err := newParser(&c, e, func(code int) { panic(parserExit{code}) })
 	if err != nil {
-		panic(err) // the tags of commandLine are invalid
+		panic(err) // only if the tags of commandLine are invalid
 	}
 	command, err := parser.Parse(args)
 	if err != nil {
--- a/cmd/eiderwinch/main_test.go
+++ b/cmd/eiderwinch/main_test.go
@@ -22,9 +22,12 @@
 	lines chan string // of its log; closed when the log ends
 }
 
+// configText is a configuration of the platform. Its verbs stand for the address of discovery, the known members and the
+// settings.
 const configText = `{"name":"n0","listen":"127.0.0.1:0","discovery":%q,"limits":{"memory_mb":192,"sockets":1024},
 	"known":{"revision":1,"complete":true,"members":[%s]},"settings":%s}`
 
+// settingsText holds the settings of one class, for use in configText.
 const settingsText = `{"membership_mode":"pushed","tick":5000000,"domain":{"places":1,"in_a_row":1,"shards":4,"per_call":4},
 	"classes":[{"name":"search","aim":60000000000,"deadline":60000000000,"effect":"safe","worth":1}],
 	"policy_limits":{"cancel":true,"attempts_cap":4}}`
@@ -81,13 +84,13 @@
 	return p
 }
 
-// waitForLog waits for a line of the log that contains part, and returns it.
+// waitForLog waits for a line of the log that contains part, and returns the line.
 func (p *program) waitForLog(t *testing.T, part string) string {
 	t.Helper()
 	for {
 		line := testpeer.Receive(t, p.lines, part)
 		if line == "" {
-			t.Fatalf("the program ended without %q", part)
+			t.Fatalf("the program ended without logging %q", part)
 		}
 		if strings.Contains(line, part) {
 			return line
@@ -95,7 +98,7 @@
 	}
 }
 
-// The program serves, logs its counters on SIGUSR1, follows discovery to another address on SIGHUP, and answers all
+// The program serves, logs its counters on SIGUSR1, follows discovery to another address on SIGHUP, and answers all open
 // queries after SIGTERM.
 func TestProgramServesAndDrains(t *testing.T) {
 	s, d, moved := testpeer.NewSearcher(t), testpeer.NewDiscovery(t), testpeer.NewDiscovery(t)
--- a/cmd/eiderwinch/operatorsfile.go
+++ b/cmd/eiderwinch/operatorsfile.go
@@ -17,8 +17,7 @@
 	"eiderwinch/internal/trial/emulator"
 )
 
-// readForm reads an XML file. Its errors carry exitConfig, because a file that can't be read is a fault of the
-// configuration.
+// readForm reads an XML file. Its errors carry exitConfig, because a file that can't be read is a configuration error.
 func readForm[T any](path string, read func(file string, r io.Reader) (*T, error)) (*T, error) {
 	text, err := durable.ReadFile(path)
 	if err != nil {
@@ -31,18 +30,18 @@
 	return v, nil
 }
 
-// readOperatorsFile reads an operators' file. It resolves relative paths of the files that it names against
-// the folder of the operators' file.
+// readOperatorsFile reads an operators' file. It resolves the relative paths of layouts, of the history and of the
+// coordinator's log against the folder of the file.
 func readOperatorsFile(path string) (*settings.File, error) {
 	f, err := readForm(path, settings.Read)
 	if err != nil {
 		return nil, err
 	}
-	names := []*string{&f.Layout, &f.History}
+	paths := []*string{&f.Layout, &f.History}
 	if f.Coordinator != nil {
-		names = append(names, &f.Coordinator.Layout, &f.Coordinator.Log)
+		paths = append(paths, &f.Coordinator.Layout, &f.Coordinator.Log)
 	}
-	for _, name := range names {
+	for _, name := range paths {
 		if *name != "" {
 			*name = resolveRelative(path, *name)
 		}
@@ -76,8 +75,8 @@
 	Soak    configSoak    `cmd:"" help:"Change the configuration of a loopback deployment under load, one change in four bad, and audit every answer."`
 }
 
-// initialLayout returns the path of the layout with which a new log of the coordinator begins, or an empty
-// string if there is no coordinator.
+// initialLayout returns the path of the layout with which a new log of the coordinator begins, or an empty string if the
+// file has no element coordinator.
 func initialLayout(f *settings.File) string {
 	if f.Coordinator == nil {
 		return ""
@@ -118,14 +117,14 @@
 	if err := errors.Join(errs...); err != nil {
 		return &exitError{exitConfig, err}
 	}
-	on := func(b bool) string {
+	onOrOff := func(b bool) string {
 		if b {
 			return "on"
 		}
 		return "off"
 	}
 	fmt.Fprintf(e.stdout, "%s: in order: admin socket %s, layout %s, follows a coordinator %s, coordinator %s\n",
-		c.File, on(f.Admin != ""), on(f.Layout != ""), on(f.Follow), on(f.Coordinator != nil))
+		c.File, onOrOff(f.Admin != ""), onOrOff(f.Layout != ""), onOrOff(f.Follow), onOrOff(f.Coordinator != nil))
 	return nil
 }
 
--- a/cmd/eiderwinch/serve.go
+++ b/cmd/eiderwinch/serve.go
@@ -24,7 +24,7 @@
 // serveCommand runs one gatherer. The environment names its configuration file, see package config.
 type serveCommand struct {
 	File   string        `placeholder:"FILE" help:"An operators' file that conforms to deploy/eiderwinch.xsd. It configures the admin socket, further limits and transactional changes, which are all off without it."`
-	Layout string        `placeholder:"FILE" help:"A layout that conforms to deploy/layout.xsd, whose epochs queries are bound to. SIGHUP reads it again. Without one, the platform's cells say which searcher holds what."`
+	Layout string        `placeholder:"FILE" help:"A layout that conforms to deploy/layout.xsd, whose epochs queries are bound to. SIGHUP reads it again. Without one, the cells in the platform's configuration determine which searcher holds which segments."`
 	Log    slog.Level    `default:"info" placeholder:"LEVEL" help:"Minimum log level: debug, info, warn or error. debug logs when each part was decided and sent, and when each searcher was reported as leaving. The level in an operators' file takes precedence."`
 	Report time.Duration `placeholder:"SPAN" help:"Interval at which the counters are logged, such as 1s, in steps of a quarter of a second. Without it, they are logged on SIGUSR1 and at the end."`
 }
@@ -60,8 +60,8 @@
 	})
 }
 
-// runNode runs a gatherer, and calls reload at SIGHUP. A reload reads files and may be slow. It must delay
-// neither a shutdown nor a report, so each kind of signal has its own goroutine.
+// runNode runs a gatherer, and calls reload on SIGHUP. A reload reads files and may be slow. It must not delay a shutdown
+// or a report, so each kind of signal has its own goroutine.
 func runNode(e environment, node *netio.Node, counters *stats.Counters, log *slog.Logger, reload func()) error {
 	handle := func(signals <-chan os.Signal, do func()) {
 		<-node.Started() // signals that arrived earlier are handled after the start
@@ -80,8 +80,8 @@
 	return nil
 }
 
-// serveWithOperatorsFile runs a gatherer with an operators' file. Its configuration changes only by
-// transactions, also at SIGHUP.
+// serveWithOperatorsFile runs a gatherer with an operators' file. Its configuration changes only by transactions, on
+// SIGHUP too.
 func (c serveCommand) serveWithOperatorsFile(e environment, cfg *config.Config, level *slog.LevelVar, log *slog.Logger) (err error) {
 	ops, err := readOperatorsFile(c.File)
 	if err != nil {
@@ -90,7 +90,7 @@
 	f := configFiles{platform: e.getenv("LB_CONFIG"), operators: c.File, layout: c.Layout}
 	if ops.Layout != "" {
 		if c.Layout != "" {
-			return &exitError{exitConfig, fmt.Errorf("a layout is named both by --layout and by %s, want only one of them", c.File)}
+			return &exitError{exitConfig, fmt.Errorf("found a layout in both --layout and %s, want it in only one of them", c.File)}
 		}
 		f.layout = ops.Layout
 	}
@@ -139,10 +139,10 @@
 		if err != nil {
 			return &exitError{exitFailure, err}
 		}
-		log.Info("admin socket", "endpoint", socket.Endpoint())
+		log.Info("admin socket listening", "endpoint", socket.Endpoint())
 		defer func() {
 			if err := socket.Close(); err != nil {
-				log.Error("closing the admin socket", "err", err)
+				log.Error("admin socket not closed cleanly", "err", err)
 			}
 		}()
 	}
@@ -156,8 +156,7 @@
 	})
 }
 
-// reloadLayout reads the layout again. A layout that is invalid, or not newer than the one in force, changes
-// nothing.
+// reloadLayout reads the layout again. A layout that is invalid, or not newer than the one in force, changes nothing.
 func (c serveCommand) reloadLayout(node *netio.Node, log *slog.Logger) {
 	if c.Layout == "" {
 		return
@@ -170,8 +169,8 @@
 	node.Adopt(l)
 }
 
-// A reload is retried for reloadTimeout while the disk fails. A file that can be read but is invalid may be
-// half written, so it is read again for contentTimeout.
+// A reload is retried for reloadTimeout while reading fails with transient errors. A file that can be read but is invalid
+// may be half written, so it is read again for contentTimeout.
 const (
 	reloadTimeout        = time.Minute
 	contentTimeout       = time.Second
--- a/cmd/eiderwinch/soak.go
+++ b/cmd/eiderwinch/soak.go
@@ -14,8 +14,8 @@
 // layoutSoak changes the layout of a loopback deployment under load.
 type layoutSoak struct {
 	outputFormat
-	Rounds  int           `default:"3" help:"Number of rounds, each a quiet window and a window with changes."`
-	Quiet   time.Duration `default:"30s" help:"Length of a quiet window."`
+	Rounds  int           `default:"3" help:"Number of rounds, each a window without changes and a window with changes."`
+	Quiet   time.Duration `default:"30s" help:"Length of a window without changes."`
 	Changes time.Duration `default:"60s" help:"Length of a window with changes."`
 	Every   time.Duration `default:"10s" help:"Interval between splits, merges and moves."`
 	Rate    float64       `default:"120" help:"Queries per second."`
@@ -30,7 +30,7 @@
 	return nil
 }
 
-// Run runs the soak to its end or until a signal.
+// Run runs the soak to its end or until a signal arrives.
 func (c layoutSoak) Run(e environment) error {
 	return runSoak(e, c.outputFormat, func(ctx context.Context, dir string, progress io.Writer) (soak.Report, error) {
 		return soak.Run(ctx, soak.Options{
@@ -45,7 +45,7 @@
 	value any
 }
 
-// runSoak runs a soak to its end or until a signal, prints its report and returns the report's error.
+// runSoak runs a soak to its end or until a signal arrives, prints its report and returns the report's error.
 func runSoak[R interface{ Err() error }](e environment, as outputFormat, run func(ctx context.Context, dir string, progress io.Writer) (R, error), rows func(R) []reportRow) error {
 	ctx, stop := e.untilSignal()
 	defer stop()
--- a/cmd/eiderwinch/socket.go
+++ b/cmd/eiderwinch/socket.go
@@ -15,19 +15,19 @@
 	File string `placeholder:"FILE" help:"The operators' file that names the admin socket."`
 }
 
-// open returns a client of the socket. Given an operators' file, endpoint returns the socket that the file's
-// element names, or an empty string if it has no such element.
+// open returns a client of the socket. endpoint returns the endpoint that an element of an operators' file names, or an
+// empty string if the file has no such element.
 func (c adminSocket) open(timeout time.Duration, element string, endpoint func(*settings.File) string) (*admin.Client, error) {
 	switch {
 	case (c.At == "") == (c.File == ""):
-		return nil, &exitError{exitConfig, errors.New("want one of --at and --file")}
+		return nil, &exitError{exitConfig, errors.New("want exactly one of --at and --file")}
 	case c.File != "":
 		ops, err := readOperatorsFile(c.File)
 		if err != nil {
 			return nil, err
 		}
 		if c.At = endpoint(ops); c.At == "" {
-			return nil, &exitError{exitConfig, fmt.Errorf("%s: found no %s, want that element", c.File, element)}
+			return nil, &exitError{exitConfig, fmt.Errorf("%s: found no element %s, want one", c.File, element)}
 		}
 	}
 	return admin.NewClient(c.At, timeout, nil), nil
--- a/cmd/eiderwinch/startup.go
+++ b/cmd/eiderwinch/startup.go
@@ -25,18 +25,17 @@
 // configFiles names the files of a gatherer's configuration.
 type configFiles struct {
 	platform, operators string
-	layout              string // named by the operators' file or --layout; empty: none
+	layout              string // named by the operators' file or --layout; empty if there is none
 }
 
-// Files are read until two consecutive readings are the same, at most readAttempts times with readPause
-// in between: a program that replaces a file by writing into it takes some milliseconds.
+// The files are read until two consecutive reads return the same, with readPause in between and at most readAttempts
+// repetitions: a program that overwrites a file in place takes some milliseconds.
 const (
 	readAttempts = 10
 	readPause    = 20 * time.Millisecond
 )
 
-// readSigned reads the files, and the signature in FILE.sig next to the operators' file FILE, if there is
-// one.
+// readSigned reads the files, and the signature in FILE.sig next to the operators' file FILE, if there is one.
 func (f configFiles) readSigned() (b bundle.Bundle, sig string, err error) {
 	if b, err = f.read(); err != nil {
 		return b, "", err
@@ -48,8 +47,8 @@
 	return b, string(text), err
 }
 
-// signatureVerifier returns a check of signatures with the keys of a file. The file is read for each check, so
-// that keys can change without a restart.
+// signatureVerifier returns a function that verifies signatures with the keys of a file. The file is read for each
+// verification, so that keys can change without a restart.
 func signatureVerifier(path string) func(change.Hash, string) error {
 	return func(hash change.Hash, sig string) error {
 		keys, err := readKeys(path)
@@ -74,16 +73,16 @@
 	return readUntilStable(f.readOnce, func() { time.Sleep(readPause) })
 }
 
-// readUntilStable calls read until two consecutive readings are the same.
+// readUntilStable calls read until two consecutive calls return the same.
 func readUntilStable(read func() (bundle.Bundle, error), pause func()) (bundle.Bundle, error) {
 	last, err := read()
 	for range readAttempts {
 		pause()
-		b, again := read()
-		if err == nil && again == nil && b.Hash() == last.Hash() {
-			return b, nil
+		next, nextErr := read()
+		if err == nil && nextErr == nil && next.Hash() == last.Hash() {
+			return next, nil
 		}
-		last, err = b, again
+		last, err = next, nextErr
 	}
 	if err != nil {
 		return bundle.Bundle{}, err
@@ -95,13 +94,13 @@
 func (f configFiles) readOnce() (b bundle.Bundle, err error) {
 	var errs []error
 	for path, text := range map[string]*[]byte{f.platform: &b.Platform, f.operators: &b.Operators} {
-		read, err := durable.ReadFile(path)
-		*text, errs = read, append(errs, err)
+		contents, err := durable.ReadFile(path)
+		*text, errs = contents, append(errs, err)
 	}
 	if err := errors.Join(errs...); err != nil {
 		return bundle.Bundle{}, err
 	}
-	// The operators' file may name another layout than at the start.
+	// The operators' file may name another layout than it did at the start.
 	path := f.layout
 	if ops, err := settings.Read(f.operators, bytes.NewReader(b.Operators)); err == nil && ops.Layout != "" {
 		path = resolveRelative(f.operators, ops.Layout)
@@ -112,11 +111,12 @@
 	return b, err
 }
 
-// names returns the names of the files in error messages.
+// names returns the names by which error messages refer to the files.
 func (f configFiles) names() bundle.Names {
 	return bundle.Names{Platform: f.platform, Operators: f.operators, Layout: orDefault(f.layout, "layout")}
 }
 
+// orDefault returns s, or fallback if s is empty.
 func orDefault(s, fallback string) string {
 	if s == "" {
 		return fallback
@@ -128,12 +128,12 @@
 type bootState struct {
 	candidate  *bundle.Candidate
 	machine    *change.Machine
-	history    *history.History // nil: changes are kept in memory only
+	history    *history.History // nil if changes are kept in memory only
 	generation change.Generation
 }
 
-// boot reads the files, and the history if there is one. The history takes precedence, because what the
-// files hold may never have been confirmed.
+// boot reads the files, and the history if there is one. The history takes precedence, because the configuration in
+// the files may never have been confirmed.
 func boot(f configFiles, cfg *config.Config, log *slog.Logger) (*bootState, error) {
 	b, err := f.read()
 	if err != nil {
@@ -143,18 +143,18 @@
 	if err != nil {
 		return nil, &exitError{exitConfig, err}
 	}
-	out := &bootState{candidate: c, generation: 1}
+	state := &bootState{candidate: c, generation: 1}
 	defer func() {
 		// The environment takes precedence, as it does without an operators' file.
-		out.candidate.Config.Name, out.candidate.Config.Listen, out.candidate.Config.Discovery = cfg.Name, cfg.Listen, cfg.Discovery
-		out.candidate.Config.SocketLimit, out.candidate.Config.MemoryLimit = cfg.SocketLimit, cfg.MemoryLimit
-		out.candidate.Config.Settings.Module.Seed = cfg.Settings.Module.Seed
+		state.candidate.Config.Name, state.candidate.Config.Listen, state.candidate.Config.Discovery = cfg.Name, cfg.Listen, cfg.Discovery
+		state.candidate.Config.SocketLimit, state.candidate.Config.MemoryLimit = cfg.SocketLimit, cfg.MemoryLimit
+		state.candidate.Config.Settings.Module.Seed = cfg.Settings.Module.Seed
 	}()
 	path := c.File.History
 	if path == "" {
 		log.Warn("configuration changes are kept in memory only: no history file is configured")
-		out.machine = change.New(c.Hash, change.Limits{})
-		return out, nil
+		state.machine = change.New(c.Hash, change.Limits{})
+		return state, nil
 	}
 	var h *history.History
 	err = durable.RetryTransient(durable.StartTimeout, func() error {
@@ -164,14 +164,15 @@
 	if err != nil {
 		return nil, &exitError{exitFailure, err}
 	}
-	if err := out.recoverHistory(h, f, log); err != nil {
+	if err := state.recoverHistory(h, f, log); err != nil {
 		return nil, &exitError{exitFailure, errors.Join(err, h.Close())}
 	}
-	out.history = h
-	return out, nil
+	state.history = h
+	return state, nil
 }
 
-// recoverHistory continues from a history: it undoes what was not confirmed and takes the last confirmed configuration.
+// recoverHistory continues from a history: it undoes changes that were not confirmed, and uses the last confirmed
+// configuration.
 func (b *bootState) recoverHistory(h *history.History, f configFiles, log *slog.Logger) error {
 	write := func(records []change.Record) error {
 		return durable.RetryAtStart(log, "records of configuration changes", func() error { return h.Append(records, nil) })
@@ -197,8 +198,8 @@
 			log.Warn("interrupted configuration change undone", "transaction", uint64(r.Tx), "reason", r.Reason)
 		}
 	}
-	// Of a staged configuration only the text is known, and it has to be checked again before it is applied, so
-	// it is undone.
+	// Only the text of a staged configuration is recorded. It would have to be checked again before it could be
+	// applied, so the change is undone.
 	for _, t := range m.Txs() {
 		if t.State == change.Staged {
 			r := m.Step(time.Now(), change.Undo{Tx: t.Tx, Reason: "the process ended"})
@@ -243,7 +244,7 @@
 	return manager.Start(ctx, o)
 }
 
-// logLevel returns the log level that a configuration names, or info.
+// logLevel returns the log level that a configuration names, or info if it names none.
 func logLevel(c *bundle.Candidate) slog.Level {
 	names := []string{"debug", "info", "warn", "error"}
 	levels := []slog.Level{slog.LevelDebug, slog.LevelInfo, slog.LevelWarn, slog.LevelError}
--- a/cmd/eiderwinch/version.go
+++ b/cmd/eiderwinch/version.go
@@ -9,7 +9,7 @@
 // versionCommand prints the version of the program.
 type versionCommand struct{}
 
-// Run prints the version, the commit and the toolchain as the build recorded them.
+// Run prints the version and commit that the build recorded, and the toolchain and platform.
 func (versionCommand) Run(e environment) error {
 	version, commit, changed := "unknown", "unknown", ""
 	if info, ok := debug.ReadBuildInfo(); ok {
