--- a/cmd/eiderwinch/soak.go
+++ b/cmd/eiderwinch/soak.go
@@ -14,8 +14,8 @@
 // layoutSoak changes the layout of a loopback deployment under load.
 type layoutSoak struct {
 	outputFormat
-	Rounds  int           `default:"3" help:"Number of rounds, each a quiet window and a window with changes."`
-	Quiet   time.Duration `default:"30s" help:"Length of a quiet window."`
+	Rounds  int           `default:"3" help:"Number of rounds, each a window without changes and a window with changes."`
+	Quiet   time.Duration `default:"30s" help:"Length of a window without changes."`
 	Changes time.Duration `default:"60s" help:"Length of a window with changes."`
 	Every   time.Duration `default:"10s" help:"Interval between splits, merges and moves."`
 	Rate    float64       `default:"120" help:"Queries per second."`
@@ -30,11 +30,11 @@
 	return nil
 }
 
-// Run runs the soak to its end or until a signal.
+// Run runs the soak to its end or until a signal arrives.
 func (c layoutSoak) Run(e environment) error {
 	return runSoak(e, c.outputFormat, func(ctx context.Context, dir string, progress io.Writer) (soak.Report, error) {
 		return soak.Run(ctx, soak.Options{
-			Rounds: c.Rounds, Quiet: c.Quiet, Changes: c.Changes, Interval: c.Every, Rate: c.Rate, Seed: c.Seed, Dir: dir, Out: progress,
+			Rounds: c.Rounds, QuietDuration: c.Quiet, ChangeDuration: c.Changes, Interval: c.Every, Rate: c.Rate, Seed: c.Seed, Dir: dir, Out: progress,
 		})
 	}, layoutRows)
 }
@@ -45,7 +45,7 @@
 	value any
 }
 
-// runSoak runs a soak to its end or until a signal, prints its report and returns the report's error.
+// runSoak runs a soak to its end or until a signal arrives, prints its report and returns the report's error.
 func runSoak[R interface{ Err() error }](e environment, as outputFormat, run func(ctx context.Context, dir string, progress io.Writer) (R, error), rows func(R) []reportRow) error {
 	ctx, stop := e.untilSignal()
 	defer stop()
@@ -84,7 +84,7 @@
 		{"queries asked", r.Asked},
 		{"answered whole, answered partially, refused, failed", fmt.Sprint(r.Whole, r.Partial, r.Refused, r.Failed)},
 		{"taken, ended according to the gatherers' records", fmt.Sprint(r.Taken, r.Ended)},
-		{"lost, mixed, marked whole but incomplete, reserved twice", fmt.Sprint(r.Lost, r.Mixed, r.NotWhole, r.Doubled)},
+		{"lost, mixed, marked whole but incomplete, reserved twice", fmt.Sprint(r.Lost, r.Inconsistent, r.NotWhole, r.DuplicateReservations)},
 		{"reservations linearizable", r.Linearizable},
 		{"reservations run, of these repeats", fmt.Sprint(r.Reserved, r.Repeated)},
 		{"splits, merges, moves done", fmt.Sprint(r.Splits, r.Merges, r.Moves)},
