--- a/internal/trial/emulator/deployments_test.go
+++ b/internal/trial/emulator/deployments_test.go
@@ -10,7 +10,7 @@
 // second copies, and searchers that serve cancelled work.
 func archive(faults ...Fault) Scenario {
 	return Scenario{
-		Name: "archive", Duration: 12 * time.Second, Searchers: 24, Cells: 24, SegmentsPerCell: 2, Reach: 2, Batch: 16, Classes: ArchiveClasses(48),
+		Name: "archive", Duration: 12 * time.Second, Searchers: 24, Cells: 24, SegmentsPerCell: 2, CellsPerSegment: 2, MaxPartsPerCall: 16, Classes: ArchiveClasses(48),
 		SecondCopies: true, IgnoresCancel: true, ReportInterval: 500 * time.Millisecond, Tenants: 3, Keys: 1000, Faults: faults,
 	}
 }
@@ -59,7 +59,7 @@
 		}
 	}
 	invalid := archive(Fault{Kind: TenantLoad, First: 3, Factor: 2}, Fault{Kind: HotKey, Factor: 2})
-	invalid.Reach = 25
+	invalid.CellsPerSegment = 25
 	if _, err := Run(invalid, 1); err == nil || !strings.Contains(err.Error(), "tenant 3") || !strings.Contains(err.Error(), "share of 2") ||
 		!strings.Contains(err.Error(), "25 of 24 cells") {
 		t.Errorf("invalid scenario: have error %v", err)
--- a/internal/trial/emulator/experiment.go
+++ b/internal/trial/emulator/experiment.go
@@ -132,7 +132,7 @@
 			Tenants: int(n.Number("tenants")), Keys: int(n.Number("keys")),
 		}
 		if n.Text("layout") == layoutRing {
-			s.Cells, s.SegmentsPerCell, s.Reach, s.Batch = s.Searchers, 2, 2, 16
+			s.Cells, s.SegmentsPerCell, s.CellsPerSegment, s.MaxPartsPerCall = s.Searchers, 2, 2, 16
 		}
 		x.partialAnswers[s.Name] = n.Text("answers") == answersPartial
 		s.Classes = x.classes(s)
--- a/internal/trial/emulator/node.go
+++ b/internal/trial/emulator/node.go
@@ -92,7 +92,7 @@
 // a gatherer has no predecessor whose leases it must wait for, so its start is dated back by that wait.
 func (n *node) startSharing(seed uint64) {
 	sim := n.sim
-	set := share.Settings{Slots: sim.Gatherers, Number: n.number, Lease: sim.Lease, Window: sim.ColdOverloads, Seed: seed}
+	set := share.Settings{Slots: sim.Gatherers, Number: n.number, Lease: sim.Lease, Window: sim.ColdOverloadLimit, Seed: seed}
 	startedAt := sim.now
 	if n.process == 1 {
 		startedAt = startedAt.Add(-set.Wait())
--- a/internal/trial/emulator/scenario.go
+++ b/internal/trial/emulator/scenario.go
@@ -27,8 +27,8 @@
 	Zones               int           // data centres; 3
 	Cells               int           // replica groups, the searchers of each hold the same segments; Searchers/3
 	SegmentsPerCell     int           // segments that begin at each cell; 3
-	Reach               int           // consecutive cells that hold a segment: 1 for sets, more for a ring; 1
-	Batch               int           // maximum number of parts in one call; 4
+	CellsPerSegment     int           // consecutive cells that hold a segment: 1 for sets, more for a ring; 1
+	MaxPartsPerCall     int           // maximum number of parts in one call; 4
 	Classes             []Class       // StockClasses()
 	Slots               int           // parts that a searcher serves at once; 4
 	Queue               int           // parts that wait at a searcher before it refuses more; 64
@@ -38,10 +38,10 @@
 	NearDelay, FarDelay time.Duration // one-way network delays within a zone and between zones; 300 us, 1.5 ms
 	DiscoveryLag        time.Duration // mean delay of membership updates, each of which takes at most 6 s; 200 ms
 	ConnectTimeout      time.Duration // time limit for opening a connection; 250 ms
-	ColdFor             time.Duration // time from its start until a searcher is warm; 18 s
+	ColdDuration        time.Duration // time from its start until a searcher is warm; 18 s
 	ColdShare           float64       // share of its full speed that a searcher has at its start; 0.18
 	ColdMultiple        float64       // a cold searcher is overloaded by more parts than its slots times this and its share of full speed; 2.5
-	ColdOverloads       time.Duration // a cold searcher that is overloaded for this long crashes; 3 s
+	ColdOverloadLimit   time.Duration // a cold searcher that is overloaded for this long crashes; 3 s
 	Tries               int           // tries of a client, the first included; 2
 	MaxOpen             int           // queries and parts that are open at a gatherer; 1,000
 	Attempts            int           // maximum number of attempts of a part; 4
@@ -152,8 +152,8 @@
 	count(&s.Zones, 3)
 	count(&s.Cells, max(s.Searchers/3, 1))
 	count(&s.SegmentsPerCell, 3)
-	count(&s.Reach, 1)
-	count(&s.Batch, 4)
+	count(&s.CellsPerSegment, 1)
+	count(&s.MaxPartsPerCall, 4)
 	share(&s.OverShare, 0.05)
 	count(&s.Slots, 4)
 	count(&s.Queue, 64)
@@ -164,10 +164,10 @@
 	duration(&s.FarDelay, 1500*time.Microsecond)
 	duration(&s.DiscoveryLag, 200*time.Millisecond)
 	duration(&s.ConnectTimeout, 250*time.Millisecond)
-	duration(&s.ColdFor, 18*time.Second)
+	duration(&s.ColdDuration, 18*time.Second)
 	share(&s.ColdShare, 0.18)
 	share(&s.ColdMultiple, 2.5)
-	duration(&s.ColdOverloads, 3*time.Second)
+	duration(&s.ColdOverloadLimit, 3*time.Second)
 	count(&s.Tries, 2)
 	count(&s.MaxOpen, 1000)
 	count(&s.Attempts, 4)
@@ -181,9 +181,9 @@
 			s.Gatherers, s.Searchers, s.Zones, s.Cells, s.Duration)
 	}
 	segments := s.Cells * s.SegmentsPerCell
-	if s.Reach < 1 || s.Reach > s.Cells || s.Batch < 1 || s.Tenants < 0 || s.ReportInterval < 0 || s.Keys < 0 {
+	if s.CellsPerSegment < 1 || s.CellsPerSegment > s.Cells || s.MaxPartsPerCall < 1 || s.Tenants < 0 || s.ReportInterval < 0 || s.Keys < 0 {
 		reject("found segments on %d of %d cells, calls of %d parts, %d tenants, %d keys, reports every %v, want 1 cell and part or more, and no number below 0",
-			s.Reach, s.Cells, s.Batch, s.Tenants, s.Keys, s.ReportInterval)
+			s.CellsPerSegment, s.Cells, s.MaxPartsPerCall, s.Tenants, s.Keys, s.ReportInterval)
 	}
 	if s.Lease < 0 || s.Lease > time.Minute {
 		reject("found a lease of %v, want one up to 1m", s.Lease)
@@ -234,9 +234,9 @@
 func (s Scenario) settings(number int, zone string, seed uint64) eiderwinch.Settings {
 	set := eiderwinch.Settings{
 		Seed: seed, Gatherers: s.Gatherers, GathererNumber: number, Zone: zone, Tick: tick,
-		Shards: s.Cells * s.SegmentsPerCell, Cells: s.Cells, ReplicasPerShard: s.Reach, MaxBatch: s.Batch, CallCost: s.CallCost,
+		Shards: s.Cells * s.SegmentsPerCell, Cells: s.Cells, ReplicasPerShard: s.CellsPerSegment, MaxBatch: s.MaxPartsPerCall, CallCost: s.CallCost,
 		MaxAttempts: s.Attempts, MayCancel: true, RetryAdvice: true, MaxRetryAdvice: time.Second,
-		ColdShare: s.ColdShare, ColdDuration: s.ColdFor, ColdMultiple: s.ColdMultiple, ColdOverloadWindow: s.ColdOverloads,
+		ColdShare: s.ColdShare, ColdDuration: s.ColdDuration, ColdMultiple: s.ColdMultiple, ColdOverloadWindow: s.ColdOverloadLimit,
 	}
 	set.SecondCopies, set.OverShareWorth, set.WorthByWork = s.SecondCopies, s.OverShare, true
 	for i := range s.Tenants {
--- a/internal/trial/emulator/searcher.go
+++ b/internal/trial/emulator/searcher.go
@@ -51,10 +51,10 @@
 		return 1
 	}
 	age := s.sim.now.Sub(s.startedAt)
-	if age >= s.sim.ColdFor {
+	if age >= s.sim.ColdDuration {
 		return 1
 	}
-	return s.sim.ColdShare + (1-s.sim.ColdShare)*age.Seconds()/s.sim.ColdFor.Seconds()
+	return s.sim.ColdShare + (1-s.sim.ColdShare)*age.Seconds()/s.sim.ColdDuration.Seconds()
 }
 
 // receive takes in a part: it is served, queued or refused.
@@ -81,7 +81,7 @@
 	}
 	if s.overloadedSince.IsZero() {
 		s.overloadedSince = s.sim.now
-	} else if s.sim.now.Sub(s.overloadedSince) >= s.sim.ColdOverloads {
+	} else if s.sim.now.Sub(s.overloadedSince) >= s.sim.ColdOverloadLimit {
 		s.overloadedSince = time.Time{}
 		s.sim.result.ColdCrashes++
 		s.crash(4 * time.Second)
@@ -152,10 +152,10 @@
 }
 
 // holds reports whether the searcher holds a segment. It holds those that begin at its cell, and those
-// that begin at the Reach-1 cells before it.
+// that begin at the CellsPerSegment-1 cells before it.
 func (s *searcher) holds(segment int) bool {
 	cells := s.sim.Cells
-	return ((s.cell-segment)%cells+cells)%cells < s.sim.Reach
+	return ((s.cell-segment)%cells+cells)%cells < s.sim.CellsPerSegment
 }
 
 // maxReportedQueues bounds the number of reports that are kept.
