--- a/internal/trial/emulator/client.go
+++ b/internal/trial/emulator/client.go
@@ -13,7 +13,7 @@
 type client struct {
 	sim            *simulation
 	class          int
-	id             uint64
+	id             uint64 // number of the query in the run
 	node           *node
 	trace          string
 	idempotencyKey string
@@ -22,9 +22,9 @@
 	tenant         int    // -1 if the scenario has no tenants
 	tries          int
 	askedAt        time.Time // time of the first try
-	queryID        uint64
-	ended          bool // the current try has ended
-	openIndex      int  // index in Result.open
+	queryID        uint64    // id of the current try at its gatherer
+	ended          bool      // the current try has ended
+	openIndex      int       // index in Result.open
 }
 
 func newClient(sim *simulation, class int) *client {
@@ -45,8 +45,8 @@
 // frontEndDetectionDelay is how long the front end keeps sending queries to a gatherer that has died.
 const frontEndDetectionDelay = 2 * time.Second
 
-// chooseNode picks a random gatherer as the front end does: among those that it does not know to be dead,
-// or among all if it knows all to be dead.
+// chooseNode picks a random gatherer as the front end does: one that it does not know to be dead, or any one if
+// it knows all of them to be dead.
 func (sim *simulation) chooseNode() *node {
 	var candidates []*node
 	for _, n := range sim.nodes {
@@ -139,7 +139,7 @@
 	if wait == 0 {
 		wait = 100 * time.Millisecond
 	}
-	if c.tries >= sim.Tries || sim.now.Add(wait).Sub(c.askedAt) >= deadline {
+	if c.tries >= sim.MaxTries || sim.now.Add(wait).Sub(c.askedAt) >= deadline {
 		return false
 	}
 	sim.after(wait, c.ask)
--- a/internal/trial/emulator/deployments_test.go
+++ b/internal/trial/emulator/deployments_test.go
@@ -44,8 +44,8 @@
 	}
 	asked := func(r *Result) int { return r.class("lookup").Asked }
 	for name, c := range map[string]struct {
-		fault Fault
-		shows func(r *Result) bool
+		fault     Fault
+		hasEffect func(r *Result) bool
 	}{
 		"kill":  {Fault{Kind: Kill, At: at, For: 2 * time.Second, Count: 2}, func(r *Result) bool { return r.class("lookup").Failed > 0 }},
 		"focus": {Fault{Kind: HotKey, At: at, For: duration, Factor: 0.24}, func(r *Result) bool { return hotParts(r) > hotParts(calm)*5/4 }},
@@ -54,7 +54,7 @@
 		"lose":  {Fault{Kind: LostAnswers, At: at, For: duration, Factor: 0.02}, func(r *Result) bool { return r.Sent > calm.Sent }},
 		"stale": {Fault{Kind: StaleReports, At: at, For: duration, Factor: 4}, func(r *Result) bool { return asked(r) == asked(calm) }},
 	} {
-		if r := run(t, archive(c.fault), 3); !c.shows(r) {
+		if r := run(t, archive(c.fault), 3); !c.hasEffect(r) {
 			t.Errorf("fault %s has no effect: %+v", name, *r.class("lookup"))
 		}
 	}
--- a/internal/trial/emulator/emulator_test.go
+++ b/internal/trial/emulator/emulator_test.go
@@ -63,8 +63,8 @@
 	base := Scenario{Duration: 14 * time.Second}
 	calm := run(t, base, 3)
 	for name, c := range map[string]struct {
-		fault Fault
-		shows func(r *Result) bool
+		fault     Fault
+		hasEffect func(r *Result) bool
 	}{
 		"crash":   {Fault{Kind: Crash, At: at, For: 5 * time.Second, Count: 4}, func(r *Result) bool { return r.Load[0][6] == 0 && r.Load[0][2] > 0 }},
 		"pause":   {Fault{Kind: Pause, At: at, For: 3 * time.Second, Count: 3}, func(r *Result) bool { return r.class("search").P99 > calm.class("search").P99 }},
@@ -76,7 +76,7 @@
 	} {
 		s := base
 		s.Name, s.Faults = name, []Fault{c.fault}
-		if r := run(t, s, 3); !c.shows(r) {
+		if r := run(t, s, 3); !c.hasEffect(r) {
 			t.Errorf("fault %s has no effect: %+v", name, *r.class("search"))
 		}
 	}
--- a/internal/trial/emulator/experiment.go
+++ b/internal/trial/emulator/experiment.go
@@ -126,8 +126,8 @@
 		}
 		s := Scenario{
 			Name: n.Text("name"), Duration: n.Duration("duration"), Gatherers: int(n.Number("gatherers")), Searchers: int(n.Number("searchers")),
-			Zones: int(n.Number("zones")), Slots: int(n.Number("slots")), Queue: int(n.Number("queue")), Tries: int(n.Number("tries")),
-			Attempts: int(n.Number("attempts")), DiscoveryLag: n.Duration("lag"),
+			Zones: int(n.Number("zones")), SearcherSlots: int(n.Number("slots")), MaxQueue: int(n.Number("queue")), MaxTries: int(n.Number("tries")),
+			MaxAttempts: int(n.Number("attempts")), DiscoveryLag: n.Duration("lag"),
 			SecondCopies: n.Text("copies") == choiceYes, IgnoresCancel: n.Text("cancelled") == cancelledServed, ReportInterval: n.Duration("reports"), Lease: n.Duration("lease"),
 			Tenants: int(n.Number("tenants")), Keys: int(n.Number("keys")),
 		}
@@ -147,7 +147,7 @@
 			})
 		}
 		if _, err := s.normalize(); err != nil {
-			faults.Add(n.Line, n.Name, err.Error(), "a scenario that can be played")
+			faults.Add(n.Line, n.Name, err.Error(), "a valid scenario")
 		}
 		x.Scenarios = append(x.Scenarios, s)
 	}
@@ -180,7 +180,7 @@
 	return out
 }
 
-// RunPoint executes one run of the experiment.
+// RunPoint executes one run of the experiment. Its scenario must be one of the experiment's.
 func (x *Experiment) RunPoint(p Point) (*Result, error) {
 	i := slices.IndexFunc(x.Scenarios, func(s Scenario) bool { return s.Name == p.Scenario })
 	s := x.Scenarios[i]
@@ -189,13 +189,13 @@
 	case "load":
 		load *= p.Value
 	case "slots":
-		s.Slots = int(p.Value)
+		s.SearcherSlots = int(p.Value)
 	case "queue":
-		s.Queue = int(p.Value)
+		s.MaxQueue = int(p.Value)
 	case "tries":
-		s.Tries = int(p.Value)
+		s.MaxTries = int(p.Value)
 	case "attempts":
-		s.Attempts = int(p.Value)
+		s.MaxAttempts = int(p.Value)
 	}
 	s.Classes = x.classes(s)
 	for i := range s.Classes {
--- a/internal/trial/emulator/fleet_test.go
+++ b/internal/trial/emulator/fleet_test.go
@@ -21,7 +21,7 @@
 		c.Aim, c.Deadline, c.RepeatWindow = c.Aim/10, c.Deadline/10, c.RepeatWindow/10
 	}
 	return Scenario{
-		Name: "fleet", Duration: 14 * time.Second, Gatherers: 80, Searchers: 60, Cells: 20, Slots: 2, Queue: 30,
+		Name: "fleet", Duration: 14 * time.Second, Gatherers: 80, Searchers: 60, Cells: 20, SearcherSlots: 2, MaxQueue: 30,
 		CallCost: 7 * time.Millisecond, DiscoveryLag: time.Second, MaxOpen: 180, Faults: faults, Classes: classes,
 	}
 }
--- a/internal/trial/emulator/node.go
+++ b/internal/trial/emulator/node.go
@@ -15,18 +15,18 @@
 	sim           *simulation
 	number        int
 	zone          int
-	process       int  // changes with each start and kill; identifies the process to delayed events
+	process       int  // number of the current process, by which delayed events recognise that it has ended
 	down          bool // killed and not started again yet
 	core          *gatherer.Core
 	counters      *stats.Counters
 	runTimer      event
 	conns         map[string]*searcherConn
 	pending       map[*gatherer.Attempt]*pendingAttempt
-	inFlight      map[string]int // number of attempts in flight by part
-	knownRevision map[string]int // revision of the last update received about each searcher
-	drainingSince map[string]time.Time
-	holder        *share.Holder // nil: the fleet's limits are not divided
-	notifiedShare share.Share   // the last share that the core was notified of
+	inFlight      map[string]int       // number of attempts in flight by part
+	knownRevision map[string]int       // revision of the last update received about each searcher
+	drainingSince map[string]time.Time // when it was notified that a searcher drains or is gone
+	holder        *share.Holder        // nil if the fleet's limits are not divided
+	notifiedShare share.Share          // the last share that the core was notified of
 	shareTimer    event
 	downAt        time.Time
 }
@@ -52,7 +52,7 @@
 	sent           bool
 }
 
-// start starts a gatherer process with the member list that discovery has now.
+// start starts a gatherer process. It gets the current member list of discovery.
 func (n *node) start() {
 	n.process++
 	n.down = false
@@ -61,10 +61,10 @@
 	n.conns, n.pending = make(map[string]*searcherConn), make(map[*gatherer.Attempt]*pendingAttempt)
 	n.inFlight, n.knownRevision, n.drainingSince = make(map[string]int), make(map[string]int), make(map[string]time.Time)
 	n.runTimer.Value = n.run
-	set := sim.settings(n.number, zoneName(n.zone), sim.rng.Uint64())
+	moduleSettings := sim.settings(n.number, zoneName(n.zone), sim.rng.Uint64())
 	n.core = gatherer.New(gatherer.Settings{
-		Module: set, Tick: tick, MaxOpen: sim.MaxOpen,
-	}, eiderwinch.New(set), n, n.counters, sim.log, sim.now)
+		Module: moduleSettings, Tick: tick, MaxOpen: sim.MaxOpen,
+	}, eiderwinch.New(moduleSettings), n, n.counters, sim.log, sim.now)
 	var list []gatherer.Member
 	for _, s := range sim.searchers {
 		n.knownRevision[s.id] = s.revision
@@ -79,25 +79,26 @@
 	}
 	n.core.UpdateMembers(sim.now, eiderwinch.Whole, list)
 	if sim.Lease > 0 {
-		n.startSharing(set.Seed)
+		n.startSharing(moduleSettings.Seed)
 	}
 	n.scheduleRun()
 }
 
-// peerDetectionDelay is how long the other gatherers still count a gatherer as alive after it has died:
-// some probe periods and a suspicion timeout, see package membership.
+// peerDetectionDelay is how long the other gatherers still count a gatherer as alive after it has died. In the
+// real protocol that takes some probe periods and a suspicion timeout, see package membership.
 const peerDetectionDelay = 1500 * time.Millisecond
 
-// startSharing makes a process that has just started hold its slots of the fleet's limits. The first process of
-// a gatherer has no predecessor whose leases it must wait for, so its start is dated back by that wait.
+// startSharing makes a process that has just started take part in dividing the fleet's limits. A process must
+// first wait until the leases of the gatherer's previous process have ended. A gatherer's first process has no
+// previous one, so its start is dated back by that wait.
 func (n *node) startSharing(seed uint64) {
 	sim := n.sim
-	set := share.Settings{Slots: sim.Gatherers, Number: n.number, Lease: sim.Lease, Window: sim.ColdOverloadLimit, Seed: seed}
+	settings := share.Settings{Slots: sim.Gatherers, Number: n.number, Lease: sim.Lease, Window: sim.ColdOverloadLimit, Seed: seed}
 	startedAt := sim.now
 	if n.process == 1 {
-		startedAt = startedAt.Add(-set.Wait())
+		startedAt = startedAt.Add(-settings.Wait())
 	}
-	h, err := share.New(set, startedAt)
+	h, err := share.New(settings, startedAt)
 	if err != nil {
 		sim.result.addBreach("%v", err)
 		return
@@ -117,8 +118,8 @@
 		return !other.down || sim.now.Sub(other.downAt) < peerDetectionDelay
 	}
 	if len(sim.nodes) == sim.Gatherers {
-		// connect opens a connection to the host of a slot. onArrival runs there, and onReply handles its
-		// reply, or a refusal or silence, here.
+		// connect opens a connection to the gatherer of a slot, which runs onArrival. onReply then handles the
+		// outcome at n: the reply, a refusal, or no answer.
 		connect := func(slot int, onArrival func(*node) share.Reply, onReply func(share.Reply)) {
 			other, reply := sim.nodes[slot], share.Reply{}
 			delay, partitioned := sim.delay(n.zone, other.zone), sim.isPartitioned(n.zone, other.zone)
@@ -184,7 +185,7 @@
 	}
 }
 
-// scheduleRun sets the timer to when the core wants to run next.
+// scheduleRun sets the timer to the time of the core's next run.
 func (n *node) scheduleRun() {
 	if at := n.core.NextRun(); at.IsZero() {
 		n.sim.events.Stop(&n.runTimer)
@@ -199,7 +200,7 @@
 	n.scheduleRun()
 }
 
-// handleUpdate takes in an update about a searcher, unless a newer one has arrived before it.
+// handleUpdate passes an update about a searcher to the core, unless a newer one has arrived before it.
 func (n *node) handleUpdate(s *searcher, revision int, state eiderwinch.State) {
 	if n.down || revision <= n.knownRevision[s.id] {
 		return
@@ -246,7 +247,7 @@
 	}
 }
 
-// endAttempt removes an attempt from those in flight. It returns false if the attempt has ended before.
+// endAttempt removes an attempt from those in flight. It returns false if the attempt had ended already.
 func (n *node) endAttempt(p *pendingAttempt) bool {
 	if p.ended {
 		return false
@@ -298,8 +299,8 @@
 	n.scheduleRun()
 }
 
-// dial opens the connection. It fails after a round trip if the searcher's process is dead, since the host
-// refuses it, and after ConnectTimeout if the zones are partitioned, since nothing answers then.
+// dial opens the connection. It fails after a round trip if the searcher's process is dead, since its host
+// refuses the connection, and after ConnectTimeout if the zones are partitioned, since nothing answers.
 func (c *searcherConn) dial() {
 	sim, n := c.node.sim, c.node
 	c.dialing = true
@@ -335,8 +336,8 @@
 	})
 }
 
-// dialFailed reports the attempts that wait for the connection as unsent, so the core knows that they have
-// not run.
+// dialFailed reports the attempts that wait for the connection to the core as not sent, which means that the
+// searcher has not run them.
 func (c *searcherConn) dialFailed(process int) {
 	n := c.node
 	if n.process != process {
@@ -369,13 +370,13 @@
 	process := c.searcher.process
 	sim.after(sim.delay(n.zone, c.searcher.zone), func() {
 		if !c.open || c.searcher.process != process || sim.isPartitioned(n.zone, c.searcher.zone) {
-			return // lost: the attempt ends when the connection is seen to break, or else by its timeout
+			return // lost: the attempt ends when its gatherer detects that the connection broke, or by its timeout
 		}
 		c.searcher.receive(p)
 	})
 }
 
-// remoteClosed handles a break of the connection: all its attempts have failed.
+// remoteClosed handles the end of the connection by the searcher: it reports all attempts on it as failed.
 func (c *searcherConn) remoteClosed() {
 	if !c.open {
 		return
@@ -391,7 +392,7 @@
 			lost = append(lost, p)
 		}
 	}
-	sortAttempts(lost) // the order of the map is random, that of a run must not be
+	sortAttempts(lost) // the map is iterated in random order, but a run must be deterministic
 	for _, p := range lost {
 		if n.endAttempt(p) {
 			n.core.ConnectionBroken(n.sim.now, p.attempt)
--- a/internal/trial/emulator/result.go
+++ b/internal/trial/emulator/result.go
@@ -16,13 +16,14 @@
 	partial
 	refused
 	failed
-	outcomes
+	outcomeCount // the number of outcomes
 )
 
-// Second counts the outcomes of the queries that were asked in one second. Results are stored under its field names.
+// Second counts the outcomes of the queries that were asked in one second. The JSON of stored results contains its
+// field names.
 type Second struct{ Asked, InTime, Late, Refused, Failed int }
 
-// ClassResult holds the outcomes of the queries of one class.
+// ClassResult counts the outcomes of the queries of one class.
 type ClassResult struct {
 	Name                                          string
 	Asked, InTime, Late, Partial, Refused, Failed int
@@ -141,7 +142,7 @@
 	sim.addToDigest('e', c.id, uint64(o), uint64(latency))
 }
 
-// finish computes what is known only at the end of the run.
+// finish computes the latencies and the digest at the end of the run, and checks that each query has ended.
 func (r *Result) finish(sim *simulation) {
 	for _, counts := range r.Classes {
 		counts.P50 = time.Duration(counts.latencies.ValueAtQuantile(50)) * time.Microsecond
--- a/internal/trial/emulator/searcher.go
+++ b/internal/trial/emulator/searcher.go
@@ -21,14 +21,14 @@
 
 	up              bool
 	draining        bool
-	process         int       // changes when its process ends; identifies the process to delayed events
+	process         int       // number of the current process, by which delayed events recognise that it has ended
 	startedAt       time.Time // zero if it was up at the start of the run
 	slowdown        float64   // factor on the time that a part takes
 	pausedUntil     time.Time
 	busy            int // number of slots in use
 	waiting         []*pendingAttempt
-	reportedQueues  []float64 // queue lengths at the last reports, the newest last
-	overloadedSince time.Time // when it began to have more parts than it bears while cold; zero if it has not
+	reportedQueues  []float64 // the last recorded queue lengths, the newest last
+	overloadedSince time.Time // since when it has had more parts than a cold searcher can take; zero if it has not
 	conns           []*searcherConn
 }
 
@@ -57,14 +57,14 @@
 	return s.sim.ColdShare + (1-s.sim.ColdShare)*age.Seconds()/s.sim.ColdDuration.Seconds()
 }
 
-// receive takes in a part: it is served, queued or refused.
+// receive serves, queues or refuses a part that has arrived.
 func (s *searcher) receive(p *pendingAttempt) {
 	s.sim.result.countPart(s, 1)
 	switch {
-	case s.draining || len(s.waiting) >= s.sim.Queue:
+	case s.draining || len(s.waiting) >= s.sim.MaxQueue:
 		s.answer(p, eiderwinch.Full)
 		return
-	case s.busy >= s.sim.Slots:
+	case s.busy >= s.sim.SearcherSlots:
 		s.waiting = append(s.waiting, p)
 	default:
 		s.serve(p)
@@ -74,7 +74,7 @@
 
 // checkOverload crashes a cold searcher that has been overloaded for too long.
 func (s *searcher) checkOverload() {
-	limit := s.sim.ColdMultiple * float64(s.sim.Slots) * s.speedShare()
+	limit := s.sim.ColdMultiple * float64(s.sim.SearcherSlots) * s.speedShare()
 	if s.speedShare() == 1 || float64(s.busy+len(s.waiting)) <= limit {
 		s.overloadedSince = time.Time{}
 		return
@@ -93,14 +93,14 @@
 	s.busy++
 	process := s.process
 	duration := float64(s.sim.Classes[p.class].Work) * s.sim.logNormal() * s.slowdown / s.speedShare()
-	duration *= 1 + s.sim.QueueSlowdown*float64(len(s.waiting))/float64(s.sim.Queue)
+	duration *= 1 + s.sim.QueueSlowdown*float64(len(s.waiting))/float64(s.sim.MaxQueue)
 	if p.firstOfCall {
 		duration += float64(s.sim.CallCost)
 	}
 	s.sim.after(time.Duration(duration), func() { s.finish(p, process) })
 }
 
-// finish completes a part and starts on those that wait. It does so later if the searcher is paused.
+// finish answers a part and starts on those that wait. If the searcher is paused, this happens when the pause ends.
 func (s *searcher) finish(p *pendingAttempt, process int) {
 	if s.process != process {
 		return // the process has died since
@@ -112,7 +112,7 @@
 	s.busy--
 	s.recordEffect(p)
 	s.answer(p, eiderwinch.OK)
-	for s.busy < s.sim.Slots && len(s.waiting) > 0 {
+	for s.busy < s.sim.SearcherSlots && len(s.waiting) > 0 {
 		next := s.waiting[0]
 		s.waiting = s.waiting[1:]
 		s.serve(next)
@@ -120,8 +120,8 @@
 	s.checkOverload()
 }
 
-// recordEffect records the reservation that a part of a keyed class has made. It is a breach to make one
-// again after the class's repeat window, when the searchers no longer recognise the key.
+// recordEffect records the reservation that a part of a keyed class has made. A repeat after the class's repeat
+// window counts as a breach: the searchers no longer recognise the key then, and make the reservation again.
 func (s *searcher) recordEffect(p *pendingAttempt) {
 	c := s.sim.Classes[p.class]
 	if c.Effect != eiderwinch.Keyed {
@@ -136,7 +136,7 @@
 	}
 }
 
-// answer sends an answer to the gatherer. It arrives if the connection is still open then.
+// answer sends an answer to the gatherer. The answer is lost if the connection has been closed when it arrives.
 func (s *searcher) answer(p *pendingAttempt, status eiderwinch.Status) {
 	if s.sim.lostAnswerShare > 0 && s.sim.rng.Float64() < s.sim.lostAnswerShare {
 		return // the part has run, but its answer is lost
@@ -158,10 +158,10 @@
 	return ((s.cell-segment)%cells+cells)%cells < s.sim.CellsPerSegment
 }
 
-// maxReportedQueues bounds the number of reports that are kept.
+// maxReportedQueues is the number of recorded queue lengths that are kept.
 const maxReportedQueues = 64
 
-// recordQueue records the queue length for load reports, and schedules itself again at random intervals.
+// recordQueue records the queue length for load reports, and schedules its next call after a random time.
 func (s *searcher) recordQueue() {
 	if len(s.reportedQueues) == maxReportedQueues {
 		s.reportedQueues = s.reportedQueues[1:]
@@ -188,7 +188,7 @@
 	s.waiting = slices.DeleteFunc(s.waiting, func(x *pendingAttempt) bool { return x == p })
 }
 
-// crash ends the process, which breaks its connections. It starts again, cold, after downtime.
+// crash ends the process, which breaks its connections. A new one starts, cold, after downtime.
 func (s *searcher) crash(downtime time.Duration) {
 	if !s.up {
 		return
@@ -221,15 +221,15 @@
 	s.sim.announce(s, eiderwinch.Ready)
 }
 
-// drain announces that the searcher is draining, and ends its process after within or after a second, whichever is
-// longer. It starts again, cold, 2 s after that.
-func (s *searcher) drain(within time.Duration) {
+// drain announces that the searcher is draining, and ends its process after the given time or a second, whichever
+// is longer. A new process starts, cold, 2 s later.
+func (s *searcher) drain(duration time.Duration) {
 	if !s.up || s.draining {
 		return
 	}
 	s.draining = true
 	s.sim.announce(s, eiderwinch.Draining)
-	s.sim.after(max(within, time.Second), func() {
+	s.sim.after(max(duration, time.Second), func() {
 		if s.up && s.draining {
 			s.crash(2 * time.Second)
 		}
--- a/internal/trial/emulator/simulation.go
+++ b/internal/trial/emulator/simulation.go
@@ -18,7 +18,7 @@
 // runStart is when every run starts. Searchers that are up from the start are warm.
 var runStart = time.Unix(1_700_000_000, 0).UTC()
 
-// event is a function that is called at some time of a run.
+// event is a function that is called at a set time of a run.
 type event = timerqueue.Timer[func()]
 
 // simulation is one run.
@@ -92,7 +92,7 @@
 	return sim, nil
 }
 
-// play processes the events until the last query has ended.
+// play processes the events until a second after the last deadline that a query can have.
 func (sim *simulation) play() {
 	longest := time.Duration(0)
 	for _, c := range sim.Classes {
@@ -140,7 +140,8 @@
 	return time.Duration(sim.rng.ExpFloat64() * float64(mean))
 }
 
-// scheduleQuery schedules the next query of a class, and with it those after it: a Poisson process.
+// scheduleQuery schedules the next query of a class, which schedules the one after it. The queries form a Poisson
+// process.
 func (sim *simulation) scheduleQuery(class int) {
 	rate := sim.Classes[class].Rate * sim.classLoad[class] * sim.totalTenantLoad()
 	sim.after(sim.exponential(time.Duration(float64(time.Second)/rate)), func() {
@@ -153,7 +154,7 @@
 	})
 }
 
-// drawTenant draws the tenant of a query; -1 if there are no tenants.
+// drawTenant draws the tenant of a query in proportion to the tenants' loads. It returns -1 if there are no tenants.
 func (sim *simulation) drawTenant() int {
 	if sim.Tenants == 0 {
 		return -1
@@ -162,9 +163,9 @@
 	for i, f := range sim.tenantLoad {
 		sum += f * sim.tenantShare(i)
 	}
-	at := sim.rng.Float64() * sum
+	remaining := sim.rng.Float64() * sum
 	for i, f := range sim.tenantLoad {
-		if at -= f * sim.tenantShare(i); at < 0 {
+		if remaining -= f * sim.tenantShare(i); remaining < 0 {
 			return i
 		}
 	}
@@ -185,7 +186,7 @@
 
 // injectFault starts a fault, and schedules its end.
 func (sim *simulation) injectFault(f Fault) {
-	each := func(do func(*searcher)) {
+	forEachSearcher := func(do func(*searcher)) {
 		for _, s := range sim.searchers[f.First : f.First+f.Count] {
 			do(s)
 		}
@@ -193,12 +194,12 @@
 	interval := f.For / time.Duration(max(f.Count, 1))
 	switch f.Kind {
 	case Crash:
-		each(func(s *searcher) { s.crash(f.For) })
+		forEachSearcher(func(s *searcher) { s.crash(f.For) })
 	case Pause:
-		each(func(s *searcher) { s.pausedUntil = sim.now.Add(f.For) })
+		forEachSearcher(func(s *searcher) { s.pausedUntil = sim.now.Add(f.For) })
 	case Slow:
-		each(func(s *searcher) { s.slowdown = f.Factor })
-		sim.after(f.For, func() { each(func(s *searcher) { s.slowdown = 1 }) })
+		forEachSearcher(func(s *searcher) { s.slowdown = f.Factor })
+		sim.after(f.For, func() { forEachSearcher(func(s *searcher) { s.slowdown = 1 }) })
 	case Drain:
 		for i := range f.Count {
 			s := sim.searchers[f.First+i]
