--- a/internal/trial/testcluster/history.go
+++ b/internal/trial/testcluster/history.go
@@ -17,8 +17,8 @@
 
 func (id processID) String() string { return fmt.Sprintf("g%d-%d", id.Gatherer, id.Start) }
 
-// processOf returns the process whose client sent the query with a trace. Both numbers are -1 if the trace is not one
-// of the test cluster's.
+// processOf returns the process to which a client sent the query with the given trace. Both numbers are -1 if the trace
+// is not one of the test cluster's.
 func processOf(trace string) processID {
 	var id processID
 	if _, err := fmt.Sscanf(trace, "g%d-%d-", &id.Gatherer, &id.Start); err != nil {
@@ -33,13 +33,13 @@
 	Who  string `json:"who"` // a process as gNUMBER-START, "rig" or "audit"
 	What string `json:"what,omitempty"`
 
-	// The state that a process reported when it was polled. Written on each change, else once a second.
+	// The state that a process reported when it was polled. It is written on each change, and else once a second.
 	Counted int    `json:"counted,omitempty"`
 	Digest  string `json:"digest,omitempty"`
 	Slots   int    `json:"slots,omitempty"`
 	Bytes   int    `json:"bytes,omitempty"` // sent to the other gatherers so far
 
-	// How long the fleet took to converge, or that it did not in time.
+	// How long the fleet took to converge after a fault, or until the wait timed out.
 	Kind   Kind   `json:"kind,omitempty"`
 	When   string `json:"when,omitempty"`
 	TookMS int64  `json:"took_ms,omitempty"`
@@ -64,13 +64,12 @@
 	until   time.Time
 }
 
-// history records what clients, searchers and polls of the gatherers observe in a run. The audit relies on it rather
-// than on the gatherers' own account alone.
+// history records what clients, searchers and polls of the gatherers observe in a run. It is the basis of the audit.
 type history struct {
 	mu           sync.Mutex
 	started      time.Time
 	out          io.Writer
-	lastEntries  map[int]Entry     // by gatherer: the last entry written of its view
+	lastEntries  map[int]Entry     // by gatherer: the last entry that was written with its state
 	slotUses     map[int][]slotUse // by slot
 	violations   []string
 	viewChanges  int // observed changes of a gatherer's view
@@ -83,7 +82,7 @@
 type Queries struct {
 	Asked, Answered, Refused, Failed int
 	Interrupted                      int // no answer, and their gatherer was killed or stopped meanwhile
-	Lost                             int // no answer although their gatherer ran all the time
+	Lost                             int // no answer although their gatherer ran without interruption
 	AnsweredCold                     int // those of Answered that need the cold searcher
 }
 
@@ -114,7 +113,7 @@
 	h.recordTextLocked(who, format, args...)
 }
 
-// recordViolationLocked records a violation of what must hold in every run. The caller holds mu.
+// recordViolationLocked records a violation of a rule that must hold in every run. The caller holds mu.
 func (h *history) recordViolationLocked(format string, args ...any) {
 	text := fmt.Sprintf(format, args...)
 	h.recordTextLocked("audit", "%s", text)
@@ -148,8 +147,8 @@
 		slot := (process.Gatherer - n + slots) % slots
 		uses := slices.DeleteFunc(h.slotUses[slot], func(u slotUse) bool { return u.process == process || now.Sub(u.until) > limitWindow })
 		for _, u := range uses {
-			// Earlier processes of the same gatherer don't count: a restarted process doesn't know what they used. Other
-			// gatherers have to know.
+			// Uses by earlier processes of the same gatherer are allowed: a restarted process does not know what they
+			// used. Other gatherers must know.
 			if u.process.Gatherer != process.Gatherer {
 				h.recordViolationLocked("slot %d is used by %v, but %v used it, or may have, until %v before", slot, process, u.process, now.Sub(u.until))
 			}
--- a/internal/trial/testcluster/network.go
+++ b/internal/trial/testcluster/network.go
@@ -13,18 +13,18 @@
 // Link describes the network from one gatherer to another. The zero value is a link without faults.
 type Link struct {
 	Partitioned             bool          // nothing passes
-	LossRate, DuplicateRate float64       // shares of the datagrams and streams lost, or delivered twice
+	LossRate, DuplicateRate float64       // shares of the datagrams and streams that are lost, or delivered twice
 	Delay                   time.Duration // of each message
 	Jitter                  time.Duration // upper bound of a random further delay, which reorders messages
-	BytesPerSecond          int           // what exceeds it is lost; 0: unlimited
+	BytesPerSecond          int           // messages beyond it are lost; 0: unlimited
 }
 
 // Addresses and bounds of a network's relays.
 const (
 	port           = 7300
-	maxStreamBytes = 4 << 20         // bytes of a stream, as much as the gatherers accept
+	maxStreamBytes = 4 << 20         // maximum length of a stream; the gatherers accept as much
 	streamTimeout  = 3 * time.Second // of a relayed stream
-	firstOctet     = 64              // to lastOctet: second bytes of the loopback addresses of test clusters
+	firstOctet     = 64              // the second octet of a test cluster's loopback addresses is from here to lastOctet
 	lastOctet      = 191
 	maxGatherers   = 200
 )
@@ -32,13 +32,14 @@
 // network relays what gatherers send each other, so that faults can be injected. Each gatherer listens at an address of
 // its own, by which a relay identifies the sender; the other gatherers know it by the address of its relay.
 //
-// A gatherer checks whether the host of another's slot refuses connections. For this each ordered pair of gatherers has
-// a slot listener. It is closed, so that connections are refused, only while the other gatherer's process is down and no
-// partition separates the pair: across a partition connections are accepted, but no data is returned.
+// A gatherer checks whether the host of another gatherer's slot refuses connections. For this check each ordered pair of
+// gatherers has a slot listener. The listener is closed, so that connections are refused, only while the other gatherer's
+// process is down and no partition separates the pair. Across a partition connections are accepted, but no data is
+// returned.
 type network struct {
-	octet     int
+	octet     int          // second octet of its loopback addresses
 	size      int          // number of gatherers
-	octetLock net.Listener // reserves octet among the test clusters of this machine
+	octetLock net.Listener // reserves octet, so that other test clusters on this machine use others
 
 	mu            sync.Mutex
 	rng           *rand.Rand
@@ -142,7 +143,7 @@
 	return r, nil
 }
 
-// forward delivers a message between two gatherers as the link between them allows: once, twice, late or not at all.
+// forward delivers a message from one gatherer to another with the faults of their link: once, twice, late or not at all.
 func (n *network) forward(from, to, bytes int, deliver func()) {
 	n.mu.Lock()
 	l, t := n.links[from][to], &n.traffic[from][to]
@@ -174,7 +175,7 @@
 // relayDatagrams forwards the datagrams that other gatherers send to this one.
 func (r *relay) relayDatagrams() {
 	defer r.network.goroutines.Done()
-	own := netip.MustParseAddrPort(r.network.listenAddr(r.to))
+	receiverAddr := netip.MustParseAddrPort(r.network.listenAddr(r.to))
 	for buf := make([]byte, 1<<16); ; {
 		n, addr, err := r.udp.ReadFromUDPAddrPort(buf)
 		if err != nil {
@@ -182,7 +183,7 @@
 		}
 		if from := r.network.sender(addr.Addr()); from >= 0 {
 			data := append([]byte(nil), buf[:n]...)
-			r.network.forward(from, r.to, n, func() { _, _ = r.replies[from].WriteToUDPAddrPort(data, own) })
+			r.network.forward(from, r.to, n, func() { _, _ = r.replies[from].WriteToUDPAddrPort(data, receiverAddr) })
 		}
 	}
 }
@@ -190,14 +191,14 @@
 // relayReplies forwards what the gatherer replies to datagrams that one of the others sent through this relay.
 func (r *relay) relayReplies(to int) {
 	defer r.network.goroutines.Done()
-	own := netip.MustParseAddrPort(r.network.listenAddr(to))
+	receiverAddr := netip.MustParseAddrPort(r.network.listenAddr(to))
 	for buf := make([]byte, 1<<16); ; {
 		n, _, err := r.replies[to].ReadFromUDPAddrPort(buf)
 		if err != nil {
 			return
 		}
 		data := append([]byte(nil), buf[:n]...)
-		r.network.forward(r.to, to, n, func() { _, _ = r.udp.WriteToUDPAddrPort(data, own) })
+		r.network.forward(r.to, to, n, func() { _, _ = r.udp.WriteToUDPAddrPort(data, receiverAddr) })
 	}
 }
 
@@ -220,13 +221,13 @@
 				return
 			}
 			r.network.forward(from, r.to, len(data), func() {
-				to, err := net.DialTimeout("tcp", r.network.listenAddr(r.to), streamTimeout)
+				upstream, err := net.DialTimeout("tcp", r.network.listenAddr(r.to), streamTimeout)
 				if err != nil {
 					return
 				}
-				defer to.Close()
-				_ = to.SetDeadline(time.Now().Add(streamTimeout))
-				_, _ = to.Write(data)
+				defer upstream.Close()
+				_ = upstream.SetDeadline(time.Now().Add(streamTimeout))
+				_, _ = upstream.Write(data)
 			})
 		}()
 	}
@@ -246,7 +247,7 @@
 	return n.updateSlotListeners()
 }
 
-// setRunning records that a gatherer's process is about to start, or has certainly ended.
+// setRunning records that a gatherer's process is about to start, or that it has ended.
 func (n *network) setRunning(i int, running bool) error {
 	n.mu.Lock()
 	n.down[i] = !running
@@ -280,8 +281,8 @@
 	return nil
 }
 
-// serveSlot accepts the connections of one gatherer to another's slot. They are forwarded to the other gatherer, unless
-// a partition separates the two: then they only stay open.
+// serveSlot accepts the connections of one gatherer to another's slot and forwards them to the other gatherer. While a
+// partition separates the two, nothing is forwarded and the connections only stay open.
 func (n *network) serveSlot(l net.Listener, from, to int) {
 	defer n.goroutines.Done()
 	for {
--- a/internal/trial/testcluster/plan.go
+++ b/internal/trial/testcluster/plan.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// Kind is a kind of fault.
+// Kind is a kind of fault. Plans and histories contain its value.
 type Kind string
 
 // The kinds of faults among gatherers.
@@ -20,7 +20,7 @@
 	Flap            Kind = "flap"    // one is killed and restarted repeatedly, for For
 	Join            Kind = "join"    // all but the three seeds are killed and restarted at once, while a seed is killed for For
 	Stop            Kind = "stop"    // one is stopped (SIGSTOP) for For and continues with an outdated view
-	PartitionHalves Kind = "halves"  // a partition into two halves, for For
+	PartitionHalves Kind = "halves"  // a partition of the fleet into two halves, for For
 	PartitionOneWay Kind = "oneway"  // nothing passes from one gatherer to another, for For; the other direction works
 	PartitionPair   Kind = "hermit"  // a partition between the two gatherers of one pair, for For
 	Loss            Kind = "loss"    // a fifth of all messages is lost, for For
@@ -41,15 +41,15 @@
 }
 
 // NewPlan draws a plan of about the given length from a seed: each kind once in a random order, then again. A fault
-// lasts about span, a partition into halves six times as long.
-func NewPlan(seed uint64, gatherers int, length, span time.Duration) (steps []Step) {
+// lasts from half to one and a half times faultDuration, a partition into halves six times as long.
+func NewPlan(seed uint64, gatherers int, length, faultDuration time.Duration) (steps []Step) {
 	rng := rand.New(rand.NewPCG(seed, 0x706c616e))
 	kinds := kinds()
 	const stepOverhead = 2 * time.Second // approximate time that a step takes in addition to its fault
 	for at := time.Duration(0); ; {
 		rng.Shuffle(len(kinds), func(i, j int) { kinds[i], kinds[j] = kinds[j], kinds[i] })
 		for _, k := range kinds {
-			s := Step{k, rng.IntN(gatherers), span/2 + time.Duration(rng.Int64N(int64(span)))}
+			s := Step{k, rng.IntN(gatherers), faultDuration/2 + time.Duration(rng.Int64N(int64(faultDuration)))}
 			if k == PartitionHalves {
 				s.For *= 6
 			}
--- a/internal/trial/testcluster/searcher.go
+++ b/internal/trial/testcluster/searcher.go
@@ -18,7 +18,7 @@
 	partDuration time.Duration
 
 	mu      sync.Mutex
-	started time.Time // its last start; zero: long ago
+	started time.Time // its last start; zero if it has been warm from the beginning
 	parts   []arrival
 }
 
@@ -29,7 +29,7 @@
 	searcherStart time.Time // the searcher's last start before it
 }
 
-// newSearcher starts a searcher of a cell that takes the given time for each part.
+// newSearcher starts a searcher in a cell. It answers each part after the given time.
 func newSearcher(id string, cell int, partDuration time.Duration) (*searcher, error) {
 	searcher := &searcher{id: id, cell: cell, partDuration: partDuration}
 	var err error
@@ -40,14 +40,14 @@
 // serve answers the calls on a connection until it is closed.
 func (s *searcher) serve(c net.Conn) {
 	for {
-		letter, rest, err := fake.ReadFrame(c)
+		letter, payload, err := fake.ReadFrame(c)
 		if err != nil {
 			return
 		}
-		if letter == 'c' { // a cancel: ignored, since a part's work is over shortly anyway
+		if letter == 'c' { // a cancel: ignored, since a part takes only a short time
 			continue
 		}
-		parts, err := fake.ParseCall(rest)
+		parts, err := fake.ParseCall(payload)
 		if err != nil {
 			return
 		}
@@ -63,7 +63,7 @@
 	}
 }
 
-// member returns the searcher's entry of the member list. With restarted, the searcher counts as just started.
+// member returns the searcher's entry of the member list. If restarted is set, the searcher counts as just started.
 func (s *searcher) member(restarted bool) fake.Member {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/trial/testcluster/testcluster.go
+++ b/internal/trial/testcluster/testcluster.go
@@ -1,11 +1,11 @@
 // Package testcluster runs a test cluster on loopback: several processes of the built program, as a fleet of gatherers, with
 // fake searchers and a fake discovery. It injects faults between the gatherers: relays partition, drop, delay, duplicate and
 // throttle what they send each other, and processes are stopped, killed and restarted. It ends only processes that it
-// has started. One history of the run is recorded from the outside, by the clients, the searchers and the polls of the
-// gatherers, so that the audit doesn't rely on the gatherers alone.
+// has started. The history of a run is recorded from outside the gatherers: by the clients, by the searchers and by
+// polls, so that the audit does not rely on the gatherers' own account alone.
 //
-// A plan of faults comes from a seed or a file. Runs take place in real time, so the same plan doesn't give exactly the
-// same run; what is audited must hold in every run.
+// A plan of faults comes from a seed or a file. Runs take place in real time, so the same plan does not give exactly the
+// same run. The audit checks what must hold in every run.
 package testcluster
 
 import (
@@ -42,20 +42,20 @@
 }
 
 // Parameters of the searchers, the gatherers and the clients. One searcher, alone in its cell, restarts so often that it
-// is always cold: how many parts reach it depends on how the fleet divides the limit at cold searchers.
+// is always cold. How many parts it gets depends on how the fleet divides the limits at cold searchers.
 const (
-	coldDuration        = 10 * time.Second // after a start
-	coldRestartInterval = 7 * time.Second  // the cold searcher's restarts; less than coldDuration
-	limitWindow         = time.Second      // to which the limits at a cold searcher apply
+	coldDuration        = 10 * time.Second // how long a searcher is cold after a start
+	coldRestartInterval = 7 * time.Second  // between restarts of the cold searcher; less than coldDuration
+	limitWindow         = time.Second      // the span over which the limits at a cold searcher count
 	fallMultiple        = 2.0
 	startCapacity       = 0.2
-	partDuration        = 20 * time.Millisecond // of a searcher, for a part
-	// The decision module grants a cold searcher up to this multiple of what one core can certainly do: twice as much
-	// since most shares go unused, and twice that if the searcher answers as quickly as others.
+	partDuration        = 20 * time.Millisecond // time that a searcher takes for a part
+	// The decision module allows a cold searcher up to this multiple of the parts that one core can certainly serve:
+	// twice as many because most gatherers don't use their shares, and twice that if it answers as quickly as others.
 	coldGrantFactor = 4
 
-	seedCount     = 3                     // the first gatherers, which are the seeds of all
-	seedKillDelay = 50 * time.Millisecond // after the others have begun to join through the seed
+	seedCount     = 3                     // number of seeds, which are the first gatherers
+	seedKillDelay = 50 * time.Millisecond // from the start of the others, which join through the seed, to its kill
 
 	aim           = time.Second
 	deadline      = 2 * time.Second
@@ -66,17 +66,17 @@
 
 // Cluster is a running test cluster.
 type Cluster struct {
-	cfg        Config
-	network    *network
-	discovery  *fake.Discovery
-	searchers  []*searcher
-	cold       *searcher
-	gatherers  []*gatherer
-	history    *history
-	file       *os.File
-	ctx        context.Context
-	stop       context.CancelFunc
-	goroutines sync.WaitGroup
+	cfg          Config
+	network      *network
+	discovery    *fake.Discovery
+	searchers    []*searcher
+	coldSearcher *searcher // one of searchers
+	gatherers    []*gatherer
+	history      *history
+	historyFile  *os.File
+	ctx          context.Context
+	stop         context.CancelFunc
+	goroutines   sync.WaitGroup
 }
 
 // gatherer is one member of the fleet. Its process changes with each restart.
@@ -90,7 +90,7 @@
 	cmd           *exec.Cmd     // nil: no process runs
 	process       processID     // the current process, or the last one
 	exited        chan struct{} // closed when the current process has ended
-	stopped       bool          // by SIGSTOP
+	stopped       bool          // the process is stopped by SIGSTOP
 	interruptions int           // number of kills and signals so far
 }
 
@@ -103,10 +103,10 @@
 			err = errors.Join(err, c.Close())
 		}
 	}()
-	if c.file, err = os.Create(filepath.Join(cfg.Dir, "history.jsonl")); err != nil {
+	if c.historyFile, err = os.Create(filepath.Join(cfg.Dir, "history.jsonl")); err != nil {
 		return c, err
 	}
-	c.history = newHistory(c.file)
+	c.history = newHistory(c.historyFile)
 	if c.network, err = newNetwork(cfg.Gatherers, cfg.Seed); err != nil {
 		return c, err
 	}
@@ -121,7 +121,7 @@
 		c.searchers = append(c.searchers, s)
 		c.discovery.Publish(s.member(i == 2))
 	}
-	c.cold = c.searchers[2]
+	c.coldSearcher = c.searchers[2]
 	if err := os.WriteFile(filepath.Join(cfg.Dir, "keys.xml"), []byte(cfg.Keys), 0o600); err != nil {
 		return c, err
 	}
@@ -135,7 +135,7 @@
 	if err := c.forEach(c.gatherers, (*gatherer).start); err != nil {
 		return c, err
 	}
-	c.spawn(func() { c.repeat(coldRestartInterval, func() { c.discovery.Publish(c.cold.member(true)) }) })
+	c.spawn(func() { c.repeat(coldRestartInterval, func() { c.discovery.Publish(c.coldSearcher.member(true)) }) })
 	for _, g := range c.gatherers {
 		c.spawn(func() { c.repeat(pollInterval, g.poll) })
 		for k := range 4 {
@@ -255,11 +255,11 @@
 		if err != nil {
 			log = nil
 		}
-		first := true
+		starting := true
 		for s := bufio.NewScanner(out); s.Scan(); {
 			_, _ = fmt.Fprintln(log, s.Text()) // a write to a nil file does nothing
-			if first && strings.Contains(s.Text(), "msg=serving") {
-				first = false
+			if starting && strings.Contains(s.Text(), "msg=serving") {
+				starting = false
 				close(serving)
 			}
 		}
@@ -275,7 +275,7 @@
 	}
 }
 
-// kill kills the process. Its host refuses connections only after the process has ended.
+// kill kills the process, if one runs. The network refuses connections to it only after the process has ended.
 func (g *gatherer) kill() error {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -303,15 +303,16 @@
 	return g.cmd.Process.Signal(s)
 }
 
-// running returns the current process, or the last one, and the number of interruptions so far; ok reports whether the process runs and
-// is not stopped.
+// running returns the current process, or the last one, and the number of interruptions so far. ok reports whether the
+// process runs and is not stopped.
 func (g *gatherer) running() (process processID, interruptions int, ok bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.process, g.interruptions, g.cmd != nil && !g.stopped
 }
 
-// fetchState polls the gatherer for the state of its fleet, and records it.
+// fetchState asks the gatherer for its state of the fleet, and records it. ok is false if there is no answer, or if the
+// process may have changed meanwhile.
 func (g *gatherer) fetchState() (state admin.FleetState, ok bool) {
 	process, _, ok := g.running()
 	asked := time.Now()
@@ -319,7 +320,7 @@
 		return state, false
 	}
 	now := time.Now()
-	if again, _, ok := g.running(); !ok || again != process {
+	if processNow, _, ok := g.running(); !ok || processNow != process {
 		return state, false
 	}
 	g.cluster.history.recordState(process, g.cluster.network.size, state, asked, now)
@@ -334,7 +335,7 @@
 func (g *gatherer) runClient(number int) {
 	client := &http.Client{Timeout: answerTimeout, Transport: &http.Transport{MaxIdleConnsPerHost: 1}}
 	defer client.CloseIdleConnections()
-	var connected processID // the process to which its connection leads
+	var connected processID // the process that the client is connected to
 	// A fleet of more than five gets no more queries than one of five: the number of searchers is the same.
 	interval := time.Duration(10+5*number) * time.Millisecond * time.Duration(max(g.cluster.network.size, 5)) / 5
 	for i := 0; g.cluster.sleep(interval); i++ {
@@ -356,12 +357,12 @@
 		case errors.Is(err, syscall.ECONNREFUSED): // the gatherer doesn't listen yet, so it got no query
 			continue
 		}
-		again, interruptionsNow, _ := g.running()
-		g.cluster.history.recordAnswer(answer.Status, shard == 1, again != process || interruptions != interruptionsNow, err)
+		processNow, interruptionsNow, _ := g.running()
+		g.cluster.history.recordAnswer(answer.Status, shard == 1, processNow != process || interruptions != interruptionsNow, err)
 	}
 }
 
-// recordAnswer records how a query has ended. interrupted says that its gatherer was killed or stopped meanwhile.
+// recordAnswer counts a query by how it has ended. interrupted tells whether its gatherer was killed or stopped meanwhile.
 func (h *history) recordAnswer(status int, cold, interrupted bool, err error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -384,32 +385,32 @@
 	}
 }
 
-// waitConverged waits until the views of all running gatherers agree and contain exactly these gatherers, and returns how
-// long that took.
+// waitConverged waits until the membership views of all running gatherers agree and count as many gatherers as run, and
+// returns how long that took.
 func (c *Cluster) waitConverged() (time.Duration, error) {
 	started := time.Now()
 	for {
-		want, same, digest := 0, true, ""
+		runningCount, converged, digest := 0, true, ""
 		var states []admin.FleetState
 		for _, g := range c.gatherers {
 			if _, _, ok := g.running(); !ok {
 				continue
 			}
-			want++
+			runningCount++
 			s, ok := g.fetchState()
-			same = same && ok && (digest == "" || s.Digest == digest)
+			converged = converged && ok && (digest == "" || s.Digest == digest)
 			digest = s.Digest
 			states = append(states, s)
 		}
 		for _, s := range states {
-			same = same && s.Counted == want
+			converged = converged && s.Counted == runningCount
 		}
 		took := time.Since(started)
-		if same {
+		if converged {
 			return took, nil
 		}
 		if took > c.cfg.ConvergeTimeout {
-			return took, fmt.Errorf("fleet not converged after %v: %d gatherers run", took, want)
+			return took, fmt.Errorf("fleet not converged after %v: %d gatherers run", took, runningCount)
 		}
 		if !c.sleep(20 * time.Millisecond) {
 			return took, c.ctx.Err()
@@ -434,8 +435,8 @@
 	for _, g := range c.gatherers {
 		g.admin.Close()
 	}
-	if c.file != nil {
-		err = errors.Join(err, c.file.Close())
+	if c.historyFile != nil {
+		err = errors.Join(err, c.historyFile.Close())
 	}
 	return err
 }
@@ -455,7 +456,7 @@
 	ViewChanges      int // observed changes of a gatherer's view
 	QuietViewChanges int // those of ViewChanges that occurred without a fault, in a fleet that had converged
 	MaxHeldSlots     int // maximum number of slots of absent gatherers that others used at once
-	// ColdParts counts the parts that reached the cold searcher, MaxColdParts those of the window with the most;
+	// ColdParts counts the parts that the cold searcher received, MaxColdParts those in the limitWindow with the most.
 	// AllowedColdParts is how many the decision module's rule allows the whole fleet in that window.
 	ColdParts, MaxColdParts int
 	AllowedColdParts        float64
@@ -475,8 +476,8 @@
 // quietPeriod is how long the fleet is observed without a fault before each step.
 const quietPeriod = 500 * time.Millisecond
 
-// Play injects the faults of a plan, one after the other. Each begins after the fleet has converged, or failed to in
-// time, after the one before. The test cluster stops at the end.
+// Play injects the faults of a plan, one after the other. Before each it waits until the fleet has converged after the
+// previous one, for up to Config.ConvergeTimeout. The test cluster stops at the end.
 func (c *Cluster) Play(plan []Step) (*Report, error) {
 	report := &Report{}
 	waitConverged := func(k Kind, when string) {
@@ -515,7 +516,7 @@
 	return h.viewChanges
 }
 
-// inject injects a fault and ends it. It calls waitConverged during the fault if the fleet should converge meanwhile.
+// inject injects a fault and ends it. It calls waitConverged during a fault in which the fleet is expected to converge.
 func (c *Cluster) inject(step Step, waitConverged func()) error {
 	n := len(c.gatherers)
 	member := func(i int) *gatherer { return c.gatherers[(step.First+i)%n] }
@@ -585,14 +586,14 @@
 	return fmt.Errorf("test cluster: unknown fault %q", step.Kind)
 }
 
-// summarize audits the parts that reached the cold searcher, and fills in the report.
+// summarize audits the parts that the cold searcher received, and fills in the report.
 func (c *Cluster) summarize(report *Report) {
 	h := c.history
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	c.cold.mu.Lock()
-	parts := c.cold.parts
-	c.cold.mu.Unlock()
+	c.coldSearcher.mu.Lock()
+	parts := c.coldSearcher.parts
+	c.coldSearcher.mu.Unlock()
 	for i, p := range parts {
 		if p.sender.Gatherer < 0 || p.sender.Gatherer >= len(c.gatherers) {
 			h.recordViolationLocked("the cold searcher got a part of a query that no client sent")
