--- a/internal/trial/fake/assignment_server.go
+++ b/internal/trial/fake/assignment_server.go
@@ -13,41 +13,41 @@
 	"eiderwinch/internal/layout"
 )
 
-// AssignmentServer is the endpoint of a fake searcher through which a coordinator of layouts
-// assigns segments: it handles PUT /v1/custody on a Unix socket, whose request is an
-// order and whose response is a report. It fills and drops the segments that the
-// searcher holds in a ShardedCatalogue. It is written from docs/operate-layout.md and shares
-// no code with the coordinator.
+// AssignmentServer is the endpoint of a fake searcher through which a coordinator assigns
+// segments to it. It handles PUT /v1/custody on a Unix socket: the request is an order, the
+// response is a report. It fills and drops the searcher's segments in a ShardedCatalogue. It
+// is written from docs/operate-layout.md and shares no code with the coordinator.
 //
-// The last order is kept over Close and Open, as it would be on a searcher's disk.
+// The last order is kept when the server is closed and opened again, as it would be on a
+// searcher's disk.
 type AssignmentServer struct {
-	searcher string
-	store    *ShardedCatalogue
-	path     string
+	searcher  string
+	catalogue *ShardedCatalogue
+	path      string
 
 	mu          sync.Mutex
-	srv         *http.Server
-	done        chan struct{} // closed when the server and the copy loop have ended
+	server      *http.Server
+	done        chan struct{} // closed when the HTTP server and the copy loop have ended
 	stop        context.CancelFunc
 	lastOrder   order
-	copied      map[fillID]bool
-	staleOrders int // orders ignored as not newer than the last, or of another log
+	copied      map[fillID]bool // for each fill of the last order: whether all rows have been copied
+	staleOrders int             // number of orders that were ignored, see StaleOrders
 }
 
-// fillID identifies the copying of rows into a segment on behalf of a job.
+// fillID identifies a fill: the copying of rows into a segment for a job.
 type fillID struct {
 	Job     uint64
 	Segment layout.SegmentID
 }
 
-// order is what the coordinator requests: the segments to drop and to fill.
+// order is a request of the coordinator: the segments to drop and to fill.
 type order struct {
-	Log    string             `json:"log"`
-	Term   uint64             `json:"term"`
-	Number uint64             `json:"number"`
-	Rows   float64            `json:"rows_per_second"`
-	Drops  []layout.SegmentID `json:"drops"`
-	Fills  []struct {
+	Log           string             `json:"log"`
+	Term          uint64             `json:"term"`
+	Number        uint64             `json:"number"`
+	RowsPerSecond float64            `json:"rows_per_second"`
+	Drops         []layout.SegmentID `json:"drops"`
+	Fills         []struct {
 		Job     uint64             `json:"job"`
 		Segment layout.SegmentID   `json:"segment"`
 		From    layout.Key         `json:"from"`
@@ -77,10 +77,10 @@
 // copyInterval is the time between two batches of copied rows.
 const copyInterval = 20 * time.Millisecond
 
-// NewAssignmentServer returns the assignment endpoint of a searcher, to listen on a Unix
-// socket at path. It does not listen until Open is called.
-func NewAssignmentServer(searcher string, store *ShardedCatalogue, path string) *AssignmentServer {
-	return &AssignmentServer{searcher: searcher, store: store, path: path, copied: make(map[fillID]bool)}
+// NewAssignmentServer returns the assignment endpoint of a searcher, for a Unix socket at
+// path. It does not listen until Open is called.
+func NewAssignmentServer(searcher string, catalogue *ShardedCatalogue, path string) *AssignmentServer {
+	return &AssignmentServer{searcher: searcher, catalogue: catalogue, path: path, copied: make(map[fillID]bool)}
 }
 
 // Endpoint returns the address that a listens on.
@@ -98,17 +98,17 @@
 	ctx, stop := context.WithCancel(context.Background())
 	mux := http.NewServeMux()
 	mux.HandleFunc("PUT /v1/custody", a.serve)
-	srv := &http.Server{Handler: mux, ReadHeaderTimeout: time.Second}
+	server := &http.Server{Handler: mux, ReadHeaderTimeout: time.Second}
 	done := make(chan struct{})
 	a.mu.Lock()
-	a.srv, a.stop, a.done = srv, stop, done
+	a.server, a.stop, a.done = server, stop, done
 	a.mu.Unlock()
 	go func() {
 		defer close(done)
-		copies := make(chan struct{})
-		go func() { defer close(copies); a.copyLoop(ctx) }()
-		_ = srv.Serve(l) // returns after Close
-		<-copies
+		copyLoopDone := make(chan struct{})
+		go func() { defer close(copyLoopDone); a.copyLoop(ctx) }()
+		_ = server.Serve(l) // returns after Close
+		<-copyLoopDone
 	}()
 	return nil
 }
@@ -116,14 +116,14 @@
 // Close stops listening and copying, as if the process had crashed.
 func (a *AssignmentServer) Close() error {
 	a.mu.Lock()
-	srv, stop, done := a.srv, a.stop, a.done
-	a.srv = nil
+	server, stop, done := a.server, a.stop, a.done
+	a.server = nil
 	a.mu.Unlock()
-	if srv == nil {
+	if server == nil {
 		return nil
 	}
 	stop()
-	err := srv.Close()
+	err := server.Close()
 	<-done
 	return err
 }
@@ -153,7 +153,7 @@
 	sameLog := a.lastOrder.Log == "" || o.Log == a.lastOrder.Log
 	if sameLog && (o.Term > a.lastOrder.Term || o.Term == a.lastOrder.Term && o.Number > a.lastOrder.Number) {
 		for _, id := range o.Drops {
-			a.store.Drop(a.searcher, id)
+			a.catalogue.Drop(a.searcher, id)
 		}
 		wanted := make(map[fillID]bool)
 		for _, f := range o.Fills {
@@ -161,21 +161,21 @@
 		}
 		for f := range a.copied {
 			if _, ok := wanted[f]; !ok {
-				a.store.StopFollowing(a.searcher, f.Segment, f.Job)
+				a.catalogue.StopFollowing(a.searcher, f.Segment, f.Job)
 			}
 		}
 		a.copied, a.lastOrder = wanted, o
 	} else {
 		a.staleOrders++
 	}
-	r := report{Log: a.lastOrder.Log, Term: a.lastOrder.Term, Number: a.lastOrder.Number, Held: a.store.Held(a.searcher)}
+	r := report{Log: a.lastOrder.Log, Term: a.lastOrder.Term, Number: a.lastOrder.Number, Held: a.catalogue.Held(a.searcher)}
 	for _, f := range a.lastOrder.Fills {
 		r.Fills = append(r.Fills, fillProgress{Job: f.Job, Segment: f.Segment, Copied: a.copied[fillID{f.Job, f.Segment}]})
 	}
 	return r
 }
 
-// copyLoop copies rows for the fills of the last order until ctx ends.
+// copyLoop copyLoopDone rows for the fills of the last order until ctx ends.
 func (a *AssignmentServer) copyLoop(ctx context.Context) {
 	t := time.NewTicker(copyInterval)
 	defer t.Stop()
@@ -191,8 +191,8 @@
 			if a.copied[id] {
 				continue
 			}
-			maxRows := max(int(a.lastOrder.Rows*copyInterval.Seconds()), 1)
-			done, _ := a.store.Fill(a.searcher, f.Segment, f.Job, Range{From: f.From, To: f.To}, f.Sources, f.Holders, maxRows)
+			maxRows := max(int(a.lastOrder.RowsPerSecond*copyInterval.Seconds()), 1)
+			done, _ := a.catalogue.Fill(a.searcher, f.Segment, f.Job, Range{From: f.From, To: f.To}, f.Sources, f.Holders, maxRows)
 			a.copied[id] = done
 		}
 		a.mu.Unlock()
--- a/internal/trial/fake/deployment.go
+++ b/internal/trial/fake/deployment.go
@@ -15,27 +15,27 @@
 	Zones           int           // 0 means 3
 	Cells           int           // replica groups: sets of searchers that hold the same segments; 0 means 4
 	SegmentsPerCell int           // 0 means 3
-	Service         time.Duration // median time to serve a part; 0 means 6 ms
+	ServiceTime     time.Duration // median time to serve a part; 0 means 6 ms
 	Seed            uint64
 
 	// Ring places the segments in a ring: each searcher is the first holder of two segments,
 	// which the next searcher holds as well. Cells and SegmentsPerCell are ignored.
 	Ring bool
-	// Partial configures classes for lookups in batches and for wide reports, which may be
-	// answered from half of their segments. The queries belong to tenants and may have
-	// second copies. There are no second steps and no reservations.
+	// Partial configures two classes: lookups in batches, and wide reports, which may be
+	// answered from half of their segments. The queries belong to tenants, and their parts may
+	// have second copies. There are no second steps and no reservations.
 	Partial bool
 
-	// Layout and Handler make a deployment whose segments change. Layout returns the initial
-	// layout for the searchers, whose zones are at the same indices; Handler returns what
-	// serves their parts. If they are nil, the segments are assigned by cell and all
-	// searchers share one SharedCatalogue.
+	// Layout and Handler configure a deployment whose segments change. Layout returns the
+	// initial layout for the searchers; zones[i] is the zone of searchers[i]. Handler returns
+	// the handler of all their parts. If they are nil, the segments are assigned by cell and
+	// all searchers share one SharedCatalogue.
 	Layout  func(searchers, zones []string) *layout.Layout
 	Handler func(*layout.Layout) Handler
 }
 
-// Deployment is everything that one gatherer needs to run: searchers in zones, the
-// catalogue that they hold, and discovery.
+// Deployment is the environment that one gatherer needs: searchers in zones, the catalogue
+// that they hold, and discovery.
 type Deployment struct {
 	opts      DeploymentOptions
 	Searchers []*Searcher
@@ -53,8 +53,8 @@
 // shares.
 var Tenants = []string{"north", "south", "west"}
 
-// callCost is the fixed cost that each searcher contacted adds to a query in addition to the work of its parts, like
-// the per-server overhead in the cost model of the Dixie query planner.
+// callCost is the fixed time that a call takes at a searcher in addition to its parts, like the per-server overhead in
+// the cost model of the Dixie query planner.
 const callCost = 2 * time.Millisecond
 
 // NewDeployment starts a deployment. It runs until Close is called.
@@ -88,7 +88,7 @@
 	if o.Handler != nil {
 		d.handler = o.Handler(d.initial)
 	} else {
-		d.Catalogue = NewSharedCatalogue(SharedCatalogueOptions{Segments: o.Cells * o.SegmentsPerCell, Service: o.Service, Seed: o.Seed})
+		d.Catalogue = NewSharedCatalogue(SharedCatalogueOptions{Segments: o.Cells * o.SegmentsPerCell, ServiceTime: o.ServiceTime, Seed: o.Seed})
 		d.handler = d.Catalogue
 	}
 	var err error
@@ -110,7 +110,7 @@
 }
 
 func (d *Deployment) newSearcher(id string) (*Searcher, error) {
-	return NewSearcher(SearcherOptions{ID: id, Work: d.handler, CallCost: callCost})
+	return NewSearcher(SearcherOptions{ID: id, Handler: d.handler, CallCost: callCost})
 }
 
 // InitialLayout returns the initial layout. It is nil if the segments are assigned by cell.
@@ -135,7 +135,7 @@
 	return err
 }
 
-// Restart starts searcher i again after Kill, with the same id at a new address.
+// Restart starts searcher i again after Kill, with the same id and a new address.
 func (d *Deployment) Restart(i int) error {
 	s, err := d.newSearcher(d.members[i].ID)
 	if err != nil {
@@ -168,7 +168,7 @@
 	type object = map[string]any
 	class := func(name, effect string, aim, deadline time.Duration, worth float64) object {
 		return object{"name": name, "effect": effect, "aim": aim.Nanoseconds(), "deadline": deadline.Nanoseconds(),
-			"repeat_window": defaultWindow.Nanoseconds(), "late_worth": 0.1, "worth": worth}
+			"repeat_window": defaultRepeatWindow.Nanoseconds(), "late_worth": 0.1, "worth": worth}
 	}
 	cellsPerSegment, partsPerCall := 1, 4
 	if d.opts.Ring {
--- a/internal/trial/fake/discovery.go
+++ b/internal/trial/fake/discovery.go
@@ -31,9 +31,9 @@
 	Gone        = "Gone"
 )
 
-// Discovery is a fake discovery on loopback. Its methods are safe for concurrent use.
+// Discovery is a fake discovery service on loopback. Its methods are safe for concurrent use.
 type Discovery struct {
-	srv    *Server
+	server *Server
 	closed chan struct{} // closed by Close
 
 	mu         sync.Mutex
@@ -41,8 +41,8 @@
 	revision   int64
 	changed    chan struct{} // closed and replaced at each change
 	resumed    chan struct{} // closed by ResumeResponses; nil if responses are not paused
-	mutedUpTo  int64         // watches with a number up to this one receive nothing more
-	watchCount int64         // watches opened so far
+	mutedUpTo  int64         // number of the last watch that is muted, as are all before it
+	watchCount int64         // number of watches opened so far, and number of the last one
 	indent     bool          // whether lists are written over several lines
 }
 
@@ -59,14 +59,14 @@
 func NewDiscovery() (*Discovery, error) {
 	d := &Discovery{members: make(map[string]listedMember), changed: make(chan struct{}), closed: make(chan struct{})}
 	var err error
-	if d.srv, err = Listen(d.serve); err != nil {
+	if d.server, err = Listen(d.serve); err != nil {
 		return nil, err
 	}
 	return d, nil
 }
 
 // Addr returns the address that d listens on.
-func (d *Discovery) Addr() string { return d.srv.Addr() }
+func (d *Discovery) Addr() string { return d.server.Addr() }
 
 // Close stops d and closes its connections. It may be called more than once.
 func (d *Discovery) Close() error {
@@ -77,7 +77,7 @@
 		close(d.closed)
 	}
 	d.mu.Unlock()
-	return d.srv.Close()
+	return d.server.Close()
 }
 
 // Publish adds or replaces members of the list in one revision and notifies the open
@@ -94,10 +94,10 @@
 }
 
 // ResetConns resets all connections.
-func (d *Discovery) ResetConns() { d.srv.ResetConns() }
+func (d *Discovery) ResetConns() { d.server.ResetConns() }
 
-// PauseResponses stops all responses until ResumeResponses: requests hang, and open watches receive
-// nothing.
+// PauseResponses stops all responses until ResumeResponses is called: requests get no answer, and open
+// watches receive nothing.
 func (d *Discovery) PauseResponses() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -120,7 +120,7 @@
 	d.mutedUpTo = d.watchCount
 }
 
-// Indent makes discovery write lists over several lines from now on.
+// Indent makes discovery write lists as indented JSON over several lines from now on.
 func (d *Discovery) Indent() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -151,8 +151,9 @@
 	return d.since(0, true)
 }
 
-// since returns the members that have changed after a revision, as JSON. A complete
-// list omits those that are gone. The caller holds mu.
+// since returns the members that have changed after a revision, as JSON. complete says
+// whether it is sent as a whole list, which omits the members that are gone. The caller
+// holds mu.
 func (d *Discovery) since(revision int64, complete bool) []byte {
 	list := []Member{}
 	for _, e := range d.members {
@@ -205,7 +206,9 @@
 	}
 }
 
-// watch writes one line for each change until the connection or d is closed.
+// watch writes a line with the changes after revision from, or the whole list if from is 0, and
+// then one for each change, until the connection or d is closed. In between it writes empty lines
+// as heartbeats.
 func (d *Discovery) watch(c net.Conn, from int64) {
 	if _, err := fmt.Fprint(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"); err != nil {
 		return
@@ -218,8 +221,8 @@
 	d.watchCount++
 	number := d.watchCount
 	d.mu.Unlock()
-	tick := time.NewTicker(heartbeatInterval)
-	defer tick.Stop()
+	heartbeat := time.NewTicker(heartbeatInterval)
+	defer heartbeat.Stop()
 	for first := true; ; first = false {
 		d.mu.Lock()
 		text, revision, changed := d.since(from, first && from == 0), d.revision, d.changed
@@ -240,7 +243,7 @@
 			if !d.awaitResumed() {
 				return
 			}
-		case <-tick.C:
+		case <-heartbeat.C:
 			if !d.awaitResumed() || writeLine(nil) != nil {
 				return
 			}
--- a/internal/trial/fake/fake.go
+++ b/internal/trial/fake/fake.go
@@ -1,8 +1,8 @@
 // Package fake provides fakes, on loopback, of the processes that a gatherer
 // talks to: searchers that hold rows and remember reservations, and discovery.
 // It is written from the protocol's description alone and shares no parser with
-// the gatherer, so that a fault in one is not hidden by the same fault in the
-// other. The demo, experiments and tests run against it.
+// the gatherer, so that a bug in one is not hidden by the same bug in the other.
+// The demo, experiments and tests run against it.
 package fake
 
 import (
@@ -12,7 +12,7 @@
 	"sync"
 )
 
-// Server accepts connections and closes all of them when it is closed itself.
+// Server accepts connections on loopback and serves each in a goroutine of its own.
 type Server struct {
 	listener net.Listener
 	serve    func(net.Conn)
@@ -23,7 +23,7 @@
 	running sync.WaitGroup // the accept loop and the connections' handlers
 }
 
-// maxConns bounds the open connections of one fake; a searcher of the platform accepts 860 to 1,700.
+// maxConns is the maximum number of open connections of a Server. A searcher of the platform accepts 860 to 1,700.
 const maxConns = 1700
 
 // Listen starts a Server on a free loopback port. It runs serve in a goroutine of
--- a/internal/trial/fake/fake_test.go
+++ b/internal/trial/fake/fake_test.go
@@ -37,7 +37,7 @@
 
 func newDeployment(t *testing.T) *Deployment {
 	t.Helper()
-	d, err := NewDeployment(DeploymentOptions{Seed: 7, Service: time.Millisecond})
+	d, err := NewDeployment(DeploymentOptions{Seed: 7, ServiceTime: time.Millisecond})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -103,9 +103,9 @@
 }
 
 // Guards against an audit that misses a key under which two reservations were made, here
-// because its window had ended.
+// because its repeat window had ended.
 func TestDoubledReservationIsReported(t *testing.T) {
-	s := NewSharedCatalogue(SharedCatalogueOptions{Segments: 1, Window: time.Nanosecond})
+	s := NewSharedCatalogue(SharedCatalogueOptions{Segments: 1, RepeatWindow: time.Nanosecond})
 	for range 2 {
 		s.Handle("s", Part{ID: "t.0", Key: "key", Text: "reserve"})
 	}
--- a/internal/trial/fake/searcher.go
+++ b/internal/trial/fake/searcher.go
@@ -26,25 +26,25 @@
 // IsSecondStep reports whether the part belongs to a second step.
 func (p Part) IsSecondStep() bool { return strings.HasSuffix(p.ID, ".b") }
 
-// End is the outcome of a part.
-type End string
+// Outcome is the outcome of a part.
+type Outcome string
 
 // The outcomes of parts.
 const (
-	Served  End = "served"
-	Broke   End = "broke"   // failed
-	Skipped End = "skipped" // not run
+	Served  Outcome = "served"
+	Broke   Outcome = "broke"   // the part failed
+	Skipped Outcome = "skipped" // the part was not run
 )
 
 // Answer is a searcher's answer to a part.
 type Answer struct {
-	End   End
-	Score int64
-	Value string
+	Outcome Outcome
+	Score   int64
+	Value   string
 }
 
-// Handler computes the answer to a part and how long serving it takes. Its method is
-// called from several goroutines at once.
+// Handler computes the answer to a part and how long serving it takes. It must be safe for
+// concurrent use.
 type Handler interface {
 	// Handle runs a part at the searcher with the given id.
 	Handle(searcher string, p Part) (Answer, time.Duration)
@@ -53,16 +53,16 @@
 // SearcherOptions configures a Searcher.
 type SearcherOptions struct {
 	ID       string
-	Work     Handler
-	Slots    int           // parts served at once; 0 means 4, as on the platform's two cores
-	Queue    int           // parts that may wait for a slot; further ones are skipped; 0 means 64
+	Handler  Handler
+	Slots    int           // number of parts served at the same time; 0 means 4, as on the platform's two cores
+	Queue    int           // number of parts that can wait for a slot, further ones are skipped; 0 means 64
 	CallCost time.Duration // time that a call takes in addition to its parts
 }
 
 // Searcher is a fake searcher on loopback. Its methods are safe for concurrent use.
 type Searcher struct {
 	opts     SearcherOptions
-	srv      *Server
+	server   *Server
 	admitted chan struct{} // semaphore: parts that are served or wait for a slot
 	running  chan struct{} // semaphore: parts that are served
 	closed   chan struct{} // closed by Close
@@ -82,7 +82,7 @@
 const (
 	defaultSlots = 4
 	defaultQueue = 64
-	maxFrameSize = 1 << 20 // bytes after the length field; the longest call has a few texts of 64 KiB
+	maxFrameSize = 1 << 20 // in bytes, without the length field; the longest call has a few texts of 64 KiB
 )
 
 // NewSearcher starts a Searcher on a free loopback port.
@@ -97,14 +97,14 @@
 		opts: o, admitted: make(chan struct{}, o.Slots+o.Queue), running: make(chan struct{}, o.Slots), closed: make(chan struct{}),
 	}
 	var err error
-	if s.srv, err = Listen(s.serve); err != nil {
+	if s.server, err = Listen(s.serve); err != nil {
 		return nil, err
 	}
 	return s, nil
 }
 
 // Addr returns the address that s listens on.
-func (s *Searcher) Addr() string { return s.srv.Addr() }
+func (s *Searcher) Addr() string { return s.server.Addr() }
 
 // ID returns the searcher's id in discovery.
 func (s *Searcher) ID() string { return s.opts.ID }
@@ -139,10 +139,10 @@
 		close(s.closed)
 	}
 	s.mu.Unlock()
-	return s.srv.Close()
+	return s.server.Close()
 }
 
-// gathererConn is a connection from a gatherer.
+// gathererConn is a gatherer's connection to the searcher.
 type gathererConn struct {
 	conn net.Conn
 	mu   sync.Mutex // guards writes
@@ -156,9 +156,9 @@
 	WriteFrame(g.conn, body)
 }
 
-// WriteFrame writes a frame, whose body starts with its letter, in one call to
-// Write. An error is ignored because the connection's reader then fails too and
-// ends the connection.
+// WriteFrame writes a frame in one call of Write. The body starts with the frame's
+// letter. Errors are ignored, because the reader of a broken connection fails as well
+// and closes it.
 func WriteFrame(w io.Writer, body string) {
 	b := binary.BigEndian.AppendUint32(make([]byte, 0, 4+len(body)), uint32(len(body)))
 	_, _ = w.Write(append(b, body...))
@@ -166,8 +166,8 @@
 
 func (s *Searcher) serve(c net.Conn) {
 	g := &gathererConn{conn: c}
-	var parts sync.WaitGroup
-	defer parts.Wait()
+	var activeParts sync.WaitGroup
+	defer activeParts.Wait()
 	for {
 		letter, payload, err := ReadFrame(c)
 		if err != nil {
@@ -192,7 +192,7 @@
 				g.write("e" + err.Error())
 				return
 			}
-			s.acceptCall(g, list, &parts)
+			s.acceptCall(g, list, &activeParts)
 		default:
 			g.write("eunknown letter")
 			return
@@ -200,9 +200,10 @@
 	}
 }
 
-// acceptCall starts serving the parts of a call, and skips those for which there is no
-// room, or all of them while draining. The cost of the call is added to the first part that is not skipped.
-func (s *Searcher) acceptCall(g *gathererConn, list []Part, parts *sync.WaitGroup) {
+// acceptCall starts serving the parts of a call. It skips parts for which the queue has no
+// room, and all parts while the searcher drains. The cost of the call is added to the first
+// part that is not skipped.
+func (s *Searcher) acceptCall(g *gathererConn, list []Part, activeParts *sync.WaitGroup) {
 	cost := s.opts.CallCost
 	s.updateCounts(func(n *Counts) { n.Calls++; n.Parts += len(list) })
 	for _, p := range list {
@@ -221,14 +222,14 @@
 			}
 		}
 		if skip {
-			s.answer(g, p, Answer{End: Skipped})
+			s.answer(g, p, Answer{Outcome: Skipped})
 			continue
 		}
 		cancelled := make(chan struct{})
 		g.cancelByPart.Store(p.ID, cancelled)
-		parts.Add(1)
+		activeParts.Add(1)
 		go func(cost time.Duration) {
-			defer parts.Done()
+			defer activeParts.Done()
 			defer func() { <-s.admitted }()
 			s.servePart(g, p, cost, cancelled)
 		}(cost)
@@ -236,8 +237,8 @@
 	}
 }
 
-// servePart waits for a slot and serves a part. A cancel only has an effect while the
-// part waits.
+// servePart waits for a slot and serves a part. A cancel frame has an effect only while
+// the part waits.
 func (s *Searcher) servePart(g *gathererConn, p Part, cost time.Duration, cancelled chan struct{}) {
 	defer g.cancelByPart.CompareAndDelete(p.ID, cancelled)
 	select {
@@ -248,7 +249,7 @@
 		return
 	}
 	defer func() { <-s.running }()
-	a, duration := s.opts.Work.Handle(s.opts.ID, p)
+	a, duration := s.opts.Handler.Handle(s.opts.ID, p)
 	if duration += cost; duration > 0 {
 		t := time.NewTimer(duration)
 		defer t.Stop()
@@ -263,7 +264,7 @@
 
 func (s *Searcher) answer(g *gathererConn, p Part, a Answer) {
 	s.updateCounts(func(n *Counts) {
-		switch a.End {
+		switch a.Outcome {
 		case Served:
 			n.Served++
 		case Broke:
@@ -272,13 +273,13 @@
 			n.Skipped++
 		}
 	})
-	g.write(fmt.Sprintf("a%s %s %d -\n%s", p.ID, a.End, a.Score, a.Value))
+	g.write(fmt.Sprintf("a%s %s %d -\n%s", p.ID, a.Outcome, a.Score, a.Value))
 }
 
 // errMalformedFrame is wrapped by the errors about malformed frames and calls.
 var errMalformedFrame = errors.New("malformed frame")
 
-// ReadFrame reads one frame and returns its letter, which is its type, and the payload.
+// ReadFrame reads one frame and returns its letter, which tells its type, and its payload.
 func ReadFrame(r io.Reader) (letter byte, payload string, err error) {
 	var size [4]byte
 	if _, err := io.ReadFull(r, size[:]); err != nil {
--- a/internal/trial/fake/sharded_catalogue.go
+++ b/internal/trial/fake/sharded_catalogue.go
@@ -15,49 +15,49 @@
 
 // ShardedCatalogue is a catalogue whose segments change. Each searcher has its own replica of each
 // segment that it holds, with the segment's rows and the reservations made on them.
-// It implements Handler. A searcher without a complete replica of a segment skips its parts,
-// which shows that they were not run.
+// It implements Handler. A searcher without a complete replica of a segment skips the segment's
+// parts: the outcome says that they were not run.
 //
-// A reservation is made at all replicas of its segment, as by searchers that replicate it.
-// A replica that was filled from other segments and the replicas of those exchange their
-// reservations until StopFollowing: a reservation made between copy and cut-over, or
-// at the old holders afterwards, reaches the successors, and one made at the successors
-// reaches the old holders.
+// A reservation is made at all replicas of its segment, as if the searchers replicated it.
+// A replica that was filled from other segments exchanges reservations with the replicas of
+// those segments until StopFollowing is called. Thus a reservation that is made between copy and
+// cut-over, or at the old holders after the cut-over, reaches the successors, and one made at the
+// successors reaches the old holders.
 type ShardedCatalogue struct {
 	opts ShardedCatalogueOptions
 
 	mu          sync.Mutex
 	rng         *rand.Rand
 	keys        []layout.Key
-	held        map[heldKey]*heldSegment
+	replicas    map[replicaKey]*segmentReplica
 	runs        []Run
 	droppedRuns int
 }
 
 // ShardedCatalogueOptions configures the content of a ShardedCatalogue and its service times.
 type ShardedCatalogueOptions struct {
-	Keys    int           // rows; 0 means 600
-	Stock   int           // of each row; 0 means 1,000,000
-	Service time.Duration // median time to serve a part; 0 means 6 ms
-	Seed    uint64
-	MaxRuns int // maximum number of recorded reservations; 0 means 1,000,000
+	Keys        int           // rows; 0 means 600
+	Stock       int           // initial stock of each row; 0 means 1,000,000
+	ServiceTime time.Duration // median time to serve a part; 0 means 6 ms
+	Seed        uint64
+	MaxRuns     int // maximum number of recorded reservations; 0 means 1,000,000
 }
 
-// heldKey identifies a searcher's replica of a segment.
-type heldKey struct {
+// replicaKey identifies a searcher's replica of a segment.
+type replicaKey struct {
 	searcher string
 	segment  layout.SegmentID
 }
 
-// heldSegment is a searcher's replica of a segment.
-type heldSegment struct {
+// segmentReplica is a searcher's replica of a segment.
+type segmentReplica struct {
 	keys         Range
 	rows         map[layout.Key]int // remaining stock
 	reservations map[string]string  // idempotency key -> answer
 	complete     bool               // whether all rows have been copied
 	job          uint64             // job that it was filled for; 0 for the initial layout
 
-	followed []layout.SegmentID // segments that it was filled from; nil after StopFollowing
+	followed []layout.SegmentID // segments that it was filled from and exchanges reservations with; nil after StopFollowing
 }
 
 // Range is the key range of a segment.
@@ -74,22 +74,22 @@
 	setDefault(&o.Keys, 600)
 	setDefault(&o.Stock, 1_000_000)
 	setDefault(&o.MaxRuns, 1_000_000)
-	if o.Service == 0 {
-		o.Service = defaultService
+	if o.ServiceTime == 0 {
+		o.ServiceTime = defaultServiceTime
 	}
-	c := &ShardedCatalogue{opts: o, rng: rand.New(rand.NewPCG(o.Seed, 3)), held: make(map[heldKey]*heldSegment)}
+	c := &ShardedCatalogue{opts: o, rng: rand.New(rand.NewPCG(o.Seed, 3)), replicas: make(map[replicaKey]*segmentReplica)}
 	for i := range o.Keys {
 		c.keys = append(c.keys, ItemKey(i))
 	}
 	for s := range l.Serving() {
 		for _, h := range s.Holders {
-			held := &heldSegment{keys: s.Keys, rows: make(map[layout.Key]int), reservations: make(map[string]string), complete: true}
+			replica := &segmentReplica{keys: s.Keys, rows: make(map[layout.Key]int), reservations: make(map[string]string), complete: true}
 			for _, k := range c.keys {
 				if s.Keys.Contains(k) {
-					held.rows[k] = o.Stock
+					replica.rows[k] = o.Stock
 				}
 			}
-			c.held[heldKey{h, s.ID}] = held
+			c.replicas[replicaKey{h, s.ID}] = replica
 		}
 	}
 	return c
@@ -101,53 +101,53 @@
 // Keys returns the keys of all rows, in order.
 func (c *ShardedCatalogue) Keys() []layout.Key { return c.keys }
 
-// Handle implements Handler. "scan FROM TO" lists the keys from FROM to TO that lie in
-// the segment, "reserve KEY" takes one off the stock of a row.
+// Handle implements Handler. A part's text is "scan FROM TO", which lists the keys from FROM to
+// TO in the segment, or "reserve KEY", which takes one off the stock of a row.
 func (c *ShardedCatalogue) Handle(searcher string, p Part) (Answer, time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	held := c.held[heldKey{searcher, layout.SegmentID(p.Shard)}]
-	if held == nil || !held.complete {
-		return Answer{End: Skipped}, 0
+	replica := c.replicas[replicaKey{searcher, layout.SegmentID(p.Shard)}]
+	if replica == nil || !replica.complete {
+		return Answer{Outcome: Skipped}, 0
 	}
 	if p.IsSecondStep() && !slices.Contains(p.Answered, p.Shard) {
-		return Answer{End: Broke}, 0
+		return Answer{Outcome: Broke}, 0
 	}
-	duration := time.Duration(float64(c.opts.Service) * math.Exp(defaultSpread*c.rng.NormFloat64()))
+	duration := time.Duration(float64(c.opts.ServiceTime) * math.Exp(defaultSpread*c.rng.NormFloat64()))
 	f := strings.Fields(p.Text)
 	switch {
 	case len(f) == 3 && f[0] == "scan":
 		wanted := Range{From: layout.Key(f[1]), To: layout.Key(f[2])}
 		var found []string
-		for k := range held.rows {
+		for k := range replica.rows {
 			if wanted.Contains(k) {
 				found = append(found, string(k))
 			}
 		}
 		slices.Sort(found)
-		return Answer{End: Served, Score: int64(len(found)), Value: strings.Join(found, " ")}, duration
+		return Answer{Outcome: Served, Score: int64(len(found)), Value: strings.Join(found, " ")}, duration
 	case len(f) == 2 && f[0] == "reserve":
-		value, ok := c.reserve(searcher, held, p, layout.Key(f[1]))
+		value, ok := c.reserve(searcher, replica, p, layout.Key(f[1]))
 		if !ok {
-			return Answer{End: Broke}, 0
+			return Answer{Outcome: Broke}, 0
 		}
-		return Answer{End: Served, Score: 1, Value: value}, duration
+		return Answer{Outcome: Served, Score: 1, Value: value}, duration
 	}
-	return Answer{End: Broke}, 0
+	return Answer{Outcome: Broke}, 0
 }
 
-// reserve takes one off the stock of a row. An idempotency key that the replica knows gets
+// reserve takes one off the stock of a row. If the replica knows the idempotency key, it returns
 // the earlier answer. A replica whose range does not contain the row's key does nothing and
 // answers with an empty value.
-func (c *ShardedCatalogue) reserve(searcher string, held *heldSegment, p Part, k layout.Key) (value string, ok bool) {
-	if !held.keys.Contains(k) {
-		return "", true // the query names a segment that was split: the other successor has the row
+func (c *ShardedCatalogue) reserve(searcher string, replica *segmentReplica, p Part, k layout.Key) (value string, ok bool) {
+	if !replica.keys.Contains(k) {
+		return "", true // the query's segment was split, and the other successor has the row
 	}
-	left, ok := held.rows[k]
+	left, ok := replica.rows[k]
 	if !ok || p.Key == "" {
 		return "", false
 	}
-	value, known := held.reservations[p.Key]
+	value, known := replica.reservations[p.Key]
 	if len(c.runs) < c.opts.MaxRuns {
 		c.runs = append(c.runs, Run{Part: p.ID, Shard: p.Shard, Searcher: searcher, Key: p.Key, Repeat: known, At: time.Now()})
 	} else {
@@ -158,8 +158,8 @@
 	}
 	value = strconv.Itoa(left - 1)
 	segment := layout.SegmentID(p.Shard)
-	for key, other := range c.held {
-		if key.segment != segment && !slices.Contains(other.followed, segment) && !slices.Contains(held.followed, key.segment) {
+	for key, other := range c.replicas {
+		if key.segment != segment && !slices.Contains(other.followed, segment) && !slices.Contains(replica.followed, key.segment) {
 			continue
 		}
 		if _, holds := other.rows[k]; holds {
@@ -185,7 +185,7 @@
 	return duplicates
 }
 
-// ReservationCounts returns the number of reservations requested, and how many of those recorded were
+// ReservationCounts returns the number of requested reservations, and how many of the recorded ones were
 // repeats.
 func (c *ShardedCatalogue) ReservationCounts() (runs, repeats int) {
 	c.mu.Lock()
@@ -198,53 +198,53 @@
 	return len(c.runs) + c.droppedRuns, repeats
 }
 
-// Fill copies up to maxRows further rows into a searcher's replica of a segment, from any
-// complete replica of a source segment at the searchers in from. A replica that belongs to
-// another job is replaced by an empty one first. Fill reports in done whether all rows have
-// been copied; ok is false if no source has the next row.
-func (c *ShardedCatalogue) Fill(searcher string, segment layout.SegmentID, job uint64, keys Range, sources []layout.SegmentID, from []string, maxRows int) (done, ok bool) {
+// Fill copies up to maxRows further rows into a searcher's replica of a segment. The source of a
+// row is any complete replica of a source segment at one of the holders. A replica that was filled
+// for another job is first replaced by an empty one. done reports whether all rows have been
+// copied; ok is false if no source has the next row.
+func (c *ShardedCatalogue) Fill(searcher string, segment layout.SegmentID, job uint64, keys Range, sources []layout.SegmentID, holders []string, maxRows int) (done, ok bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	held := c.held[heldKey{searcher, segment}]
-	if held == nil || held.job != job {
-		held = &heldSegment{job: job, keys: keys, rows: make(map[layout.Key]int), reservations: make(map[string]string), followed: sources}
-		c.held[heldKey{searcher, segment}] = held
+	replica := c.replicas[replicaKey{searcher, segment}]
+	if replica == nil || replica.job != job {
+		replica = &segmentReplica{job: job, keys: keys, rows: make(map[layout.Key]int), reservations: make(map[string]string), followed: sources}
+		c.replicas[replicaKey{searcher, segment}] = replica
 	}
-	if held.complete {
+	if replica.complete {
 		return true, true
 	}
 	for _, k := range c.keys {
-		if _, copied := held.rows[k]; copied || !keys.Contains(k) {
+		if _, copied := replica.rows[k]; copied || !keys.Contains(k) {
 			continue
 		}
 		if maxRows--; maxRows < 0 {
 			return false, true
 		}
-		source := c.source(k, sources, from)
+		source := c.findSource(k, sources, holders)
 		if source == nil {
 			return false, false
 		}
-		held.rows[k] = source.rows[k]
+		replica.rows[k] = source.rows[k]
 	}
-	// The reservations are copied last and all at once: from here on the replica receives new ones.
+	// The reservations are copied last and all at once. From now on the replica also gets new ones.
 	for _, s := range sources {
-		for _, h := range from {
-			if source := c.held[heldKey{h, s}]; source != nil && source.complete && source != held {
+		for _, h := range holders {
+			if source := c.replicas[replicaKey{h, s}]; source != nil && source.complete && source != replica {
 				for id, value := range source.reservations {
-					held.reservations[id] = value
+					replica.reservations[id] = value
 				}
 			}
 		}
 	}
-	held.complete = true
+	replica.complete = true
 	return true, true
 }
 
-// source returns a complete replica that has a row, or nil.
-func (c *ShardedCatalogue) source(k layout.Key, sources []layout.SegmentID, from []string) *heldSegment {
+// findSource returns a complete replica that has a row, or nil.
+func (c *ShardedCatalogue) findSource(k layout.Key, sources []layout.SegmentID, holders []string) *segmentReplica {
 	for _, s := range sources {
-		for _, h := range from {
-			if source := c.held[heldKey{h, s}]; source != nil && source.complete {
+		for _, h := range holders {
+			if source := c.replicas[replicaKey{h, s}]; source != nil && source.complete {
 				if _, holds := source.rows[k]; holds {
 					return source
 				}
@@ -258,7 +258,7 @@
 func (c *ShardedCatalogue) Drop(searcher string, segment layout.SegmentID) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	delete(c.held, heldKey{searcher, segment})
+	delete(c.replicas, replicaKey{searcher, segment})
 }
 
 // StopFollowing ends the exchange of reservations between a replica that was filled for a
@@ -266,8 +266,8 @@
 func (c *ShardedCatalogue) StopFollowing(searcher string, segment layout.SegmentID, job uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if held := c.held[heldKey{searcher, segment}]; held != nil && held.job == job {
-		held.followed = nil
+	if replica := c.replicas[replicaKey{searcher, segment}]; replica != nil && replica.job == job {
+		replica.followed = nil
 	}
 }
 
@@ -275,7 +275,7 @@
 func (c *ShardedCatalogue) Held(searcher string) (out []layout.SegmentID) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for key := range c.held {
+	for key := range c.replicas {
 		if key.searcher == searcher {
 			out = append(out, key.segment)
 		}
@@ -288,9 +288,9 @@
 func (c *ShardedCatalogue) Wipe(searcher string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for key := range c.held {
+	for key := range c.replicas {
 		if key.searcher == searcher {
-			delete(c.held, key)
+			delete(c.replicas, key)
 		}
 	}
 }
@@ -299,5 +299,5 @@
 func (c *ShardedCatalogue) HeldCount() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return len(c.held)
+	return len(c.replicas)
 }
--- a/internal/trial/fake/shared_catalogue.go
+++ b/internal/trial/fake/shared_catalogue.go
@@ -12,8 +12,8 @@
 )
 
 // SharedCatalogue is a catalogue that all searchers of a deployment share: the rows of each
-// segment, and the reservations made, which are known to all holders of a segment. It
-// implements Handler and records the parts that ran.
+// segment, and the reservations, which all holders of a segment know. It implements Handler
+// and records the parts that ran.
 type SharedCatalogue struct {
 	opts SharedCatalogueOptions
 
@@ -37,13 +37,13 @@
 
 // SharedCatalogueOptions configures the content of a SharedCatalogue and its service times.
 type SharedCatalogueOptions struct {
-	Segments int
-	Rows     int           // in each segment; 0 means 40
-	Service  time.Duration // median time to serve a part; 0 means 6 ms
-	Spread   float64       // standard deviation of the service time's logarithm; 0 means 0.3
-	Window   time.Duration // a reservation repeated within it is not made again; 0 means 2.5 s
-	Seed     uint64
-	MaxRuns  int // maximum number of recorded runs; 0 means 100,000
+	Segments     int
+	Rows         int           // in each segment; 0 means 40
+	ServiceTime  time.Duration // median time to serve a part; 0 means 6 ms
+	Spread       float64       // standard deviation of the service time's logarithm; 0 means 0.3
+	RepeatWindow time.Duration // time within which a repeated reservation is not made again; 0 means 2.5 s
+	Seed         uint64
+	MaxRuns      int // maximum number of recorded runs; 0 means 100,000
 }
 
 // Run is the record of a part that a searcher has run.
@@ -52,16 +52,16 @@
 	Shard    int
 	Searcher string
 	Key      string
-	Repeat   bool // its idempotency key was known, so nothing was reserved
+	Repeat   bool // the idempotency key was known, so no further reservation was made
 	At       time.Time
 }
 
 const (
-	defaultRows    = 40
-	defaultService = 6 * time.Millisecond
-	defaultSpread  = 0.3
-	defaultWindow  = 2500 * time.Millisecond
-	defaultMaxRuns = 100_000
+	defaultRows         = 40
+	defaultServiceTime  = 6 * time.Millisecond
+	defaultSpread       = 0.3
+	defaultRepeatWindow = 2500 * time.Millisecond
+	defaultMaxRuns      = 100_000
 )
 
 // NewSharedCatalogue returns a catalogue whose content is the same for the same options.
@@ -69,14 +69,14 @@
 	if o.Rows == 0 {
 		o.Rows = defaultRows
 	}
-	if o.Service == 0 {
-		o.Service = defaultService
+	if o.ServiceTime == 0 {
+		o.ServiceTime = defaultServiceTime
 	}
 	if o.Spread == 0 {
 		o.Spread = defaultSpread
 	}
-	if o.Window == 0 {
-		o.Window = defaultWindow
+	if o.RepeatWindow == 0 {
+		o.RepeatWindow = defaultRepeatWindow
 	}
 	if o.MaxRuns == 0 {
 		o.MaxRuns = defaultMaxRuns
@@ -93,21 +93,21 @@
 }
 
 // Handle implements Handler. The operation is the first word of the statement: "total" sums the
-// stock, "reserve" reserves one of the item with the most stock, and any other word finds
-// that item. The rest of the statement is ignored.
+// stock, "reserve" reserves one of the item with the most stock, and any other word returns
+// the item with the most stock. The rest of the statement is ignored.
 func (s *SharedCatalogue) Handle(searcher string, p Part) (Answer, time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	duration := time.Duration(float64(s.opts.Service) * math.Exp(s.opts.Spread*s.rng.NormFloat64()))
+	duration := time.Duration(float64(s.opts.ServiceTime) * math.Exp(s.opts.Spread*s.rng.NormFloat64()))
 	if p.Shard < 0 || p.Shard >= len(s.rows) || p.IsSecondStep() && !slices.Contains(p.Answered, p.Shard) {
-		return Answer{End: Broke}, 0
+		return Answer{Outcome: Broke}, 0
 	}
 	run := Run{Part: p.ID, Shard: p.Shard, Searcher: searcher, Key: p.Key, At: time.Now()}
 	rows, operation := s.rows[p.Shard], ""
 	if f := strings.Fields(p.Text); len(f) > 0 {
 		operation = f[0]
 	}
-	a := Answer{End: Served}
+	a := Answer{Outcome: Served}
 	switch operation {
 	case "reserve":
 		a.Value, run.Repeat = s.reserve(p, run.At)
@@ -118,39 +118,39 @@
 		}
 		a.Score, a.Value = int64(sum), fmt.Sprintf("%d items, %d in stock", len(rows), sum)
 	default:
-		best := slices.MaxFunc(rows, func(a, b row) int { return a.stock - b.stock })
-		a.Score, a.Value = int64(best.stock), best.item+" "+strconv.Itoa(best.stock)
+		mostStocked := slices.MaxFunc(rows, func(a, b row) int { return a.stock - b.stock })
+		a.Score, a.Value = int64(mostStocked.stock), mostStocked.item+" "+strconv.Itoa(mostStocked.stock)
 	}
 	s.record(run)
 	return a, duration
 }
 
-// reserve reserves one of the item with the most stock. A key that is repeated within the
-// window gets the earlier answer.
+// reserve reserves one of the item with the most stock. A key that is repeated within
+// RepeatWindow gets the earlier answer.
 func (s *SharedCatalogue) reserve(p Part, now time.Time) (value string, repeat bool) {
 	id := strconv.Itoa(p.Shard) + "/" + p.Key
-	if r, ok := s.reserved[id]; ok && now.Sub(r.at) < s.opts.Window {
+	if r, ok := s.reserved[id]; ok && now.Sub(r.at) < s.opts.RepeatWindow {
 		return r.value, true
 	}
 	if len(s.reserved) >= s.opts.MaxRuns {
 		for id, r := range s.reserved {
-			if now.Sub(r.at) >= s.opts.Window {
+			if now.Sub(r.at) >= s.opts.RepeatWindow {
 				delete(s.reserved, id)
 			}
 		}
 	}
 	rows := s.rows[p.Shard]
-	fullest := 0
+	mostStocked := 0
 	for i := range rows {
-		if rows[i].stock > rows[fullest].stock {
-			fullest = i
+		if rows[i].stock > rows[mostStocked].stock {
+			mostStocked = i
 		}
 	}
-	if rows[fullest].stock == 0 {
+	if rows[mostStocked].stock == 0 {
 		value = "sold out"
 	} else {
-		rows[fullest].stock--
-		value = fmt.Sprintf("%s reserved, %d left", rows[fullest].item, rows[fullest].stock)
+		rows[mostStocked].stock--
+		value = fmt.Sprintf("%s reserved, %d left", rows[mostStocked].item, rows[mostStocked].stock)
 	}
 	s.reserved[id] = reservation{value, now}
 	return value, false
