--- a/internal/trial/experiment/experiment.go
+++ b/internal/trial/experiment/experiment.go
@@ -1,6 +1,6 @@
-// Package experiment executes the runs of an experiment concurrently, stores each
-// result as soon as its run has ended, and renders the results as tables and as a
-// page of plots.
+// Package experiment executes the runs of an experiment on the emulator concurrently,
+// stores each result as soon as its run has ended, and renders the results as tables
+// and as a page of plots. It also renders the history of a test cluster as such a page.
 package experiment
 
 import (
@@ -20,7 +20,7 @@
 	"eiderwinch/internal/trial/emulator"
 )
 
-// Row holds the outcomes of the queries of one class in one run.
+// Row counts the outcomes of the queries of one class in one run.
 type Row struct {
 	emulator.Point
 	Class   string            `json:"class"`
@@ -30,29 +30,29 @@
 	Partial int               `json:"partial"`
 	Refused int               `json:"refused"`
 	Failed  int               `json:"failed"`
-	P50     float64           `json:"p50_ms"`
-	P99     float64           `json:"p99_ms"`
+	P50     float64           `json:"p50_ms"` // in milliseconds
+	P99     float64           `json:"p99_ms"` // in milliseconds
 	Seconds []emulator.Second `json:"seconds"`
 }
 
 // Run is the stored result of one run. A file of results holds one line of JSON for each.
 type Run struct {
 	emulator.Point
-	Rows     []Row    `json:"rows"`
-	Load     [][]int  `json:"load,omitempty"` // parts received by searcher and second; for the first seed only
-	Fallen   int      `json:"fallen"`
-	Breaches int      `json:"breaches"`
-	Faults   []string `json:"faults,omitempty"`
-	Events   uint64   `json:"events"`
-	Turns    uint64   `json:"turns"`
-	Digest   string   `json:"digest"`
+	Rows           []Row    `json:"rows"`
+	Load           [][]int  `json:"load,omitempty"`   // parts received by searcher and second; for the first seed only
+	ColdCrashes    int      `json:"fallen"`           // crashes of cold searchers by overload
+	Breaches       int      `json:"breaches"`         // number of broken rules
+	BreachMessages []string `json:"faults,omitempty"` // messages of the first breaches
+	Events         uint64   `json:"events"`
+	Turns          uint64   `json:"turns"`
+	Digest         string   `json:"digest"`
 }
 
-// maxLoadSearchers bounds the number of searchers whose load is stored.
+// maxLoadSearchers is the maximum number of searchers whose load is stored for a run.
 const maxLoadSearchers = 300
 
 func newRun(p emulator.Point, r *emulator.Result, withLoad bool) Run {
-	out := Run{Point: p, Fallen: r.ColdCrashes, Breaches: r.Breaches, Faults: r.BreachMessages, Events: r.Events, Turns: r.Turns, Digest: r.Digest}
+	out := Run{Point: p, ColdCrashes: r.ColdCrashes, Breaches: r.Breaches, BreachMessages: r.BreachMessages, Events: r.Events, Turns: r.Turns, Digest: r.Digest}
 	for _, c := range r.Classes {
 		out.Rows = append(out.Rows, Row{p, c.Name, c.Asked, c.InTime, c.Late, c.Partial, c.Refused, c.Failed,
 			float64(c.P50.Microseconds()) / 1000, float64(c.P99.Microseconds()) / 1000, c.Seconds})
@@ -66,10 +66,11 @@
 // ErrBreach reports that runs of an experiment broke rules.
 var ErrBreach = errors.New("rules were broken")
 
-// RunAll executes the runs of an experiment whose results the file at path does not
-// contain yet, with the given number of workers, and appends each result to it. It
-// calls done at the start and after each run with the number of finished runs and the
-// number of all runs.
+// RunAll executes those runs of an experiment whose results the file at path does not
+// contain yet, with the given number of workers, and appends each result to the file.
+// It calls done at the start and after each run with the number of finished runs and
+// the number of all runs. It returns the results in the order of the points. The
+// error is ErrBreach if rules were broken.
 func RunAll(ctx context.Context, x *emulator.Experiment, path string, workers int, done func(finished, total int)) ([]Run, error) {
 	runs, err := Load(path)
 	if err != nil && !errors.Is(err, fs.ErrNotExist) {
@@ -153,11 +154,11 @@
 	slices.SortFunc(runs, func(a, b Run) int { return index[a.Point] - index[b.Point] })
 }
 
-// maxLineBytes bounds the length of a line of results.
+// maxLineBytes is the maximum length of a line of results.
 const maxLineBytes = 256 << 20
 
-// Load reads a file of results. It ignores an incomplete last line, which a killed
-// process leaves.
+// Load reads a file of results. It ignores a malformed last line, which a killed process
+// may have left.
 func Load(path string) ([]Run, error) {
 	f, err := os.Open(path)
 	if err != nil {
--- a/internal/trial/experiment/experiment_test.go
+++ b/internal/trial/experiment/experiment_test.go
@@ -27,8 +27,8 @@
 	return x
 }
 
-// Guards against an experiment that, after a kill in the middle, repeats finished runs or ends with other results than
-// one that was not interrupted. The kill leaves an incomplete last line in the file of results.
+// Guards against an experiment that, when it is resumed after a kill, repeats finished runs or ends with other results
+// than one that was not interrupted. The kill leaves an incomplete last line in the file of results.
 func TestInterruptedExperimentResumes(t *testing.T) {
 	x := read(t, text)
 	path := filepath.Join(t.TempDir(), "x.results")
@@ -90,18 +90,18 @@
 	}
 }
 
-// Guards against faults of a file that are accepted or reported unclearly, against a schema in deploy that does not
-// match the form, and against files in experiments that can't be read.
+// Guards against errors in a scenario file that are accepted or reported unclearly, against a schema in deploy that does
+// not match the form, and against files in experiments that can't be read.
 func TestFileFaultsAndSchema(t *testing.T) {
-	for bad, want := range map[string]string{
+	for original, want := range map[string]string{
 		`name="b"`:      `x.xml:2: <scenario>: found a second scenario a`,
 		`many="2"`:      `found 13 from 0 on, want some of 12`,
 		`kind="crash"`:  `found kind="boom", want crash, pause`,
 		`duration="2s"`: `found duration="2", want a time with its unit`,
 	} {
-		to := map[string]string{`name="b"`: `name="a"`, `many="2"`: `many="13"`, `kind="crash"`: `kind="boom"`, `duration="2s"`: `duration="2"`}[bad]
-		if _, err := emulator.ReadExperiment("x.xml", strings.NewReader(strings.Replace(text, bad, to, 1))); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%s: have %v, want %s", to, err, want)
+		replacement := map[string]string{`name="b"`: `name="a"`, `many="2"`: `many="13"`, `kind="crash"`: `kind="boom"`, `duration="2s"`: `duration="2"`}[original]
+		if _, err := emulator.ReadExperiment("x.xml", strings.NewReader(strings.Replace(text, original, replacement, 1))); err == nil || !strings.Contains(err.Error(), want) {
+			t.Errorf("%s: have %v, want %s", replacement, err, want)
 		}
 	}
 	schema, err := os.ReadFile("../../../deploy/scenario.xsd")
--- a/internal/trial/experiment/fleet_report.go
+++ b/internal/trial/experiment/fleet_report.go
@@ -16,12 +16,12 @@
 )
 
 // fleetPage is the template of the report on a fleet.
-const fleetPage = head + `<p>{{.Processes}} processes, {{.Faults}} faults among them{{if .Audit}}, <strong class="bad">{{len .Audit}} findings of the audit</strong>{{else}}, nothing found by the audit{{end}}.</p>
+const fleetPage = pageHead + `<p>{{.Processes}} processes, {{.Faults}} faults among them{{if .Audit}}, <strong class="bad">{{len .Audit}} findings of the audit</strong>{{else}}, nothing found by the audit{{end}}.</p>
 {{range .Audit}}<p class="bad">{{.}}</p>
 {{end}}<table><tr><th>fault</th><th>settled</th><th>times</th><th>median, ms</th><th>worst, ms</th></tr>
 {{range .Settled}}<tr><td>{{.Kind}}</td><td>{{.When}}</td><td>{{len .MS}}</td><td>{{.Median}}</td><td>{{.Worst}}</td></tr>
 {{end}}</table>
-` + foot
+` + pageFoot
 
 // convergenceTimes holds how long a fleet took to converge after the faults of one kind, in milliseconds.
 type convergenceTimes struct {
@@ -36,9 +36,9 @@
 // Worst returns the longest of the sorted times.
 func (s convergenceTimes) Worst() int64 { return s.MS[len(s.MS)-1] }
 
-// FleetReport writes a report on the history of a test fleet as one page of HTML that refers to no other file: how
-// long the fleet took to converge after faults, and over time how many gatherers each gatherer counted as members, how
-// many slots it held and how much it sent.
+// FleetReport writes a report on the history of a test cluster as one page of HTML that refers to no other file. It
+// shows how long the fleet took to converge after faults, and, over time, how many gatherers each gatherer counted as
+// members, how many slots it held and how much it sent.
 func FleetReport(w io.Writer, title string, list []testcluster.Entry) error {
 	data := struct {
 		Title             string
@@ -79,13 +79,13 @@
 	}
 	for _, f := range []struct {
 		caption, axis string
-		value         func(e, before testcluster.Entry) (float64, bool)
+		value         func(e, previous testcluster.Entry) (float64, bool)
 	}{
 		{"gatherers that each one counts, over time", "counted", func(e, _ testcluster.Entry) (float64, bool) { return float64(e.Counted), true }},
 		{"slots of the fleet's limits that each one holds, over time", "slots", func(e, _ testcluster.Entry) (float64, bool) { return float64(e.Slots), true }},
-		{"bytes a second that each one sends to the others, over time", "bytes a second", func(e, before testcluster.Entry) (float64, bool) {
-			seconds := float64(e.MS-before.MS) / 1000
-			return float64(e.Bytes-before.Bytes) / seconds, before.Who == e.Who && seconds >= 0.2
+		{"bytes a second that each one sends to the others, over time", "bytes a second", func(e, previous testcluster.Entry) (float64, bool) {
+			seconds := float64(e.MS-previous.MS) / 1000
+			return float64(e.Bytes-previous.Bytes) / seconds, previous.Who == e.Who && seconds >= 0.2
 		}},
 	} {
 		p, err := plotByGatherer(f.axis, indexByName, list, f.value)
@@ -105,22 +105,23 @@
 	return t.Execute(w, data)
 }
 
-// plotByGatherer plots one line of values over time for each gatherer.
-func plotByGatherer(axis string, indexByName map[string]int, list []testcluster.Entry, value func(e, before testcluster.Entry) (float64, bool)) (*plot.Plot, error) {
+// plotByGatherer plots a value over time, with one line for each gatherer. value returns the value of an entry, given
+// the gatherer's previous entry; ok is false if the entry has none.
+func plotByGatherer(axis string, indexByName map[string]int, list []testcluster.Entry, value func(e, previous testcluster.Entry) (float64, bool)) (*plot.Plot, error) {
 	p := plot.New()
 	p.X.Label.Text, p.Y.Label.Text = "second", axis
 	p.Y.Min = 0
-	lines, before := make([]plotter.XYs, len(indexByName)), make([]testcluster.Entry, len(indexByName))
+	lines, previous := make([]plotter.XYs, len(indexByName)), make([]testcluster.Entry, len(indexByName))
 	for _, e := range list {
 		if e.Digest == "" {
 			continue
 		}
 		name, _, _ := strings.Cut(e.Who, "-")
 		i := indexByName[name]
-		if y, ok := value(e, before[i]); ok {
+		if y, ok := value(e, previous[i]); ok {
 			lines[i] = append(lines[i], plotter.XY{X: float64(e.MS) / 1000, Y: y})
 		}
-		before[i] = e
+		previous[i] = e
 	}
 	for i, points := range lines {
 		if len(points) == 0 {
--- a/internal/trial/experiment/report.go
+++ b/internal/trial/experiment/report.go
@@ -17,9 +17,9 @@
 	"gonum.org/v1/plot/vg/vgsvg"
 )
 
-// Templates for the start and the end of each page. A page refers to no other file; its plots are at the end.
+// Templates of the start and the end of each page. The plots are at the end.
 const (
-	head = `<!doctype html>
+	pageHead = `<!doctype html>
 <html lang="en"><head><meta charset="utf-8"><title>{{.Title}}</title>
 <meta name="viewport" content="width=device-width, initial-scale=1">
 <style>
@@ -30,19 +30,20 @@
 </style></head><body>
 <h1>{{.Title}}</h1>
 `
-	foot = `{{range .Plots}}<figure>{{.SVG}}<figcaption>{{.Caption}}</figcaption></figure>
+	pageFoot = `{{range .Plots}}<figure>{{.SVG}}<figcaption>{{.Caption}}</figcaption></figure>
 {{end}}</body></html>
 `
 )
 
-// page is the template of the report on an experiment.
-const page = head + `<p>{{.Runs}} runs, {{.Events}} events of the model, {{.Turns}} turns of the gatherers{{if .Breaches}}, <strong class="bad">{{.Breaches}} breaches of rules</strong>{{else}}, no rule broken{{end}}. Intervals hold the mean with 95% confidence over seeds.</p>
+// experimentPage is the template of the report on an experiment.
+const experimentPage = pageHead + `<p>{{.Runs}} runs, {{.Events}} events of the model, {{.Turns}} turns of the gatherers{{if .Breaches}}, <strong class="bad">{{.Breaches}} breaches of rules</strong>{{else}}, no rule broken{{end}}. Intervals hold the mean with 95% confidence over seeds.</p>
 <h2>Figures</h2>
-<table><tr><th>scenario</th><th>{{.Of}}</th><th class="text">class</th><th>runs</th><th>in time</th><th>refused</th><th>failed</th><th>p99, ms</th></tr>
+<table><tr><th>scenario</th><th>{{.Attribute}}</th><th class="text">class</th><th>runs</th><th>in time</th><th>refused</th><th>failed</th><th>p99, ms</th></tr>
 {{range .Groups}}<tr><td>{{.Scenario}}</td><td>{{if $.Swept}}{{.Value}}{{end}}</td><td class="text">{{.Class}}</td><td>{{.Runs}}</td><td>{{percent .InTime}}</td><td>{{percent .Refused}}</td><td>{{percent .Failed}}</td><td>{{plain .P99}}</td></tr>
 {{end}}</table>
-` + foot
+` + pageFoot
 
+// figure is a rendered plot with its caption.
 type figure struct {
 	Caption string
 	SVG     template.HTML
@@ -52,18 +53,18 @@
 // attribute is the swept attribute; empty if there is no sweep.
 func Report(w io.Writer, title, attribute string, runs []Run) error {
 	data := struct {
-		Title, Of     string
-		Swept         bool
-		Runs          int
-		Events, Turns uint64
-		Breaches      int
-		Groups        []Group
-		Plots         []figure
-	}{Title: title, Of: attribute, Swept: attribute != "", Runs: len(runs), Groups: Groups(runs)}
+		Title, Attribute string
+		Swept            bool
+		Runs             int
+		Events, Turns    uint64
+		Breaches         int
+		Groups           []Group
+		Plots            []figure
+	}{Title: title, Attribute: attribute, Swept: attribute != "", Runs: len(runs), Groups: Groups(runs)}
 	for _, r := range runs {
 		data.Events, data.Turns, data.Breaches = data.Events+r.Events, data.Turns+r.Turns, data.Breaches+r.Breaches
 	}
-	add := func(caption string, p *plot.Plot, err error) error {
+	addPlot := func(caption string, p *plot.Plot, err error) error {
 		if err != nil {
 			return fmt.Errorf("plot %q: %w", caption, err)
 		}
@@ -77,14 +78,14 @@
 	for _, s := range distinct(runs, func(r Run) string { return r.Scenario }) {
 		if attribute != "" {
 			p, err := plotSweep(s, attribute, data.Groups)
-			if err := add(fmt.Sprintf("%s: share answered in time over %s, by class, with 95%% confidence", s, attribute), p, err); err != nil {
+			if err := addPlot(fmt.Sprintf("%s: share answered in time over %s, by class, with 95%% confidence", s, attribute), p, err); err != nil {
 				return err
 			}
 		}
 		for _, v := range distinct(runs, func(r Run) float64 { return r.Value }) {
-			at := s
+			label := s
 			if attribute != "" {
-				at = fmt.Sprintf("%s, %s %g", s, attribute, v)
+				label = fmt.Sprintf("%s, %s %g", s, attribute, v)
 			}
 			var selected []Run
 			for _, r := range runs {
@@ -92,13 +93,13 @@
 					selected = append(selected, r)
 				}
 			}
-			p, err := plotOverTime(at, selected)
-			if err := add(at+": share of the queries asked in each second that were answered in time, all seeds together", p, err); err != nil {
+			p, err := plotOverTime(label, selected)
+			if err := addPlot(label+": share of the queries asked in each second that were answered in time, all seeds together", p, err); err != nil {
 				return err
 			}
 			if len(selected) > 0 && len(selected[0].Load) > 0 {
-				p, err := plotLoad(at, selected[0].Load)
-				if err := add(at+": parts sent to each searcher in each second, of the first seed; the darker the more", p, err); err != nil {
+				p, err := plotLoad(label, selected[0].Load)
+				if err := addPlot(label+": parts sent to each searcher in each second, of the first seed; the darker the more", p, err); err != nil {
 					return err
 				}
 			}
@@ -109,7 +110,7 @@
 			return fmt.Sprintf("%.2f%% (%.2f to %.2f)", 100*i.Mean, 100*i.Low, 100*i.High)
 		},
 		"plain": func(i Interval) string { return fmt.Sprintf("%.0f (%.0f to %.0f)", i.Mean, i.Low, i.High) },
-	}).Parse(page)
+	}).Parse(experimentPage)
 	if err != nil {
 		return err
 	}
@@ -125,14 +126,14 @@
 		return "", err
 	}
 	text := b.Bytes()
-	if i := bytes.Index(text, []byte("<svg")); i >= 0 { // drop the XML header
+	if i := bytes.Index(text, []byte("<svg")); i >= 0 { // remove the XML header
 		text = text[i:]
 	}
-	return template.HTML(text), nil //nolint:gosec // it consists of numbers and escaped names
+	return template.HTML(text), nil //nolint:gosec // the SVG consists of numbers and escaped names
 }
 
-// plotOverTime plots the share of queries that were answered in time over the seconds of the runs, one line for
-// each class.
+// plotOverTime plots the share of the queries asked in each second that were answered in time, over all runs, with one
+// line for each class.
 func plotOverTime(title string, runs []Run) (*plot.Plot, error) {
 	p := plot.New()
 	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = title, "second", "in time"
@@ -161,8 +162,8 @@
 	return p, nil
 }
 
-// plotSweep plots the share of queries that were answered in time over the swept values, one line for each class
-// with its confidence band.
+// plotSweep plots the share of queries that were answered in time against the swept values, with one line and its
+// confidence band for each class.
 func plotSweep(scenario, attribute string, groups []Group) (*plot.Plot, error) {
 	p := plot.New()
 	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = scenario, attribute, "in time"
--- a/internal/trial/experiment/summary.go
+++ b/internal/trial/experiment/summary.go
@@ -8,7 +8,7 @@
 	"gonum.org/v1/gonum/stat/distuv"
 )
 
-// Group summarises the outcomes of one class over the runs of one scenario and swept value. The output of the
+// Group summarises the outcomes of one class over the runs of one scenario and swept value. The JSON output of the
 // program contains its field names.
 type Group struct {
 	Scenario string
@@ -24,6 +24,7 @@
 // Interval is a mean and its 95% confidence interval (Student's t over seeds).
 type Interval struct{ Mean, Low, High float64 }
 
+// interval returns the interval of some values. Its bounds equal the mean if there are fewer than two.
 func interval(values []float64) Interval {
 	mean, deviation := stat.MeanStdDev(values, nil)
 	if len(values) < 2 {
