--- a/internal/trial/faults/plan.go
+++ b/internal/trial/faults/plan.go
@@ -1,5 +1,5 @@
 // Package faults makes system calls of a child process fail. It traces the process with ptrace(2), so that a built
-// program is tested unchanged and the calls of the Go runtime are covered as well.
+// program is tested unchanged and the system calls of the Go runtime can fail as well.
 package faults
 
 import (
@@ -9,11 +9,11 @@
 	"time"
 )
 
-// Target restricts a fault to calls whose first argument is a descriptor of one kind. It is the prefix of what the
-// descriptor's link in /proc/PID/fd points to.
+// Target restricts a fault to calls whose first argument is a descriptor of one kind. Its value is a prefix of the
+// target of the descriptor's link in /proc/PID/fd.
 type Target string
 
-// The kinds of descriptors. Any also matches calls without a descriptor.
+// The kinds of descriptors. Calls whose first argument is not a descriptor match each of them.
 const (
 	Any     Target = ""
 	Socket  Target = "socket:"
@@ -26,14 +26,14 @@
 	Call        string        // name of the system call, a key of syscallNumbers
 	Errno       syscall.Errno // 0: the call is made, but transfers at most one byte
 	Target      Target
-	Path        string        // for File: a suffix of the path
+	Path        string        // suffix of the path of the file, for File
 	Rate        float64       // share of the calls that fail; 0: all
-	After       time.Duration // start of the fault, counted from the start of the process
+	After       time.Duration // start of the fault, from the start of the process
 	For         time.Duration // length of the fault; 0: until the process ends
 	MaxFailures int           `json:"Most"` // maximum number of calls that fail; 0: unlimited
 }
 
-// Plan lists the faults of one process. The seed decides which calls fail if a fault has a rate. For each call the first
+// Plan lists the faults of one process. If a fault has a rate, the seed decides which calls fail. For each call the first
 // fault that applies is used.
 type Plan struct {
 	Seed   uint64
--- a/internal/trial/faults/trace_linux_amd64.go
+++ b/internal/trial/faults/trace_linux_amd64.go
@@ -17,8 +17,8 @@
 // planVariable is the environment variable that passes a Plan in JSON to the tracer.
 const planVariable = "EIDERWINCH_FAULT_PLAN"
 
-// Setting for a tracer built with the race detector: without it the tracer would sleep for a second before it exits,
-// after the traced program has ended.
+// Setting of the environment for a tracer that is built with the race detector. Without it the tracer would sleep for a
+// second between the end of the traced program and its own exit.
 const (
 	raceVariable = "GORACE"
 	noExitDelay  = "atexit_sleep_ms=0"
@@ -26,13 +26,13 @@
 
 // Options of ptrace(2) and wait4(2) that package syscall lacks for use here, and the tracer's own codes.
 const (
-	traceSysGood     = 0x1      // PTRACE_O_TRACESYSGOOD
-	traceClone       = 0x8      // PTRACE_O_TRACECLONE
-	exitKill         = 0x100000 // PTRACE_O_EXITKILL
-	syscallStop      = syscall.SIGTRAP | 0x80
-	noSyscall        = ^uint64(0) // number of a call that the kernel does not make
-	waitAll          = 0x40000000 // __WALL: wait for threads as well
-	exitTracerFailed = 125        // exit code if the tracer itself fails
+	traceSysGood     = 0x1                    // PTRACE_O_TRACESYSGOOD
+	traceClone       = 0x8                    // PTRACE_O_TRACECLONE
+	exitKill         = 0x100000               // PTRACE_O_EXITKILL
+	syscallStop      = syscall.SIGTRAP | 0x80 // signal of a stop at a system call, with PTRACE_O_TRACESYSGOOD
+	noSyscall        = ^uint64(0)             // call number that makes the kernel skip the call
+	waitAll          = 0x40000000             // __WALL: wait for threads as well
+	exitTracerFailed = 125                    // exit code if the tracer itself fails
 )
 
 // Command returns a command that runs a program under a plan. It starts the calling binary again as the tracer, so that
@@ -54,8 +54,8 @@
 	return cmd, nil
 }
 
-// Main runs the tracer and exits with the program's exit code if this process was started by Command. Otherwise it
-// returns at once.
+// Main returns at once unless this process was started by Command. In that case it runs the tracer and exits with the
+// exit code of the program.
 func Main() {
 	text := os.Getenv(planVariable)
 	if text == "" {
@@ -76,19 +76,19 @@
 
 // thread is one thread of the traced process.
 type thread struct {
-	inCall         bool
-	injectedResult *int64  // to be returned from a call that is not made
-	originalCount  *uint64 // the original third argument of a call that was shortened
+	inCall         bool    // between the entry to a system call and the exit from it
+	injectedResult *int64  // result of a call that the kernel skips; nil if it is made
+	originalCount  *uint64 // original third argument of a call that was shortened to one byte; nil if it was not
 }
 
-// tracer traces one process. All of it must run on one operating system thread, as ptrace(2) requires.
+// tracer traces one process. Its methods must all run on the same operating system thread, as ptrace(2) requires.
 type tracer struct {
 	plan        Plan
 	pid         int
 	started     time.Time
 	rng         *rand.Rand
-	faultCounts []int // by fault of the plan: calls that failed so far
-	threads     map[int]*thread
+	faultCounts []int           // by fault of the plan: number of calls it was applied to so far
+	threads     map[int]*thread // by thread id
 }
 
 // trace runs a program under a plan and returns its exit code. It forwards signals to the program.
@@ -170,8 +170,8 @@
 	return 0
 }
 
-// handleSyscall handles the entry to a system call and the exit from it. At the exit it sets the result of a call that
-// failed, and restores the argument of one that was shortened.
+// handleSyscall handles the entry to a system call or the exit from it. At the exit it sets the result of a call that
+// was skipped, and restores the argument of one that was shortened.
 func (t *tracer) handleSyscall(id int, stopped *thread) {
 	stopped.inCall = !stopped.inCall
 	if stopped.inCall {
@@ -236,7 +236,8 @@
 	return nil
 }
 
-// matchesTarget reports whether a system call is on a descriptor of the fault's target.
+// matchesTarget reports whether the descriptor of a system call is of the fault's kind and path. It is true if the kind
+// is Any, and for calls without a descriptor.
 func (t *tracer) matchesTarget(f *Fault, regs *syscall.PtraceRegs) bool {
 	if f.Target == Any || !takesDescriptor(regs.Orig_rax) {
 		return true
--- a/internal/trial/fixedseed/fixedseed.go
+++ b/internal/trial/fixedseed/fixedseed.go
@@ -8,9 +8,9 @@
 	"testing"
 )
 
-// Main runs the tests with a fixed seed of rapid; call it from TestMain. For long runs
-// with random seeds use go test -rapid.seed=0 -rapid.checks=10000.
+// Main runs the tests with a fixed seed of package rapid. TestMain must call it. Long
+// runs with random seeds use go test -rapid.seed=0 -rapid.checks=10000.
 func Main(m *testing.M) {
-	_ = flag.Set("rapid.seed", "1") // the command line takes precedence: Run parses it later
+	_ = flag.Set("rapid.seed", "1") // flags on the command line take precedence, since Run parses them later
 	os.Exit(m.Run())
 }
