--- a/internal/trial/emulator/scenario.go
+++ b/internal/trial/emulator/scenario.go
@@ -22,12 +22,12 @@
 type Scenario struct {
 	Name                string
 	Duration            time.Duration // how long clients send queries; 60 s
-	Gatherers           int           // 3
-	Searchers           int           // 12
-	Zones               int           // data centres; 3
-	Cells               int           // replica groups, the searchers of each hold the same segments; Searchers/3
-	SegmentsPerCell     int           // segments that begin at each cell; 3
-	CellsPerSegment     int           // consecutive cells that hold a segment: 1 for sets, more for a ring; 1
+	Gatherers           int           // number of gatherers; 3
+	Searchers           int           // number of searchers; 12
+	Zones               int           // number of data centres; 3
+	Cells               int           // number of replica groups, in each of which all searchers hold the same segments; Searchers/3
+	SegmentsPerCell     int           // number of segments that begin at each cell; 3
+	CellsPerSegment     int           // number of consecutive cells that hold a segment: 1 for sets, more for a ring; 1
 	MaxPartsPerCall     int           // maximum number of parts in one call; 4
 	Classes             []Class       // StockClasses()
 	SearcherSlots       int           // number of parts that a searcher serves at the same time; 4
@@ -45,8 +45,8 @@
 	MaxTries            int           // maximum number of tries of a client for a query, the first included; 2
 	MaxOpen             int           // maximum number of queries and parts that are open at a gatherer; 1,000
 	MaxAttempts         int           // maximum number of attempts of a part; 4
-	SecondCopies        bool          // a part may have two attempts in flight
-	IgnoresCancel       bool          // searchers serve queued parts even if they are cancelled
+	SecondCopies        bool          // whether a part may have two attempts in flight
+	IgnoresCancel       bool          // whether searchers serve queued parts even if they are cancelled
 	ReportInterval      time.Duration // mean interval at which searchers record the queue length that their answers carry; 0: answers carry none
 	Tenants             int           // number of tenants, whose shares are in the ratio 1, 1/2, 1/3 and so on; 0: no tenants
 	OverShare           float64       // factor on the worth of what a tenant sends beyond its share; 0.05
