--- a/internal/trial/emulator/deployments_test.go
+++ b/internal/trial/emulator/deployments_test.go
@@ -10,7 +10,7 @@
 // second copies, and searchers that serve cancelled work.
 func archive(faults ...Fault) Scenario {
 	return Scenario{
-		Name: "archive", Duration: 12 * time.Second, Searchers: 24, Cells: 24, SegmentsPerCell: 2, Reach: 2, Batch: 16, Classes: ArchiveClasses(48),
+		Name: "archive", Duration: 12 * time.Second, Searchers: 24, Cells: 24, SegmentsPerCell: 2, CellsPerSegment: 2, MaxPartsPerCall: 16, Classes: ArchiveClasses(48),
 		SecondCopies: true, IgnoresCancel: true, ReportInterval: 500 * time.Millisecond, Tenants: 3, Keys: 1000, Faults: faults,
 	}
 }
@@ -44,8 +44,8 @@
 	}
 	asked := func(r *Result) int { return r.class("lookup").Asked }
 	for name, c := range map[string]struct {
-		fault Fault
-		shows func(r *Result) bool
+		fault     Fault
+		hasEffect func(r *Result) bool
 	}{
 		"kill":  {Fault{Kind: Kill, At: at, For: 2 * time.Second, Count: 2}, func(r *Result) bool { return r.class("lookup").Failed > 0 }},
 		"focus": {Fault{Kind: HotKey, At: at, For: duration, Factor: 0.24}, func(r *Result) bool { return hotParts(r) > hotParts(calm)*5/4 }},
@@ -54,12 +54,12 @@
 		"lose":  {Fault{Kind: LostAnswers, At: at, For: duration, Factor: 0.02}, func(r *Result) bool { return r.Sent > calm.Sent }},
 		"stale": {Fault{Kind: StaleReports, At: at, For: duration, Factor: 4}, func(r *Result) bool { return asked(r) == asked(calm) }},
 	} {
-		if r := run(t, archive(c.fault), 3); !c.shows(r) {
+		if r := run(t, archive(c.fault), 3); !c.hasEffect(r) {
 			t.Errorf("fault %s has no effect: %+v", name, *r.class("lookup"))
 		}
 	}
 	invalid := archive(Fault{Kind: TenantLoad, First: 3, Factor: 2}, Fault{Kind: HotKey, Factor: 2})
-	invalid.Reach = 25
+	invalid.CellsPerSegment = 25
 	if _, err := Run(invalid, 1); err == nil || !strings.Contains(err.Error(), "tenant 3") || !strings.Contains(err.Error(), "share of 2") ||
 		!strings.Contains(err.Error(), "25 of 24 cells") {
 		t.Errorf("invalid scenario: have error %v", err)
