--- a/internal/fleet/membership/core.go
+++ b/internal/fleet/membership/core.go
@@ -147,14 +147,14 @@
 	self.State = Alive
 	c := &Core{
 		settings: settings, self: self, rng: rand.New(rand.NewPCG(seed, 0x76696577)), now: now, tokensAt: now,
-		peers: make(map[string]*peer), indirectProbes: make(map[uint64]*indirectProbe), tokens: float64(settings.BytesASecond),
+		peers: make(map[string]*peer), indirectProbes: make(map[uint64]*indirectProbe), tokens: float64(settings.MaxUpdateBytesPerSecond),
 	}
 	c.gossipTimer.Value = c.gossip
 	c.view = View{Number: 1, Members: []Member{self}, Digest: digest([]Member{self})}
 	c.contentDigest = contentDigest(c.view.Members)
-	c.schedule(c.jitter(settings.Probe), c.probeNext)
-	c.schedule(c.jitter(settings.Sync), c.syncNext)
-	c.schedule(c.jitter(settings.Reach), c.reachNext)
+	c.schedule(c.jitter(settings.ProbeInterval), c.probeNext)
+	c.schedule(c.jitter(settings.SyncInterval), c.syncNext)
+	c.schedule(c.jitter(settings.ReconnectInterval), c.reachNext)
 	return c, nil
 }
 
@@ -189,10 +189,10 @@
 	if c.steppedDown {
 		return nil
 	}
-	// The timers wake the member within Reach. After a longer gap the member itself did not run, and the messages
+	// The timers wake the member within ReconnectInterval. After a longer gap the member itself did not run, and the messages
 	// that waited meanwhile are older than they say.
-	if gap := now.Sub(c.now); gap > 2*c.settings.Reach {
-		c.stallDuration, c.stallUntil = gap, now.Add(c.settings.Probe)
+	if gap := now.Sub(c.now); gap > 2*c.settings.ReconnectInterval {
+		c.stallDuration, c.stallUntil = gap, now.Add(c.settings.ProbeInterval)
 	}
 	c.now = now
 	switch e := e.(type) {
@@ -267,7 +267,7 @@
 	m.ContentDigest = c.contentDigest
 	stream := m.Kind == sync || m.Kind == syncReply
 	if !stream && m.Kind != refusal {
-		m.Updates = append(m.Updates, c.takeUpdates(c.settings.Packet-messageOverhead, m.Updates)...)
+		m.Updates = append(m.Updates, c.takeUpdates(c.settings.MaxPacketSize-messageOverhead, m.Updates)...)
 	}
 	b := m.encode()
 	c.counts.Sent++
--- a/internal/fleet/membership/membership.go
+++ b/internal/fleet/membership/membership.go
@@ -101,52 +101,55 @@
 
 // Settings configure the members of a fleet. All members should have the same.
 type Settings struct {
-	// Probe is how often a member probes another, and Answer how long it waits for the direct answer. Raising Probe
-	// delays the detection of failures in proportion, and costs less: a member sends and receives two datagrams per
-	// period, in a fleet of any size. Raising Answer causes fewer indirect probes on a slow network; it must be well
-	// below Probe.
-	Probe, Answer time.Duration
-	// Helpers is how many others are asked to probe a member that has not answered. More helpers find more ways
-	// around a broken link, and cost two datagrams each.
-	Helpers int
-	// Doubt is the minimum duration of a suspicion, in periods times the logarithm of the fleet's size. DoubtMost is
-	// the factor by which a suspicion that nobody confirms lasts longer. Raising them gives slow members more time to
-	// refute, and delays the detection of failures.
-	Doubt, DoubtMost int
-	// Gossip is how often updates are passed on, to Fanout other members each time. Each update is sent Repeat times
-	// the logarithm of the fleet's size. Raising Repeat reaches more members despite lost datagrams, at
-	// proportional cost.
-	Gossip time.Duration
-	Fanout int
-	Repeat int
-	// Sync is how often the full state is exchanged with one other member while the received digests match; after
-	// several mismatches in a row it is exchanged at once. Reach is how often a member that is believed dead, or a seed,
-	// is contacted: that is how two halves of a partitioned fleet find each other again, and how soon.
-	Sync, Reach time.Duration
-	// Forget is how long a member that is gone is remembered. Updates about it that are older than half of that are
-	// not believed, so none can bring it back.
-	Forget time.Duration
-	// BytesASecond limits the updates that each member sends; those that keep probes working are not limited.
-	// Packet limits the size of a datagram, because a fragmented one is lost more often.
-	BytesASecond, Packet int
-	// Most limits the number of known members, including those that are gone.
-	Most int
+	// ProbeInterval is how often a member probes another, and ProbeTimeout how long it waits for the direct answer.
+	// Raising ProbeInterval delays the detection of failures in proportion, and costs less: a member sends and
+	// receives two datagrams per interval, in a fleet of any size. Raising ProbeTimeout causes fewer indirect probes
+	// on a slow network; it must be well below ProbeInterval.
+	ProbeInterval, ProbeTimeout time.Duration
+	// IndirectProbes is how many others are asked to probe a member that has not answered. More of these helpers find
+	// more ways around a broken link, and cost two datagrams each.
+	IndirectProbes int
+	// SuspicionMultiplier is the minimum duration of a suspicion, in probe intervals times the logarithm of the
+	// fleet's size. MaxSuspicionFactor is the factor by which a suspicion that nobody confirms lasts longer. Raising
+	// them gives slow members more time to refute, and delays the detection of failures.
+	SuspicionMultiplier, MaxSuspicionFactor int
+	// GossipInterval is how often updates are passed on, to Fanout other members each time. Each update is sent
+	// RetransmitMultiplier times the logarithm of the fleet's size. Raising RetransmitMultiplier reaches more members
+	// despite lost datagrams, at proportional cost.
+	GossipInterval       time.Duration
+	Fanout               int
+	RetransmitMultiplier int
+	// SyncInterval is how often the full state is exchanged with one other member while the received digests match;
+	// after several mismatches in a row it is exchanged at once. ReconnectInterval is how often a member that is
+	// believed dead, or a seed, is contacted: that is how two halves of a partitioned fleet find each other again, and
+	// how soon.
+	SyncInterval, ReconnectInterval time.Duration
+	// ForgetAfter is how long a member that is gone is remembered. Updates about it that are older than half of that
+	// are not believed, so none can bring it back.
+	ForgetAfter time.Duration
+	// MaxUpdateBytesPerSecond limits the updates that each member sends; messages that keep probes working are not
+	// limited. MaxPacketSize limits the size of a datagram in bytes, because a fragmented one is lost more often.
+	MaxUpdateBytesPerSecond, MaxPacketSize int
+	// MaxMembers limits the number of known members, including those that are gone.
+	MaxMembers int
 }
 
 // LAN returns settings for gatherers in one region: links of some milliseconds, little loss.
 func LAN() Settings {
 	return Settings{
-		Probe: 200 * time.Millisecond, Answer: 80 * time.Millisecond, Helpers: 3, Doubt: 4, DoubtMost: 6,
-		Gossip: 50 * time.Millisecond, Fanout: 3, Repeat: 4, Sync: time.Minute, Reach: time.Second,
-		Forget: 10 * time.Minute, BytesASecond: 128 << 10, Packet: 1400, Most: 4096,
+		ProbeInterval: 200 * time.Millisecond, ProbeTimeout: 80 * time.Millisecond, IndirectProbes: 3,
+		SuspicionMultiplier: 4, MaxSuspicionFactor: 6,
+		GossipInterval: 50 * time.Millisecond, Fanout: 3, RetransmitMultiplier: 4,
+		SyncInterval: time.Minute, ReconnectInterval: time.Second, ForgetAfter: 10 * time.Minute,
+		MaxUpdateBytesPerSecond: 128 << 10, MaxPacketSize: 1400, MaxMembers: 4096,
 	}
 }
 
 // WAN returns settings for links of a hundred milliseconds and some loss: failures are detected later.
 func WAN() Settings {
 	s := LAN()
-	s.Probe, s.Answer, s.Gossip = time.Second, 400*time.Millisecond, 200*time.Millisecond
-	s.Doubt, s.Reach = 5, 5*time.Second
+	s.ProbeInterval, s.ProbeTimeout, s.GossipInterval = time.Second, 400*time.Millisecond, 200*time.Millisecond
+	s.SuspicionMultiplier, s.ReconnectInterval = 5, 5*time.Second
 	return s
 }
 
@@ -157,20 +160,21 @@
 		bad  bool
 		want string
 	}{
-		{"Probe", s.Probe < time.Millisecond, "at least a millisecond"},
-		{"Answer", s.Answer <= 0 || 2*s.Answer > s.Probe, "above 0 and at most half of Probe: the helpers need the rest"},
-		{"Helpers", s.Helpers < 0 || s.Helpers > 16, "0 to 16"},
-		{"Doubt", s.Doubt < 1, "at least 1"},
-		{"DoubtMost", s.DoubtMost < 1, "at least 1"},
-		{"Gossip", s.Gossip < time.Millisecond, "at least a millisecond"},
+		{"ProbeInterval", s.ProbeInterval < time.Millisecond, "at least a millisecond"},
+		{"ProbeTimeout", s.ProbeTimeout <= 0 || 2*s.ProbeTimeout > s.ProbeInterval,
+			"above 0 and at most half of ProbeInterval: the indirect probes need the rest"},
+		{"IndirectProbes", s.IndirectProbes < 0 || s.IndirectProbes > 16, "0 to 16"},
+		{"SuspicionMultiplier", s.SuspicionMultiplier < 1, "at least 1"},
+		{"MaxSuspicionFactor", s.MaxSuspicionFactor < 1, "at least 1"},
+		{"GossipInterval", s.GossipInterval < time.Millisecond, "at least a millisecond"},
 		{"Fanout", s.Fanout < 1, "at least 1"},
-		{"Repeat", s.Repeat < 1, "at least 1"},
-		{"Sync", s.Sync < s.Probe, "at least Probe"},
-		{"Reach", s.Reach < s.Probe, "at least Probe"},
-		{"Forget", s.Forget < 4*s.Sync, "at least four times Sync: gossip must have ended by half of it"},
-		{"BytesASecond", s.BytesASecond < 4096, "at least 4096"},
-		{"Packet", s.Packet < 512 || s.Packet > 1<<16-512, "512 to 65024"},
-		{"Most", s.Most < 1024, "at least 1024"},
+		{"RetransmitMultiplier", s.RetransmitMultiplier < 1, "at least 1"},
+		{"SyncInterval", s.SyncInterval < s.ProbeInterval, "at least ProbeInterval"},
+		{"ReconnectInterval", s.ReconnectInterval < s.ProbeInterval, "at least ProbeInterval"},
+		{"ForgetAfter", s.ForgetAfter < 4*s.SyncInterval, "at least four times SyncInterval: gossip must have ended by half of it"},
+		{"MaxUpdateBytesPerSecond", s.MaxUpdateBytesPerSecond < 4096, "at least 4096"},
+		{"MaxPacketSize", s.MaxPacketSize < 512 || s.MaxPacketSize > 1<<16-512, "512 to 65024"},
+		{"MaxMembers", s.MaxMembers < 1024, "at least 1024"},
 	} {
 		if c.bad {
 			return fmt.Errorf("view: invalid %s, want %s", c.name, c.want)
@@ -189,8 +193,8 @@
 	Helped              int // probes made for other members
 	Suspected, Mistaken int // members that this one suspected first; suspicions of others that were refuted
 	Contradicted        int // times that this member had to refute an update about itself
-	Throttled           int // times that updates had to wait because of BytesASecond
-	Full                int // members not added because Most are known
+	Throttled           int // times that updates had to wait because of MaxUpdateBytesPerSecond
+	Full                int // members not added because MaxMembers are known
 	Rumours             int // updates that were too old to be believed
 }
 
--- a/internal/fleet/membership/membership_test.go
+++ b/internal/fleet/membership/membership_test.go
@@ -217,7 +217,7 @@
 // A member that has been dead for long is forgotten by all, and no old update brings it back.
 func TestDeadMembersAreForgotten(t *testing.T) {
 	settings := LAN()
-	settings.Forget, settings.Sync = 20*time.Second, 5*time.Second
+	settings.ForgetAfter, settings.SyncInterval = 20*time.Second, 5*time.Second
 	sim := newConvergedFleet(t, 3, 9, settings)
 	sim.kill(sim.order[4])
 	sim.requireConverged("the crash", 3*time.Second)
@@ -230,7 +230,7 @@
 			t.Errorf("%s still knows it", n.self.Name)
 		}
 	}
-	old.State, old.Age = Alive, uint64(settings.Forget/time.Millisecond)
+	old.State, old.Age = Alive, uint64(settings.ForgetAfter/time.Millisecond)
 	sim.step(late, Received{"addr-" + name(1), message{Version: Version, Kind: gossip, From: name(1), Start: 1002, Updates: []update{old}}.encode()})
 	if len(late.Known()) != len(sim.order) || late.Counts().Rumours == 0 {
 		t.Errorf("an old update brought it back: %v", late.Known())
@@ -333,8 +333,8 @@
 		}
 	}
 	bad := LAN()
-	bad.Answer = bad.Probe
-	if err := bad.Check(); err == nil || !strings.Contains(err.Error(), "Answer") {
+	bad.ProbeTimeout = bad.ProbeInterval
+	if err := bad.Check(); err == nil || !strings.Contains(err.Error(), "ProbeTimeout") {
 		t.Errorf("have %v", err)
 	}
 }
@@ -382,7 +382,7 @@
 			const runs = 20
 			for seed := range uint64(runs) {
 				settings := LAN()
-				settings.Sync, settings.Forget = 2*time.Second, 8*time.Second
+				settings.SyncInterval, settings.ForgetAfter = 2*time.Second, 8*time.Second
 				sim := newConvergedFleet(t, seed, 9, settings)
 				if removed {
 					sim.tamper = c.tamper
@@ -406,7 +406,7 @@
 	sim.pause(asleep)
 	sim.run(after)
 	sim.kill(gone)
-	sim.run(sim.settings.Forget * 3 / 2)
+	sim.run(sim.settings.ForgetAfter * 3 / 2)
 	sim.resume(asleep)
 	return sim.runUntil(5*time.Second, func() bool {
 		return slices.ContainsFunc(sim.order, func(o *node) bool {
@@ -421,7 +421,7 @@
 func TestMessagesQueuedDuringAPauseCountAsOld(t *testing.T) {
 	for seed := range uint64(20) {
 		settings := LAN()
-		settings.Sync, settings.Forget = 2*time.Second, 8*time.Second
+		settings.SyncInterval, settings.ForgetAfter = 2*time.Second, 8*time.Second
 		if newConvergedFleet(t, seed, 9, settings).deadMemberReturns(0) {
 			t.Errorf("seed %d: a dead member came back", seed)
 		}
--- a/internal/fleet/membership/probe.go
+++ b/internal/fleet/membership/probe.go
@@ -27,7 +27,7 @@
 		c.adjustHealth(-1)
 	}
 	c.probe = nil
-	c.schedule(c.scaleByHealth(c.jitter(c.settings.Probe)), c.probeNext)
+	c.schedule(c.scaleByHealth(c.jitter(c.settings.ProbeInterval)), c.probeNext)
 	targetPeer := c.nextTarget()
 	if targetPeer == nil || c.leaving {
 		return
@@ -41,7 +41,7 @@
 		m.Updates = append(m.Updates, c.updateAbout(targetPeer))
 	}
 	c.send(targetPeer.Addr, m)
-	c.schedule(c.scaleByHealth(c.settings.Answer), func() { c.requestIndirectProbes(p) })
+	c.schedule(c.scaleByHealth(c.settings.ProbeTimeout), func() { c.requestIndirectProbes(p) })
 }
 
 // nextTarget returns the next member to probe. Each is probed once before any is probed again.
@@ -70,7 +70,7 @@
 	if c.probe != p || p.answered || targetPeer == nil {
 		return
 	}
-	for _, helper := range c.pickPeers(c.settings.Helpers, p.target) {
+	for _, helper := range c.pickPeers(c.settings.IndirectProbes, p.target) {
 		p.helpers = append(p.helpers, helper.Name)
 		c.send(helper.Addr, message{Kind: pingReq, To: helper.Name, Seq: p.seq, TargetAddr: targetPeer.Addr, TargetName: targetPeer.Name})
 	}
@@ -95,12 +95,12 @@
 	seq, probe := c.seq, &indirectProbe{requester: from, seq: m.Seq}
 	c.indirectProbes[seq] = probe
 	c.send(m.TargetAddr, message{Kind: ping, To: m.TargetName, Seq: seq})
-	c.schedule(c.settings.Answer*4/5, func() {
+	c.schedule(c.settings.ProbeTimeout*4/5, func() {
 		if !probe.answered {
 			c.send(from, message{Kind: nack, To: m.From, Seq: probe.seq})
 		}
 	})
-	c.schedule(c.settings.Probe, func() { delete(c.indirectProbes, seq) })
+	c.schedule(c.settings.ProbeInterval, func() { delete(c.indirectProbes, seq) })
 }
 
 // maxIndirectProbes limits the probes made for others at the same time.
@@ -161,20 +161,20 @@
 
 // suspicionTimeout returns how long a suspicion lasts that the given number of other members confirm.
 func (c *Core) suspicionTimeout(confirmations int) time.Duration {
-	shortest := c.settings.Probe * time.Duration(c.settings.Doubt)
+	shortest := c.settings.ProbeInterval * time.Duration(c.settings.SuspicionMultiplier)
 	shortest = time.Duration(float64(shortest) * c.logSize())
 	expected := c.expectedConfirmations()
 	if expected == 0 {
 		return shortest
 	}
-	longest := shortest * time.Duration(c.settings.DoubtMost)
+	longest := shortest * time.Duration(c.settings.MaxSuspicionFactor)
 	fraction := math.Log(float64(confirmations)+1) / math.Log(float64(expected)+1)
 	return max(longest-time.Duration(fraction*float64(longest-shortest)), shortest)
 }
 
 // reachNext contacts a member that is believed dead, or a seed whose address no active member has.
 func (c *Core) reachNext() {
-	c.schedule(c.jitter(c.settings.Reach), c.reachNext)
+	c.schedule(c.jitter(c.settings.ReconnectInterval), c.reachNext)
 	if c.leaving {
 		return
 	}
@@ -201,7 +201,7 @@
 
 // syncNext exchanges the full state with one other member.
 func (c *Core) syncNext() {
-	c.schedule(c.jitter(c.settings.Sync), c.syncNext)
+	c.schedule(c.jitter(c.settings.SyncInterval), c.syncNext)
 	if p := c.pickPeers(1); len(p) > 0 && !c.leaving {
 		c.sendSync(p[0].Addr, p[0].Name, sync)
 	}
--- a/internal/fleet/membership/updates.go
+++ b/internal/fleet/membership/updates.go
@@ -34,15 +34,15 @@
 // queueUpdate queues an update to be passed on. It replaces an older update about the member.
 func (c *Core) queueUpdate(u update) {
 	c.queue = slices.DeleteFunc(c.queue, func(q *queuedUpdate) bool { return q.Name == u.Name })
-	c.queue = append(c.queue, &queuedUpdate{u, c.now, u.size() + ageBytes, c.settings.Repeat * int(math.Ceil(c.logSize()))})
+	c.queue = append(c.queue, &queuedUpdate{u, c.now, u.size() + ageBytes, c.settings.RetransmitMultiplier * int(math.Ceil(c.logSize()))})
 	if !c.gossipTimer.IsSet() {
-		c.timers.Set(&c.gossipTimer, c.now.Add(c.jitter(c.settings.Gossip)))
+		c.timers.Set(&c.gossipTimer, c.now.Add(c.jitter(c.settings.GossipInterval)))
 	}
 }
 
 // takeUpdates takes from the queue the updates that fit and are not included already, the least sent ones first.
 func (c *Core) takeUpdates(room int, included []update) (out []update) {
-	c.tokens = min(c.tokens+c.now.Sub(c.tokensAt).Seconds()*float64(c.settings.BytesASecond), float64(c.settings.BytesASecond))
+	c.tokens = min(c.tokens+c.now.Sub(c.tokensAt).Seconds()*float64(c.settings.MaxUpdateBytesPerSecond), float64(c.settings.MaxUpdateBytesPerSecond))
 	c.tokensAt = c.now
 	for _, u := range included {
 		room -= u.size()
@@ -76,7 +76,7 @@
 		c.send(p.Addr, message{Kind: gossip, To: p.Name})
 	}
 	if len(c.queue) > 0 {
-		c.timers.Set(&c.gossipTimer, c.now.Add(c.jitter(c.settings.Gossip)))
+		c.timers.Set(&c.gossipTimer, c.now.Add(c.jitter(c.settings.GossipInterval)))
 	}
 }
 
@@ -85,7 +85,7 @@
 	m := message{Kind: k, To: name, Updates: []update{{Member: c.self}}}
 	for _, p := range c.peers {
 		u := c.updateAbout(p)
-		if !p.Active() && u.age() > c.settings.Forget/2 {
+		if !p.Active() && u.age() > c.settings.ForgetAfter/2 {
 			continue // a member that has forgotten it must not learn of it again
 		}
 		m.Updates = append(m.Updates, u)
@@ -242,11 +242,11 @@
 
 // addMember processes an update about a member that was not known.
 func (c *Core) addMember(u update) {
-	if u.age() > c.settings.Forget/2 {
+	if u.age() > c.settings.ForgetAfter/2 {
 		c.counts.Rumours++
 		return
 	}
-	if len(c.peers)+1 >= c.settings.Most {
+	if len(c.peers)+1 >= c.settings.MaxMembers {
 		c.counts.Full++
 		return
 	}
@@ -294,7 +294,7 @@
 	case Dead, Left:
 		name := p.Name
 		p.timer.Value = func() { delete(c.peers, name) }
-		c.timers.Set(&p.timer, p.stateSince.Add(c.settings.Forget))
+		c.timers.Set(&p.timer, p.stateSince.Add(c.settings.ForgetAfter))
 	}
 }
 
@@ -321,13 +321,13 @@
 		conflict := &nameConflict{member: u.Member, seq: c.seq}
 		c.conflict = conflict
 		for i := range conflictPings {
-			c.schedule(time.Duration(i)*c.settings.Probe, func() {
+			c.schedule(time.Duration(i)*c.settings.ProbeInterval, func() {
 				if c.conflict == conflict {
 					c.send(u.Addr, message{Kind: ping, To: c.self.Name, Seq: conflict.seq})
 				}
 			})
 		}
-		c.schedule(conflictPings*c.settings.Probe, func() {
+		c.schedule(conflictPings*c.settings.ProbeInterval, func() {
 			if c.conflict == conflict {
 				c.conflict = nil
 				c.supersede(u.Incarnation)
