--- a/internal/fleet/membership/core.go
+++ b/internal/fleet/membership/core.go
@@ -99,8 +99,8 @@
 	viewChanged    bool // the active members, or what they serve, have changed in this step
 	contentDigest  uint64
 	conflict       *nameConflict
-	stallDuration  time.Duration // how long this member did not run
-	stallUntil     time.Time     // messages that arrive until then may have waited that long
+	stallDuration  time.Duration // how long this member last did not run
+	stallUntil     time.Time     // messages that arrive until then may have waited for stallDuration
 	mismatches     int           // consecutive answers from members with other digests
 	leaving        bool
 	steppedDown    bool
@@ -116,7 +116,7 @@
 	seq      uint64
 	answered bool
 	helpers  []string // members that were asked to probe the target
-	nacks    int      // helpers that reported that the target has not answered
+	nacks    int      // number of helpers that reported that the target has not answered
 }
 
 // indirectProbe is a probe made on behalf of another member.
@@ -126,23 +126,24 @@
 	answered  bool
 }
 
-// nameConflict is another process with the member's own name.
+// nameConflict is another process that has the member's own name according to an update.
 type nameConflict struct {
 	member Member
-	seq    uint64
+	seq    uint64 // of the pings that find out whether the process exists
 }
 
 // maxLocalHealth is the worst local health. Waits are multiplied by the local health plus one.
 const maxLocalHealth = 8
 
 // New returns a member that knows no other. self.Incarnation.Start belongs to its process: it should be above that of
-// all earlier processes of the name, as far as it can be known. If it is not, the member finds out.
+// all earlier processes of the name, as far as that can be known. If it is not, the member takes a higher one when an
+// update shows it an earlier process.
 func New(settings Settings, self Member, seed uint64, now time.Time) (*Core, error) {
 	if err := settings.Check(); err != nil {
 		return nil, err
 	}
 	if self.Name == "" || len(self.Name) > maxNameBytes || self.Addr == "" || len(self.Addr) > maxNameBytes || len(self.Zone) > maxNameBytes {
-		return nil, fmt.Errorf("view: member %q at %q, want a name and an address of at most %d bytes", self.Name, self.Addr, maxNameBytes)
+		return nil, fmt.Errorf("membership: member %q at %q, want a name and an address of at most %d bytes", self.Name, self.Addr, maxNameBytes)
 	}
 	self.State = Alive
 	c := &Core{
@@ -154,7 +155,7 @@
 	c.contentDigest = contentDigest(c.view.Members)
 	c.schedule(c.jitter(settings.ProbeInterval), c.probeNext)
 	c.schedule(c.jitter(settings.SyncInterval), c.syncNext)
-	c.schedule(c.jitter(settings.ReconnectInterval), c.reachNext)
+	c.schedule(c.jitter(settings.ReconnectInterval), c.reconnectNext)
 	return c, nil
 }
 
@@ -189,8 +190,8 @@
 	if c.steppedDown {
 		return nil
 	}
-	// The timers wake the member within ReconnectInterval. After a longer gap the member itself did not run, and the messages
-	// that waited meanwhile are older than they say.
+	// The timers wake the member at least about every ReconnectInterval. If the gap is more than twice that, the
+	// member itself did not run, and the messages that waited meanwhile are older than their ages say.
 	if gap := now.Sub(c.now); gap > 2*c.settings.ReconnectInterval {
 		c.stallDuration, c.stallUntil = gap, now.Add(c.settings.ProbeInterval)
 	}
--- a/internal/fleet/membership/membership.go
+++ b/internal/fleet/membership/membership.go
@@ -42,7 +42,7 @@
 var stateNames = [...]string{"alive", "suspect", "dead", "left"}
 
 // Incarnation orders the updates about one name. Start belongs to a process: a later process of the name has a higher
-// one. Seq counts how often that process has refuted others.
+// one. Seq grows each time that process refutes that it is suspect or dead.
 type Incarnation struct {
 	Start uint64 `cbor:"1,keyasint"`
 	Seq   uint64 `cbor:"2,keyasint,omitempty"`
@@ -86,7 +86,7 @@
 	return h.Sum64()
 }
 
-// contentDigest also differs if the active members serve something else, or at another address.
+// contentDigest also covers what the active members serve, and their addresses.
 func contentDigest(members []Member) uint64 {
 	h := xxhash.New()
 	var b []byte
@@ -177,13 +177,13 @@
 		{"MaxMembers", s.MaxMembers < 1024, "at least 1024"},
 	} {
 		if c.bad {
-			return fmt.Errorf("view: invalid %s, want %s", c.name, c.want)
+			return fmt.Errorf("membership: invalid %s, want %s", c.name, c.want)
 		}
 	}
 	return nil
 }
 
-// Counts are the counters of a Core, for operators.
+// Counts are the counters of a Core, for operators. They are written as JSON under the names of the fields.
 type Counts struct {
 	Sent, SentBytes     int // messages of all kinds
 	Received            int
@@ -191,7 +191,7 @@
 	Misdirected         int // probes meant for another process
 	Probes, Missed      int // probes begun; those that nobody answered
 	Helped              int // probes made for other members
-	Suspected, Mistaken int // members that this one suspected first; suspicions of others that were refuted
+	Suspected, Mistaken int // members that this one suspected first; suspicions of other members that were refuted
 	Contradicted        int // times that this member had to refute an update about itself
 	Throttled           int // times that updates had to wait because of MaxUpdateBytesPerSecond
 	Full                int // members not added because MaxMembers are known
--- a/internal/fleet/membership/membership_test.go
+++ b/internal/fleet/membership/membership_test.go
@@ -154,15 +154,15 @@
 	}
 }
 
-// A member that others can hear but that hears nobody can't refute a suspicion: it is dropped, and comes back later.
+// A member whose messages arrive but that receives none can't refute a suspicion: it is dropped, and comes back later.
 func TestAMemberThatHearsNobodyIsDroppedAndComesBack(t *testing.T) {
 	sim := newConvergedFleet(t, 1, 9, LAN())
 	sim.partitioned = func(_, to string) bool { return to == "addr-g0003" }
 	if sim.runUntil(10*time.Second, func() bool { return len(sim.order[0].View().Members) == 8 }) < 0 {
-		t.Error("it is still in the view")
+		t.Error("the member that hears nobody is still in the view")
 	}
 	sim.partitioned = func(string, string) bool { return false }
-	sim.requireConverged("back", 5*time.Second)
+	sim.requireConverged("the member hears the others again", 5*time.Second)
 }
 
 // Lost datagrams cause suspicions, which are refuted before a member is dropped. If one datagram in five is lost, some
@@ -177,7 +177,7 @@
 		for _, n := range sim.order {
 			suspected += n.Counts().Suspected
 		}
-		t.Logf("loss %v: %d suspicions in a minute of 25 members, %d changes of one's view", loss, suspected, sim.order[0].viewChanges-views)
+		t.Logf("loss %v: %d suspicions by 25 members in a minute, %d changes of one member's view", loss, suspected, sim.order[0].viewChanges-views)
 		if n := sim.order[0]; n.viewChanges != views && loss < 0.2 {
 			t.Errorf("loss %v: the view changed %d times", loss, n.viewChanges-views)
 		}
@@ -195,7 +195,7 @@
 			t.Fatalf("seed %d: the older process does not step down", seed)
 		}
 		if !slices.ContainsFunc(older.warnings, func(s string) bool { return strings.Contains(s, "addr-elsewhere") }) {
-			t.Errorf("its warnings are %q", older.warnings)
+			t.Errorf("the older process warns %q, want a warning that names addr-elsewhere", older.warnings)
 		}
 		sim.kill(older)
 		sim.requireConverged("the newer process is a member", 3*time.Second)
@@ -227,13 +227,13 @@
 	sim.run(10 * time.Second)
 	for _, n := range sim.order {
 		if slices.ContainsFunc(n.Known(), func(m Member) bool { return m.Name == name(4) }) {
-			t.Errorf("%s still knows it", n.self.Name)
+			t.Errorf("%s still knows the dead member", n.self.Name)
 		}
 	}
 	old.State, old.Age = Alive, uint64(settings.ForgetAfter/time.Millisecond)
 	sim.step(late, Received{"addr-" + name(1), message{Version: Version, Kind: gossip, From: name(1), Start: 1002, Updates: []update{old}}.encode()})
 	if len(late.Known()) != len(sim.order) || late.Counts().Rumours == 0 {
-		t.Errorf("an old update brought it back: %v", late.Known())
+		t.Errorf("an old update brought the dead member back: %v", late.Known())
 	}
 }
 
@@ -264,9 +264,9 @@
 		}
 	}
 	sim := newConvergedFleet(t, 1, 2, LAN())
-	odd := m
-	odd.Version = 40
-	sim.step(sim.order[0], Received{"addr-" + name(1), odd.encode()})
+	unknownVersion := m
+	unknownVersion.Version = 40
+	sim.step(sim.order[0], Received{"addr-" + name(1), unknownVersion.encode()})
 	sim.step(sim.order[0], Received{"addr-" + name(1), []byte("noise")})
 	if n := sim.order[0].Counts(); n.Refused != 1 || n.Malformed != 1 || len(sim.order[0].warnings) != 1 {
 		t.Errorf("have %+v, %q", n, sim.order[0].warnings)
@@ -290,7 +290,7 @@
 			case 0:
 				m := message{Version: Version, Kind: kind(rapid.IntRange(1, 8).Draw(t, "kind")), From: rapid.SampledFrom([]string{"me", "a", "b", "c"}).Draw(t, "from"),
 					Start: uint64(rapid.IntRange(99, 101).Draw(t, "start")), Seq: uint64(rapid.IntRange(0, 9).Draw(t, "seq")), TargetAddr: "c:1", TargetName: "c"}
-				for range rapid.IntRange(0, 4).Draw(t, "news") {
+				for range rapid.IntRange(0, 4).Draw(t, "updates") {
 					m.Updates = append(m.Updates, update{Member: Member{Name: rapid.SampledFrom([]string{"me", "a", "b", "c"}).Draw(t, "name"), Addr: "x:1",
 						State:       State(rapid.IntRange(0, 3).Draw(t, "state")),
 						Incarnation: Incarnation{uint64(rapid.IntRange(99, 101).Draw(t, "start")), uint64(rapid.IntRange(0, 3).Draw(t, "seq"))}}, By: "b"})
@@ -332,9 +332,9 @@
 			t.Error(err)
 		}
 	}
-	bad := LAN()
-	bad.ProbeTimeout = bad.ProbeInterval
-	if err := bad.Check(); err == nil || !strings.Contains(err.Error(), "ProbeTimeout") {
+	invalid := LAN()
+	invalid.ProbeTimeout = invalid.ProbeInterval
+	if err := invalid.Check(); err == nil || !strings.Contains(err.Error(), "ProbeTimeout") {
 		t.Errorf("have %v", err)
 	}
 }
@@ -402,16 +402,16 @@
 // deadMemberReturns pauses a member, kills another one after the given time, resumes the first once the others have
 // forgotten both, and reports whether any other member then has the dead one in its view.
 func (sim *simulation) deadMemberReturns(after time.Duration) bool {
-	gone, asleep := sim.order[7], sim.order[3]
-	sim.pause(asleep)
+	gone, paused := sim.order[7], sim.order[3]
+	sim.pause(paused)
 	sim.run(after)
 	sim.kill(gone)
 	sim.run(sim.settings.ForgetAfter * 3 / 2)
-	sim.resume(asleep)
+	sim.resume(paused)
 	return sim.runUntil(5*time.Second, func() bool {
 		return slices.ContainsFunc(sim.order, func(o *node) bool {
 			m, ok := o.member(gone.self.Name)
-			return o != asleep && ok && m.Active()
+			return o != paused && ok && m.Active()
 		})
 	}) >= 0
 }
--- a/internal/fleet/membership/message.go
+++ b/internal/fleet/membership/message.go
@@ -19,14 +19,14 @@
 	ping      kind = iota + 1 // answered by ack
 	ack                       // Seq is the ping's
 	pingReq                   // asks for a ping of TargetAddr; the answer is passed on as ack, a missing one is reported as nack
-	nack                      // the helper is alive, but the target has not answered it
+	nack                      // reports that the helper is alive, but the target has not answered it
 	gossip                    // updates only
 	sync                      // the full state; answered by syncReply
 	syncReply                 // the full state
 	refusal                   // the version was not understood
 )
 
-// message is what members send each other: CBOR (RFC 8949) with numbered fields.
+// message is a message between members, encoded as CBOR (RFC 8949) with numbered fields.
 type message struct {
 	Version       int      `cbor:"0,keyasint"`
 	Kind          kind     `cbor:"1,keyasint"`
@@ -41,7 +41,7 @@
 	ContentDigest uint64   `cbor:"10,keyasint,omitempty"` // of what the members of that view serve, and where
 }
 
-// update is what is believed about a member.
+// update reports what its sender believes about a member.
 type update struct {
 	Member
 	By  string `cbor:"16,keyasint,omitempty"` // Suspect: the member that suspects it
@@ -53,7 +53,7 @@
 	errVersion = errors.New("unsupported version")
 )
 
-// encMode is the only encoding of messages. It gives the same bytes for the same message.
+// encMode encodes messages deterministically: the same message always gives the same bytes.
 var encMode = func() cbor.EncMode {
 	m, err := cbor.CoreDetEncOptions().EncMode()
 	if err != nil {
@@ -79,24 +79,24 @@
 	return b
 }
 
-// decode reads and validates a message. Its errors name what is wrong.
+// decode reads and validates a message. Its errors name the invalid field or part.
 func decode(b []byte) (message, error) {
 	var m message
 	if err := decMode.Unmarshal(b, &m); err != nil {
-		return message{}, fmt.Errorf("view: malformed message: %w", err)
+		return message{}, fmt.Errorf("membership: malformed message: %w", err)
 	}
 	if d := m.Version - Version; d < -1 || d > 1 {
-		return m, fmt.Errorf("view: %w: have %d, want %d to %d", errVersion, m.Version, Version-1, Version+1)
+		return m, fmt.Errorf("membership: %w: have %d, want %d to %d", errVersion, m.Version, Version-1, Version+1)
 	}
 	if m.From == "" || len(m.From) > maxNameBytes {
-		return m, fmt.Errorf("view: malformed message: sender's name of %d bytes, want 1 to %d", len(m.From), maxNameBytes)
+		return m, fmt.Errorf("membership: malformed message: sender's name of %d bytes, want 1 to %d", len(m.From), maxNameBytes)
 	}
 	if m.Kind < ping || m.Kind > refusal {
-		return m, fmt.Errorf("view: %w %d", errKind, m.Kind)
+		return m, fmt.Errorf("membership: %w %d", errKind, m.Kind)
 	}
 	for i, u := range m.Updates {
 		if u.Name == "" || len(u.Name) > maxNameBytes || len(u.Addr) > maxNameBytes || len(u.Zone) > maxNameBytes || u.State > Left {
-			return m, fmt.Errorf("view: malformed message: update %d is invalid", i)
+			return m, fmt.Errorf("membership: malformed message: update %d is invalid", i)
 		}
 	}
 	return m, nil
--- a/internal/fleet/membership/probe.go
+++ b/internal/fleet/membership/probe.go
@@ -11,15 +11,15 @@
 	if p := c.probe; p != nil && !p.answered {
 		c.counts.Missed++
 		// Helpers that do not respond at all suggest that this member is slow, rather than that the target has
-		// failed. Helpers that are not alive themselves are left out: when most of the fleet is gone, their silence
-		// is no sign.
+		// failed. Helpers that are not alive themselves are not counted: if most of the fleet is gone, missing
+		// responses do not mean that this member is slow.
 		silent := len(p.helpers) - p.nacks
 		for _, name := range p.helpers {
 			if helper := c.peers[name]; helper == nil || helper.State != Alive {
 				silent--
 			}
 		}
-		if targetPeer := c.peers[p.target]; targetPeer == nil || targetPeer.State != Suspect { // otherwise another member has found the same before
+		if targetPeer := c.peers[p.target]; targetPeer == nil || targetPeer.State != Suspect { // otherwise another member has suspected it before
 			c.adjustHealth(1 + max(silent, 0))
 		}
 		c.suspect(p.target, c.self.Name)
@@ -37,7 +37,7 @@
 	p := &probe{target: targetPeer.Name, seq: c.seq}
 	c.probe = p
 	m := message{Kind: ping, To: targetPeer.Name, Seq: p.seq}
-	if targetPeer.State == Suspect { // the target must learn first that it is suspected
+	if targetPeer.State == Suspect { // so that the target learns that it is suspected, and can refute that
 		m.Updates = append(m.Updates, c.updateAbout(targetPeer))
 	}
 	c.send(targetPeer.Addr, m)
@@ -126,7 +126,7 @@
 	}
 }
 
-// suspect records that the member by has found another one not to answer.
+// suspect records that the member by suspects the named member.
 func (c *Core) suspect(name, by string) {
 	p := c.peers[name]
 	if p == nil || !p.Active() {
@@ -137,7 +137,7 @@
 			return
 		}
 		if _, own := p.accusers[c.self.Name]; own && by != c.self.Name {
-			c.adjustHealth(-1) // another member has found the same, so the cause was not local slowness
+			c.adjustHealth(-1) // another member suspects it too, so the cause was not that this member is slow
 		}
 		p.accusers[by] = struct{}{}
 		c.queueUpdate(update{Member: p.Member, By: by, Age: ageMillis(c.now, p.lastReceived)})
@@ -159,7 +159,7 @@
 // expectedConfirmations returns how many other members must confirm a suspicion for its timeout to be the shortest.
 func (c *Core) expectedConfirmations() int { return max(min(3, c.size()-2), 0) }
 
-// suspicionTimeout returns how long a suspicion lasts that the given number of other members confirm.
+// suspicionTimeout returns how long a suspicion lasts if the given number of other members confirm it.
 func (c *Core) suspicionTimeout(confirmations int) time.Duration {
 	shortest := c.settings.ProbeInterval * time.Duration(c.settings.SuspicionMultiplier)
 	shortest = time.Duration(float64(shortest) * c.logSize())
@@ -172,9 +172,9 @@
 	return max(longest-time.Duration(fraction*float64(longest-shortest)), shortest)
 }
 
-// reachNext contacts a member that is believed dead, or a seed whose address no active member has.
-func (c *Core) reachNext() {
-	c.schedule(c.jitter(c.settings.ReconnectInterval), c.reachNext)
+// reconnectNext contacts a member that is believed dead, or a seed whose address no active member has.
+func (c *Core) reconnectNext() {
+	c.schedule(c.jitter(c.settings.ReconnectInterval), c.reconnectNext)
 	if c.leaving {
 		return
 	}
--- a/internal/fleet/membership/simulation_test.go
+++ b/internal/fleet/membership/simulation_test.go
@@ -236,7 +236,7 @@
 					continue next
 				}
 			}
-			list = append(list, n.self.Name+" of "+d)
+			list = append(list, n.self.Name+" suspects "+d)
 		}
 	}
 	return list
--- a/internal/fleet/membership/updates.go
+++ b/internal/fleet/membership/updates.go
@@ -10,19 +10,19 @@
 // queuedUpdate is an update that is being passed on.
 type queuedUpdate struct {
 	update
-	ageAt     time.Time // time at which Age was right
-	maxBytes  int       // limit of its encoded size, whatever its age when it is sent
+	ageAt     time.Time // time for which Age holds
+	maxBytes  int       // upper limit of its encoded size, whatever its age when it is sent
 	sendsLeft int       // number of times that it is still to be sent
 }
 
-// ageBytes is how much longer an encoded update may become by its age.
+// ageBytes is the number of bytes by which an encoded update may grow as its age grows.
 const ageBytes = 8
 
 func ageMillis(now, since time.Time) uint64 { return uint64(max(now.Sub(since), 0) / time.Millisecond) }
 
-// updateAbout returns the update to send about a member. The age of an active member counts from when it was last heard
-// from, even if it was found suspect since then: a member that has forgotten it must not count it as active again
-// because of that.
+// updateAbout returns the update to send about a member. The age of an active member counts from when a message was
+// last received from it, even if it has become suspect since: a member that has forgotten it must not count it as
+// active again because of the suspicion.
 func (c *Core) updateAbout(p *peer) update {
 	since := p.stateSince
 	if p.Active() {
@@ -40,7 +40,8 @@
 	}
 }
 
-// takeUpdates takes from the queue the updates that fit and are not included already, the least sent ones first.
+// takeUpdates returns queued updates that fit into room bytes together with those already included, the least sent
+// ones first. Updates that have been sent often enough leave the queue.
 func (c *Core) takeUpdates(room int, included []update) (out []update) {
 	c.tokens = min(c.tokens+c.now.Sub(c.tokensAt).Seconds()*float64(c.settings.MaxUpdateBytesPerSecond), float64(c.settings.MaxUpdateBytesPerSecond))
 	c.tokensAt = c.now
@@ -145,7 +146,7 @@
 		c.compareDigests(received.From, m)
 	}
 	if p := c.peers[m.From]; m.Kind != sync && m.Kind != syncReply && m.From != c.self.Name && (p == nil || !p.Active() && p.State != Left) {
-		// The sender is alive and does not know what is believed about it, or it is not known here at all.
+		// The sender is alive and does not know that it is believed dead here, or it is not known here at all.
 		c.sendSync(received.From, m.From, sync)
 	}
 }
@@ -170,7 +171,8 @@
 // exchanged with one of them: updates may have been lost on all paths.
 const maxMismatches = 3
 
-// compareDigests records whether another member has the same active members, serving the same.
+// compareDigests records whether another member has the same view with the same contents, and requests the full state
+// after too many mismatches.
 func (c *Core) compareDigests(from string, m message) {
 	if m.Digest == c.view.Digest && m.ContentDigest == c.contentDigest || len(c.queue) > 0 {
 		c.mismatches = 0
@@ -206,7 +208,7 @@
 		}
 	case u.State < p.State:
 		if u.State == Alive && p.Active() {
-			p.recordReceived(received) // another member has received a message from it since
+			p.recordReceived(received) // another member has received a message from it more recently
 		}
 		return
 	case u.State == p.State:
@@ -312,11 +314,11 @@
 		c.self.Incarnation.Seq = u.Incarnation.Seq + 1
 		c.announceSelf()
 	case u.Addr == c.self.Addr || u.State == Dead || u.State == Left:
-		// It is an earlier process, whose clock was ahead: no other process can be at this member's address, and one
-		// that is gone does not compete for the name.
+		// The update is about an earlier process, whose clock was ahead: no other process can be at this member's
+		// address, and one that is gone does not compete for the name.
 		c.supersede(u.Incarnation)
 	case c.conflict == nil || c.conflict.member.Incarnation.Start < u.Incarnation.Start:
-		// It is another process, or the update is about one that no longer exists: ping it to find out.
+		// The update is about another process, which may no longer exist: ping it to find out.
 		c.seq++
 		conflict := &nameConflict{member: u.Member, seq: c.seq}
 		c.conflict = conflict
@@ -342,7 +344,7 @@
 	c.announceSelf()
 }
 
-// conflictPings is how often another process with the member's name is pinged to find out whether it exists.
+// conflictPings is the number of pings to another process with the member's name that find out whether it exists.
 const conflictPings = 5
 
 // stepDown ends the member because a newer process has its name.
