--- a/internal/fleet/seal/seal.go
+++ b/internal/fleet/seal/seal.go
@@ -1,6 +1,6 @@
 // Package seal puts the messages between gatherers into envelopes that only members of their fleet can make, and
-// opens them. It distinguishes envelopes from strangers, from other fleets, and replayed ones. It does no I/O and
-// reads no clock.
+// opens them. It rejects envelopes that come from strangers or other fleets, or are replayed. It does no I/O and reads
+// no clock.
 //
 // An envelope is CBOR (RFC 8949) with numbered fields. Its MAC is BLAKE3 in keyed mode over all other fields,
 // under a shared secret of a key file (package signature). Each key is valid for a limited time, so that keys can
@@ -22,7 +22,7 @@
 	"eiderwinch/internal/configuration/signature"
 )
 
-// macDomain keeps an envelope's MAC from being valid for any other purpose.
+// macDomain separates the MACs of envelopes from those for other purposes under the same key.
 const macDomain = "eiderwinch fleet 1\n"
 
 // The reasons for which an envelope is rejected.
@@ -52,7 +52,7 @@
 }
 
 // Counts are the counters of a Sealer: envelopes opened, envelopes rejected by reason, and processes whose replay
-// state was evicted.
+// state was evicted. They are written as JSON under the names of the fields.
 type Counts struct{ Opened, Malformed, Fleet, Stranger, Replayed, Forgotten int }
 
 // Sealer seals and opens the envelopes of one process. It belongs to one goroutine.
@@ -63,7 +63,7 @@
 	process      uint64
 	sequence     uint64
 	replayStates map[uint64]*replayState
-	useClock     uint64 // logical time of the last use of replayStates
+	useClock     uint64 // logical clock: number of uses of replayStates
 	counts       Counts
 	encMode      cbor.EncMode
 	decMode      cbor.DecMode
@@ -74,7 +74,7 @@
 type replayState struct {
 	highest uint64
 	seen    [replayWindow / 64]uint64
-	lastUse uint64 // by Sealer.useClock
+	lastUse uint64 // Sealer.useClock at the last use
 }
 
 // New returns a Sealer that seals with the named key. process distinguishes this start of the program from all
@@ -165,7 +165,7 @@
 	return true
 }
 
-// evictOldest makes room for another process.
+// evictOldest removes the replay state that was used least recently if maxProcesses are kept.
 func (s *Sealer) evictOldest() {
 	if len(s.replayStates) < maxProcesses {
 		return
--- a/internal/fleet/seal/seal_test.go
+++ b/internal/fleet/seal/seal_test.go
@@ -74,7 +74,7 @@
 		}
 	}
 	if _, err := sealer(t, "o", "old", "f", 9).Seal(testTime.Add(noon), nil); !errors.Is(err, signature.ErrExpired) {
-		t.Errorf("sealed with an expired key: %v", err)
+		t.Errorf("sealing with an expired key: %v", err)
 	}
 	if b := sealNow(sealer(t, "o", "old", strings.Repeat("f", 128), 7)); len(b) > Overhead+4 {
 		t.Errorf("overhead of %d bytes, want at most %d", len(b)-4, Overhead)
@@ -84,21 +84,21 @@
 // Envelopes may arrive out of order, get lost and be replayed: each is opened once. Those before the replay window are not
 // opened at all.
 func TestEachEnvelopeIsOpenedOnce(t *testing.T) {
-	a, b := sealer(t, "o", "old", "f", 7), sealer(t, "o", "old", "f", 9)
+	sender, receiver := sealer(t, "o", "old", "f", 7), sealer(t, "o", "old", "f", 9)
 	var envelopes [][]byte
 	for range 2*replayWindow + 10 {
-		e, err := a.Seal(testTime, nil)
+		e, err := sender.Seal(testTime, nil)
 		if err != nil {
 			t.Fatal(err)
 		}
 		envelopes = append(envelopes, e)
 	}
 	rapid.Check(t, func(t *rapid.T) {
-		b.replayStates = make(map[uint64]*replayState)
+		receiver.replayStates = make(map[uint64]*replayState)
 		opened, highest := make(map[int]bool), 0
 		for range rapid.IntRange(1, 40).Draw(t, "envelopes") {
 			i := rapid.IntRange(0, len(envelopes)-1).Draw(t, "which")
-			_, err := b.Open(testTime, envelopes[i])
+			_, err := receiver.Open(testTime, envelopes[i])
 			if highest = max(highest, i); err == nil && opened[i] || err != nil && !opened[i] && highest-i < replayWindow {
 				t.Fatalf("envelope %d of %d: opened before %t, now %v", i, highest, opened[i], err)
 			}
@@ -106,10 +106,10 @@
 		}
 	})
 	for p := range uint64(maxProcesses + 10) {
-		b.acceptSequence(p+100, 1)
+		receiver.acceptSequence(p+100, 1)
 	}
-	if len(b.replayStates) != maxProcesses || b.Counts().Forgotten == 0 {
-		t.Errorf("%d processes are kept, %d forgotten", len(b.replayStates), b.Counts().Forgotten)
+	if len(receiver.replayStates) != maxProcesses || receiver.Counts().Forgotten == 0 {
+		t.Errorf("%d processes are kept, %d evicted", len(receiver.replayStates), receiver.Counts().Forgotten)
 	}
 }
 
@@ -125,13 +125,13 @@
 }
 
 func BenchmarkSealAndOpen(b *testing.B) {
-	a, o := sealer(b, "o", "old", "f", 7), sealer(b, "o", "old", "f", 9)
+	sender, receiver := sealer(b, "o", "old", "f", 7), sealer(b, "o", "old", "f", 9)
 	data := make([]byte, 400)
 	b.ReportAllocs()
 	for range b.N {
-		e, err := a.Seal(testTime, data)
+		e, err := sender.Seal(testTime, data)
 		if err == nil {
-			_, err = o.Open(testTime, e)
+			_, err = receiver.Open(testTime, e)
 		}
 		if err != nil {
 			b.Fatal(err)
--- a/internal/fleet/share/share.go
+++ b/internal/fleet/share/share.go
@@ -1,27 +1,27 @@
 // Package share divides the fleet's limits among the gatherers that are running. It does no I/O, reads no clock
 // and starts no goroutine; a Holder belongs to one goroutine.
 //
-// The limits are divided into as many slots as gatherers are planned. Each slot belongs to one number below
-// Settings.Slots, so without any communication no gatherer uses more than its own slot. The slot of a gatherer
-// that is gone is used by the next running gatherer after it in the ring of numbers, and by no other: however much
-// membership views differ, two gatherers never use one slot at the same time.
+// The limits are divided into as many slots as gatherers are planned. Each gatherer has one slot, numbered below
+// Settings.Slots, and without any communication uses no other. The slot of a gatherer that is gone is used by the
+// next running gatherer after it in the ring of numbers, and by no other: however much membership views differ, two
+// gatherers never use one slot at the same time.
 //
-// This relies only on evidence that can't be mistaken. A membership view can't distinguish a dead gatherer from a partitioned
-// one, and both sides of a partition would take over the slots of the other. So a Holder believes only that the
-// host of a slot's address has refused a connection: nothing listened there, so no process of that slot ran.
-// Silence proves nothing. A gatherer that is stopped no longer answers, but its host still accepts connections; a
-// host that has lost its power refuses nothing, and its slots stay unused.
+// A membership view is no sufficient evidence that a gatherer is gone: it can't distinguish a dead gatherer from a
+// partitioned one, and both sides of a partition would take over the slots of the other. So a Holder relies only on
+// refused connections: if the host of a slot's address refuses one, nothing listens there, so no process of that
+// slot runs. A missing reply proves nothing. A gatherer whose process is paused no longer answers, but its host still
+// accepts connections; a host that has lost its power refuses nothing, and its slots stay unused.
 //
 // A refusal is valid for Settings.Lease from the start of the connection, on the clock of the gatherer that was
-// refused. A gatherer that starts first listens, and then uses no slot, not even its own, for Settings.Wait, which
-// is longer: any gatherer that was refused before it listened has stopped using its slot by then.
+// refused. A starting gatherer first listens, and then uses no slot, not even its own, for Settings.Wait, which is
+// longer: any gatherer that was refused before this one listened has stopped using its slot by then.
 //
-// A starting gatherer need not wait if it can ask. The only gatherers that may use its slot are those after it in
+// A starting gatherer may shorten the wait by asking. The only gatherers that may use its slot are those after it in
 // the ring, up to the first one that is running and has completed its own wait: none beyond that one can have found
-// it gone since. So it questions them one after the other. A gatherer that has completed its wait replies how long
-// its own claims are valid, for the slot of the asker and all slots that it reaches through it, and forgets what it
-// has found out about them. A gatherer that is still waiting, or is refused, uses nothing. If one does not reply,
-// the full wait remains.
+// it gone since. So it questions them one after the other. A gatherer that has completed its wait replies for how
+// long its claims remain valid, on the asker's slot and on all slots beyond it in the ring, and discards its findings
+// about them. A gatherer that is still waiting uses nothing, and neither does one whose host refuses the connection.
+// If one does not reply, the full wait remains.
 //
 // What a process did in the window before its end is not counted any more after its end, as is the case when limits
 // are not divided and a gatherer restarts.
@@ -39,18 +39,18 @@
 	Slots  int // number of planned gatherers
 	Number int // own slot, from 0
 	// Lease is how long a refusal is valid. A shorter lease shortens the wait of a starting gatherer, and costs
-	// proportionally more connections to each gone slot before its own.
+	// proportionally more connections to each slot before its own whose gatherer is gone.
 	Lease time.Duration
 	// Window is the span over which the limits count. A slot is taken over only after it has been gone for that
 	// long, and a starting gatherer uses its slot only that long after all other running gatherers have stopped
 	// using it. So no window contains the use of one slot by two running gatherers.
 	Window time.Duration
-	Seed   uint64
+	Seed   uint64 // of the random times between dials
 }
 
 const (
-	// DefaultLease is long compared with a dial, which takes some milliseconds, and with a turn of the loop. A
-	// starting gatherer waits little longer than that.
+	// DefaultLease is long compared with a dial, which takes some milliseconds, and with a turn of the loop. Without
+	// a Window, a starting gatherer waits little longer than the lease.
 	DefaultLease = time.Second
 
 	// driftDivisor is the inverse of the fraction (1/50) by which the clocks of two machines may drift apart: some
@@ -91,18 +91,18 @@
 	Until time.Time
 }
 
-// Counts are the counters of a Holder.
+// Counts are the counters of a Holder. They are written as JSON under the names of the fields.
 type Counts struct {
-	Asked, Refused, Silent int // connections to slots that seem gone; those that were refused; those that were not
+	Asked, Refused, Silent int // dials to slots that seem gone; those that were refused; those that were not
 	Questions              int // sent at the start
-	Most                   int // slots held at the same time
+	Most                   int // the maximum number of slots that were held at the same time
 }
 
 // slotState is what a Holder knows about another slot.
 type slotState struct {
 	dialBegun time.Time // start of the dial in progress; zero if there is none
 	lastDial  time.Time // start of the last dial
-	goneSince time.Time // since when all dials were refused; zero if the slot is not known to be gone
+	goneSince time.Time // since when all dials have been refused; zero if the slot is not known to be gone
 	goneUntil time.Time // when the last refusal expires
 }
 
@@ -133,7 +133,7 @@
 type Holder struct {
 	settings       Settings
 	randN          func(n int64) int64 // returns a random number below n
-	readyAt        time.Time           // no slot is used before
+	readyAt        time.Time           // no slot is used before this time
 	questionOffset int                 // how many places after its own slot the next one to question is; 0 if there is none
 	questionOpen   bool                // a question is in progress
 	questionTries  int                 // unanswered tries of the current question
@@ -172,7 +172,7 @@
 	}
 }
 
-// isGone reports whether a slot is certainly gone now.
+// isGone reports whether the gatherer of a slot is certainly gone now.
 func (s *slotState) isGone(now time.Time) bool {
 	return s != nil && !s.goneSince.IsZero() && now.Before(s.goneUntil)
 }
@@ -183,8 +183,8 @@
 	return longest*3/4 + time.Duration(h.randN(int64(longest/4)+1))
 }
 
-// NextQuestion returns the slot whose gatherer must be asked now, while this one starts, whether it uses this one's slot.
-// ok is false if there is none. The caller must report the outcome of each question with QuestionEnded.
+// NextQuestion returns the slot whose gatherer this one, while it starts, must question now about its own slot. ok is
+// false if there is none. The caller must report the outcome of each question with QuestionEnded.
 func (h *Holder) NextQuestion(now time.Time) (slot int, ok bool) {
 	if h.questionOffset == 0 || h.questionOpen || !now.Before(h.readyAt) {
 		return 0, false
@@ -224,8 +224,8 @@
 	}
 }
 
-// Answer replies to the gatherer of another slot, which has started and listens. From now on, nothing that was found
-// out about that slot counts.
+// Answer replies to the question of another slot's gatherer, which has started and listens. What the Holder has found
+// out about that slot before is discarded.
 func (h *Holder) Answer(now time.Time, slot int) Reply {
 	reply := Reply{Kind: Clear}
 	distance := h.distance(slot)
@@ -249,7 +249,7 @@
 // NextDials returns the dials to make now. alive reports whether the membership view has an alive member for a slot: such
 // slots are not dialed. The caller must report the outcome of each dial with DialEnded.
 func (h *Holder) NextDials(now time.Time, alive func(slot int) bool) (dials []Dial) {
-	// Covers the slots that are known to be gone, and the next one. No slot is dialed before all nearer ones are
+	// reach covers the slots that are known to be gone, and the next one. No slot is dialed before all nearer ones are
 	// known to be gone: a starting gatherer then needs to question only as far as the first running one.
 	reach := 1
 	for reach < h.settings.Slots && h.slotStates[h.slotBefore(reach)].isGone(now) {
@@ -287,12 +287,12 @@
 	return dials
 }
 
-// DialEnded processes the outcome of a dial: refused by the slot's host, or not. The latter includes an accepted
-// connection, no response, and no route.
+// DialEnded processes the outcome of a dial: refused by the slot's host, or not. Not refused are an accepted
+// connection, a missing response and a missing route.
 func (h *Holder) DialEnded(now time.Time, dial Dial, refused bool) {
 	state := h.slotStates[dial.Slot]
 	if state == nil || !state.dialBegun.Equal(dial.Begun) || state.dialBegun.IsZero() {
-		return // the state it belongs to was dropped
+		return // the state that the dial belongs to was dropped
 	}
 	state.dialBegun = time.Time{}
 	if !refused {
--- a/internal/fleet/share/share_test.go
+++ b/internal/fleet/share/share_test.go
@@ -17,7 +17,7 @@
 	t.Helper()
 	sim.run(d)
 	if sim.slotsInUse != want {
-		t.Errorf("after %v %d slots are used, want %d", sim.elapsed, sim.slotsInUse, want)
+		t.Errorf("after %v: %d slots are used, want %d", sim.elapsed, sim.slotsInUse, want)
 	}
 	if sim.violation != nil {
 		t.Error(sim.violation)
@@ -47,7 +47,7 @@
 	sim.start(5)
 	sim.start(6)
 	sim.processes[7].paused = false
-	sim.expectSlotsAfter(t, 5*time.Millisecond, 8) // it resumes, and its findings have expired
+	sim.expectSlotsAfter(t, 5*time.Millisecond, 8) // 7 has resumed, and its findings have expired
 	sim.expectSlotsAfter(t, 300*time.Millisecond, 10)
 }
 
@@ -145,9 +145,9 @@
 				caught++
 			}
 		}
-		t.Logf("%s: caught in %d of 200 runs", name, caught)
+		t.Logf("%s: detected in %d of 200 runs", name, caught)
 		if (caught > 0) != (name != "none") {
-			t.Errorf("%s removed: caught in %d of 200 runs", name, caught)
+			t.Errorf("%s removed: detected in %d of 200 runs", name, caught)
 		}
 	}
 }
@@ -158,13 +158,13 @@
 		{Slots: 2}, {Slots: 2, Lease: time.Hour}, {Slots: 2, Lease: time.Second, Window: -1},
 	} {
 		if h, err := New(s, startTime); err == nil {
-			t.Errorf("%+v: %v", s, h)
+			t.Errorf("%+v was accepted: %v", s, h)
 		}
 	}
 }
 
-// modelState is a state in an exhaustive exploration of two gatherers, one that takes over a slot (number 1) and the one
-// that the slot belongs to (0), in steps of one unit. Number 0 is killed, started, paused and resumed at any time,
+// modelState is a state in an exhaustive exploration of two gatherers: number 1 takes over the slot that belongs to
+// number 0. Time passes in steps of one unit. Number 0 is killed, started, paused and resumed at any time,
 // number 1 is paused and resumed, a partition comes and goes, and connections take any time.
 type modelState struct {
 	elapsed     time.Duration
@@ -184,7 +184,7 @@
 
 const unit = 10 * time.Millisecond
 
-// key encodes everything that the future depends on.
+// key encodes all that the following states depend on.
 func (state modelState) key(settings Settings) (k [40]int8) {
 	at := 0
 	put := func(n time.Duration) { k[at], at = int8(n/unit), at+1 }
@@ -253,8 +253,8 @@
 		}
 		now := startTime.Add(state.elapsed)
 		if i == 1 {
-			for _, a := range process.holder.NextDials(now, noneAlive) {
-				process.dialing, process.arrived, process.dialBegun = true, false, a.Begun
+			for _, dial := range process.holder.NextDials(now, noneAlive) {
+				process.dialing, process.arrived, process.dialBegun = true, false, dial.Begun
 			}
 		}
 		for n := range process.holder.Share(now).Slots {
@@ -315,9 +315,9 @@
 // In all interleavings of two gatherers with a partition and pauses, no slot is used by both within a window.
 func TestAllInterleavingsOfTwoGatherers(t *testing.T) {
 	for _, c := range []struct {
-		name  string
-		short time.Duration
-		safe  bool
+		name    string
+		shortBy time.Duration
+		safe    bool
 	}{
 		{"as implemented", 0, true},
 		{"a start waits three units less", 3 * unit, false},
@@ -337,16 +337,16 @@
 			if later.lastUse[0].by == 1 && later.lastUse[0].age == 0 {
 				takenOver++
 			}
-			for _, n := range append(state.successors(settings, c.short), later) {
+			for _, n := range append(state.successors(settings, c.shortBy), later) {
 				if k := n.key(settings); !seen[k] {
 					seen[k] = true
 					pending = append(pending, n)
 				}
 			}
 		}
-		t.Logf("%s: %d states, %d of them with the slot taken, safe: %t", c.name, len(seen), takenOver, safe)
+		t.Logf("%s: %d states, in %d of them the slot is taken over, safe: %t", c.name, len(seen), takenOver, safe)
 		if safe != c.safe || c.safe && takenOver == 0 {
-			t.Errorf("%s: safe %t, taken %d", c.name, safe, takenOver)
+			t.Errorf("%s: safe %t, slot taken over in %d states", c.name, safe, takenOver)
 		}
 	}
 }
--- a/internal/fleet/share/simulation_test.go
+++ b/internal/fleet/share/simulation_test.go
@@ -27,7 +27,7 @@
 	at time.Duration
 }
 
-// process is a process of a slot, or none.
+// process is the process of a slot. If holder is nil, no process of the slot runs.
 type process struct {
 	slot      int
 	holder    *Holder // nil: nothing listens at the slot's address
@@ -126,8 +126,8 @@
 		p.pending = remaining
 		if sim.elapsed >= p.nextRun {
 			p.nextRun = sim.elapsed + time.Duration(sim.rng.IntN(30))*time.Millisecond
-			for _, a := range p.holder.NextDials(now, noneAlive) {
-				p.pending = append(p.pending, sim.schedule(pendingDial{dial: a}))
+			for _, dial := range p.holder.NextDials(now, noneAlive) {
+				p.pending = append(p.pending, sim.schedule(pendingDial{dial: dial}))
 			}
 			if slot, ok := p.holder.NextQuestion(now); ok && !sim.noQuestions {
 				p.pending = append(p.pending, sim.schedule(pendingDial{dial: Dial{Slot: slot}, isQuestion: true}))
@@ -137,7 +137,7 @@
 	}
 }
 
-// schedule puts a connection in progress for some milliseconds.
+// schedule sets the random times at which a connection arrives and its outcome returns.
 func (sim *simulation) schedule(d pendingDial) pendingDial {
 	d.arrivesAt = sim.elapsed + time.Duration(1+sim.rng.IntN(4))*time.Millisecond
 	d.returnsAt = d.arrivesAt + time.Duration(sim.rng.IntN(40))*time.Millisecond
@@ -152,7 +152,7 @@
 		sim.slotsInUse++
 		last := &sim.lastUse[slot]
 		if last.by != nil && last.by != p && last.by == sim.processes[last.by.slot] && sim.elapsed-last.at < sim.minGap && sim.violation == nil {
-			sim.violation = fmt.Errorf("at %v slot %d is used by %d, and was by %d at %v", sim.elapsed, slot, p.slot, last.by.slot, last.at)
+			sim.violation = fmt.Errorf("at %v slot %d is used by gatherer %d, and was used by gatherer %d at %v", sim.elapsed, slot, p.slot, last.by.slot, last.at)
 		}
 		*last = slotUse{p, sim.elapsed}
 	}
--- a/internal/fleet/transport/node.go
+++ b/internal/fleet/transport/node.go
@@ -23,15 +23,15 @@
 )
 
 const (
-	inboxSize        = 1024                 // messages waiting for the membership core
-	maxStreams       = 32                   // streams being written, and as many being read
-	maxMessageBytes  = 4 << 20              // of a message over a stream; 4,096 members take a tenth of it
-	maxDatagramBytes = 1<<16 - 1            // of the longest datagram
-	streamTimeout    = 2 * time.Second      // for one message over a stream, including the connection
-	datagramTimeout  = 5 * time.Millisecond // for writing a datagram, which is of no use if it is delayed longer
-	bindAttempts     = 20                   // to find a port that is free for both TCP and UDP
-	idleInterval     = time.Hour            // if the membership core has no timer set
-	leaveDelay       = 300 * time.Millisecond
+	inboxSize        = 1024                   // messages waiting for the membership core
+	maxStreams       = 32                     // streams being written, and as many being read
+	maxMessageBytes  = 4 << 20                // of a message over a stream; 4,096 members take a tenth of it
+	maxDatagramBytes = 1<<16 - 1              // of a UDP datagram
+	streamTimeout    = 2 * time.Second        // for one message over a stream, including the connection
+	datagramTimeout  = 5 * time.Millisecond   // for writing a datagram, which is of no use if it is delayed longer
+	bindAttempts     = 20                     // to find a port that is free for both TCP and UDP
+	idleInterval     = time.Hour              // wait if the membership core has no timer set
+	leaveDelay       = 300 * time.Millisecond // for the announcement of a leave to be sent
 )
 
 // Config configures a Node.
@@ -48,7 +48,8 @@
 	Log       *slog.Logger
 }
 
-// Counts are the counters of a Node, its membership core, its share of the limits and its envelopes.
+// Counts are the counters of a Node, its membership core, its share of the limits and its envelopes. They are written
+// as JSON under the names of the fields.
 type Counts struct {
 	View       membership.Counts
 	Share      share.Counts
@@ -80,8 +81,7 @@
 
 	slots *slotManager // nil if the fleet's limits are not divided
 
-	// Owned by the loop.
-	counts Counts
+	counts Counts // belongs to the loop's goroutine
 
 	mu            sync.Mutex // guards the fields below, which others read while the loop runs
 	view          membership.View
@@ -141,7 +141,7 @@
 	return n, nil
 }
 
-// bind listens on one port for both protocols.
+// bind listens on one port for both TCP and UDP.
 func (n *Node) bind(addr string) error {
 	want, err := netip.ParseAddrPort(addr)
 	if err != nil {
@@ -151,9 +151,9 @@
 		if n.tcp, err = net.ListenTCP("tcp", net.TCPAddrFromAddrPort(want)); err != nil {
 			return err
 		}
-		at := n.tcp.Addr().(*net.TCPAddr).AddrPort()
-		if n.udp, err = net.ListenUDP("udp", net.UDPAddrFromAddrPort(at)); err == nil {
-			n.addr, n.listenIP = at.String(), at.Addr().AsSlice()
+		bound := n.tcp.Addr().(*net.TCPAddr).AddrPort()
+		if n.udp, err = net.ListenUDP("udp", net.UDPAddrFromAddrPort(bound)); err == nil {
+			n.addr, n.listenIP = bound.String(), bound.Addr().AsSlice()
 			return nil
 		}
 		_ = n.tcp.Close()
@@ -337,6 +337,7 @@
 	}
 }
 
+// publishView makes a membership view the latest one and sends it to the watchers.
 func (n *Node) publishView(v membership.View) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -410,11 +411,12 @@
 	return err
 }
 
-// frame prepends a message's length to it. readFrame reads such a message.
+// frame prepends the length of a message to it, as 4 bytes, big-endian.
 func frame(b []byte) []byte { return append(binary.BigEndian.AppendUint32(nil, uint32(len(b))), b...) }
 
 var errTooLong = errors.New("fleet: message too long")
 
+// readFrame reads a message that frame has encoded.
 func readFrame(conn io.Reader) ([]byte, error) {
 	var head [4]byte
 	if _, err := io.ReadFull(conn, head[:]); err != nil {
@@ -431,8 +433,8 @@
 	return data, err
 }
 
-// dialer opens connections from the member's listen address, so that others can tell members on one machine with
-// several of them apart.
+// dialer returns a dialer for connections from the member's listen address, so that others can tell several members on
+// one machine apart.
 func (n *Node) dialer() *net.Dialer {
 	return &net.Dialer{LocalAddr: &net.TCPAddr{IP: n.listenIP}}
 }
@@ -455,17 +457,17 @@
 	defer n.done.Done()
 	buf := make([]byte, maxDatagramBytes)
 	for {
-		k, from, err := n.udp.ReadFromUDPAddrPort(buf)
+		size, from, err := n.udp.ReadFromUDPAddrPort(buf)
 		if err != nil {
 			if n.ctx.Err() != nil {
 				return
 			}
-			if !errors.Is(err, syscall.ECONNREFUSED) { // which is an ICMP error for a datagram sent to a port without a listener
+			if !errors.Is(err, syscall.ECONNREFUSED) { // ECONNREFUSED is the ICMP error for a datagram sent to a port without a listener
 				n.backOff()
 			}
 			continue
 		}
-		n.enqueue(inbound{from: netip.AddrPortFrom(from.Addr().Unmap(), from.Port()).String(), data: append([]byte(nil), buf[:k]...)})
+		n.enqueue(inbound{from: netip.AddrPortFrom(from.Addr().Unmap(), from.Port()).String(), data: append([]byte(nil), buf[:size]...)})
 	}
 }
 
--- a/internal/fleet/transport/node_test.go
+++ b/internal/fleet/transport/node_test.go
@@ -30,7 +30,7 @@
 	return listenNamed(t, fmt.Sprint("g", i), i, fleet, seeds...)
 }
 
-// listenNamed starts a process with a name. One with a higher number is newer.
+// listenNamed starts a process with a name. A process with a higher i is newer.
 func listenNamed(t testing.TB, name string, i int, fleet string, seeds ...string) *Node {
 	s, err := seal.New(testKeys(t), "k", fleet, uint64(i+1))
 	if err != nil {
@@ -72,7 +72,7 @@
 	t.Logf("all views have five members after %v", waitForMembers(t, "the start", nodes, 5))
 	views := nodes[1].Watch()
 	if v := <-views; len(v.Members) != 5 {
-		t.Errorf("watched %+v", v)
+		t.Errorf("the first view is %+v, want five members", v)
 	}
 	nodes[2].Describe(3, 4)
 	testpeer.WaitUntil(t, "others know what a member serves", func() bool {
@@ -93,7 +93,7 @@
 	t.Logf("a member that left is gone after %v more", waitForMembers(t, "an announced leave", nodes[:3], 3))
 	nodes[3].Close()
 	if v := <-views; len(v.Members) > 4 {
-		t.Errorf("watched %+v", v)
+		t.Errorf("the latest view is %+v, want at most four members", v)
 	}
 }
 
@@ -130,7 +130,7 @@
 		return c.Seal.Malformed >= 4 && c.Seal.Fleet > 0 && c.Seal.Replayed == 1 && c.View.Malformed == 1
 	})
 	if len(n.View().Members) != 1 {
-		t.Errorf("have %d members", len(n.View().Members))
+		t.Errorf("have %d members, want 1", len(n.View().Members))
 	}
 }
 
@@ -138,7 +138,7 @@
 	n := listenNode(t, 0, "f")
 	for _, addr := range []string{"localhost:1", "127.0.0.1", n.Addr()} {
 		if _, err := Listen(Config{Self: membership.Member{Name: "x", Addr: addr}, Settings: membership.LAN()}); err == nil || !strings.Contains(err.Error(), addr) {
-			t.Errorf("%s: %v", addr, err)
+			t.Errorf("listening on %s: have %v, want an error that names the address", addr, err)
 		}
 	}
 }
--- a/internal/fleet/transport/shares.go
+++ b/internal/fleet/transport/shares.go
@@ -25,7 +25,7 @@
 	updates  chan share.Share
 	dials    sync.WaitGroup
 
-	mu      sync.Mutex // guards the fields below; the holder's methods take some microseconds
+	mu      sync.Mutex // guards the fields below; the holder's methods take only some microseconds
 	holder  *share.Holder
 	current share.Share
 }
@@ -74,6 +74,7 @@
 // every call returns, so it is meant for one reader.
 func (n *Node) WatchShare() <-chan share.Share { return n.slots.updates }
 
+// state returns the current share and the holder's counters.
 func (s *slotManager) state() (share.Share, share.Counts) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -91,6 +92,7 @@
 	return func(slot int) bool { return alive[slots[slot]] }
 }
 
+// run carries out dials and questions until the node ends.
 func (s *slotManager) run() {
 	defer s.node.done.Done()
 	defer close(s.updates)
@@ -101,8 +103,8 @@
 		select {
 		case <-s.node.ctx.Done():
 			return
-		case e := <-s.results:
-			s.handleResult(e)
+		case result := <-s.results:
+			s.handleResult(result)
 		case <-timer.C:
 		}
 		timer.Reset(time.Until(s.step()))
@@ -165,7 +167,7 @@
 
 // exchangeQuestion sends the question and reads the reply. An unreadable or invalid reply counts as none.
 func (s *slotManager) exchangeQuestion(conn io.ReadWriter) (r share.Reply) {
-	request := questionMessage{Slot: s.settings.Number, Nonce: rand.Uint64()} // from the runtime's generator: a seeded one could repeat a nonce
+	request := questionMessage{Slot: s.settings.Number, Nonce: rand.Uint64()} // from the runtime's generator, because a seeded one could repeat a nonce
 	b, err := cbor.Marshal(request)
 	if err != nil {
 		return r
--- a/internal/fleet/transport/shares_test.go
+++ b/internal/fleet/transport/shares_test.go
@@ -53,7 +53,7 @@
 		})
 	}
 	if s, ok := nodes[0].Share(); !ok || s.Slots > 1 || time.Until(s.Until) > time.Second {
-		t.Errorf("directly after its start a member may use %+v", s)
+		t.Errorf("directly after its start a member may use %+v, want at most one slot, until at most a second later", s)
 	}
 	waitForSlots("all have their own", 1, 1, 1, 1)
 	nodes[1].Close()
@@ -67,6 +67,6 @@
 		last = s
 	}
 	if last.Slots != 2 {
-		t.Errorf("the last update was %+v", last)
+		t.Errorf("the last share was %+v, want 2 slots", last)
 	}
 }
