--- a/internal/layout/change.go
+++ b/internal/layout/change.go
@@ -36,7 +36,7 @@
 }
 
 // Change is one change to a layout. It takes three steps, Prepare, CutOver and
-// Retire, each of which creates an epoch. Before CutOver, Abort cancels it.
+// Retire, each of which creates an epoch. Between Prepare and CutOver, Abort cancels it.
 type Change struct {
 	Kind     ChangeKind
 	Segments []SegmentID // Split, Move: one. Merge: two, the one with the lower keys first
@@ -74,7 +74,7 @@
 	}
 	for _, h := range c.Holders {
 		if len(h) == 0 {
-			return fmt.Errorf("%v: %w: none", c.Kind, ErrHolders)
+			return fmt.Errorf("%v: %w: found none, want at least one", c.Kind, ErrHolders)
 		}
 	}
 	if c.Kind == Split && !(c.Share > 0 && c.Share < 1) {
@@ -198,7 +198,7 @@
 		switch s := l.Segment(id); {
 		case s == nil && c.Kind == Move:
 			// A move that only added holders leaves no previous holders, so another
-			// change may have replaced the segment since.
+			// change may already have replaced the segment.
 		case s == nil:
 			return nil, fmt.Errorf("%v: segment %d: %w", c.Kind, id, ErrUnknown)
 		case c.Kind == Move:
--- a/internal/layout/check.go
+++ b/internal/layout/check.go
@@ -97,7 +97,7 @@
 	return errors.Join(faults...)
 }
 
-// Indices into listNames of the lists of a Segment that Check treats specially.
+// Indices into listNames of the lists of a Segment for which Check makes exceptions.
 const (
 	nextList = 1
 	prevList = 2
@@ -145,8 +145,8 @@
 	}
 }
 
-// Diff returns the differences between old and new, ordered by segment number.
-// Segments that the two share are not compared in detail.
+// Diff returns the differences between two epochs, ordered by segment number. A
+// segment that both share in memory is not compared field by field.
 func Diff(old, new *Layout) []Difference {
 	var out []Difference
 	i, j := 0, 0
--- a/internal/layout/layout.go
+++ b/internal/layout/layout.go
@@ -125,9 +125,9 @@
 }
 
 // Reissue returns a copy of l with the epoch that follows that of the layout in
-// force, so that an older layout comes back under an epoch not used before. Numbers
-// of segments that exist only in the layout in force are not assigned again; queries
-// that name these segments are rejected.
+// force, so that an older layout can be restored under an epoch not used before.
+// Numbers of segments that exist only in the layout in force are not assigned again;
+// queries that name these segments are rejected.
 func (l *Layout) Reissue(inForce *Layout) *Layout {
 	again := *l
 	again.epoch, again.nextID = inForce.epoch+1, max(l.nextID, inForce.nextID)
@@ -205,10 +205,9 @@
 	return slices.BinarySearchFunc(list, id, func(s *Segment, id SegmentID) int { return cmp.Compare(s.ID, id) })
 }
 
-// maxLineages bounds the number of lineages kept. The oldest ones are removed first;
-// a client that names a segment whose lineage was removed gets an error that the
-// segment no longer exists. At one change per minute the bound is reached in six
-// weeks; the lineages then take 6 MB.
+// maxLineages bounds the number of lineages kept. The oldest ones are removed first; a
+// query that names a segment whose lineage was removed gets ErrRemoved. At one change
+// per minute the bound is reached in six weeks; the lineages then take 6 MB.
 const maxLineages = 1 << 16
 
 // Edit collects modifications of a layout; Commit creates the next epoch from them.
@@ -251,7 +250,7 @@
 }
 
 // Commit creates the next epoch. It fails if a key would be in no serving segment or
-// in two of them. Check verifies what also depends on the fleet.
+// in two of them. Check verifies the conditions that depend on the fleet.
 func (e *Edit) Commit() (*Layout, error) {
 	l := &Layout{epoch: e.base.epoch + 1, nextID: e.nextID}
 	l.segments = mergeByID(e.base.segments, e.segments, func(s *Segment) SegmentID { return s.ID })
@@ -318,7 +317,7 @@
 )
 
 // orderServing sorts the serving segments by key and checks that each key is in
-// exactly one. If they are the same as in the old layout, its slice is shared.
+// exactly one. If they are the same as in the old layout, both layouts share one slice.
 func (l *Layout) orderServing(old *Layout) error {
 	serving := make([]*Segment, 0, len(old.serving)+2)
 	for _, s := range l.segments {
@@ -331,7 +330,7 @@
 	}
 	slices.SortFunc(serving, func(a, b *Segment) int { return cmp.Compare(a.Keys.From, b.Keys.From) })
 	if len(serving) == 0 {
-		return fmt.Errorf("%w: there is no segment", ErrGap)
+		return fmt.Errorf("%w: there is no serving segment", ErrGap)
 	}
 	end, last := Key(""), (*Segment)(nil)
 	for i, s := range serving {
--- a/internal/layout/layout_test.go
+++ b/internal/layout/layout_test.go
@@ -74,7 +74,7 @@
 		holders []string
 		want    error
 	}{
-		"good":         {[]string{"a", "b", "c"}, nil},
+		"valid":        {[]string{"a", "b", "c"}, nil},
 		"too few":      {[]string{"a", "b"}, ErrHolders},
 		"one zone":     {[]string{"a", "b", "d"}, ErrZones},
 		"unknown":      {[]string{"a", "b", "q"}, ErrUnknown},
@@ -97,9 +97,9 @@
 		}
 	}
 	// Three replicas cannot be in different data centres if there are only two of them.
-	two := Fleet{Zones: map[string]string{"a": "x", "b": "y", "d": "x"}, Replicas: 3}
+	twoZones := Fleet{Zones: map[string]string{"a": "x", "b": "y", "d": "x"}, Replicas: 3}
 	l, _ = First(Segment{Keys: All, Holders: []string{"a", "b", "d"}})
-	if err := l.Check(two); err != nil {
+	if err := l.Check(twoZones); err != nil {
 		t.Errorf("three replicas in two data centres: %v", err)
 	}
 }
@@ -164,9 +164,9 @@
 	if want := []Part{{successors[0], 0.5}, {2, 0.5}}; err != nil || !slices.Equal(out, want) {
 		t.Errorf("have %v, %v, want %v", out, err, want)
 	}
-	for _, bad := range [][]SegmentID{{1, 0}, {0, 2}, {0, 0}, {2, 9}} {
-		if _, _, err := l.Prepare(Change{Kind: Merge, Segments: bad, Holders: c.Holders}); err == nil {
-			t.Errorf("merge of %v was accepted", bad)
+	for _, segments := range [][]SegmentID{{1, 0}, {0, 2}, {0, 0}, {2, 9}} {
+		if _, _, err := l.Prepare(Change{Kind: Merge, Segments: segments, Holders: c.Holders}); err == nil {
+			t.Errorf("merge of %v was accepted", segments)
 		}
 	}
 }
@@ -471,8 +471,8 @@
 	}
 }
 
-// Most queries name only segments that have not changed. Translating them must not
-// allocate.
+// Most queries name only segments that have not changed. Translate must not allocate
+// for them.
 func TestTranslateOfUnchangedSegmentsDoesNotAllocate(t *testing.T) {
 	_, next := newSplitLayout(t)
 	parts := []Part{{100, 0.5}, {9999, 0.5}}
--- a/internal/layout/layoutfile/layoutfile_test.go
+++ b/internal/layout/layoutfile/layoutfile_test.go
@@ -95,8 +95,8 @@
 	if !errors.As(err, &f) || f.Line != 2 || f.Element != "layout" {
 		t.Errorf("have %+v", f)
 	}
-	many := strings.Replace(validFile, "</layout>", strings.Repeat("<odd/>\n", 200)+"</layout>", 1)
-	_, _, err = Read("l.xml", strings.NewReader(many))
+	manyFaults := strings.Replace(validFile, "</layout>", strings.Repeat("<unknown/>\n", 200)+"</layout>", 1)
+	_, _, err = Read("l.xml", strings.NewReader(manyFaults))
 	if n := strings.Count(err.Error(), "\n"); n != xmlform.MaxFaults || !strings.Contains(err.Error(), "150 more faults") {
 		t.Errorf("%d lines: %.200v", n, err)
 	}
@@ -127,7 +127,7 @@
 	return out
 }
 
-// checkSame fails the test if two layouts differ.
+// checkSame fails the test if a layout differs from the one that was read back.
 func checkSame(t interface{ Fatalf(string, ...any) }, l, again *layout.Layout) {
 	if d := layout.Diff(l, again); len(d) > 0 || l.Epoch() != again.Epoch() || l.NextID() != again.NextID() || !reflect.DeepEqual(lineages(l), lineages(again)) {
 		t.Fatalf("epoch %d became %d: %v", l.Epoch(), again.Epoch(), d)
@@ -162,13 +162,13 @@
 		if err := Write(&b, l, f); err != nil {
 			t.Fatal(err)
 		}
-		again, g, err := Read("l.xml", bytes.NewReader(b.Bytes()))
+		again, fleetAgain, err := Read("l.xml", bytes.NewReader(b.Bytes()))
 		if err != nil {
 			t.Fatalf("%v in\n%s", err, b.String())
 		}
 		checkSame(t, l, again)
-		if !reflect.DeepEqual(f, g) {
-			t.Fatalf("the fleet %+v became %+v", f, g)
+		if !reflect.DeepEqual(f, fleetAgain) {
+			t.Fatalf("the fleet %+v became %+v", f, fleetAgain)
 		}
 	})
 }
--- a/internal/layout/translate.go
+++ b/internal/layout/translate.go
@@ -23,7 +23,7 @@
 	errLineageTooDeep = errors.New("lineage too deep")         // cannot happen: successors have higher numbers
 )
 
-// maxDepth bounds the number of lineages that are followed from one segment.
+// maxDepth bounds the number of lineages that are followed in a row from one segment.
 const maxDepth = maxLineages
 
 // Translate maps the parts of a query from another epoch to serving segments of this
@@ -57,7 +57,7 @@
 type translation struct {
 	layout *Layout
 	parts  []Part
-	index  map[SegmentID]int // in parts
+	index  map[SegmentID]int // of a segment's part in parts
 }
 
 // add adds a part for a segment, or for its successors if it does not serve.
