--- a/internal/layout/assignment/assignment.go
+++ b/internal/layout/assignment/assignment.go
@@ -8,10 +8,11 @@
 // in control loops).
 //
 // Orders are numbered within the coordinator's term, which increases by one at each
-// start. A searcher ignores an order that is not newer than the last one it accepted:
-// a delayed order must not make it drop a segment that it has been filled with since.
-// A searcher accepts orders of one log only: a coordinator with another log, started
-// from an older layout, would make it drop all segments that were added later.
+// start of the coordinator. A searcher ignores an order that is not newer than the last
+// one it accepted: a delayed order must not make it drop a segment that it has been
+// filled with since. A searcher accepts orders of one log only: a coordinator with
+// another log, started from an older layout, would make it drop all segments that were
+// added later.
 package assignment
 
 import (
@@ -30,8 +31,8 @@
 	Term          uint64             `json:"term"`
 	Number        uint64             `json:"number"`
 	RowsPerSecond float64            `json:"rows_per_second"` // rate limit of each fill
-	Drops         []layout.SegmentID `json:"drops,omitempty"` // segments that it holds but need not hold any more
-	Fills         []Fill             `json:"fills,omitempty"` // to be copied, then kept up to date; all others are stopped
+	Drops         []layout.SegmentID `json:"drops,omitempty"` // segments that it holds and no longer needs
+	Fills         []Fill             `json:"fills,omitempty"` // segments to be copied, then kept up to date; all other fills are stopped
 }
 
 // IsNewer reports whether the order is newer than the order of the same log with the
@@ -74,13 +75,14 @@
 	MaxHeld   int // segments in one report that are considered; default 65,536
 }
 
-// Counts are the counters of a Tracker.
+// Counts are the counters of a Tracker. They are written as JSON under the names of the
+// fields.
 type Counts struct {
 	Orders, Reports int
 	Stale           int // reports on an order that is not the latest
 	Fenced          int // reports on orders of another log or a later term
-	Misses          int
-	Downs, Ups      int
+	Misses          int // failed exchanges
+	Downs, Ups      int // times that a searcher counted as down, and as available again
 	Drops           int // segments listed in drops, counted once per order
 	Unseen          int // segments in reports that exceed Limits.MaxHeld
 }
@@ -92,7 +94,7 @@
 	log           string
 	term          uint64
 	rowsPerSecond float64
-	published     bool // a layout has been published
+	published     bool // SetLayout has been called
 	searchers     map[string]*searcher
 	counts        Counts
 }
@@ -113,27 +115,27 @@
 // with the same log before.
 func New(log string, term uint64, searchers []string, rowsPerSecond float64, limits Limits) *Tracker {
 	limits.MaxMisses, limits.MaxHeld = cmp.Or(limits.MaxMisses, 3), cmp.Or(limits.MaxHeld, 1<<16)
-	l := &Tracker{limits: limits, log: log, term: term, rowsPerSecond: rowsPerSecond, searchers: make(map[string]*searcher)}
+	t := &Tracker{limits: limits, log: log, term: term, rowsPerSecond: rowsPerSecond, searchers: make(map[string]*searcher)}
 	for _, id := range searchers {
-		l.searchers[id] = &searcher{awaitingDrop: make(map[layout.SegmentID]struct{}), copied: make(map[layout.SegmentID]reshard.JobID)}
+		t.searchers[id] = &searcher{awaitingDrop: make(map[layout.SegmentID]struct{}), copied: make(map[layout.SegmentID]reshard.JobID)}
 	}
-	return l
+	return t
 }
 
 // Counts returns the counters.
-func (l *Tracker) Counts() Counts { return l.counts }
+func (t *Tracker) Counts() Counts { return t.counts }
 
 // Fenced reports whether a searcher has accepted an order of a later term or of another
 // log: another coordinator has been started since, or this coordinator has the wrong
 // log. This coordinator must then stop.
-func (l *Tracker) Fenced() bool { return l.counts.Fenced > 0 }
+func (t *Tracker) Fenced() bool { return t.counts.Fenced > 0 }
 
 // Rate returns the rate limit of fills in rows per second.
-func (l *Tracker) Rate() float64 { return l.rowsPerSecond }
+func (t *Tracker) Rate() float64 { return t.rowsPerSecond }
 
 // DownSearchers returns the searchers that do not respond, sorted.
-func (l *Tracker) DownSearchers() (out []string) {
-	for id, s := range l.searchers {
+func (t *Tracker) DownSearchers() (out []string) {
+	for id, s := range t.searchers {
 		if s.down {
 			out = append(out, id)
 		}
@@ -144,8 +146,8 @@
 
 // AddFill adds a fill of a target. Repeating a fill of the same job keeps its
 // progress.
-func (l *Tracker) AddFill(f reshard.Fill) {
-	s := l.searchers[f.Target.Searcher]
+func (t *Tracker) AddFill(f reshard.Fill) {
+	s := t.searchers[f.Target.Searcher]
 	if s == nil {
 		return // not in the fleet: the coordinator does not choose such targets
 	}
@@ -164,8 +166,8 @@
 }
 
 // RemoveFills removes the fills of a job.
-func (l *Tracker) RemoveFills(job reshard.JobID) {
-	for _, s := range l.searchers {
+func (t *Tracker) RemoveFills(job reshard.JobID) {
+	for _, s := range t.searchers {
 		before := len(s.fills)
 		s.fills = slices.DeleteFunc(s.fills, func(f Fill) bool { return f.Job == job })
 		maps.DeleteFunc(s.copied, func(_ layout.SegmentID, copiedBy reshard.JobID) bool { return copiedBy == job })
@@ -175,8 +177,8 @@
 
 // IsCopying reports whether any fill is still copying rows. Fills that have been copied
 // and only follow the changes of their sources do not count.
-func (l *Tracker) IsCopying() bool {
-	for _, s := range l.searchers {
+func (t *Tracker) IsCopying() bool {
+	for _, s := range t.searchers {
 		if len(s.copied) < len(s.fills) {
 			return true
 		}
@@ -185,9 +187,9 @@
 }
 
 // SetRate sets the rate limit of fills in rows per second.
-func (l *Tracker) SetRate(rowsPerSecond float64) {
-	l.rowsPerSecond = rowsPerSecond
-	for _, s := range l.searchers {
+func (t *Tracker) SetRate(rowsPerSecond float64) {
+	t.rowsPerSecond = rowsPerSecond
+	for _, s := range t.searchers {
 		s.orderDue = s.orderDue || len(s.fills) > 0
 	}
 }
@@ -195,8 +197,8 @@
 // SetLayout sets the layout in force. Segments that a searcher holds but that are not
 // assigned to it are dropped. This includes segments that an earlier coordinator had
 // not dropped yet, and those of a searcher that was restored from an old disk.
-func (l *Tracker) SetLayout(current *layout.Layout) {
-	assigned := make(map[string]map[layout.SegmentID]struct{}, len(l.searchers))
+func (t *Tracker) SetLayout(current *layout.Layout) {
+	assigned := make(map[string]map[layout.SegmentID]struct{}, len(t.searchers))
 	for s := range current.Segments() {
 		for _, list := range [...][]string{s.Holders, s.Next, s.Prev} {
 			for _, h := range list {
@@ -207,8 +209,8 @@
 			}
 		}
 	}
-	l.published = true
-	for id, s := range l.searchers {
+	t.published = true
+	for id, s := range t.searchers {
 		s.orderDue = s.orderDue || len(s.assigned) > len(assigned[id])
 		s.assigned = assigned[id]
 	}
@@ -220,57 +222,57 @@
 	return ok || slices.ContainsFunc(s.fills, func(f Fill) bool { return f.Segment == id })
 }
 
-// AwaitDrop requests a Dropped event for when a searcher no longer holds a segment. That the
-// searcher has to drop the segment follows from the layout.
-func (l *Tracker) AwaitDrop(t reshard.Target) {
-	if s := l.searchers[t.Searcher]; s != nil {
-		s.awaitingDrop[t.Segment] = struct{}{}
+// AwaitDrop requests a Dropped event, which HandleReport returns once the searcher no
+// longer holds the segment. The order to drop it follows from the layout in force.
+func (t *Tracker) AwaitDrop(target reshard.Target) {
+	if s := t.searchers[target.Searcher]; s != nil {
+		s.awaitingDrop[target.Segment] = struct{}{}
 		s.orderDue = true
 	}
 }
 
 // OrderDue reports whether something has changed since the latest order to a searcher.
-func (l *Tracker) OrderDue(id string) bool { return l.searchers[id].orderDue }
+func (t *Tracker) OrderDue(id string) bool { return t.searchers[id].orderDue }
 
 // Order returns the next order to a searcher of the fleet.
-func (l *Tracker) Order(id string) Order {
-	s := l.searchers[id]
+func (t *Tracker) Order(id string) Order {
+	s := t.searchers[id]
 	s.number++
 	s.orderDue = false
-	l.counts.Orders++
-	o := Order{Log: l.log, Term: l.term, Number: s.number, RowsPerSecond: l.rowsPerSecond, Fills: slices.Clone(s.fills)}
+	t.counts.Orders++
+	o := Order{Log: t.log, Term: t.term, Number: s.number, RowsPerSecond: t.rowsPerSecond, Fills: slices.Clone(s.fills)}
 	for _, id := range s.held {
-		if l.published && !s.needs(id) { // before the first layout it is not known which segments are unneeded
+		if t.published && !s.needs(id) { // before the first layout it is not known which segments are needed
 			o.Drops = append(o.Drops, id)
-			l.counts.Drops++
+			t.counts.Drops++
 		}
 	}
 	return o
 }
 
-// HandleReport records a searcher's report and returns the resulting events for the coordinator.
-// A report on an order other than the latest only shows that the searcher responds: it
-// says nothing about what has been ordered since.
-func (l *Tracker) HandleReport(searcherID string, r Report) (events []reshard.Event) {
-	s := l.searchers[searcherID]
+// HandleReport records a searcher's report and returns the resulting events for the
+// coordinator. A report on an order other than the latest only shows that the searcher
+// responds: it says nothing about what has been ordered since.
+func (t *Tracker) HandleReport(searcherID string, r Report) (events []reshard.Event) {
+	s := t.searchers[searcherID]
 	if s.down {
 		s.down = false
-		l.counts.Ups++
+		t.counts.Ups++
 		events = append(events, reshard.Up{Searcher: searcherID})
 	}
 	s.misses = 0
-	if r.Log != l.log || r.Term > l.term {
-		l.counts.Fenced++
+	if r.Log != t.log || r.Term > t.term {
+		t.counts.Fenced++
 		return events
 	}
-	if r.Term != l.term || r.Number != s.number {
-		l.counts.Stale++
+	if r.Term != t.term || r.Number != s.number {
+		t.counts.Stale++
 		return events
 	}
-	l.counts.Reports++
-	if n := len(r.Held) - l.limits.MaxHeld; n > 0 {
-		r.Held = r.Held[:l.limits.MaxHeld]
-		l.counts.Unseen += n
+	t.counts.Reports++
+	if n := len(r.Held) - t.limits.MaxHeld; n > 0 {
+		r.Held = r.Held[:t.limits.MaxHeld]
+		t.counts.Unseen += n
 	}
 	s.held = r.Held
 	for _, id := range slices.Sorted(maps.Keys(s.awaitingDrop)) {
@@ -286,25 +288,26 @@
 			continue
 		}
 		s.copied[p.Segment] = p.Job
-		t := reshard.Target{Segment: p.Segment, Searcher: searcherID}
-		events = append(events, reshard.Copied{Job: p.Job, Target: t},
-			reshard.Lag{Job: p.Job, Target: t, Behind: time.Duration(p.BehindMS) * time.Millisecond})
+		target := reshard.Target{Segment: p.Segment, Searcher: searcherID}
+		events = append(events, reshard.Copied{Job: p.Job, Target: target},
+			reshard.Lag{Job: p.Job, Target: target, Behind: time.Duration(p.BehindMS) * time.Millisecond})
 	}
 	return events
 }
 
-// HandleMiss records a failed exchange and returns the resulting events for the coordinator.
-func (l *Tracker) HandleMiss(id string) []reshard.Event {
-	s := l.searchers[id]
-	l.counts.Misses++
+// HandleMiss records a failed exchange with a searcher and returns the resulting events
+// for the coordinator.
+func (t *Tracker) HandleMiss(id string) []reshard.Event {
+	s := t.searchers[id]
+	t.counts.Misses++
 	s.misses++
-	if s.down || s.misses < l.limits.MaxMisses {
+	if s.down || s.misses < t.limits.MaxMisses {
 		return nil
 	}
 	s.down = true
-	l.counts.Downs++
+	t.counts.Downs++
 	return []reshard.Event{reshard.Down{Searcher: id}}
 }
 
 // Searchers returns the searchers of the fleet, sorted.
-func (l *Tracker) Searchers() []string { return slices.Sorted(maps.Keys(l.searchers)) }
+func (t *Tracker) Searchers() []string { return slices.Sorted(maps.Keys(t.searchers)) }
--- a/internal/layout/assignment/assignment_test.go
+++ b/internal/layout/assignment/assignment_test.go
@@ -15,7 +15,7 @@
 
 func TestMain(m *testing.M) { fixedseed.Main(m) }
 
-// fakeSearcher is a fake searcher: it carries out orders and reports its state.
+// fakeSearcher carries out orders and reports its state, like a searcher.
 type fakeSearcher struct {
 	log          string
 	term, number uint64
@@ -73,12 +73,12 @@
 			}
 		}
 		term, job := uint64(1), reshard.JobID(0)
-		l := New("x", term, names, 100, Limits{})
-		l.SetLayout(current)
+		tracker := New("x", term, names, 100, Limits{})
+		tracker.SetLayout(current)
 		var delayed []Order    // not delivered yet
 		var delayedTo []string // the searcher of each delayed order
 		pending := make(map[layout.SegmentID]layout.Change)
-		exchange := func(id string) { l.HandleReport(id, searchers[id].apply(l.Order(id))) }
+		exchange := func(id string) { tracker.HandleReport(id, searchers[id].apply(tracker.Order(id))) }
 		exchangeAll := func() {
 			for range 3 {
 				for _, id := range names {
@@ -97,10 +97,10 @@
 				}
 				job++
 				current, pending[s.ID] = next, c
-				l.SetLayout(current)
+				tracker.SetLayout(current)
 				for _, h := range next.Segment(s.ID).Next {
 					if !slices.Contains(s.Holders, h) {
-						l.AddFill(reshard.Fill{Job: job, Target: reshard.Target{Segment: s.ID, Searcher: h}, SourceHolders: s.Holders})
+						tracker.AddFill(reshard.Fill{Job: job, Target: reshard.Target{Segment: s.ID, Searcher: h}, SourceHolders: s.Holders})
 					}
 				}
 			},
@@ -114,43 +114,43 @@
 						current, _ = current.Retire(c)
 					}
 					for j := reshard.JobID(1); j <= job; j++ {
-						l.RemoveFills(j)
+						tracker.RemoveFills(j)
 					}
-					l.SetLayout(current)
+					tracker.SetLayout(current)
 					delete(pending, id)
 				}
 			},
 			"exchange": func(t *rapid.T) { exchange(rapid.SampledFrom(names).Draw(t, "searcher")) },
-			"lost answer": func(t *rapid.T) {
+			"lost report": func(t *rapid.T) {
 				id := rapid.SampledFrom(names).Draw(t, "searcher")
-				searchers[id].apply(l.Order(id))
-				l.HandleMiss(id)
+				searchers[id].apply(tracker.Order(id))
+				tracker.HandleMiss(id)
 			},
-			"held up": func(t *rapid.T) {
+			"held-back order": func(t *rapid.T) {
 				id := rapid.SampledFrom(names).Draw(t, "searcher")
-				delayed, delayedTo = append(delayed, l.Order(id)), append(delayedTo, id)
-				l.HandleMiss(id)
+				delayed, delayedTo = append(delayed, tracker.Order(id)), append(delayedTo, id)
+				tracker.HandleMiss(id)
 			},
-			"arrives late": func(t *rapid.T) {
+			"arrival of a held-back order": func(t *rapid.T) {
 				if len(delayed) == 0 {
-					t.Skip("none")
+					t.Skip("no order is held back")
 				}
 				i := rapid.IntRange(0, len(delayed)-1).Draw(t, "order")
-				l.HandleReport(delayedTo[i], searchers[delayedTo[i]].apply(delayed[i]))
+				tracker.HandleReport(delayedTo[i], searchers[delayedTo[i]].apply(delayed[i]))
 			},
 			"coordinator restarts": func(t *rapid.T) {
 				if len(pending) > 0 {
 					t.Skip("a change is pending: its fills would have to be added again")
 				}
 				term++
-				l = New("x", term, names, 100, Limits{})
-				l.SetLayout(current)
+				tracker = New("x", term, names, 100, Limits{})
+				tracker.SetLayout(current)
 			},
 			"": func(t *rapid.T) {
 				for s := range current.Serving() {
 					for _, h := range s.Holders {
 						if _, ok := searchers[h].held[s.ID]; !ok {
-							t.Fatalf("%s does not hold %d in epoch %d", h, s.ID, current.Epoch())
+							t.Fatalf("searcher %s does not hold segment %d, which it serves in epoch %d", h, s.ID, current.Epoch())
 						}
 					}
 				}
@@ -161,7 +161,7 @@
 			for id, m := range searchers {
 				for segment := range m.held {
 					if !slices.Contains(current.Segment(segment).Holders, id) {
-						t.Fatalf("%s still holds %d: %v", id, segment, current.Segment(segment).Holders)
+						t.Fatalf("searcher %s still holds segment %d, whose holders are %v", id, segment, current.Segment(segment).Holders)
 					}
 				}
 			}
@@ -173,32 +173,32 @@
 // misses, Up at the next report, Dropped only from a report on the latest order. Reports
 // of a later term or of another log must fence the tracker.
 func TestEventsAndFencing(t *testing.T) {
-	l := New("x", 7, []string{"a", "b"}, 100, Limits{})
-	if o := l.Order("a"); len(o.Drops) > 0 {
-		t.Errorf("dropped before a layout is known: %v", o.Drops)
+	tracker := New("x", 7, []string{"a", "b"}, 100, Limits{})
+	if o := tracker.Order("a"); len(o.Drops) > 0 {
+		t.Errorf("drops ordered before a layout is known: %v", o.Drops)
 	}
-	l.HandleReport("a", Report{Log: "x", Term: 7, Number: 1, Held: []layout.SegmentID{0, 9}})
-	l.SetLayout(firstLayout(t))
-	l.AwaitDrop(reshard.Target{Segment: 9, Searcher: "a"})
-	o := l.Order("a")
+	tracker.HandleReport("a", Report{Log: "x", Term: 7, Number: 1, Held: []layout.SegmentID{0, 9}})
+	tracker.SetLayout(firstLayout(t))
+	tracker.AwaitDrop(reshard.Target{Segment: 9, Searcher: "a"})
+	o := tracker.Order("a")
 	if !slices.Equal(o.Drops, []layout.SegmentID{9}) {
-		t.Errorf("drops %v", o.Drops)
+		t.Errorf("drops %v, want only segment 9", o.Drops)
 	}
 	for i, want := range []int{0, 0, 1, 0} {
-		if got := l.HandleMiss("a"); len(got) != want {
-			t.Errorf("miss %d returns %v", i+1, got)
+		if got := tracker.HandleMiss("a"); len(got) != want {
+			t.Errorf("miss %d returns the events %v", i+1, got)
 		}
 	}
-	if got := fmt.Sprint(l.HandleReport("a", Report{Log: "x", Term: 7, Number: 1})); got != "[{a }]" || l.Counts().Stale != 1 {
+	if got := fmt.Sprint(tracker.HandleReport("a", Report{Log: "x", Term: 7, Number: 1})); got != "[{a }]" || tracker.Counts().Stale != 1 {
 		t.Errorf("an old report returns %s, want Up only", got)
 	}
-	if got := fmt.Sprint(l.HandleReport("a", Report{Log: "x", Term: 7, Number: 2, Held: []layout.SegmentID{0}})); got != "[{{9 a}}]" {
+	if got := fmt.Sprint(tracker.HandleReport("a", Report{Log: "x", Term: 7, Number: 2, Held: []layout.SegmentID{0}})); got != "[{{9 a}}]" {
 		t.Errorf("the report returns %s, want Dropped", got)
 	}
 	for name, r := range map[string]Report{"a later term": {Log: "x", Term: 8, Number: 1}, "another log": {Log: "y", Term: 7, Number: 1}} {
-		l := New("x", 7, []string{"b"}, 100, Limits{})
-		l.Order("b")
-		if l.Fenced() || len(l.HandleReport("b", r)) > 0 || !l.Fenced() {
+		tracker := New("x", 7, []string{"b"}, 100, Limits{})
+		tracker.Order("b")
+		if tracker.Fenced() || len(tracker.HandleReport("b", r)) > 0 || !tracker.Fenced() {
 			t.Errorf("%s must fence the tracker and return no events", name)
 		}
 	}
@@ -207,19 +207,19 @@
 // A fill counts as copying until its own job has reported it as copied: a report of an
 // earlier job for the same segment must not end it.
 func TestCopyingEndsWhenAllFillsAreCopied(t *testing.T) {
-	l := New("x", 1, []string{"a"}, 100, Limits{})
-	l.SetLayout(firstLayout(t))
+	tracker := New("x", 1, []string{"a"}, 100, Limits{})
+	tracker.SetLayout(firstLayout(t))
 	target := reshard.Target{Segment: 5, Searcher: "a"}
-	l.AddFill(reshard.Fill{Job: 3, Target: target})
-	if !l.IsCopying() {
+	tracker.AddFill(reshard.Fill{Job: 3, Target: target})
+	if !tracker.IsCopying() {
 		t.Error("a new fill does not count as copying")
 	}
-	r := Report{Log: "x", Term: 1, Number: l.Order("a").Number, Fills: []Progress{{Job: 2, Segment: 5, Copied: true}, {Job: 3, Segment: 5, Copied: true, BehindMS: 4}}}
-	if got := l.HandleReport("a", r); len(got) != 2 || l.IsCopying() {
-		t.Errorf("copied: %v, copying %v", got, l.IsCopying())
+	r := Report{Log: "x", Term: 1, Number: tracker.Order("a").Number, Fills: []Progress{{Job: 2, Segment: 5, Copied: true}, {Job: 3, Segment: 5, Copied: true, BehindMS: 4}}}
+	if got := tracker.HandleReport("a", r); len(got) != 2 || tracker.IsCopying() {
+		t.Errorf("the report returns %v, copying is %v, want two events and false", got, tracker.IsCopying())
 	}
-	l.RemoveFills(3)
-	if o := l.Order("a"); len(o.Fills) > 0 {
-		t.Errorf("stopped: %v", o.Fills)
+	tracker.RemoveFills(3)
+	if o := tracker.Order("a"); len(o.Fills) > 0 {
+		t.Errorf("fills of a removed job are still ordered: %v", o.Fills)
 	}
 }
--- a/internal/layout/coordinator/coordinator.go
+++ b/internal/layout/coordinator/coordinator.go
@@ -1,7 +1,8 @@
 // Package coordinator runs changes of the layout at gatherers and searchers over
 // their admin sockets. It connects the coordinator's state machine (reshard), its
 // durable log (reshardlog, migrate) and the orders to searchers (assignment) to the
-// network. One goroutine polls each of these processes; those packages make all decisions.
+// network. Each gatherer and each searcher is polled by a goroutine of its own. The
+// packages named above make all decisions.
 package coordinator
 
 import (
@@ -39,7 +40,7 @@
 	MeasuredClass string    // safe class whose p99 controls the copy rate; empty: none
 
 	PollInterval time.Duration // interval between polls of a process; 0 means 200 ms
-	Timeout      time.Duration // of a request to a process; 0 means 2 s
+	Timeout      time.Duration // time limit of a request to a process; 0 means 2 s
 
 	Wrap      func(http.RoundTripper) http.RoundTripper // may be nil; for tests
 	OnPublish func(*layout.Layout)                      // called for each epoch before any process is notified; may be nil
@@ -48,11 +49,11 @@
 }
 
 const (
-	defaultPoll    = 200 * time.Millisecond
-	defaultTimeout = 2 * time.Second
+	defaultPollInterval = 200 * time.Millisecond
+	defaultTimeout      = 2 * time.Second
 )
 
-// Coordinator is a running coordinator. Use Start to create one.
+// Coordinator is a running coordinator of layout changes. Use Start to create one.
 type Coordinator struct {
 	startedAt time.Time
 	options   Options
@@ -67,17 +68,17 @@
 	layoutXML      []byte // layout, as sent to gatherers
 	tracker        *assignment.Tracker
 	meter          *reshard.Meter
-	gathererEpochs map[string]layout.Epoch // epochs of the gatherers that answered their last poll
-	lastSecond     map[string]int64        // by gatherer: last second whose service record was processed
-	copySeconds    map[int64]bool          // seconds, as Unix time, in which rows were copied
-	wakeups        map[string]chan struct{}
+	gathererEpochs map[string]layout.Epoch  // epochs of the gatherers that answered their last poll
+	lastSecond     map[string]int64         // by gatherer: last second whose service record was processed
+	copySeconds    map[int64]bool           // seconds, as Unix time, in which rows were copied
+	wakeups        map[string]chan struct{} // by process: requests for an immediate poll
 }
 
-// Start starts a coordinator, which runs until ctx ends, its log cannot be written,
-// or searchers no longer obey it (ErrFenced).
+// Start starts a coordinator. It runs until ctx ends, its log cannot be written, or a
+// searcher has accepted orders of another coordinator (ErrFenced).
 func Start(ctx context.Context, o Options) (*Coordinator, error) {
 	if o.PollInterval <= 0 {
-		o.PollInterval = defaultPoll
+		o.PollInterval = defaultPollInterval
 	}
 	if o.Timeout <= 0 {
 		o.Timeout = defaultTimeout
@@ -146,8 +147,8 @@
 	return err
 }
 
-// pollProcess starts a goroutine that calls exchange at each poll interval, and at once
-// after wake.
+// pollProcess starts a goroutine that calls exchange at each poll interval, and
+// immediately when wake has requested it.
 func (c *Coordinator) pollProcess(ctx context.Context, p Process, exchange func(context.Context, Process, *admin.Client)) {
 	client := admin.NewClient(p.Endpoint, c.options.Timeout, c.options.Wrap)
 	c.mu.Lock()
@@ -287,7 +288,8 @@
 	return events
 }
 
-// ErrFenced is why a coordinator ends after searchers have stopped obeying it.
+// ErrFenced is the reason for which a coordinator ends when searchers have accepted
+// orders of another one.
 var ErrFenced = errors.New("searchers obey a coordinator of a later term or another log: another was started since, or this log is an older copy or a new one")
 
 // fence ends the coordinator after a searcher has reported a later term or another log.
@@ -296,7 +298,7 @@
 	defer c.mu.Unlock()
 	if !c.fenced {
 		c.fenced = true
-		c.options.Logger.Error("coordinator ends: a searcher does not obey it", "searcher", searcher, "err", ErrFenced)
+		c.options.Logger.Error("coordinator ends: a searcher has accepted orders of another one", "searcher", searcher, "err", ErrFenced)
 	}
 	c.stop()
 }
@@ -318,7 +320,7 @@
 	err := layoutfile.Write(&text, l, c.options.Fleet)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if err != nil { // a key that XML cannot represent: the log, which is written first, refuses it
+	if err != nil { // a key that XML cannot represent; the log is written first and rejects it
 		c.options.Logger.Error("layout cannot be encoded", "epoch", l.Epoch(), "err", err)
 		return
 	}
@@ -332,16 +334,16 @@
 
 // Fill implements migrate.Executor.
 func (c *Coordinator) Fill(f reshard.Fill) {
-	c.updateLedger(func(l *assignment.Tracker) {
-		l.SetRate(f.Rate)
-		l.AddFill(f)
+	c.updateOrders(func(tracker *assignment.Tracker) {
+		tracker.SetRate(f.Rate)
+		tracker.AddFill(f)
 		c.recordCopying()
 	})
 }
 
-// updateLedger changes the orders to searchers, and requests an immediate poll of
+// updateOrders changes the orders to searchers, and requests an immediate poll of
 // those whose order has changed.
-func (c *Coordinator) updateLedger(change func(*assignment.Tracker)) {
+func (c *Coordinator) updateOrders(change func(*assignment.Tracker)) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	change(c.tracker)
@@ -350,18 +352,18 @@
 
 // Stop implements migrate.Executor.
 func (c *Coordinator) Stop(job reshard.JobID) {
-	c.updateLedger(func(l *assignment.Tracker) { l.RemoveFills(job) })
+	c.updateOrders(func(tracker *assignment.Tracker) { tracker.RemoveFills(job) })
 }
 
 // SetRate implements migrate.Executor.
 func (c *Coordinator) SetRate(rows float64) {
-	c.updateLedger(func(l *assignment.Tracker) { l.SetRate(rows) })
+	c.updateOrders(func(tracker *assignment.Tracker) { tracker.SetRate(rows) })
 }
 
 // Drop implements migrate.Executor. The tracker derives from the layout in force which
-// segments a searcher must drop; this call requests an event once it has.
-func (c *Coordinator) Drop(t reshard.Target) {
-	c.updateLedger(func(l *assignment.Tracker) { l.AwaitDrop(t) })
+// segments a searcher must drop; this call requests an event for when it has.
+func (c *Coordinator) Drop(target reshard.Target) {
+	c.updateOrders(func(tracker *assignment.Tracker) { tracker.AwaitDrop(target) })
 }
 
 func (c *Coordinator) jobEnded(e reshard.Ended) {
--- a/internal/layout/coordinator/serve.go
+++ b/internal/layout/coordinator/serve.go
@@ -80,8 +80,8 @@
 	return s, nil
 }
 
-// maxChangesPerSubmission bounds one submission. It is also the default limit of open
-// jobs (reshard.Limits.MaxOpenJobs).
+// maxChangesPerSubmission bounds one submission. It equals the default of
+// reshard.Limits.MaxOpenJobs.
 const maxChangesPerSubmission = 64
 
 var errEpochMismatch = errors.New("the layout has changed since")
@@ -118,11 +118,11 @@
 			admin.WriteError(w, http.StatusServiceUnavailable, err)
 			return
 		}
-		t := admin.ChangeResult{Job: id}
+		result := admin.ChangeResult{Job: id}
 		if err != nil {
-			t.Error = err.Error()
+			result.Error = err.Error()
 		}
-		out = append(out, t)
+		out = append(out, result)
 	}
 	admin.WriteJSON(w, http.StatusOK, out)
 }
