--- a/internal/layout/migrate/driver.go
+++ b/internal/layout/migrate/driver.go
@@ -18,7 +18,7 @@
 )
 
 // Executor executes effects at the gatherers and searchers. Its methods must not
-// block; each may be called again with the same values.
+// block, and must be idempotent: each may be called again with the same values.
 type Executor interface {
 	// StartTerm is called before all other methods.
 	StartTerm(log string, term uint64)
@@ -43,6 +43,7 @@
 	err         error
 }
 
+// request is an event for the coordinator, or a function that inspects it.
 type request struct {
 	event   reshard.Event
 	inspect func(*reshard.Coordinator)
@@ -50,8 +51,8 @@
 }
 
 const (
-	tickInterval   = 50 * time.Millisecond // bounds the delay of time-outs
-	eventQueueSize = 1024                  // callers block while this many events wait
+	tickInterval   = 50 * time.Millisecond // maximum delay with which time-outs are noticed
+	eventQueueSize = 1024                  // callers block while this many events are queued
 )
 
 // Options configure a Driver.
@@ -85,7 +86,7 @@
 		return nil, errors.Join(err, log.Close())
 	}
 	if o.Fleet.Zones != nil {
-		fleet = o.Fleet // the current fleet wins over the stored one
+		fleet = o.Fleet // the current fleet takes precedence over the stored one
 	}
 	c, effects, err := reshard.Recover(time.Now(), base, fleet, o.Limits, records)
 	if err != nil {
@@ -185,7 +186,7 @@
 // ErrEnded is returned for requests after the driver has ended.
 var ErrEnded = errors.New("the coordinator has ended")
 
-// Submit requests a change, and returns its job or why it was refused.
+// Submit requests a change. It returns the change's job, or why the change was refused.
 func (d *Driver) Submit(c layout.Change) (reshard.JobID, error) {
 	r, err := d.ask(reshard.Submit{Change: c})
 	if err != nil {
@@ -203,6 +204,7 @@
 	return r.Err
 }
 
+// ask passes an event to the coordinator and waits for the result.
 func (d *Driver) ask(e reshard.Event) (reshard.Result, error) {
 	result := make(chan reshard.Result, 1)
 	select {
--- a/internal/layout/migrate/driver_test.go
+++ b/internal/layout/migrate/driver_test.go
@@ -15,7 +15,7 @@
 	"eiderwinch/internal/layout/reshardlog"
 )
 
-// fakeExecutor records the calls, and answers like a searcher that copies at once.
+// fakeExecutor records the calls, and reports like searchers that copy and drop segments at once.
 type fakeExecutor struct {
 	driver *Driver // set before anything is submitted
 
--- a/internal/layout/reshard/coordinator.go
+++ b/internal/layout/reshard/coordinator.go
@@ -30,11 +30,11 @@
 // Phase is the state of a job.
 type Phase uint8
 
-// The phases of a job.
+// The phases of a job. Records store their numbers, so new phases are added at the end.
 const (
-	Planned  Phase = iota // waits until the limits allow it to start
+	Planned  Phase = iota // waiting until the limits allow it to start
 	Filling               // the successors' rows are being copied
-	Catching              // copied; the targets apply the changes made since
+	Catching              // catching up: all rows are copied, and the targets apply the changes made since
 	Cutting               // the successors serve; gatherers are receiving the epoch
 	Draining              // all gatherers have the epoch; queries of older epochs are completing
 	Done                  // the former holders have dropped the segment
@@ -56,25 +56,25 @@
 func (p Phase) IsFinal() bool { return p == Done || p == Undone }
 
 // Limits bound what a Coordinator does. The zero value of a field means its default,
-// which its comment gives last.
+// the last value in its comment.
 type Limits struct {
-	PerSearcher     int // most concurrent jobs that copy from or to one searcher; 2
-	PerZone         int // most concurrent jobs that copy from or to one data centre; 8
-	MaxOpenJobs     int // most jobs that are not over, further ones are refused; 64
+	PerSearcher     int // maximum number of concurrent jobs that copy from or to one searcher; 2
+	PerZone         int // maximum number of concurrent jobs that copy from or to one data centre; 8
+	MaxOpenJobs     int // maximum number of jobs that are not over, further ones are refused; 64
 	MaxFinishedJobs int // finished jobs that are kept and still shown; 256
 
-	MaxLag          time.Duration // most that a target may be behind at the cut-over; 50 ms
-	MaxLagAge       time.Duration // greatest age of the lag report at the cut-over; 1 s
+	MaxLag          time.Duration // maximum lag of a target at the cut-over; 50 ms
+	MaxLagAge       time.Duration // maximum age of the lag report at the cut-over; 1 s
 	FillTimeout     time.Duration // time from the start of filling to the cut-over, after which a job is undone; 30 min
-	GathererTimeout time.Duration // time without a report after which a gatherer has no open query left; 20 s
-	SealTimeout     time.Duration // longest wait for former holders to confirm that they dropped a segment; 1 min
+	GathererTimeout time.Duration // time without a report after which a gatherer is assumed to have no open query left; 20 s
+	SealTimeout     time.Duration // maximum wait for former holders to confirm that they dropped a segment; 1 min
 	MaxRate         float64       // highest copy rate to one target, in rows per second; 20,000
 	MinRate         float64       // lowest copy rate, below which a copy might never finish; 200
 }
 
-// Two concurrent copies leave a searcher most of its cores. The longest deadline
-// of a gatherer is 12 s, and its last answer leaves soon after; GathererTimeout is longer
-// than that.
+// Two concurrent copies leave a searcher most of its cores. GathererTimeout is longer
+// than the longest deadline of a query at a gatherer, 12 s, and the short time after it
+// in which the last answer leaves.
 var defaultLimits = Limits{
 	PerSearcher: 2, PerZone: 8, MaxOpenJobs: 64, MaxFinishedJobs: 256,
 	MaxLag: 50 * time.Millisecond, MaxLagAge: time.Second, FillTimeout: 30 * time.Minute, GathererTimeout: 20 * time.Second,
@@ -126,7 +126,7 @@
 // GathererReport, Down, Up or Pressure.
 type Event interface{ event() }
 
-// Submit requests a change. The Result holds its job or why it was refused.
+// Submit requests a change. The Result holds its job, or why it was refused.
 type Submit struct{ Change layout.Change }
 
 // Abort requests that a job be undone.
@@ -135,7 +135,7 @@
 	Reason string
 }
 
-// Tick lets the coordinator act on time-outs; it carries no other information.
+// Tick lets the coordinator act on time-outs that have expired.
 type Tick struct{}
 
 // Copied reports that a target has all rows of its segment.
@@ -282,23 +282,23 @@
 	fleet            layout.Fleet
 	layout           *layout.Layout
 	jobs             map[JobID]*job
-	jobOrder         []JobID // order of acceptance
+	jobOrder         []JobID // in order of acceptance
 	lastSeq          uint64
 	lastJob          JobID
 	down             map[string]bool
 	gatherers        map[string]gathererState
-	gatherersKnownAt time.Time // from then on every existing gatherer has reported
+	gatherersKnownAt time.Time // from then on, every existing gatherer has reported
 	copyRate         float64
 	counts           Counts
 }
 
-// Counts are the counters of a Coordinator. They are printed as JSON under the names
-// of the fields.
+// Counts are the counters of a Coordinator. They are written as JSON under the names of
+// the fields.
 type Counts struct {
 	Submitted, Refused, Started, CutOver, Done, Undone int
 	Late, HolderDown, Aborted                          int // undone jobs: fill time-out, target down, abort request
 	Unsealed                                           int // former holders that did not confirm a drop in time
-	GatherersLost                                      int // without a report for too long while a job waited
+	GatherersLost                                      int // gatherers that sent no report for too long while a job waited for them
 	Slowed                                             int // times that the copies were slowed down
 }
 
--- a/internal/layout/reshard/coordinator_test.go
+++ b/internal/layout/reshard/coordinator_test.go
@@ -84,7 +84,7 @@
 	case Publish:
 		e := x.Layout.Epoch()
 		if old := w.epochs[e]; old == nil && w.epochs[e-1] == nil {
-			w.t.Fatalf("epoch %d is published, but epoch %d never was", e, e-1)
+			w.t.Fatalf("epoch %d is published, but epoch %d was not", e, e-1)
 		}
 		if err := x.Layout.Check(w.fleet); err != nil {
 			w.t.Fatalf("epoch %d: %v", e, err)
@@ -180,7 +180,7 @@
 	w := newHarness(t, Limits{})
 	id := w.submit(moveSegment2())
 	w.checkEqual("targets", w.coordinator.jobs[id].targets, []Target{{2, "s5"}})
-	w.fillAll(id) // no gatherer exists, so nothing is waited for
+	w.fillAll(id) // there are no gatherers to wait for
 	w.checkEqual("done", w.status(id).Phase, Done)
 	w.checkEqual("dropped", w.dropped, []Target{{2, "s3"}})
 }
@@ -431,7 +431,7 @@
 					w.fillAll(j.id)
 				}
 			},
-			"slow to forget": func(t *rapid.T) { w.delayDrops = rapid.Bool().Draw(t, "keep") },
+			"slow drops": func(t *rapid.T) { w.delayDrops = rapid.Bool().Draw(t, "delay") },
 			"dropped": func(t *rapid.T) {
 				if j := open(t); len(j.formerHolders) > 0 {
 					w.step(Dropped{rapid.SampledFrom(j.formerHolders).Draw(t, "target")})
@@ -439,14 +439,14 @@
 			},
 			"down": func(t *rapid.T) { w.step(Down{searcher.Draw(t, "searcher")}) },
 			"up":   func(t *rapid.T) { w.step(Up{Searcher: searcher.Draw(t, "searcher")}) },
-			"heard": func(t *rapid.T) {
+			"gatherer reports": func(t *rapid.T) {
 				name := rapid.SampledFrom([]string{"g1", "g2", "g3"}).Draw(t, "gatherer")
 				old := w.reports[name]
 				epoch := layout.Epoch(rapid.IntRange(int(max(old.Epoch, 1)), int(w.coordinator.layout.Epoch())).Draw(t, "epoch"))
 				oldest := layout.Epoch(rapid.IntRange(int(max(old.Oldest, 1)), int(epoch)).Draw(t, "oldest"))
 				w.report(name, epoch, oldest)
 			},
-			"all hear": func(*rapid.T) {
+			"all gatherers report": func(*rapid.T) {
 				for _, name := range slices.Sorted(maps.Keys(w.reports)) {
 					w.report(name, w.coordinator.layout.Epoch(), w.coordinator.layout.Epoch())
 				}
@@ -472,16 +472,16 @@
 				if d := layout.Diff(before, c.layout); len(d) > 0 || before.Epoch() != c.layout.Epoch() || before.NextID() != c.layout.NextID() {
 					t.Fatalf("epoch %d differs from what it was, %d: %v", c.layout.Epoch(), before.Epoch(), d)
 				}
-				left := c.Jobs() // jobs that ended before the base are no longer known
-				if open := slices.IndexFunc(jobs, func(s Status) bool { return !s.Phase.IsFinal() }); open >= 0 && len(left) < len(jobs)-open {
-					t.Fatalf("%d changes remain of %d", len(left), len(jobs))
+				recovered := c.Jobs() // jobs that ended before the base are no longer known
+				if open := slices.IndexFunc(jobs, func(s Status) bool { return !s.Phase.IsFinal() }); open >= 0 && len(recovered) < len(jobs)-open {
+					t.Fatalf("%d jobs remain of %d", len(recovered), len(jobs))
 				}
-				jobs = jobs[len(jobs)-len(left):]
-				for i, s := range left {
-					was := jobs[i]
-					s.Copied, was.Copied = 0, 0 // the progress of copies is not recorded
-					if !reflect.DeepEqual(s, was) {
-						t.Fatalf("%+v was %+v", s, was)
+				jobs = jobs[len(jobs)-len(recovered):]
+				for i, s := range recovered {
+					earlier := jobs[i]
+					s.Copied, earlier.Copied = 0, 0 // the progress of copies is not recorded
+					if !reflect.DeepEqual(s, earlier) {
+						t.Fatalf("%+v was %+v", s, earlier)
 					}
 				}
 				for s := range w.coordinator.down {
@@ -506,7 +506,7 @@
 				}
 				for s, n := range busy {
 					if n > w.coordinator.limits.PerSearcher {
-						t.Fatalf("%s takes part in %d copies, at most %d", s, n, w.coordinator.limits.PerSearcher)
+						t.Fatalf("searcher %s takes part in %d copies, want at most %d", s, n, w.coordinator.limits.PerSearcher)
 					}
 				}
 			},
@@ -518,11 +518,11 @@
 	w := newHarness(t, Limits{})
 	w.fillAll(w.submit(splitSegment1()))
 	for name, log := range map[string][]Record{
-		"a gap":         slices.Delete(slices.Clone(w.log), 1, 2),
-		"twice":         slices.Insert(slices.Clone(w.log), 1, w.log[0]),
-		"no beginning":  {{Seq: 1, Job: 1, Phase: Filling}},
-		"a leap":        {w.log[0], {Seq: 2, Job: 1, Phase: Cutting}},
-		"an odd change": {{Seq: 1, Job: 1, Phase: Planned}, {Seq: 2, Job: 1, Phase: Filling}},
+		"a gap":             slices.Delete(slices.Clone(w.log), 1, 2),
+		"a repeated record": slices.Insert(slices.Clone(w.log), 1, w.log[0]),
+		"no first record":   {{Seq: 1, Job: 1, Phase: Filling}},
+		"a skipped phase":   {w.log[0], {Seq: 2, Job: 1, Phase: Cutting}},
+		"an invalid change": {{Seq: 1, Job: 1, Phase: Planned}, {Seq: 2, Job: 1, Phase: Filling}},
 	} {
 		if _, _, err := Recover(w.now, w.base, w.fleet, Limits{}, log); err == nil {
 			t.Errorf("%s: accepted, want an error", name)
--- a/internal/layout/reshard/meter.go
+++ b/internal/layout/reshard/meter.go
@@ -7,11 +7,11 @@
 	"eiderwinch/internal/querystats"
 )
 
-// Meter derives Pressure events from query times. It compares the p99 of batches
-// of answers recorded while copies ran with that of earlier batches recorded
-// without copies. It has no clock.
+// Meter derives Pressure events from query times. It compares the p99 of a batch of
+// answers that were recorded while copies ran with that of earlier batches that were
+// recorded without copies. It reads no clock.
 type Meter struct {
-	batches      [2]*querystats.Totals // being collected: without copies, with copies
+	batches      [2]*querystats.Totals // batches being collected: without copies, with copies
 	baselineP99s []time.Duration       // of the last batches without copies
 }
 
@@ -30,8 +30,9 @@
 	return &Meter{batches: [2]*querystats.Totals{querystats.NewTotals(), querystats.NewTotals()}}
 }
 
-// Add records one second of a safe class, and whether copies ran in that second.
-// It returns a Pressure event and true if one is due.
+// Add records the answers to a safe class in one second, and whether copies ran in that
+// second. It returns a Pressure event and true if a batch is complete and can be
+// compared.
 func (m *Meter) Add(copying bool, c querystats.ClassCounts) (Pressure, bool) {
 	batch := m.batches[0]
 	if copying {
--- a/internal/layout/reshard/meter_test.go
+++ b/internal/layout/reshard/meter_test.go
@@ -22,7 +22,7 @@
 	add(true, 90, 6) // no baseline yet: no report
 	add(false, 40, 9)
 	if m.BaselineP99() == 0 || len(got) != 3 || got[0] != 1 {
-		t.Errorf("base %v, reports %v", m.BaselineP99(), got)
+		t.Errorf("baseline %v, ratios %v, want three ratios of 1", m.BaselineP99(), got)
 	}
 	got = nil
 	add(true, 60, 2)
@@ -30,6 +30,6 @@
 	add(true, 60, 1)
 	add(true, 40, 3)
 	if len(got) != 2 || got[0] < 1.45 || got[0] > 1.55 || got[1] < 0.95 || got[1] > 1.05 {
-		t.Errorf("reports %v, want about 1.5 and 1", got)
+		t.Errorf("ratios %v, want about 1.5 and 1", got)
 	}
 }
--- a/internal/layout/reshard/planner.go
+++ b/internal/layout/reshard/planner.go
@@ -18,7 +18,7 @@
 }
 
 // PlannerLimits determine when a Planner proposes changes. The zero value of a
-// field means its default, which its comment gives last.
+// field means its default, the last value in its comment.
 type PlannerLimits struct {
 	Target       float64       // intended load of a segment in parts per second; 50
 	SplitRatio   float64       // a segment is split at or above this multiple of Target; 2
@@ -26,13 +26,13 @@
 	MoveRatio    float64       // a searcher gives a segment away at or above this multiple of the mean load; 1.25
 	Windows      int           // consecutive windows that must agree before a split or merge; 3
 	Cooldown     time.Duration // time after a change in which its segments and successors are not changed; 10 min
-	MaxProposals int           // most proposals per window; 4
+	MaxProposals int           // maximum number of proposals per window; 4
 	MinSegments  int           // merges leave at least this number of segments; 1
 }
 
-// A pair is merged below 0.8 and a segment split from 2 on, so the load must
-// change by a factor of 2.5 before a change is reversed. Three windows outlast a
-// burst.
+// Neighbours are merged below 0.8 times the target load and a segment is split from 2
+// times on, so the load must change by a factor of 2.5 before a change is reversed. A
+// burst of load ends within three windows.
 var defaultPlannerLimits = PlannerLimits{
 	Target: 50, SplitRatio: 2, MergeRatio: 0.8, MoveRatio: 1.25,
 	Windows: 3, Cooldown: 10 * time.Minute, MaxProposals: 4, MinSegments: 1,
@@ -57,7 +57,7 @@
 	case !(l.MoveRatio > 1):
 		return l, fmt.Errorf("move ratio is %v, want more than 1", l.MoveRatio)
 	case l.Windows < 1 || l.Cooldown < 0 || l.MaxProposals < 1 || l.MinSegments < 1:
-		return l, fmt.Errorf("windows is %d, cooldown %v, most proposals %d, fewest segments %d, want at least 1, 0, 1 and 1",
+		return l, fmt.Errorf("windows is %d, cooldown %v, maximum of proposals %d, minimum of segments %d, want at least 1, 0, 1 and 1",
 			l.Windows, l.Cooldown, l.MaxProposals, l.MinSegments)
 	}
 	return l, nil
@@ -192,7 +192,7 @@
 		splitKey := w.planner.lastLoads[s.ID].Median
 		below := w.planner.lastLoads[s.ID].Below
 		if !w.mayChange(s) || !s.Keys.Contains(splitKey) || splitKey == s.Keys.From || !(below >= minSplitShare && below <= 1-minSplitShare) {
-			continue // no split helps where a single key draws most of the load
+			continue // a split does not help if most of the load is on a single key
 		}
 		// The lower half stays on the holders that have its rows, the upper goes to the
 		// least loaded searchers.
@@ -202,7 +202,7 @@
 		}
 		w.shiftLoad(s.Holders, upper, w.load(s)*(1-below)/float64(len(upper)))
 		w.propose(layout.Change{Kind: layout.Split, Segments: []layout.SegmentID{s.ID}, At: splitKey, Share: below,
-			Holders: [][]string{s.Holders, upper}}, "%.1f parts a second for %d windows, meant for %.1f", w.load(s), w.planner.overloadedWindows[s.ID], limits.Target)
+			Holders: [][]string{s.Holders, upper}}, "%.1f parts a second for %d windows, target %.1f", w.load(s), w.planner.overloadedWindows[s.ID], limits.Target)
 	}
 }
 
@@ -227,13 +227,13 @@
 			holders = b.Holders
 		}
 		w.propose(layout.Change{Kind: layout.Merge, Segments: []layout.SegmentID{a.ID, b.ID}, Holders: [][]string{holders}},
-			"%.1f parts a second together for %d windows, meant for %.1f each", sum, underloaded[neighbours], limits.Target)
+			"%.1f parts a second together for %d windows, target %.1f each", sum, underloaded[neighbours], limits.Target)
 	}
 	w.planner.underloadedWindows = underloaded
 }
 
 // minMoveShare is the smallest load that a move must shift, as a share of the mean.
-// The normal variation of load, some 5%, must not move a segment back.
+// The normal variation of load, some 5%, must not cause a move back.
 const minMoveShare = 0.1
 
 // proposeMoves moves segments from the most loaded searchers to the least loaded
@@ -271,7 +271,7 @@
 				if share > gain && share >= minMoveShare*mean && w.searcherLoads[from]-share >= w.searcherLoads[receiver]+share {
 					best, to, gain = s, receiver, share
 				}
-				break // the searchers before it have more load
+				break // the remaining searchers have more load
 			}
 		}
 		if best == nil {
--- a/internal/layout/reshard/planner_test.go
+++ b/internal/layout/reshard/planner_test.go
@@ -88,7 +88,7 @@
 	var got []Proposal
 	for i := range 3 {
 		if got = p.Window(time.Unix(int64(i), 0), x.layout, x.fleet, x.loads(noNoise)); i < 2 && slices.ContainsFunc(got, func(p Proposal) bool { return p.Change.Kind == layout.Split }) {
-			t.Errorf("split after %d windows: %v", i+1, got)
+			t.Errorf("a split is proposed after %d windows, want 3: %v", i+1, got)
 		}
 	}
 	if len(got) == 0 || got[0].Change.Kind != layout.Split || got[0].Change.At != "d" || !slices.Equal(got[0].Change.Holders[0], []string{"s0", "s1"}) {
@@ -99,7 +99,7 @@
 	for i, factor := range []float64{1, 1, 0.1, 1, 1} {
 		for _, g := range p.Window(time.Unix(int64(i), 0), x.layout, x.fleet, x.loads(func() float64 { return factor })) {
 			if g.Change.Kind == layout.Split {
-				t.Errorf("window %d: %v", i, g)
+				t.Errorf("window %d: have %v, want no split", i, g)
 			}
 		}
 	}
@@ -110,7 +110,7 @@
 	p, _ := NewPlanner(PlannerLimits{Windows: 1})
 	for _, g := range p.Window(time.Unix(0, 0), x.layout, x.fleet, x.loads(noNoise)) {
 		if g.Change.Kind == layout.Split {
-			t.Errorf("have %v", g)
+			t.Errorf("have %v, want no split", g)
 		}
 	}
 }
@@ -123,7 +123,7 @@
 	p.RecordChange(now, first, x.apply(t, first))
 	for _, g := range p.Window(now.Add(59*time.Second), x.layout, x.fleet, x.loads(noNoise)) {
 		if g.Change.Kind == layout.Split {
-			t.Errorf("have %v", g)
+			t.Errorf("within the cooldown: have %v, want no split", g)
 		}
 	}
 	if got := p.Window(now.Add(time.Minute), x.layout, x.fleet, x.loads(noNoise)); len(got) == 0 || got[0].Change.Kind != layout.Split {
@@ -174,9 +174,9 @@
 				ids := g.Change.Segments
 				switch b := origins[ids[0]]; {
 				case g.Change.Kind == layout.Merge && b.epoch > 0 && b.kind == layout.Split && b == origins[ids[1]]:
-					t.Fatalf("%d come from one split and are to be merged: %s", ids, g.Reason)
+					t.Fatalf("segments %d come from one split, and their merge is proposed: %s", ids, g.Reason)
 				case g.Change.Kind == layout.Split && b.epoch > 0 && b.kind == layout.Merge:
-					t.Fatalf("%d comes from a merge and is to be split: %s", ids, g.Reason)
+					t.Fatalf("segment %d comes from a merge, and its split is proposed: %s", ids, g.Reason)
 				}
 				successors := x.apply(t, g.Change)
 				for _, id := range successors {
--- a/internal/layout/reshard/step.go
+++ b/internal/layout/reshard/step.go
@@ -29,9 +29,9 @@
 	s.result.Records = append(s.result.Records, r)
 }
 
-// submit accepts a change or refuses it with the reason. A change of a segment that
-// another open job changes or creates is refused at once; everything else is
-// checked against the current layout, and again when the job starts.
+// submit accepts a change, or refuses it with the reason. A change of a segment that
+// another open job changes or creates is refused. All else is checked against the
+// current layout, and again when the job starts.
 func (s *step) submit(change layout.Change) {
 	c := s.coordinator
 	c.counts.Submitted++
@@ -66,7 +66,7 @@
 		}
 	}
 	if open >= c.limits.MaxOpenJobs {
-		return fmt.Errorf("%w: %d, at most %d", ErrBusy, open, c.limits.MaxOpenJobs)
+		return fmt.Errorf("%w: found %d, want fewer than %d", ErrBusy, open, c.limits.MaxOpenJobs)
 	}
 	return c.checkFeasible(change)
 }
@@ -102,7 +102,7 @@
 	case j == nil:
 		s.result.Err = fmt.Errorf("change %d: %w", e.Job, ErrUnknownJob)
 	case j.phase == Undone:
-		return // already the requested state
+		return // the job is already in the requested state
 	case j.phase >= Cutting:
 		s.result.Err = fmt.Errorf("change %d is %v: %w", e.Job, j.phase, ErrTooLate)
 	default:
@@ -197,8 +197,8 @@
 	}
 }
 
-// downTarget returns a searcher that a job fills and that is down, or an empty
-// string.
+// downTarget returns a searcher that is down while a job fills it, or "" if there is
+// none.
 func (c *Coordinator) downTarget(j *job) string {
 	for _, t := range j.targets {
 		if c.down[t.Searcher] {
@@ -230,7 +230,8 @@
 	return true
 }
 
-// startFilling starts a job's copies if the limits allow it.
+// startFilling prepares a job's successors and starts its copies if the limits allow
+// it, and reports whether the job has left Planned.
 func (s *step) startFilling(j *job) bool {
 	c := s.coordinator
 	if err := c.checkFeasible(j.change); err != nil {
@@ -336,8 +337,8 @@
 	return true
 }
 
-// cutOver creates the epoch in which the successors serve, once each target has
-// recently reported a lag within the limit.
+// cutOver creates the epoch in which the successors serve, if each target has recently
+// reported a lag within the limit. It reports whether it did.
 func (s *step) cutOver(j *job) bool {
 	c := s.coordinator
 	for _, t := range j.targets {
@@ -357,12 +358,12 @@
 	return true
 }
 
-// startSealing orders the former holders to drop the segments that were moved away:
-// no reporting gatherer sends them parts any more. An isolated gatherer may still
-// do so with an older epoch. The successors therefore continue to apply changes
-// from the former holders until each has confirmed the drop, after which it rejects
-// such parts without running them: a reservation made there in the meantime would
-// be lost otherwise.
+// startSealing orders the former holders to drop the segments that were moved away,
+// because no reporting gatherer sends them parts any more. An isolated gatherer may
+// still do so with an older epoch, and a reservation made at a former holder must not
+// be lost. The successors therefore continue to apply changes from each former holder
+// until it has confirmed the drop; from then on it rejects such parts without running
+// them.
 func (s *step) startSealing(j *job) {
 	c := s.coordinator
 	formerHolders := c.formerHolders(j)
@@ -415,7 +416,7 @@
 // TCP (Chiu and Jain, 1989): it is halved by each report at or above slowDownRatio,
 // and raised by a tenth of the maximum by each report below.
 const (
-	slowDownRatio        = 1.15 // p99 with copies / p99 without; 1.25 must not be exceeded
+	slowDownRatio        = 1.15 // p99 with copies / p99 without copies; the ratio must not exceed 1.25
 	rateDecreaseFactor   = 0.5
 	rateIncreaseFraction = 0.1
 )
@@ -436,11 +437,11 @@
 	}
 }
 
-// Base is the point at which records begin: the layout at a time with no open job.
+// Base is the state that records start from: the layout at a time with no open job.
 type Base struct {
 	Layout  *layout.Layout
 	Seq     uint64 // of the last record before the base
-	LastJob JobID  // the last that was assigned
+	LastJob JobID  // the last number that was assigned
 }
 
 // Base returns a base for later records, so that the records before it can be
@@ -454,10 +455,10 @@
 	return Base{c.layout, c.lastSeq, c.lastJob}, true
 }
 
-// Recover restores a coordinator from the base and records, in order, that an
-// earlier one has written. It returns the effects of all open jobs, which may or
-// may not have been executed before. Copies restart; a job whose cut-over was
-// written continues from there.
+// Recover restores a coordinator from a base and from the records that an earlier
+// coordinator has written since, in order. It returns the effects of all open jobs,
+// which may or may not have been executed before. Copies restart; a job whose cut-over
+// was recorded continues from there.
 func Recover(now time.Time, b Base, f layout.Fleet, limits Limits, records []Record) (*Coordinator, []Effect, error) {
 	c := New(now, b.Layout, f, limits)
 	c.lastSeq, c.lastJob = b.Seq, b.LastJob
@@ -488,7 +489,7 @@
 // replay applies one record.
 func (c *Coordinator) replay(now time.Time, r Record) error {
 	if r.Seq != c.lastSeq+1 {
-		return fmt.Errorf("out of sequence: follows number %d", c.lastSeq)
+		return fmt.Errorf("out of sequence: the record before it is number %d", c.lastSeq)
 	}
 	c.lastSeq = r.Seq
 	j := c.jobs[r.Job]
@@ -502,7 +503,7 @@
 		return nil
 	}
 	if !j.phase.canPrecede(r.Phase) {
-		return fmt.Errorf("change %d cannot enter phase %v: it is %v", r.Job, r.Phase, j.phase)
+		return fmt.Errorf("change %d cannot enter phase %v from phase %v", r.Job, r.Phase, j.phase)
 	}
 	next, err := c.layout, error(nil)
 	switch r.Phase {
@@ -534,7 +535,7 @@
 	return nil
 }
 
-// canPrecede reports whether a phase can directly follow p.
+// canPrecede reports whether a job in phase p can directly enter phase to.
 func (p Phase) canPrecede(to Phase) bool {
 	switch p {
 	case Planned:
--- a/internal/layout/reshardlog/log.go
+++ b/internal/layout/reshardlog/log.go
@@ -39,7 +39,7 @@
 const (
 	version    = 1
 	lockWait   = 2 * time.Second // wait for the file lock: two coordinators must not write one log
-	maxRecords = 4096            // most records after the base; a change has at most six, so this is about 700 changes
+	maxRecords = 4096            // limit of records after the base; a change has at most six, so this is about 700 changes
 )
 
 var (
@@ -69,7 +69,8 @@
 	recordsSinceBase int // number of records after the base
 }
 
-// Open opens or creates a log. Load of a new one returns ErrEmpty until SetBase.
+// Open opens or creates a log. Load of a new one returns ErrEmpty until SetBase is
+// called.
 func Open(path string) (*Log, error) {
 	db, err := durable.OpenBolt(path, &bbolt.Options{Timeout: lockWait})
 	if err != nil {
@@ -134,7 +135,7 @@
 func (l *Log) Close() error { return l.db.Close() }
 
 // SetBase replaces the contents of the log by a base. It initializes a new log, and
-// compacts one while no job is open.
+// compacts an existing one; it must not be called while a job is open.
 func (l *Log) SetBase(b reshard.Base, f layout.Fleet) error {
 	var text bytes.Buffer
 	if err := layoutfile.Write(&text, b.Layout, f); err != nil {
@@ -167,14 +168,14 @@
 		return nil
 	}
 	if l.recordsSinceBase+len(records) > maxRecords {
-		return fmt.Errorf("%w: %d records", ErrFull, l.recordsSinceBase)
+		return fmt.Errorf("%w: it holds %d records", ErrFull, l.recordsSinceBase)
 	}
 	next := l.lastSeq
 	err := l.db.Update(func(tx *bbolt.Tx) error {
 		bucket := tx.Bucket(bucketRecords)
 		for _, r := range records {
 			if next++; r.Seq != next {
-				return fmt.Errorf("record %d follows number %d (%w)", r.Seq, next-1, durable.ErrPermanent)
+				return fmt.Errorf("found record %d after record %d, want consecutive numbers (%w)", r.Seq, next-1, durable.ErrPermanent)
 			}
 			text, err := json.Marshal(r)
 			if err != nil {
@@ -198,7 +199,7 @@
 // open.
 func (l *Log) NeedsCompaction() bool { return l.recordsSinceBase > maxRecords/2 }
 
-// Load reads the whole log. It returns nothing of a damaged one.
+// Load reads the whole log. If the log is damaged, it returns only an error.
 func (l *Log) Load() (b reshard.Base, f layout.Fleet, records []reshard.Record, err error) {
 	err = l.db.View(func(tx *bbolt.Tx) error {
 		meta := tx.Bucket(bucketMeta)
