--- a/cmd/eiderwinch/fleet.go
+++ b/cmd/eiderwinch/fleet.go
@@ -85,7 +85,7 @@
 	for x := range s.fleet.WatchShare() {
 		s.mu.Lock()
 		if !s.left {
-			s.node.Share(x.Slots, x.Until)
+			s.node.SetShare(x.Slots, x.Until)
 		}
 		s.mu.Unlock()
 	}
@@ -97,7 +97,7 @@
 	if _, divided := s.fleet.Share(); divided {
 		s.mu.Lock()
 		s.left = true
-		s.node.Share(0, time.Now().Add(noExpiry))
+		s.node.SetShare(0, time.Now().Add(noExpiry))
 		s.mu.Unlock()
 		// The event loop handles requests in order, so the share set above is in force once this returns.
 		if _, ok := s.node.State(ctx, 1<<62); !ok {
--- a/internal/configuration/signature/signature.go
+++ b/internal/configuration/signature/signature.go
@@ -118,12 +118,12 @@
 
 // The reasons for rejecting a signature, or for not signing.
 var (
-	ErrMissing   = errors.New("the configuration is not signed")
-	ErrMalformed = errors.New("malformed signature")
-	ErrUnknown   = errors.New("signed with an unknown key")
-	ErrExpired   = errors.New("the key's validity period does not include the current time")
-	ErrMismatch  = errors.New("the signature does not fit the configuration")
-	ErrPublicKey = errors.New("the key can't sign: it is a public one")
+	ErrMissing     = errors.New("the configuration is not signed")
+	ErrMalformed   = errors.New("malformed signature")
+	ErrUnknownKey  = errors.New("signed with an unknown key")
+	ErrNotValidNow = errors.New("the key's validity period does not include the current time")
+	ErrMismatch    = errors.New("the signature does not fit the configuration")
+	ErrPublicKey   = errors.New("the key can't sign: it is a public one")
 )
 
 // Sign signs a message with a key that is valid at the time now. The signature has the
@@ -196,11 +196,11 @@
 			continue
 		}
 		if now.Before(key.From) || !now.Before(key.Until) {
-			return nil, fmt.Errorf("key %q: %w: it is %s, want from %s until %s", name, ErrExpired, now.Format(time.RFC3339), key.From.Format(time.RFC3339), key.Until.Format(time.RFC3339))
+			return nil, fmt.Errorf("key %q: %w: it is %s, want from %s until %s", name, ErrNotValidNow, now.Format(time.RFC3339), key.From.Format(time.RFC3339), key.Until.Format(time.RFC3339))
 		}
 		return key, nil
 	}
-	return nil, fmt.Errorf("key %.40q: %w", name, ErrUnknown)
+	return nil, fmt.Errorf("key %.40q: %w", name, ErrUnknownKey)
 }
 
 func withContext(message []byte) []byte { return append([]byte(configurationContext), message...) }
--- a/internal/configuration/signature/signature_test.go
+++ b/internal/configuration/signature/signature_test.go
@@ -46,10 +46,10 @@
 		if err := verifier.Verify(june, []byte("another"), s); !errors.Is(err, ErrMismatch) {
 			t.Errorf("%s for another message: %v", name, err)
 		}
-		if err := verifier.Verify(june.AddDate(1, 0, 0), message, s); !errors.Is(err, ErrExpired) {
+		if err := verifier.Verify(june.AddDate(1, 0, 0), message, s); !errors.Is(err, ErrNotValidNow) {
 			t.Errorf("%s a year later: %v", name, err)
 		}
-		if err := verifier.Verify(june, message, strings.Replace(s, name, "other", 1)); !errors.Is(err, ErrUnknown) {
+		if err := verifier.Verify(june, message, strings.Replace(s, name, "other", 1)); !errors.Is(err, ErrUnknownKey) {
 			t.Errorf("by an unknown key: %v", err)
 		}
 	}
@@ -60,7 +60,7 @@
 	if _, err := verifier.Sign(june, "new", message); !errors.Is(err, ErrPublicKey) {
 		t.Errorf("a public key signs: %v", err)
 	}
-	if _, err := signer.Sign(june.AddDate(0, 2, 0), "old", message); !errors.Is(err, ErrExpired) {
+	if _, err := signer.Sign(june.AddDate(0, 2, 0), "old", message); !errors.Is(err, ErrNotValidNow) {
 		t.Errorf("an expired key signs: %v", err)
 	}
 	for s, want := range map[string]error{"": ErrMissing, "old": ErrMalformed, "old:?": ErrMalformed, "old:": ErrMismatch} {
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -49,7 +49,7 @@
 		DrainGrace: limits.DrainGrace, AnswerSlack: limits.AnswerSlack, NoShareUntil: o.NoShareUntil,
 		Gatherer: gatherer.Settings{
 			Module: cfg.Settings.Module, Tick: limits.Tick, MaxOpen: limits.MaxOpen,
-			Layout: o.Layout, LiveSettings: live.Core, Service: recorder,
+			Layout: o.Layout, LiveSettings: live.Core, Recorder: recorder,
 		},
 	}, eiderwinch.New(cfg.Settings.Module), counters, log)
 }
--- a/internal/fleet/seal/seal_test.go
+++ b/internal/fleet/seal/seal_test.go
@@ -55,7 +55,7 @@
 		"a member's":               {func() []byte { return sealNow(sealer(t, "o", "old", "f", 7)) }, 0, nil},
 		"a stranger's":             {func() []byte { return sealNow(sealer(t, "x", "old", "f", 7)) }, 0, ErrUnauthenticated},
 		"another fleet's":          {func() []byte { return sealNow(sealer(t, "o", "old", "g", 7)) }, 0, ErrWrongFleet},
-		"one under an expired key": {func() []byte { return sealNow(sealer(t, "o", "old", "f", 7)) }, noon, signature.ErrExpired},
+		"one under an expired key": {func() []byte { return sealNow(sealer(t, "o", "old", "f", 7)) }, noon, signature.ErrNotValidNow},
 		"noise":                    {func() []byte { return []byte("noise") }, 0, ErrMalformed},
 		"nothing":                  {func() []byte { return nil }, 0, ErrMalformed},
 		"a changed message": {func() []byte {
@@ -65,7 +65,7 @@
 		"another key's name": {func() []byte {
 			b := sealNow(sealer(t, "o", "old", "f", 7))
 			return []byte(strings.Replace(string(b), "old", "odd", 1))
-		}, 0, signature.ErrUnknown},
+		}, 0, signature.ErrUnknownKey},
 	} {
 		s := sealer(t, "o", "old", "f", 9)
 		got, err := s.Open(testTime.Add(c.at), c.make())
@@ -73,7 +73,7 @@
 			t.Errorf("%s: have %q, %v, want %v", name, got, err, c.want)
 		}
 	}
-	if _, err := sealer(t, "o", "old", "f", 9).Seal(testTime.Add(noon), nil); !errors.Is(err, signature.ErrExpired) {
+	if _, err := sealer(t, "o", "old", "f", 9).Seal(testTime.Add(noon), nil); !errors.Is(err, signature.ErrNotValidNow) {
 		t.Errorf("sealed with an expired key: %v", err)
 	}
 	if b := sealNow(sealer(t, "o", "old", strings.Repeat("f", 128), 7)); len(b) > Overhead+4 {
--- a/internal/format/frame/frame.go
+++ b/internal/format/frame/frame.go
@@ -159,23 +159,23 @@
 	return dst
 }
 
-// End is how a searcher ended a part.
-type End int
+// PartOutcome is how a searcher ended a part.
+type PartOutcome int
 
 // The ways a searcher can end a part.
 const (
-	Served  End = iota
-	Failed      // the part failed and may have run
-	Skipped     // the part never ran
+	Served  PartOutcome = iota
+	Failed              // the part failed and may have run
+	Skipped             // the part never ran
 )
 
 // endNames maps the names of ends in an Answer frame.
-var endNames = map[string]End{"served": Served, "broke": Failed, "skipped": Skipped}
+var endNames = map[string]PartOutcome{"served": Served, "broke": Failed, "skipped": Skipped}
 
 // Result is a searcher's answer to one part.
 type Result struct {
 	ID     string
-	End    End
+	End    PartOutcome
 	Score  int64
 	Value  string
 	Report Report
--- a/internal/gatherer/completion.go
+++ b/internal/gatherer/completion.go
@@ -201,9 +201,9 @@
 		"left", q.deadline.Sub(c.now), "sent", q.sent, "parts", len(q.parts), "parts_in", answered, "attempts_out", inFlight, "attempts", attempts)
 }
 
-// recordOutcome records how a query ended if Settings.Service is set.
+// recordOutcome records how a query ended if Settings.Recorder is set.
 func (c *Core) recordOutcome(now time.Time, class int, reply Reply, took time.Duration) {
-	if c.settings.Service == nil {
+	if c.settings.Recorder == nil {
 		return
 	}
 	outcome := querystats.Partial
@@ -215,5 +215,5 @@
 	case reply.Whole:
 		outcome = querystats.Whole
 	}
-	c.settings.Service.Record(now, class, outcome, took)
+	c.settings.Recorder.Record(now, class, outcome, took)
 }
--- a/internal/gatherer/core.go
+++ b/internal/gatherer/core.go
@@ -47,10 +47,10 @@
 
 // Client is the sender of a query.
 type Client interface {
-	// Reply delivers the final answer. It is called at most once, and not after Core.Gone.
+	// Reply delivers the final answer. It is called at most once, and not after Core.ClientDisconnected.
 	Reply(Reply)
-	// Disconnected reports whether the client has disconnected. It can be true before Core.Gone is
-	// called, because the end of the connection may have arrived and not been read yet.
+	// Disconnected reports whether the client has disconnected. It can be true before
+	// Core.ClientDisconnected is called, because the end of the connection may have arrived and not been read yet.
 	Disconnected() bool
 }
 
@@ -95,9 +95,9 @@
 	// Nil means that MaxOpen is the only one.
 	LiveSettings *LiveSettings
 
-	// Service records the outcomes of queries by class number. Nil means that
+	// Recorder records the outcomes of queries by class number. Nil means that
 	// they are not recorded.
-	Service *querystats.Recorder
+	Recorder *querystats.Recorder
 }
 
 // Core holds the queries of a gatherer and carries out the aggregator's decisions.
--- a/internal/gatherer/core_test.go
+++ b/internal/gatherer/core_test.go
@@ -82,7 +82,7 @@
 // submit passes a query to Take.
 func (h *harness) submit(class, trace string, shards ...int) uint64 {
 	h.t.Helper()
-	request := QueryRequest{Trace: trace, Class: class, Key: "k", Timeout: 300 * ms, Text: "text"}
+	request := QueryRequest{Trace: trace, Class: class, IdempotencyKey: "k", Timeout: 300 * ms, Text: "text"}
 	for _, s := range shards {
 		request.Parts = append(request.Parts, PartRequest{s, 1 / float64(len(shards))})
 	}
@@ -145,7 +145,7 @@
 func TestTakeValidatesQueries(t *testing.T) {
 	h := newHarness(t)
 	h.submit("search", "open", 0)
-	valid := QueryRequest{Trace: "t", Class: "reserve", Key: "k", Parts: []PartRequest{{0, 1}}}
+	valid := QueryRequest{Trace: "t", Class: "reserve", IdempotencyKey: "k", Parts: []PartRequest{{0, 1}}}
 	for name, c := range map[string]struct {
 		modify func(*QueryRequest)
 		want   error
@@ -153,7 +153,7 @@
 		"unknown class":     {func(a *QueryRequest) { a.Class = "unknown" }, ErrUnknownClass},
 		"open trace":        {func(a *QueryRequest) { a.Trace = "open" }, ErrDuplicate},
 		"no trace":          {func(a *QueryRequest) { a.Trace = "" }, ErrInvalid},
-		"no key":            {func(a *QueryRequest) { a.Key = "" }, ErrInvalid},
+		"no key":            {func(a *QueryRequest) { a.IdempotencyKey = "" }, ErrInvalid},
 		"negative timeout":  {func(a *QueryRequest) { a.Timeout = -1 }, ErrInvalid},
 		"no parts":          {func(a *QueryRequest) { a.Parts = nil }, ErrInvalid},
 		"unknown shard":     {func(a *QueryRequest) { a.Parts = []PartRequest{{12, 1}} }, ErrInvalid},
@@ -348,7 +348,7 @@
 	h := newHarness(t)
 	id := h.submit("search", "t", 0)
 	h.advance(5*ms, send(2, "a"))
-	h.Gone(h.at, id)
+	h.ClientDisconnected(h.at, id)
 	h.advance(5*ms, eiderwinch.Cancel{Part: 2}, eiderwinch.Fail{Query: id})
 	h.checkEqual("replies", len(h.replies), 0)
 	h.checkEqual("abandoned attempts", len(h.abandoned), 1)
--- a/internal/gatherer/intake.go
+++ b/internal/gatherer/intake.go
@@ -14,17 +14,17 @@
 
 // QueryRequest is a query as a client sends it.
 type QueryRequest struct {
-	Trace   string // identifies the query to the searchers
-	Class   string
-	Key     string        // idempotency key; required in keyed classes
-	About   string        // what the query is about; may be empty
-	Timeout time.Duration // how long the client waits; 0 means the deadline of the class
-	Waited  time.Duration // time since its last byte arrived, in which it waited for another request on its connection
-	Repeat  bool          // marked as a repeat by the client
-	Tenant  string
-	Text    string       // query text, sent with every part
-	Epoch   layout.Epoch // of the layout that the client used; 0 if the client gives none
-	Parts   []PartRequest
+	Trace          string // identifies the query to the searchers
+	Class          string
+	IdempotencyKey string        // idempotency key; required in keyed classes
+	SubjectKey     string        // what the query is about; may be empty
+	Timeout        time.Duration // how long the client waits; 0 means the deadline of the class
+	Waited         time.Duration // time since its last byte arrived, in which it waited for another request on its connection
+	Repeat         bool          // marked as a repeat by the client
+	Tenant         string
+	Text           string       // query text, sent with every part
+	Epoch          layout.Epoch // of the layout that the client used; 0 if the client gives none
+	Parts          []PartRequest
 }
 
 // PartRequest is one part of a QueryRequest.
@@ -55,8 +55,8 @@
 		return 0, err
 	}
 	c.stats.Taken++
-	if c.settings.Service != nil {
-		c.settings.Service.Take(now, class)
+	if c.settings.Recorder != nil {
+		c.settings.Recorder.Take(now, class)
 	}
 	if retryAfter, ok := c.admit(request, class); !ok {
 		c.recordOutcome(now, class, Reply{Kind: Refused}, 0)
@@ -72,7 +72,7 @@
 	}
 	q := c.addQuery(now, request, class, client)
 	event := eiderwinch.Query{
-		ID: q.id, Class: class, Key: request.About, Repeat: request.Repeat, Tenant: c.tenantNumber(request.Tenant),
+		ID: q.id, Class: class, Key: request.SubjectKey, Repeat: request.Repeat, Tenant: c.tenantNumber(request.Tenant),
 		Attempts: limits.Attempts,
 	}
 	for _, p := range q.parts {
@@ -96,7 +96,7 @@
 	switch {
 	case request.Trace == "":
 		return 0, fmt.Errorf("%w: no trace id", ErrInvalid)
-	case request.Key == "" && c.settings.Module.Classes[class].Effect == eiderwinch.Keyed:
+	case request.IdempotencyKey == "" && c.settings.Module.Classes[class].Effect == eiderwinch.Keyed:
 		return 0, fmt.Errorf("%w: class %q needs an idempotency key", ErrInvalid, request.Class)
 	case request.Timeout < 0:
 		return 0, fmt.Errorf("%w: already expired", ErrInvalid)
@@ -135,12 +135,12 @@
 	return 0
 }
 
-// Gone removes a query whose client has disconnected.
-func (c *Core) Gone(now time.Time, id uint64) {
+// ClientDisconnected removes a query whose client has disconnected.
+func (c *Core) ClientDisconnected(now time.Time, id uint64) {
 	if q := c.queries[id]; q != nil {
 		c.stats.ClientsDisconnected++
-		if c.settings.Service != nil {
-			c.settings.Service.Record(now, q.class, querystats.Gone, now.Sub(q.takenAt))
+		if c.settings.Recorder != nil {
+			c.settings.Recorder.Record(now, q.class, querystats.Gone, now.Sub(q.takenAt))
 		}
 		c.addEvent(now, eiderwinch.Gone{Query: id})
 		c.removeQuery(q)
@@ -210,8 +210,8 @@
 	}
 }
 
-// Share sets how many slots of the fleet's limits this gatherer may use until the given time;
+// SetShare sets how many slots of the fleet's limits this gatherer may use until the given time;
 // see eiderwinch.Share.
-func (c *Core) Share(now time.Time, slots int, until time.Time) {
+func (c *Core) SetShare(now time.Time, slots int, until time.Time) {
 	c.addEvent(now, eiderwinch.Share{Slots: slots, Until: c.moduleTime(until)})
 }
--- a/internal/gatherer/live_settings_test.go
+++ b/internal/gatherer/live_settings_test.go
@@ -71,15 +71,15 @@
 
 func TestOutcomesAreRecorded(t *testing.T) {
 	h := newHarness(t)
-	h.settings.Service = querystats.New([]string{"search", "reserve", "report", "half"})
+	h.settings.Recorder = querystats.New([]string{"search", "reserve", "report", "half"})
 	h.submit("search", "a", 0)
 	gone := h.submit("search", "b", 0)
-	h.Gone(h.at, gone)
+	h.ClientDisconnected(h.at, gone)
 	h.Apply(searchLimits(1, ClassLimits{MaxOpen: 1}))
 	h.submit("search", "c", 0)
 	h.advance(2 * time.Second)
 	var sum querystats.ClassCounts
-	for _, w := range h.settings.Service.Since(h.at.Add(time.Hour), 0) {
+	for _, w := range h.settings.Recorder.Since(h.at.Add(time.Hour), 0) {
 		for _, c := range w.Classes {
 			sum.Taken, sum.Refused, sum.Failed, sum.Gone = sum.Taken+c.Taken, sum.Refused+c.Refused, sum.Failed+c.Failed, sum.Gone+c.Gone
 		}
@@ -130,7 +130,7 @@
 	}}
 	live := plain
 	live.LiveSettings = &LiveSettings{Generation: 7, MaxOpen: 1000, Classes: []ClassLimits{{MaxDuration: 900 * ms, Attempts: 3, MaxOpen: 500}}}
-	live.Service = querystats.New([]string{"search"})
+	live.Recorder = querystats.New([]string{"search"})
 	for _, c := range []struct {
 		name string
 		set  Settings
--- a/internal/gatherer/records.go
+++ b/internal/gatherer/records.go
@@ -93,7 +93,7 @@
 	c.openByEpoch[q.epoch()]++
 	c.openByClass[class]++
 	if c.settings.Module.Classes[class].Effect == eiderwinch.Keyed {
-		q.key = request.Key
+		q.key = request.IdempotencyKey
 	}
 	c.queries[q.id] = q
 	c.queriesByTrace[q.trace] = q
--- a/internal/gatherer/turn.go
+++ b/internal/gatherer/turn.go
@@ -46,7 +46,7 @@
 		}
 	}
 	for _, q := range c.disconnected {
-		c.Gone(c.now, q.id)
+		c.ClientDisconnected(c.now, q.id)
 	}
 	c.disconnected = c.disconnected[:0]
 	maxParts := max(c.settings.Module.MaxBatch, 1)
--- a/internal/netio/clientconn.go
+++ b/internal/netio/clientconn.go
@@ -74,7 +74,7 @@
 	c.ending = true
 	if c.queryID != 0 {
 		c.node.log.Debug("client left while its query was open", "query", c.queryID, "reason", reason)
-		c.node.core.Gone(time.Now(), c.queryID)
+		c.node.core.ClientDisconnected(time.Now(), c.queryID)
 		c.queryID = 0
 	}
 }
@@ -260,12 +260,12 @@
 // parseQuery reads a query from a request.
 func parseQuery(path string, r *http1.Request) (gatherer.QueryRequest, error) {
 	query := gatherer.QueryRequest{
-		Trace:  r.Header.Get("x-trace-id"),
-		Class:  r.Header.Get("x-qos"),
-		Key:    r.Header.Get("idempotency-key"),
-		Repeat: r.Header.Get("x-second-try") == "1",
-		Tenant: r.Header.Unambiguous("x-customer"),
-		About:  cookieKey(r.Header),
+		Trace:          r.Header.Get("x-trace-id"),
+		Class:          r.Header.Get("x-qos"),
+		IdempotencyKey: r.Header.Get("idempotency-key"),
+		Repeat:         r.Header.Get("x-second-try") == "1",
+		Tenant:         r.Header.Unambiguous("x-customer"),
+		SubjectKey:     cookieKey(r.Header),
 	}
 	first, _, _ := strings.Cut(strings.TrimPrefix(path, "/"), "/")
 	if query.Class == "" {
@@ -274,7 +274,7 @@
 	if first != query.Class {
 		return query, fmt.Errorf("%w: the path does not begin with the class %q", gatherer.ErrInvalid, query.Class)
 	}
-	if !isValidName(query.Trace) || query.Key != "" && !isValidName(query.Key) {
+	if !isValidName(query.Trace) || query.IdempotencyKey != "" && !isValidName(query.IdempotencyKey) {
 		return query, fmt.Errorf("%w: malformed trace id or idempotency key", gatherer.ErrInvalid)
 	}
 	if s := r.Header.Get("x-expires-in-ms"); s != "" {
@@ -303,8 +303,8 @@
 		if t.Tablet == nil || t.Fraction == nil {
 			return query, fmt.Errorf("%w: tablets[%d] lacks tablet or fraction", gatherer.ErrInvalid, i)
 		}
-		if i == 0 && query.About == "" && isValidKey(t.Token) {
-			query.About = t.Token // the token stands for the key and this part's shard
+		if i == 0 && query.SubjectKey == "" && isValidKey(t.Token) {
+			query.SubjectKey = t.Token // the token stands for the key and this part's shard
 		}
 		query.Parts = append(query.Parts, gatherer.PartRequest{Shard: *t.Tablet, Weight: *t.Fraction})
 	}
--- a/internal/netio/node.go
+++ b/internal/netio/node.go
@@ -126,7 +126,7 @@
 	now := time.Now()
 	n.core = gatherer.New(cfg.Gatherer, d, n.pool, counters, log, now)
 	if !cfg.NoShareUntil.IsZero() {
-		n.core.Share(now, 0, cfg.NoShareUntil)
+		n.core.SetShare(now, 0, cfg.NoShareUntil)
 	}
 	return n
 }
@@ -213,7 +213,7 @@
 func (n *Node) State(ctx context.Context, after int64) (s State, ok bool) {
 	return runOnLoop(ctx, n, func() State {
 		s := State{Epoch: n.core.Epoch(), OldestEpoch: n.core.OldestEpoch(), Generation: n.core.Generation(), Draining: n.draining}
-		if r := n.cfg.Gatherer.Service; r != nil {
+		if r := n.cfg.Gatherer.Recorder; r != nil {
 			s.Service = r.Since(time.Now(), after)
 		}
 		return s
@@ -298,11 +298,11 @@
 	})
 }
 
-// Share sets how many slots of the fleet's limits may be used until the given time, see package share. It may be
+// SetShare sets how many slots of the fleet's limits may be used until the given time, see package share. It may be
 // called from any goroutine.
-func (n *Node) Share(slots int, until time.Time) {
+func (n *Node) SetShare(slots int, until time.Time) {
 	n.exec(func() {
-		n.core.Share(time.Now(), slots, until)
+		n.core.SetShare(time.Now(), slots, until)
 	})
 }
 
--- a/internal/netio/searcherconn.go
+++ b/internal/netio/searcherconn.go
@@ -274,7 +274,7 @@
 	errUnsolicited   = errors.New("unsolicited frame")
 )
 
-var statusByEnd = map[frame.End]eiderwinch.Status{
+var statusByEnd = map[frame.PartOutcome]eiderwinch.Status{
 	frame.Served: eiderwinch.OK, frame.Failed: eiderwinch.Failed, frame.Skipped: eiderwinch.Full,
 }
 
--- a/internal/trial/emulator/client.go
+++ b/internal/trial/emulator/client.go
@@ -82,7 +82,7 @@
 			c.finish(failed)
 			return
 		}
-		request := gatherer.QueryRequest{Trace: c.trace, Class: spec.Name, Key: c.idempotencyKey, Timeout: left, Repeat: c.tries > 1, Text: "q", About: c.subject}
+		request := gatherer.QueryRequest{Trace: c.trace, Class: spec.Name, IdempotencyKey: c.idempotencyKey, Timeout: left, Repeat: c.tries > 1, Text: "q", SubjectKey: c.subject}
 		if c.tenant >= 0 {
 			request.Tenant = tenantName(c.tenant)
 		}
--- a/internal/trial/emulator/node.go
+++ b/internal/trial/emulator/node.go
@@ -150,7 +150,7 @@
 	}
 	if s := n.holder.Share(sim.now); s != n.notifiedShare {
 		n.notifiedShare = s
-		n.core.Share(sim.now, s.Slots, s.Until)
+		n.core.SetShare(sim.now, s.Slots, s.Until)
 		n.scheduleRun()
 	}
 	n.shareTimer.Value = func() { n.updateShare(process) }
