--- a/cmd/eiderwinch/fleet.go
+++ b/cmd/eiderwinch/fleet.go
@@ -86,7 +86,7 @@
 	for current := range s.fleet.WatchShare() {
 		s.mu.Lock()
 		if !s.left {
-			s.node.Share(current.Slots, current.Until)
+			s.node.SetShare(current.Slots, current.Until)
 		}
 		s.mu.Unlock()
 	}
@@ -98,7 +98,7 @@
 	if _, divided := s.fleet.Share(); divided {
 		s.mu.Lock()
 		s.left = true
-		s.node.Share(0, time.Now().Add(noExpiry))
+		s.node.SetShare(0, time.Now().Add(noExpiry))
 		s.mu.Unlock()
 		// The event loop handles requests in order, so the share set above is in force once this returns.
 		if _, ok := s.node.State(ctx, 1<<62); !ok {
